--- /dev/null
+++ b/internal/wireformat/examples_test.go
@@ -0,0 +1,93 @@
+package wireformat
+
+import "strconv"
+
+// forwardedRequest is a request that a server gets, as the client and as the node writes it. LEFT stands for the
+// time that is left to the client.
+type forwardedRequest struct{ name, request, forwarded string }
+
+// forwardedResponse is what the client gets of the server's response to each of them.
+const forwardedResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Type: text/x\r\nX-Server: s-1\r\n" +
+	"Date: DATE\r\n\r\nok"
+
+func forwardedRequests() []forwardedRequest {
+	return []forwardedRequest{
+		{
+			"idempotent",
+			"GET /read/a/b?q=1&r=%20 HTTP/1.1\r\nHost: n\r\nX-Request-ID: r1\r\nX-Tenant-Id: acme\r\nX-Timeout-Ms: 8000\r\n" +
+				"X-Cost: 1500\r\nX-Other: kept\r\nConnection: x-hop\r\nX-Hop: dropped\r\nAccept: */*\r\n\r\n",
+			"GET /read/a/b?q=1&r=%20 HTTP/1.1\r\nHost: n\r\nAccept: */*\r\nX-Cost: 1500\r\nX-Other: kept\r\n" +
+				"X-Request-Id: r1\r\nX-Tenant-Id: acme\r\nX-Timeout-Ms: LEFT\r\n\r\n",
+		},
+		{
+			"idempotent with a key",
+			"POST /order HTTP/1.1\r\nHost: n\r\nX-Request-ID: r2\r\nX-Tenant-Id: acme\r\nX-Timeout-Ms: 9000\r\n" +
+				"Idempotency-Key: k1\r\nContent-Type: text/plain\r\nContent-Length: 5\r\n\r\nhello",
+			"POST /order HTTP/1.1\r\nHost: n\r\nContent-Length: 5\r\nContent-Type: text/plain\r\nIdempotency-Key: k1\r\n" +
+				"X-Request-Id: r2\r\nX-Tenant-Id: acme\r\nX-Timeout-Ms: LEFT\r\n\r\nhello",
+		},
+		{
+			"not idempotent",
+			"POST /notify HTTP/1.1\r\nHost: n\r\nX-Request-ID: r3\r\nX-Tenant-Id: acme\r\nX-Timeout-Ms: 8000\r\n" +
+				"Content-Length: 0\r\n\r\n",
+			"POST /notify HTTP/1.1\r\nHost: n\r\nContent-Length: 0\r\nX-Request-Id: r3\r\nX-Tenant-Id: acme\r\n" +
+				"X-Timeout-Ms: LEFT\r\n\r\n",
+		},
+	}
+}
+
+// localRequest is a request that the node responds to itself.
+type localRequest struct{ name, request, response string }
+
+// text returns a response with a body of one line. The headers precede the usual ones.
+func text(status, headers, line string) string {
+	return status + "\r\n" + headers + "Content-Length: " + strconv.Itoa(len(line)+1) +
+		"\r\nContent-Type: text/plain; charset=utf-8\r\nX-Content-Type-Options: nosniff\r\nDate: DATE\r\n\r\n" + line + "\n"
+}
+
+func localRequests() []localRequest {
+	const (
+		required   = "Host: n\r\nX-Request-ID: r9\r\nX-Tenant-Id: acme\r\nX-Timeout-Ms: 8000\r\n"
+		badRequest = "HTTP/1.1 400 Bad Request"
+		closes     = "Connection: close\r\n"
+	)
+	return []localRequest{
+		{
+			"health check", "GET /health/ready HTTP/1.1\r\nHost: n\r\n\r\n",
+			text("HTTP/1.1 200 OK", "", "ready"),
+		}, {
+			"unknown class", "GET /none HTTP/1.1\r\n" + required + "\r\n",
+			text("HTTP/1.1 404 Not Found", "", "unknown class"),
+		}, {
+			"no request ID", "GET /read HTTP/1.1\r\nHost: n\r\nX-Tenant-Id: acme\r\nX-Timeout-Ms: 8000\r\n\r\n",
+			text(badRequest, "", "X-Request-ID is missing or malformed"),
+		}, {
+			"no tenant", "GET /read HTTP/1.1\r\nHost: n\r\nX-Request-ID: r9\r\nX-Timeout-Ms: 8000\r\n\r\n",
+			text(badRequest, "", "X-Tenant-Id is missing or unknown"),
+		}, {
+			"no timeout", "GET /read HTTP/1.1\r\nHost: n\r\nX-Request-ID: r9\r\nX-Tenant-Id: acme\r\n\r\n",
+			text(badRequest, "", "X-Timeout-Ms is missing or no whole number of milliseconds"),
+		}, {
+			"wrong method", "POST /read HTTP/1.1\r\n" + required + "Content-Length: 0\r\n\r\n",
+			text("HTTP/1.1 405 Method Not Allowed", "Allow: GET\r\n", "the class wants GET"),
+		}, {
+			"body with GET", "GET /read HTTP/1.1\r\n" + required + "Content-Length: 1\r\n\r\nx",
+			text(badRequest, closes, "the class takes no body"),
+		}, {
+			"no key", "POST /order HTTP/1.1\r\n" + required + "Content-Length: 0\r\n\r\n",
+			text(badRequest, "", "Idempotency-Key is missing"),
+		}, {
+			"key not permitted", "POST /notify HTTP/1.1\r\n" + required + "Idempotency-Key: k\r\nContent-Length: 0\r\n\r\n",
+			text(badRequest, "", "the class takes no Idempotency-Key"),
+		}, {
+			"no length", "POST /notify HTTP/1.1\r\n" + required + "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+			text("HTTP/1.1 411 Length Required", closes, "a Content-Length is required, with no transfer coding"),
+		}, {
+			"too large", "POST /notify HTTP/1.1\r\n" + required + "Content-Length: 65537\r\n\r\n",
+			text("HTTP/1.1 413 Request Entity Too Large", closes, "the body is too large"),
+		}, {
+			"old version", "GET /read HTTP/1.0\r\n" + required + "\r\n",
+			text("HTTP/1.0 505 HTTP Version Not Supported", closes, "HTTP/1.1 is required"),
+		},
+	}
+}
--- /dev/null
+++ b/internal/wireformat/wireformat_test.go
@@ -0,0 +1,329 @@
+// Package wireformat holds the programs to fixed text on everything that other systems read or write: calls to
+// discovery and the lists that it sends, requests to servers, responses to clients, the keys of the settings and
+// the frames of the simulator. Its tests run the programs and use no other package of this module.
+package wireformat
+
+import (
+	"bufio"
+	"bytes"
+	"encoding/json"
+	"io"
+	"net"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"regexp"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+)
+
+// waitTimeout ends a test that fails. It never delays one that passes.
+const waitTimeout = 20 * time.Second
+
+// buildProgram builds a program of this module and returns its path.
+func buildProgram(t *testing.T, name string) string {
+	t.Helper()
+	path := filepath.Join(t.TempDir(), name)
+	build := exec.CommandContext(t.Context(), "go", "build", "-ldflags=-linkmode=external", "-o", path, "../../cmd/"+name)
+	build.Env = append(os.Environ(), "CGO_ENABLED=1")
+	if output, err := build.CombinedOutput(); err != nil {
+		t.Fatalf("%v\n%s", err, output)
+	}
+	return path
+}
+
+// rawService accepts connections, records each request as it came and responds with the next text of a list.
+type rawService struct {
+	address  string
+	requests chan string
+}
+
+// newRawService starts a service. It leaves requests without a response once the list of responses has ended.
+func newRawService(t *testing.T, responses ...string) *rawService {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = listener.Close() }) // ends the goroutine that accepts
+	service := &rawService{address: listener.Addr().String(), requests: make(chan string, 100)}
+	next := make(chan string, len(responses))
+	for _, response := range responses {
+		next <- response
+	}
+	go func() {
+		for {
+			conn, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			go service.serve(conn, next)
+		}
+	}()
+	return service
+}
+
+func (s *rawService) serve(conn net.Conn, responses <-chan string) {
+	defer func() { _ = conn.Close() }() // the test is over
+	reader := bufio.NewReader(conn)
+	for {
+		request, err := readMessage(reader)
+		if err != nil {
+			return
+		}
+		s.requests <- request
+		select {
+		case response := <-responses:
+			_, _ = io.WriteString(conn, response) // the test sees what is missing
+		default: // the connection stays open without a response
+		}
+	}
+}
+
+// nextRequest returns the next request, with the service's own address replaced.
+func (s *rawService) nextRequest(t *testing.T) string {
+	t.Helper()
+	select {
+	case request := <-s.requests:
+		return strings.ReplaceAll(request, s.address, "ADDRESS")
+	case <-time.After(waitTimeout):
+		t.Fatal("timed out waiting for a request")
+		return ""
+	}
+}
+
+var contentLength = regexp.MustCompile(`(?i)\r\nContent-Length: (\d+)\r\n`)
+
+// readMessage reads one HTTP message as it came: the head, and a body with a Content-Length.
+func readMessage(reader *bufio.Reader) (string, error) {
+	var message strings.Builder
+	for !strings.HasSuffix(message.String(), "\r\n\r\n") {
+		line, err := reader.ReadString('\n')
+		if err != nil {
+			return "", err
+		}
+		message.WriteString(line)
+	}
+	if match := contentLength.FindStringSubmatch(message.String()); match != nil {
+		size, err := strconv.Atoi(match[1])
+		if err != nil {
+			return "", err
+		}
+		body := make([]byte, size)
+		if _, err := io.ReadFull(reader, body); err != nil {
+			return "", err
+		}
+		message.Write(body)
+	}
+	return message.String(), nil
+}
+
+// withLength returns a response of status 200 with a body.
+func withLength(body string) string {
+	return "HTTP/1.1 200 OK\r\nContent-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n" + body
+}
+
+// writeConfig writes a configuration file and returns its path.
+func writeConfig(t *testing.T, config map[string]any) string {
+	t.Helper()
+	text, err := json.Marshal(config)
+	if err != nil {
+		t.Fatal(err)
+	}
+	path := filepath.Join(t.TempDir(), "config.json")
+	if err := os.WriteFile(path, text, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return path
+}
+
+// startNode runs a node until the end of the test and returns the address at which it serves.
+func startNode(t *testing.T, program string, config map[string]any) string {
+	t.Helper()
+	config["listen"] = "127.0.0.1:0"
+	cmd := exec.CommandContext(t.Context(), program)
+	cmd.Env = append(os.Environ(), "BALANCER_CONFIG="+writeConfig(t, config))
+	stderr, err := cmd.StderrPipe()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := cmd.Start(); err != nil {
+		t.Fatal(err)
+	}
+	serving := make(chan string, 1)
+	ended := make(chan struct{})
+	go func() {
+		defer close(ended)
+		for lines := bufio.NewScanner(stderr); lines.Scan(); {
+			if _, address, ok := strings.Cut(lines.Text(), " addr="); ok && strings.Contains(lines.Text(), " serving ") {
+				serving <- address
+			}
+		}
+		_ = cmd.Wait() // it is killed at the end of the test
+	}()
+	t.Cleanup(func() { <-ended })
+	select {
+	case address := <-serving:
+		return address
+	case <-time.After(waitTimeout):
+		t.Fatal("the node does not serve")
+		return ""
+	}
+}
+
+// exchange sends a request as it is over a connection of its own and returns the response as it came.
+func exchange(t *testing.T, address, request string) string {
+	t.Helper()
+	conn, err := net.DialTimeout("tcp", address, waitTimeout)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = conn.Close() }() // the response has been read
+	if err := conn.SetDeadline(time.Now().Add(waitTimeout)); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := io.WriteString(conn, request); err != nil {
+		t.Fatal(err)
+	}
+	response, err := readMessage(bufio.NewReader(conn))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return regexp.MustCompile(`\r\nDate: [^\r]*`).ReplaceAllString(response, "\r\nDate: DATE")
+}
+
+// awaitReady waits until the node reports that it is ready.
+func awaitReady(t *testing.T, address string) {
+	t.Helper()
+	const check = "GET /health/ready HTTP/1.1\r\nHost: n\r\n\r\n"
+	for end := time.Now().Add(waitTimeout); !strings.HasPrefix(exchange(t, address, check), "HTTP/1.1 200 "); {
+		if time.Now().After(end) {
+			t.Fatal("the node does not become ready")
+		}
+	}
+}
+
+// equalText reports a difference between two texts, quoted.
+func equalText(t *testing.T, name, got, want string) {
+	t.Helper()
+	if got != want {
+		t.Errorf("%s:\n got %q\nwant %q", name, got, want)
+	}
+}
+
+const settings = `{"Zones": ["a", "b"], "Accounts": [{"Name": "acme", "QuotaPerS": 1000}], "RegistryMode": "MODE",
+	"Limits": {"MaxAttempts": 2, "RetryAfter": true, "MaxRetryAfterMs": 700}, "Classes": [
+	{"Name": "read", "Effect": "pure", "DeadlineMs": 8000},
+	{"Name": "order", "Effect": "token", "DedupScope": "all", "KeyTtlMs": 6000, "DeadlineMs": 8000},
+	{"Name": "notify", "Effect": "side_effect", "DeadlineMs": 8000}]}`
+
+// list returns an endpoint list in the form of discovery, indented as it may come.
+func list(generation int, reset bool, server string) string {
+	return `{
+  "generation": ` + strconv.Itoa(generation) + `,
+  "reset": ` + strconv.FormatBool(reset) + `,
+  "instances": [
+    {"instanceId": "s-1", "hostPort": "` + server + `", "zone": "a", "cell": 2, "lifecycle": "Ready", "weight": 1.5,
+     "startedAtMs": 1.5e12, "novel": [1]},
+    {"instanceId": "s-2", "hostPort": "127.0.0.1:1", "zone": "b", "cell": 0, "lifecycle": "Terminating", "weight": 1,
+     "startedAtMs": 0},
+    {"instanceId": "s-3", "hostPort": "127.0.0.1:1", "zone": "b", "cell": 0, "lifecycle": "Gone", "weight": 1,
+     "startedAtMs": 0},
+    {"instanceId": "s-4", "hostPort": "127.0.0.1:1", "zone": "b", "cell": 0, "lifecycle": "Novel", "weight": 1}
+  ],
+  "novel": {}
+}
+`
+}
+
+// The node asks for the complete list, then for changes since its generation, in both modes. Only the server
+// that is Ready gets a request, at the address of the list.
+func TestCallsToDiscoveryKeepTheirBytes(t *testing.T) {
+	program := buildProgram(t, "balancer")
+	for _, mode := range []string{"pushed", "on_request"} {
+		t.Run(mode, func(t *testing.T) {
+			server := newRawService(t, withLength("ok"))
+			discovery := newRawService(t, withLength(list(7, true, server.address)), withLength(`{"generation":9,"reset":false,"instances":[]}`))
+			address := startNode(t, program, map[string]any{
+				"discovery": discovery.address, "settings": json.RawMessage(strings.Replace(settings, "MODE", mode, 1)),
+			})
+			const headers = " HTTP/1.1\r\nHost: ADDRESS\r\nUser-Agent: Go-http-client/1.1\r\nAccept-Encoding: gzip\r\n\r\n"
+			equalText(t, "first call", discovery.nextRequest(t), "GET /registry/instances"+headers)
+			equalText(t, "second call", discovery.nextRequest(t), "GET /registry/instances?after=7&wait_ms=3000"+headers)
+			equalText(t, "third call", discovery.nextRequest(t), "GET /registry/instances?after=9&wait_ms=3000"+headers)
+			awaitReady(t, address)
+			exchange(t, address, "GET /read HTTP/1.1\r\nHost: n\r\nX-Request-ID: r1\r\nX-Tenant-Id: acme\r\nX-Timeout-Ms: 8000\r\n\r\n")
+			if !strings.HasPrefix(server.nextRequest(t), "GET /read HTTP/1.1\r\n") {
+				t.Error("the server that is ready got another request")
+			}
+		})
+	}
+}
+
+// The cached list of a configuration has the form of discovery's.
+func TestRequestsAndResponsesKeepTheirBytes(t *testing.T) {
+	program := buildProgram(t, "balancer")
+	const response = "HTTP/1.1 200 OK\r\nContent-Type: text/x\r\nX-Server: s-1\r\nConnection: keep-alive\r\nContent-Length: 2\r\n\r\nok"
+	server := newRawService(t, response, response, response)
+	address := startNode(t, program, map[string]any{
+		"discovery": "127.0.0.1:1", "settings": json.RawMessage(strings.Replace(settings, "MODE", "pushed", 1)),
+		"known": json.RawMessage(list(7, true, server.address)),
+	})
+	awaitReady(t, address)
+	timeout := regexp.MustCompile(`X-Timeout-Ms: 7\d\d\d\r\n`)
+	for _, c := range forwardedRequests() {
+		got := exchange(t, address, c.request)
+		equalText(t, c.name+", response", got, forwardedResponse)
+		equalText(t, c.name+", request to the server", timeout.ReplaceAllString(server.nextRequest(t), "X-Timeout-Ms: LEFT\r\n"), c.forwarded)
+	}
+	for _, c := range localRequests() {
+		equalText(t, c.name, exchange(t, address, c.request), c.response)
+	}
+}
+
+// Each key of the configuration refuses a value of another type with its name. An unknown key is ignored.
+func TestKeysOfTheConfigurationKeepTheirNames(t *testing.T) {
+	program := buildProgram(t, "balancer")
+	for _, c := range invalidValues() {
+		path := writeConfig(t, c.configuration(t))
+		cmd := exec.CommandContext(t.Context(), program)
+		cmd.Env = append(os.Environ(), "BALANCER_CONFIG="+path)
+		output, err := cmd.CombinedOutput()
+		if err == nil {
+			t.Errorf("%s %s is accepted", c.key, c.value)
+		}
+		equalText(t, c.key+" "+c.value, strings.ReplaceAll(string(output), path, "FILE"), c.message+"\n")
+	}
+}
+
+// configuration returns a configuration with the value in place of a valid one.
+func (v invalidValue) configuration(t *testing.T) map[string]any {
+	t.Helper()
+	values := map[string]any{}
+	if err := json.Unmarshal([]byte(`{"Zones": ["a"], "Classes": [{"Name": "read", "Effect": "pure", "DeadlineMs": 8000}]}`), &values); err != nil {
+		t.Fatal(err)
+	}
+	config := map[string]any{"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "unknown": 1, "settings": values}
+	if v.key != "" {
+		config[v.key] = json.RawMessage(v.value)
+		return config
+	}
+	if err := json.Unmarshal([]byte(v.value), &values); err != nil {
+		t.Fatal(err)
+	}
+	return config
+}
+
+// The simulator's batches hold each kind of event; the replies are determined by their single server.
+func TestFramesOfTheSimulatorKeepTheirBytes(t *testing.T) {
+	cmd := exec.CommandContext(t.Context(), buildProgram(t, "simadapter"))
+	cmd.Stdin = bytes.NewReader(simulatorInput(t))
+	var output, problems bytes.Buffer
+	cmd.Stdout, cmd.Stderr = &output, &problems
+	if err := cmd.Run(); err != nil {
+		t.Fatalf("%v: %s", err, problems.Bytes())
+	}
+	equalText(t, "replies", framesAsText(output.Bytes()), simulatorReplies)
+}
