--- a/cmd/balancer/discovery_stub_test.go
+++ b/cmd/balancer/discovery_stub_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"calicohinge/internal/endpoint"
+	"calicohinge/internal/endpointjson"
 	"calicohinge/internal/testkit"
 )
 
@@ -27,7 +27,7 @@
 // one after the other, each for timePerCall, those that were given up included.
 type overbookedDiscovery struct {
 	t           *testing.T
-	list        endpoint.List
+	list        endpointjson.List
 	outage      outage
 	timePerCall time.Duration
 	queue       chan chan struct{} // one for each call, closed when it has had its time
@@ -35,7 +35,7 @@
 }
 
 // newDiscovery makes one that serves at no address yet.
-func newDiscovery(t *testing.T, list endpoint.List, outage outage, timePerCall time.Duration) *overbookedDiscovery {
+func newDiscovery(t *testing.T, list endpointjson.List, outage outage, timePerCall time.Duration) *overbookedDiscovery {
 	t.Helper()
 	stub := &overbookedDiscovery{
 		t: t, list: list, outage: outage, timePerCall: timePerCall,
@@ -46,7 +46,7 @@
 }
 
 // startDiscovery starts one and returns its address.
-func startDiscovery(t *testing.T, list endpoint.List, outage outage, timePerCall time.Duration) (addr string) {
+func startDiscovery(t *testing.T, list endpointjson.List, outage outage, timePerCall time.Duration) (addr string) {
 	t.Helper()
 	stub := newDiscovery(t, list, outage, timePerCall)
 	reserved := testkit.ReserveAddr(t)
--- a/cmd/balancer/harness_test.go
+++ b/cmd/balancer/harness_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"calicohinge/internal/endpoint"
+	"calicohinge/internal/endpointjson"
 	"calicohinge/internal/testkit"
 )
 
@@ -171,10 +171,10 @@
 }
 
 // listOf makes a complete list of ready servers.
-func listOf(generation uint64, addresses ...string) endpoint.List {
-	list := endpoint.List{Generation: generation, Reset: true}
+func listOf(generation uint64, addresses ...string) endpointjson.List {
+	list := endpointjson.List{Generation: generation, Reset: true}
 	for i, address := range addresses {
-		list.Endpoints = append(list.Endpoints, endpoint.Endpoint{
+		list.Endpoints = append(list.Endpoints, endpointjson.Endpoint{
 			InstanceID: fmt.Sprintf("s-%d-%d", generation, i), Address: address,
 			Lifecycle: "Ready", Zone: "a", Weight: 1,
 		})
--- a/cmd/balancer/silent_discovery_test.go
+++ b/cmd/balancer/silent_discovery_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"calicohinge/internal/endpoint"
+	"calicohinge/internal/endpointjson"
 	"calicohinge/internal/testkit"
 	"calicohinge/policy"
 )
@@ -17,17 +17,17 @@
 // watchedList is the endpoint list of a discovery service on a Machine.
 type watchedList struct {
 	mu      sync.Mutex
-	list    endpoint.List
+	list    endpointjson.List
 	changed chan struct{} // closed at the next change
 	watched chan string   // the generation that each call names: its caller has that list
 }
 
-func newWatchedList(list endpoint.List) *watchedList {
+func newWatchedList(list endpointjson.List) *watchedList {
 	return &watchedList{list: list, changed: make(chan struct{}), watched: make(chan string, 1000)}
 }
 
 // set replaces the list.
-func (w *watchedList) set(list endpoint.List) {
+func (w *watchedList) set(list endpointjson.List) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.list = list
@@ -80,7 +80,7 @@
 func testSilentOutage(t *testing.T, program, mode string, outage time.Duration) {
 	t.Helper()
 	former, other := testkit.NewBackend(t, testkit.OK), testkit.NewBackend(t, testkit.OK)
-	list := newWatchedList(endpoint.List{Generation: 1, Reset: true, Endpoints: []endpoint.Endpoint{former.Endpoint("s-0")}})
+	list := newWatchedList(endpointjson.List{Generation: 1, Reset: true, Endpoints: []endpointjson.Endpoint{former.Endpoint("s-0")}})
 	machine := testkit.NewMachine(t, list.answer)
 	started := startProcess(t, map[string]any{
 		"discovery": machine.Address,
@@ -95,7 +95,7 @@
 	time.Sleep(outage) // what is under test
 	draining := former.Endpoint("s-0")
 	draining.Lifecycle = "Terminating"
-	list.set(endpoint.List{Generation: 2, Reset: true, Endpoints: []endpoint.Endpoint{draining, other.Endpoint("s-1")}})
+	list.set(endpointjson.List{Generation: 2, Reset: true, Endpoints: []endpointjson.Endpoint{draining, other.Endpoint("s-1")}})
 	machine.Return(t)
 	returned := time.Now()
 	list.awaitWatch(t, 2)
--- a/cmd/balancer/soak_discovery_test.go
+++ b/cmd/balancer/soak_discovery_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"calicohinge/internal/endpoint"
+	"calicohinge/internal/endpointjson"
 	"calicohinge/internal/testkit"
 	"calicohinge/policy"
 )
@@ -29,7 +29,7 @@
 type soakChange struct {
 	generation uint64
 	at         time.Time
-	endpoints  []endpoint.Endpoint // that changed
+	endpoints  []endpointjson.Endpoint // that changed
 }
 
 // interval is a span of time.
@@ -41,8 +41,8 @@
 
 	mu        sync.Mutex
 	changes   []soakChange
-	current   map[string]endpoint.Endpoint // by ID
-	changed   chan struct{}                // closed at the next change or fault
+	current   map[string]endpointjson.Endpoint // by ID
+	changed   chan struct{}                    // closed at the next change or fault
 	fault     discoveryFault
 	faultFrom time.Time
 	faults    []interval // that are over and kept it from being reached
@@ -50,7 +50,7 @@
 }
 
 func newSoakDiscovery(t *testing.T) *soakDiscovery {
-	return &soakDiscovery{t: t, current: map[string]endpoint.Endpoint{}, changed: make(chan struct{})}
+	return &soakDiscovery{t: t, current: map[string]endpointjson.Endpoint{}, changed: make(chan struct{})}
 }
 
 // address returns a new address, for one incarnation of a node.
@@ -67,7 +67,7 @@
 }
 
 // publish makes a new version of the list and returns its generation.
-func (d *soakDiscovery) publish(endpoints ...endpoint.Endpoint) (generation uint64) {
+func (d *soakDiscovery) publish(endpoints ...endpointjson.Endpoint) (generation uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, e := range endpoints {
@@ -152,12 +152,12 @@
 }
 
 // list returns the complete list, or what changed after a generation.
-func (d *soakDiscovery) list(after uint64, watch bool) endpoint.List {
+func (d *soakDiscovery) list(after uint64, watch bool) endpointjson.List {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	list := endpoint.List{Generation: uint64(len(d.changes))}
+	list := endpointjson.List{Generation: uint64(len(d.changes))}
 	if watch && rand.Float64() >= completeShare {
-		latest := map[string]endpoint.Endpoint{}
+		latest := map[string]endpointjson.Endpoint{}
 		for _, change := range d.changes[min(after, list.Generation):] {
 			for _, e := range change.endpoints {
 				latest[e.InstanceID] = e
--- a/cmd/balancer/soak_servers_test.go
+++ b/cmd/balancer/soak_servers_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"calicohinge/internal/endpoint"
+	"calicohinge/internal/endpointjson"
 	"calicohinge/internal/testkit"
 )
 
@@ -17,7 +17,7 @@
 // sees who still sends to it.
 type soakServer struct {
 	records  *soakRecords
-	endpoint endpoint.Endpoint
+	endpoint endpointjson.Endpoint
 	work     time.Duration // mean time for a request
 	joinedAt time.Time     // when it was listed first; zero: it was there from the start
 	hanging  atomic.Bool   // it begins requests and does not answer
@@ -33,7 +33,7 @@
 	t.Helper()
 	s := &soakServer{records: records, work: work}
 	server := testkit.NewServer(t, s)
-	s.endpoint = endpoint.Endpoint{
+	s.endpoint = endpointjson.Endpoint{
 		InstanceID: id, Address: server.Listener.Addr().String(), Zone: "a", Lifecycle: "Ready", Weight: 1,
 	}
 	return s
--- a/cmd/balancer/soak_test.go
+++ b/cmd/balancer/soak_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"calicohinge/internal/endpoint"
+	"calicohinge/internal/endpointjson"
 	"calicohinge/internal/testkit"
 )
 
@@ -71,7 +71,7 @@
 	}
 	t.Cleanup(func() { close(run.lag.stop) })
 	run.settings = drawSettings(random)
-	var listed []endpoint.Endpoint
+	var listed []endpointjson.Endpoint
 	for i := range soakServers {
 		server := newSoakServer(t, run.records, fmt.Sprintf("s-%d", i), soakServerWork)
 		run.servers = append(run.servers, server)
--- a/cmd/balancer/wall_clock_test.go
+++ b/cmd/balancer/wall_clock_test.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"calicohinge/internal/endpoint"
+	"calicohinge/internal/endpointjson"
 	"calicohinge/internal/testkit"
 )
 
@@ -125,7 +125,7 @@
 func testNewServerWarmsUp(t *testing.T, program string, ahead time.Duration) {
 	t.Helper()
 	counts := make([]atomic.Int64, warmServers+1)
-	var endpoints []endpoint.Endpoint
+	var endpoints []endpointjson.Endpoint
 	for i := range counts {
 		backend := testkit.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
 			counts[i].Add(1)
@@ -133,7 +133,7 @@
 		})
 		endpoints = append(endpoints, backend.Endpoint(fmt.Sprintf("s-%d", i)))
 	}
-	list := newWatchedList(endpoint.List{Generation: 1, Reset: true, Endpoints: endpoints[:warmServers]})
+	list := newWatchedList(endpointjson.List{Generation: 1, Reset: true, Endpoints: endpoints[:warmServers]})
 	machine := testkit.NewMachine(t, list.answer)
 	started := startProcessWith(t, processOptions{environment: []string{newWallClock(t, ahead).environment()}}, map[string]any{
 		"discovery": machine.Address,
@@ -152,7 +152,7 @@
 	newServer := endpoints[warmServers]
 	newServer.StartedUnixMilli = float64(time.Now().UnixMilli())
 	before := total(counts)
-	list.set(endpoint.List{Generation: 2, Endpoints: []endpoint.Endpoint{newServer}})
+	list.set(endpointjson.List{Generation: 2, Endpoints: []endpointjson.Endpoint{newServer}})
 	time.Sleep(firstMoments)
 	got, all := counts[warmServers].Load(), total(counts)-before
 	ended.Store(true)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"calicohinge/internal/endpoint"
+	"calicohinge/internal/endpointjson"
 	"calicohinge/internal/syserror"
 	"calicohinge/policy"
 )
@@ -49,13 +50,13 @@
 
 // configFile is the configuration file.
 type configFile struct {
-	Name      string          `json:"name"`
-	Listen    string          `json:"listen"`
-	Discovery string          `json:"discovery"`
-	Seed      string          `json:"seed"`
-	Limits    Limits          `json:"limits"`
-	Known     endpoint.List   `json:"known"`
-	Settings  json.RawMessage `json:"settings"`
+	Name      string            `json:"name"`
+	Listen    string            `json:"listen"`
+	Discovery string            `json:"discovery"`
+	Seed      string            `json:"seed"`
+	Limits    Limits            `json:"limits"`
+	Known     endpointjson.List `json:"known"`
+	Settings  json.RawMessage   `json:"settings"`
 }
 
 // Load reads the file named by BALANCER_CONFIG. The other BALANCER variables override the
@@ -147,7 +148,7 @@
 		return nil, &Error{Key: "settings", Allowed: "an object"}
 	}
 	config := &Config{
-		Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, Limits: file.Limits, Known: file.Known,
+		Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, Limits: file.Limits, Known: file.Known.Translate(),
 	}
 	var err error
 	if config.Seed, err = parseSeed(file.Seed); err != nil {
--- a/internal/config/example_config_test.go
+++ b/internal/config/example_config_test.go
@@ -34,8 +34,8 @@
 		t.Errorf("%d known endpoints, want 2", len(loaded.Known.Endpoints))
 	}
 	for _, server := range loaded.Known.Endpoints {
-		if _, known := loaded.Zones[server.Zone]; !known || server.State() != policy.Ready {
-			t.Errorf("endpoint %s: zone %q, state %v", server.InstanceID, server.Zone, server.State())
+		if _, known := loaded.Zones[server.Zone]; !known || server.State != policy.Ready {
+			t.Errorf("endpoint %x: zone %q, state %v", server.ID, server.Zone, server.State)
 		}
 	}
 	if loaded.ConnectTimeout != 150*time.Millisecond || loaded.DrainGrace != time.Second {
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -20,9 +20,11 @@
 	return &recorder{updates: make(chan policy.UpdateKind, 100), failed: make(chan time.Time, 100)}
 }
 
-func (r *recorder) UpdateEndpoints(kind policy.UpdateKind, _ []endpoint.Endpoint) { r.updates <- kind }
-func (r *recorder) EndpointsKnown()                                               {}
-func (r *recorder) WatchFailed(notifiedAt time.Time)                              { r.failed <- notifiedAt }
+func (r *recorder) UpdateEndpoints(kind policy.UpdateKind, _ []endpoint.Endpoint) {
+	r.updates <- kind
+}
+func (r *recorder) EndpointsKnown()                  {}
+func (r *recorder) WatchFailed(notifiedAt time.Time) { r.failed <- notifiedAt }
 
 // A watch is requested while one is active, which then fails: the handler requests the next one itself,
 // and the stale request must not make all nodes call at once.
@@ -61,7 +63,7 @@
 
 // In polling mode no call is made before a request.
 func TestCachedListIsReportedBeforeTheFirstCall(t *testing.T) {
-	cached := endpoint.List{Generation: 7, Endpoints: []endpoint.Endpoint{{InstanceID: "s"}}}
+	cached := endpoint.List{Generation: 7, Endpoints: []endpoint.Endpoint{{ID: 1}}}
 	update := []policy.UpdateKind{policy.UpdateCached}
 	for name, c := range map[string]startOf{
 		"polled, cached list": {cached, true, update, "after=7&wait_ms=3000"},
@@ -109,7 +111,7 @@
 			former, skipped, latest := testkit.NewScriptedDiscovery(t), testkit.FreeAddr(t), testkit.NewScriptedDiscovery(t)
 			client := New(Config{
 				Address: former.Address, Poll: poll,
-				Known: endpoint.List{Generation: 7, Endpoints: []endpoint.Endpoint{{InstanceID: "s"}}},
+				Known: endpoint.List{Generation: 7, Endpoints: []endpoint.Endpoint{{ID: 1}}},
 			})
 			client.RequestWatch()
 			go client.Run(t.Context(), newRecorder())
--- a/internal/discovery/fetch.go
+++ b/internal/discovery/fetch.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"calicohinge/internal/endpoint"
+	"calicohinge/internal/endpointjson"
 	"calicohinge/policy"
 )
 
@@ -127,12 +128,12 @@
 
 // decode reads a list from the body of an answer.
 func (q query) decode(body []byte) (endpoint.List, error) {
-	var list endpoint.List
+	var list endpointjson.List
 	if err := json.Unmarshal(body, &list); err != nil {
 		return endpoint.List{}, &Error{Kind: Malformed, Err: fmt.Errorf("decode endpoint list: %w", err)}
 	}
 	if q.complete {
 		list.Reset = true
 	}
-	return list, nil
+	return list.Translate(), nil
 }
--- a/internal/discovery/fetch_test.go
+++ b/internal/discovery/fetch_test.go
@@ -151,8 +151,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if list.Reset == haveList {
-			t.Errorf("present list %v: complete %v", haveList, list.Reset)
+		if list.Complete == haveList {
+			t.Errorf("present list %v: complete %v", haveList, list.Complete)
 		}
 	}
 }
--- a/internal/discovery/follow.go
+++ b/internal/discovery/follow.go
@@ -137,7 +137,7 @@
 // handOver hands a list to the handler.
 func (f *follower) handOver(list endpoint.List) {
 	switch {
-	case list.Reset:
+	case list.Complete:
 		f.handler.UpdateEndpoints(policy.UpdateSnapshot, list.Endpoints)
 	case len(list.Endpoints) > 0:
 		f.handler.UpdateEndpoints(policy.UpdateDelta, list.Endpoints)
--- a/internal/discovery/history.go
+++ b/internal/discovery/history.go
@@ -45,14 +45,14 @@
 			"failures", h.failures, "outage", time.Since(h.failingAt).Round(time.Millisecond))
 		h.failures = 0
 	}
-	if !list.Reset && len(list.Endpoints) == 0 {
+	if !list.Complete && len(list.Endpoints) == 0 {
 		return
 	}
 	counts := map[policy.EndpointState]int{}
 	for i := range list.Endpoints {
-		counts[list.Endpoints[i].State()]++
+		counts[list.Endpoints[i].State]++
 	}
 	slog.Info("endpoint list updated", "discovery_addr", f.address, "generation", list.Generation,
-		"former", f.generation, "complete", list.Reset,
+		"former", f.generation, "complete", list.Complete,
 		"ready", counts[policy.Ready], "draining", counts[policy.Draining], "gone", counts[policy.Gone])
 }
--- a/internal/discovery/late_answer_test.go
+++ b/internal/discovery/late_answer_test.go
@@ -64,7 +64,7 @@
 	transport := holdingTransport{make(chan *heldCall, 10)}
 	client := New(Config{
 		Address: "former", Poll: poll,
-		Known: endpoint.List{Generation: 3, Endpoints: []endpoint.Endpoint{{InstanceID: "s"}}},
+		Known: endpoint.List{Generation: 3, Endpoints: []endpoint.Endpoint{{ID: 1}}},
 	})
 	client.httpClient.Transport = transport
 	handler := requester{newRecorder(), client}
--- /dev/null
+++ b/internal/endpointjson/endpointjson_test.go
@@ -0,0 +1,84 @@
+package endpointjson
+
+import (
+	"encoding/json"
+	"math"
+	"reflect"
+	"testing"
+	"time"
+
+	"calicohinge/internal/endpoint"
+	"calicohinge/policy"
+)
+
+func TestUnknownLifecycleCountsAsDraining(t *testing.T) {
+	for lifecycle, want := range map[string]policy.EndpointState{
+		"Ready":       policy.Ready,
+		"Gone":        policy.Gone,
+		"Terminating": policy.Draining,
+		"Novel":       policy.Draining,
+		"ready":       policy.Draining,
+		"":            policy.Draining,
+	} {
+		server := Endpoint{Lifecycle: lifecycle}
+		if state := server.Translate().State; state != want {
+			t.Errorf("lifecycle %q is %v, want %v", lifecycle, state, want)
+		}
+	}
+}
+
+// The names of the JSON form are given by the discovery service; unknown names are ignored.
+func TestListHasTheNamesOfTheWire(t *testing.T) {
+	const text = `{"generation":18446744073709551615,"reset":true,"novel":1,"instances":[{"instanceId":"s-1",` +
+		`"hostPort":"127.0.0.1:8080","zone":"a","cell":3,"lifecycle":"Ready","weight":0.5,"startedAtMs":1.5e12,"novel":[]}]}`
+	want := List{Generation: 1<<64 - 1, Reset: true, Endpoints: []Endpoint{{
+		InstanceID: "s-1", Address: "127.0.0.1:8080", Zone: "a", Cell: 3, Lifecycle: "Ready", Weight: 0.5, StartedUnixMilli: 1.5e12,
+	}}}
+	var list List
+	if err := json.Unmarshal([]byte(text), &list); err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(list, want) {
+		t.Errorf("list %+v, want %+v", list, want)
+	}
+	encoded, err := json.Marshal(want)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var again List
+	if err := json.Unmarshal(encoded, &again); err != nil || !reflect.DeepEqual(again, want) {
+		t.Errorf("list %+v after encoding, want %+v: %v", again, want, err)
+	}
+}
+
+func TestTranslateMapsEachFieldOfAnEndpoint(t *testing.T) {
+	started := time.Date(2026, 12, 3, 7, 0, 0, 250_000, time.UTC)
+	list := List{Generation: 4, Reset: true, Endpoints: []Endpoint{{
+		InstanceID: "s-1", Address: "127.0.0.1:8080", Zone: "a", Cell: 3, Lifecycle: "Ready", Weight: 0.5,
+		StartedUnixMilli: float64(started.UnixMilli()) + 0.25,
+	}}}
+	translated := list.Translate()
+	if at := translated.Endpoints[0].StartedAt; !at.Equal(started) {
+		t.Errorf("started at %v, want %v", at, started)
+	}
+	translated.Endpoints[0].StartedAt = time.Time{} // its location depends on the machine
+	want := endpoint.List{Generation: 4, Complete: true, Endpoints: []endpoint.Endpoint{{
+		ID: endpoint.IDOf("s-1"), Address: "127.0.0.1:8080", Zone: "a", Cell: 3, State: policy.Ready, Weight: 0.5,
+	}}}
+	if !reflect.DeepEqual(translated, want) {
+		t.Errorf("translated to %+v, want %+v", translated, want)
+	}
+}
+
+func TestStartTimeOutOfRangeIsLongAgoOrTheLatest(t *testing.T) {
+	for unixMilli, want := range map[float64]time.Time{
+		0:     {},
+		-1:    {},
+		1e300: time.UnixMilli(math.MaxInt64),
+	} {
+		e := Endpoint{StartedUnixMilli: unixMilli}
+		if at := e.Translate().StartedAt; !at.Equal(want) {
+			t.Errorf("start at %g ms is %v, want %v", unixMilli, at, want)
+		}
+	}
+}
--- a/internal/node/connection_limits_test.go
+++ b/internal/node/connection_limits_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"calicohinge/internal/endpoint"
+	"calicohinge/internal/endpointjson"
 	"calicohinge/internal/testkit"
 	"calicohinge/internal/upstream"
 )
@@ -172,7 +172,7 @@
 	t.Helper()
 	release := make(chan struct{})
 	server := testkit.NewBackend(t, func(w http.ResponseWriter, r *http.Request) { <-release; testkit.OK(w, r) })
-	var list []endpoint.Endpoint
+	var list []endpointjson.Endpoint
 	for i := range 40 { // more than the limit, so that none is at its own limit
 		list = append(list, server.Endpoint(fmt.Sprintf("s-%d", i)))
 	}
--- a/internal/node/disconnect_crowd_test.go
+++ b/internal/node/disconnect_crowd_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"calicohinge/internal/endpoint"
+	"calicohinge/internal/endpointjson"
 	"calicohinge/internal/testkit"
 )
 
@@ -94,8 +94,8 @@
 	failing, mute *testkit.Backend
 }
 
-func (m mixedServers) endpoints(count int) (list []endpoint.Endpoint) {
-	kinds := []func(string) endpoint.Endpoint{m.stuck.Endpoint, m.failing.Endpoint, m.mute.Endpoint}
+func (m mixedServers) endpoints(count int) (list []endpointjson.Endpoint) {
+	kinds := []func(string) endpointjson.Endpoint{m.stuck.Endpoint, m.failing.Endpoint, m.mute.Endpoint}
 	for i := range count {
 		list = append(list, kinds[i%len(kinds)](fmt.Sprintf("s-%d", i)))
 	}
--- a/internal/node/disconnect_test.go
+++ b/internal/node/disconnect_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"calicohinge/internal/downstream"
-	"calicohinge/internal/endpoint"
+	"calicohinge/internal/endpointjson"
 	"calicohinge/internal/sockstate"
 	"calicohinge/internal/testkit"
 	"calicohinge/policy"
@@ -137,13 +137,13 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			far, bad := testkit.NewStuckServer(t), testkit.NewBackend(t, testkit.ServerError)
-			s := startHandler(t, []endpoint.Endpoint{far.Endpoint("s-0"), bad.Endpoint("s-1")}[attempt])
+			s := startHandler(t, []endpointjson.Endpoint{far.Endpoint("s-0"), bad.Endpoint("s-1")}[attempt])
 			l := s.loop
 			client := s.sendOnNewConn("read", "")
 			if attempt > 0 {
 				testkit.Wait(t, bad.Requests, "the first attempt")
 				l.awaitRequests(t, 1, 0)
-				l.UpdateEndpoints(policy.UpdateDelta, []endpoint.Endpoint{far.Endpoint("s-0")})
+				l.UpdateEndpoints(policy.UpdateDelta, endpointjson.TranslateAll([]endpointjson.Endpoint{far.Endpoint("s-0")}))
 				l.post(eventFunc(l.advanceClock))
 			}
 			l.awaitRequests(t, 1, 1)
--- a/internal/node/discovery_failure_test.go
+++ b/internal/node/discovery_failure_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"calicohinge/internal/discovery"
-	"calicohinge/internal/endpoint"
+	"calicohinge/internal/endpointjson"
 	"calicohinge/internal/sockstate"
 	"calicohinge/internal/testkit"
 	"calicohinge/internal/upstream"
@@ -49,7 +49,7 @@
 	}
 	queryStarts(t, again, "after=3&")
 	b := testkit.NewBackend(t, testkit.OK)
-	text, err := json.MarshalIndent(endpoint.List{Generation: 4, Endpoints: []endpoint.Endpoint{b.Endpoint("s-0")}}, "", "  ")
+	text, err := json.MarshalIndent(endpointjson.List{Generation: 4, Endpoints: []endpointjson.Endpoint{b.Endpoint("s-0")}}, "", "  ")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -102,7 +102,7 @@
 		t.Run(mode, func(t *testing.T) {
 			t.Parallel()
 			n, _ := startScripted(t, mode, func(file map[string]any) {
-				file["known"] = endpoint.List{Endpoints: []endpoint.Endpoint{{InstanceID: "s", Address: "127.0.0.1:1", Lifecycle: "Gone"}}}
+				file["known"] = endpointjson.List{Endpoints: []endpointjson.Endpoint{{InstanceID: "s", Address: "127.0.0.1:1", Lifecycle: "Gone"}}}
 				file["settings"] = testkit.JSON(strings.Replace(string(settingsWith(mode)), `"Limits"`,
 					`"Balancers": 300, "Contract": {"MustAskInMs": 600000}, "Limits"`, 1))
 			})
@@ -133,14 +133,14 @@
 			a, b := testkit.NewBackend(t, testkit.OK), testkit.NewBackend(t, testkit.OK)
 			n, scripted := startScripted(t, mode, nil)
 			testkit.Wait(t, scripted.Calls, "the first call")
-			scripted.Answers <- listText(t, endpoint.List{Generation: 5, Endpoints: []endpoint.Endpoint{a.Endpoint("s-0")}})
+			scripted.Answers <- listText(t, endpointjson.List{Generation: 5, Endpoints: []endpointjson.Endpoint{a.Endpoint("s-0")}})
 			testkit.Wait(t, scripted.Calls, "the watch")
 			scripted.Answers <- testkit.AnswerDown
 			testkit.Wait(t, scripted.Calls, "a call while it is down")
 			scripted.Answers <- testkit.AnswerDown
 			queryStarts(t, testkit.Wait(t, scripted.Calls, "a call as it is back"), "after=5&")
-			scripted.Answers <- listText(t, endpoint.List{
-				Generation: 6, Endpoints: []endpoint.Endpoint{draining(a.Endpoint("s-0")), b.Endpoint("s-1")},
+			scripted.Answers <- listText(t, endpointjson.List{
+				Generation: 6, Endpoints: []endpointjson.Endpoint{draining(a.Endpoint("s-0")), b.Endpoint("s-1")},
 			})
 			queryStarts(t, testkit.Wait(t, scripted.Calls, "the next watch"), "after=6&")
 			if x := n.do(n.request("read")); x.status != http.StatusOK || len(a.Requests) > 0 {
@@ -263,7 +263,7 @@
 	a, b := testkit.NewBackend(t, testkit.OK), testkit.NewBackend(t, testkit.OK)
 	n, scripted := startScripted(t, mode, func(file map[string]any) {
 		file["limits"] = map[string]any{"sockets": 64}
-		file["known"] = endpoint.List{Generation: 1, Reset: true, Endpoints: []endpoint.Endpoint{a.Endpoint("s-0")}}
+		file["known"] = endpointjson.List{Generation: 1, Reset: true, Endpoints: []endpointjson.Endpoint{a.Endpoint("s-0")}}
 	})
 	n.waitReady(http.StatusOK)
 	var idle []net.Conn
@@ -274,7 +274,7 @@
 		t.Errorf("%d idle connections are open, want 22 at most", open)
 	}
 	testkit.Wait(t, scripted.Calls, "the call as it is back")
-	text := listText(t, endpoint.List{Generation: 2, Endpoints: []endpoint.Endpoint{draining(a.Endpoint("s-0")), b.Endpoint("s-1")}})
+	text := listText(t, endpointjson.List{Generation: 2, Endpoints: []endpointjson.Endpoint{draining(a.Endpoint("s-0")), b.Endpoint("s-1")}})
 	back := make(chan struct{})
 	var crowd sync.WaitGroup
 	for range 5 {
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"calicohinge/internal/endpoint"
+	"calicohinge/internal/endpointjson"
 	"calicohinge/internal/testkit"
 )
 
@@ -79,7 +79,7 @@
 	d := testkit.NewRegistry(t)
 	d.SetDown(true)
 	n := start(t, testConfig(t, d, func(file map[string]any) {
-		file["known"] = endpoint.List{Generation: 7, Reset: true, Endpoints: []endpoint.Endpoint{b.Endpoint("s-0")}}
+		file["known"] = endpointjson.List{Generation: 7, Reset: true, Endpoints: []endpointjson.Endpoint{b.Endpoint("s-0")}}
 	}))
 	n.waitReady(http.StatusOK)
 	if a := n.do(n.request("read")); a.status != http.StatusOK {
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -17,7 +17,7 @@
 	update := endpointsUpdated{kind: kind}
 	starts := l.startTimes.update(kind, list, l.clock(), time.Now())
 	for i, e := range list {
-		if e.InstanceID == "" || (e.Address == "" && e.State() == policy.Ready) {
+		if e.ID == 0 || (e.Address == "" && e.State == policy.Ready) {
 			continue
 		}
 		update.usable = append(update.usable, e)
@@ -42,10 +42,10 @@
 		zone = len(l.zones) // the index of no zone
 	}
 	return policy.Endpoint{
-		Server:    e.ServerID(),
+		Server:    e.ID,
 		Zone:      zone,
 		Cell:      e.Cell,
-		State:     e.State(),
+		State:     e.State,
 		Weight:    max(0, e.Weight),
 		StartedAt: startedAt,
 	}
--- a/internal/node/endpoints_test.go
+++ b/internal/node/endpoints_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"calicohinge/internal/endpoint"
+	"calicohinge/internal/endpointjson"
 	"calicohinge/internal/testkit"
 	"calicohinge/policy"
 )
@@ -47,12 +48,15 @@
 func TestEndpointChangeRevokesAttemptsThatAwaitAConnection(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
-		change func(list []endpoint.Endpoint) []endpoint.Endpoint
+		change func(list []endpointjson.Endpoint) []endpointjson.Endpoint
 		stays  bool // the server may be selected again
 	}{
-		"draining": {func(list []endpoint.Endpoint) []endpoint.Endpoint { list[0].Lifecycle = "Terminating"; return list }, false},
-		"removed":  {func(list []endpoint.Endpoint) []endpoint.Endpoint { return list[1:] }, false},
-		"restarted": {func(list []endpoint.Endpoint) []endpoint.Endpoint {
+		"draining": {func(list []endpointjson.Endpoint) []endpointjson.Endpoint {
+			list[0].Lifecycle = "Terminating"
+			return list
+		}, false},
+		"removed": {func(list []endpointjson.Endpoint) []endpointjson.Endpoint { return list[1:] }, false},
+		"restarted": {func(list []endpointjson.Endpoint) []endpointjson.Endpoint {
 			list[0].StartedUnixMilli = float64(time.Now().UnixMilli())
 			return list
 		}, true},
@@ -64,7 +68,7 @@
 			done := l.submitAsync(t.Context(), l.newRequest(2, staysConnected))
 			l.awaitRequests(t, 1, 1)
 			b := testkit.NewBackend(t, testkit.OK)
-			l.UpdateEndpoints(policy.UpdateSnapshot, c.change([]endpoint.Endpoint{stuck.Endpoint("s-0"), b.Endpoint("s-1")}))
+			l.UpdateEndpoints(policy.UpdateSnapshot, endpointjson.TranslateAll(c.change([]endpointjson.Endpoint{stuck.Endpoint("s-0"), b.Endpoint("s-1")})))
 			l.firstAttemptsRevoked(t)
 			received := stuck.Admit()
 			final := testkit.Wait(t, done, "a response")
@@ -101,9 +105,9 @@
 	testkit.Wait(t, a.Requests, "the first attempt")
 	l.awaitRequests(t, 1, 0)
 	drains := b.Endpoint("s-1")
-	l.UpdateEndpoints(policy.UpdateDelta, []endpoint.Endpoint{drains})
+	l.UpdateEndpoints(policy.UpdateDelta, endpointjson.TranslateAll([]endpointjson.Endpoint{drains}))
 	drains.Lifecycle = "Terminating"
-	l.UpdateEndpoints(policy.UpdateDelta, []endpoint.Endpoint{drains, c.Endpoint("s-2")})
+	l.UpdateEndpoints(policy.UpdateDelta, endpointjson.TranslateAll([]endpointjson.Endpoint{drains, c.Endpoint("s-2")}))
 	if x := testkit.Wait(t, answered, "an answer"); x.status != http.StatusOK || len(b.Requests) > 0 {
 		t.Errorf("status %d, %d sends to the server that drains", x.status, len(b.Requests))
 	}
@@ -135,11 +139,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	startedAt := func(unixMilli float64) time.Duration {
-		list := []endpoint.Endpoint{{InstanceID: "s-0", Lifecycle: "Ready", StartedUnixMilli: unixMilli}}
+	startedAt := func(wall time.Time) time.Duration {
+		list := []endpoint.Endpoint{{ID: 1, State: policy.Ready, StartedAt: wall}}
 		return l.startTimes.update(policy.UpdateSnapshot, list, l.clock(), time.Now())[0]
 	}
-	at := float64(time.Now().Add(-3 * time.Second).UnixMilli())
+	at := time.Now().Add(-3 * time.Second).Round(0)
 	first := startedAt(at)
 	if age := l.clock() - first; age < 2900*time.Millisecond || age > 3*time.Second+testkit.Patience {
 		t.Errorf("a start 3 s ago is %v ago on the clock", age)
@@ -147,7 +151,7 @@
 	if again := startedAt(at); again != first {
 		t.Errorf("the start moved from %v to %v", first, again)
 	}
-	if startedAt(0) != 0 {
+	if startedAt(time.Time{}) != 0 {
 		t.Error("a start long ago is not 0")
 	}
 }
--- a/internal/node/harness_handler_test.go
+++ b/internal/node/harness_handler_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"calicohinge/internal/downstream"
-	"calicohinge/internal/endpoint"
+	"calicohinge/internal/endpointjson"
 	"calicohinge/internal/sockstate"
 	"calicohinge/internal/testkit"
 	"calicohinge/internal/upstream"
@@ -27,13 +27,13 @@
 }
 
 // startHandler starts one with deadlines that no test reaches, and 400 client connections.
-func startHandler(t *testing.T, list ...endpoint.Endpoint) *handlerServer {
+func startHandler(t *testing.T, list ...endpointjson.Endpoint) *handlerServer {
 	t.Helper()
 	return startHandlerLingering(t, downstream.DefaultLingerTimeout, list...)
 }
 
 // startHandlerLingering does the same with another linger timeout.
-func startHandlerLingering(t *testing.T, linger time.Duration, list ...endpoint.Endpoint) *handlerServer {
+func startHandlerLingering(t *testing.T, linger time.Duration, list ...endpointjson.Endpoint) *handlerServer {
 	t.Helper()
 	cfg := testConfig(t, testkit.NewRegistry(t), withDeadlines(600000))
 	cfg.Policy.Classes[1].KeyRetention = 10 * time.Minute
@@ -43,7 +43,7 @@
 		t.Fatal(err)
 	}
 	go l.run()
-	l.UpdateEndpoints(policy.UpdateSnapshot, list)
+	l.UpdateEndpoints(policy.UpdateSnapshot, endpointjson.TranslateAll(list))
 	conns := downstreamConfig(400, 0)
 	conns.LingerTimeout = linger
 	s := &handlerServer{loop: l, handler: newHandler(cfg, l, downstream.NewConns(conns))}
--- a/internal/node/harness_loop_test.go
+++ b/internal/node/harness_loop_test.go
@@ -8,20 +8,20 @@
 	"testing"
 	"time"
 
-	"calicohinge/internal/endpoint"
+	"calicohinge/internal/endpointjson"
 	"calicohinge/internal/testkit"
 	"calicohinge/internal/upstream"
 	"calicohinge/policy"
 )
 
 // startLoop starts a node's loop and pool without handler and discovery, with an endpoint list.
-func startLoop(t *testing.T, list ...endpoint.Endpoint) *loop {
+func startLoop(t *testing.T, list ...endpointjson.Endpoint) *loop {
 	t.Helper()
 	return startLoopWith(t, func(*upstream.Config) {}, list...)
 }
 
 // startLoopWith does the same with another configuration of the pool.
-func startLoopWith(t *testing.T, change func(*upstream.Config), list ...endpoint.Endpoint) *loop {
+func startLoopWith(t *testing.T, change func(*upstream.Config), list ...endpointjson.Endpoint) *loop {
 	t.Helper()
 	cfg := testConfig(t, testkit.NewRegistry(t), nil)
 	pool := upstreamConfig(cfg, 20)
@@ -31,7 +31,7 @@
 		t.Fatal(err)
 	}
 	go l.run()
-	l.UpdateEndpoints(policy.UpdateSnapshot, list)
+	l.UpdateEndpoints(policy.UpdateSnapshot, endpointjson.TranslateAll(list))
 	return l
 }
 
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"calicohinge/internal/config"
-	"calicohinge/internal/endpoint"
+	"calicohinge/internal/endpointjson"
 	"calicohinge/internal/testkit"
 )
 
@@ -111,7 +111,7 @@
 // startReady starts a node before the given servers and waits until it is ready.
 func startReady(t *testing.T, backends ...*testkit.Backend) (*testNode, *testkit.Registry) {
 	t.Helper()
-	var list []endpoint.Endpoint
+	var list []endpointjson.Endpoint
 	for i, b := range backends {
 		list = append(list, b.Endpoint(fmt.Sprintf("s-%d", i)))
 	}
@@ -214,7 +214,7 @@
 }
 
 // listText returns an endpoint list as discovery sends it.
-func listText(t *testing.T, list endpoint.List) string {
+func listText(t *testing.T, list endpointjson.List) string {
 	t.Helper()
 	text, err := json.Marshal(list)
 	if err != nil {
@@ -224,7 +224,7 @@
 }
 
 // draining returns an endpoint as one that drains.
-func draining(e endpoint.Endpoint) endpoint.Endpoint {
+func draining(e endpointjson.Endpoint) endpointjson.Endpoint {
 	e.Lifecycle = "Terminating"
 	return e
 }
--- a/internal/node/retry_test.go
+++ b/internal/node/retry_test.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"calicohinge/internal/endpoint"
+	"calicohinge/internal/endpointjson"
 	"calicohinge/internal/testkit"
 	"calicohinge/internal/upstream"
 	"calicohinge/policy"
@@ -114,7 +115,7 @@
 
 // With every circuit breaker open the rejection comes at once, with Retry-After.
 func TestAllServersDownRejectsWithRetryAfter(t *testing.T) {
-	d := testkit.NewRegistry(t, endpoint.Endpoint{InstanceID: "s-0", Address: testkit.FreeAddr(t), Zone: "a", Lifecycle: "Ready", Weight: 1})
+	d := testkit.NewRegistry(t, endpointjson.Endpoint{InstanceID: "s-0", Address: testkit.FreeAddr(t), Zone: "a", Lifecycle: "Ready", Weight: 1})
 	n := start(t, testConfig(t, d, nil))
 	n.waitReady(http.StatusOK)
 	for try := range 60 {
@@ -246,8 +247,8 @@
 			l := startLoopWith(t, func(pool *upstream.Config) { pool.ConnectTimeout = testkit.Patience },
 				far.Endpoint("late"), quiet.Endpoint("quiet"))
 			r := l.newRequest(c.class, staysConnected)
-			servers := []policy.ServerID{(&endpoint.Endpoint{InstanceID: "quiet"}).ServerID(), (&endpoint.Endpoint{InstanceID: "quiet"}).ServerID()}
-			servers[c.late] = (&endpoint.Endpoint{InstanceID: "late"}).ServerID()
+			servers := []policy.ServerID{endpoint.IDOf("quiet"), endpoint.IDOf("quiet")}
+			servers[c.late] = endpoint.IDOf("late")
 			l.inLoop(t, func() {
 				r.id, r.completion = 1000, make(chan completion, 1)
 				r.deadlineTimer = time.NewTimer(time.Hour)
@@ -294,7 +295,7 @@
 	}
 	testkit.Until(t, "the connection to be pooled", func() bool { return l.pool.Stats().Idle() == 1 })
 	answered := l.submitAsync(t.Context(), l.newRequest(2, staysConnected))
-	l.UpdateEndpoints(policy.UpdateDelta, []endpoint.Endpoint{b.Endpoint("s-1")}) // another one could take it
+	l.UpdateEndpoints(policy.UpdateDelta, endpointjson.TranslateAll([]endpointjson.Endpoint{b.Endpoint("s-1")})) // another one could take it
 	if x := testkit.Wait(t, answered, "an answer"); x.status != http.StatusBadGateway {
 		t.Errorf("status %d", x.status)
 	}
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"calicohinge/internal/endpoint"
+	"calicohinge/internal/endpointjson"
 	"calicohinge/internal/testkit"
 )
 
@@ -139,7 +139,7 @@
 	stuck := testkit.NewStuckServer(t)
 	b := testkit.NewBackend(t, testkit.Silent(make(chan struct{}, 10)))
 	for name, c := range map[string]struct {
-		server endpoint.Endpoint
+		server endpointjson.Endpoint
 		first  int // requests that go before
 	}{
 		"queued":                   {b.Endpoint("s-0"), 5},
--- a/internal/node/start_times.go
+++ b/internal/node/start_times.go
@@ -2,11 +2,9 @@
 
 import (
 	"maps"
-	"math"
 	"time"
 
 	"calicohinge/internal/endpoint"
-	"calicohinge/internal/milliseconds"
 	"calicohinge/policy"
 )
 
@@ -22,7 +20,7 @@
 	origin       time.Time     // wall time when the clock showed 0
 	slowStart    time.Duration // how long a process takes to warm up
 	answeredAt   time.Duration // on the clock: when discovery last answered; 0: not yet
-	serverOrigin float64       // the servers' Unix time when the clock showed 0, by learnServerClock
+	serverOrigin time.Time     // the servers' wall time when the clock showed 0, by learnServerClock; zero: unknown
 	updates      uint32        // so far
 	known        map[policy.ServerID]processStart
 	departed     map[policy.ServerID]departedProcess
@@ -37,7 +35,7 @@
 
 // processStart is the start of the process that discovery last listed for a server.
 type processStart struct {
-	unixMilli float64
+	startedAt time.Time     // by the wall clock of its machine
 	at        time.Duration // on the loop's clock
 	update    uint32        // the last that listed it
 }
@@ -50,11 +48,10 @@
 
 func newStartTimes(origin time.Time, slowStart time.Duration) *startTimes {
 	return &startTimes{
-		origin:       origin.Round(0),
-		slowStart:    slowStart,
-		serverOrigin: math.Inf(-1),
-		known:        map[policy.ServerID]processStart{},
-		departed:     map[policy.ServerID]departedProcess{},
+		origin:    origin.Round(0),
+		slowStart: slowStart,
+		known:     map[policy.ServerID]processStart{},
+		departed:  map[policy.ServerID]departedProcess{},
 	}
 }
 
@@ -72,8 +69,8 @@
 	comparable := s.answeredAt > 0 || s.fewAreYoung(list, now)
 	starts := make([]time.Duration, len(list))
 	for i := range list {
-		starts[i] = s.updateProcess(&list[i], func(unixMilli float64) time.Duration {
-			return s.place(unixMilli, now, wall, comparable)
+		starts[i] = s.updateProcess(&list[i], func(startedAt time.Time) time.Duration {
+			return s.place(startedAt, now, wall, comparable)
 		}, now)
 	}
 	if kind != policy.UpdateDelta {
@@ -84,22 +81,22 @@
 
 // updateProcess returns the start of the process of one endpoint.
 func (s *startTimes) updateProcess(
-	e *endpoint.Endpoint, place func(unixMilli float64) time.Duration, now time.Duration,
+	e *endpoint.Endpoint, place func(startedAt time.Time) time.Duration, now time.Duration,
 ) time.Duration {
-	id := e.ServerID()
+	id := e.ID
 	start, known := s.known[id]
-	if !known || start.unixMilli != e.StartedUnixMilli {
-		start = processStart{unixMilli: e.StartedUnixMilli}
-		if former, ok := s.departed[id]; ok && former.unixMilli == e.StartedUnixMilli {
+	if !known || !start.startedAt.Equal(e.StartedAt) {
+		start = processStart{startedAt: e.StartedAt}
+		if former, ok := s.departed[id]; ok && former.startedAt.Equal(e.StartedAt) {
 			start.at = former.at
 		} else {
-			start.at = place(e.StartedUnixMilli)
+			start.at = place(e.StartedAt)
 		}
 	}
 	start.update = s.updates
 	s.known[id] = start
 	delete(s.departed, id)
-	if e.State() == policy.Gone {
+	if e.State == policy.Gone {
 		s.depart(id, start, now)
 	}
 	return start.at
@@ -108,13 +105,13 @@
 // place returns where the start of a process that was not known lies on the loop's clock, 0
 // for long ago. Its age is the least that is possible by this machine's wall clock, by the
 // servers' clock if that is comparable, and by when discovery last answered without it.
-func (s *startTimes) place(unixMilli float64, now time.Duration, wall time.Time, comparable bool) time.Duration {
-	if unixMilli <= 0 {
+func (s *startTimes) place(startedAt time.Time, now time.Duration, wall time.Time, comparable bool) time.Duration {
+	if startedAt.IsZero() {
 		return 0
 	}
-	age := s.ageByWallClock(unixMilli, now, wall)
+	age := s.ageByWallClock(startedAt, now, wall)
 	if comparable {
-		age = min(age, s.ageByServerClock(unixMilli, now))
+		age = min(age, s.ageByServerClock(startedAt, now))
 	}
 	if s.answeredAt > 0 {
 		age = min(age, now-s.answeredAt)
@@ -126,9 +123,8 @@
 // since the node's start, the step may have been that of all machines or of this one alone, so
 // that either the present time of day or that of the node's start tells the age. It is the
 // lesser of both that are possible, 0 if none is.
-func (s *startTimes) ageByWallClock(unixMilli float64, now time.Duration, wall time.Time) time.Duration {
-	started := time.UnixMilli(int64(unixMilli))
-	byOrigin, byPresent := now-started.Sub(s.origin), wall.Round(0).Sub(started)
+func (s *startTimes) ageByWallClock(startedAt time.Time, now time.Duration, wall time.Time) time.Duration {
+	byOrigin, byPresent := now-startedAt.Sub(s.origin), wall.Round(0).Sub(startedAt)
 	switch {
 	case byOrigin < 0 && byPresent < 0:
 		return 0
@@ -146,15 +142,18 @@
 // it is late, and only the other bounds of place hold from then on.
 func (s *startTimes) learnServerClock(list []endpoint.Endpoint, now time.Duration) {
 	for i := range list {
-		if started := list[i].StartedUnixMilli; started > 0 {
-			s.serverOrigin = max(s.serverOrigin, started-milliseconds.FromDuration(now))
+		if list[i].StartedAt.IsZero() {
+			continue
+		}
+		if origin := list[i].StartedAt.Add(-now); origin.After(s.serverOrigin) {
+			s.serverOrigin = origin
 		}
 	}
 }
 
 // ageByServerClock returns the age of a process by what is known of the servers' own clock.
-func (s *startTimes) ageByServerClock(unixMilli float64, now time.Duration) time.Duration {
-	return now + unixSpan(s.serverOrigin-unixMilli)
+func (s *startTimes) ageByServerClock(startedAt time.Time, now time.Duration) time.Duration {
+	return now + min(s.serverOrigin.Sub(startedAt), longestSpan)
 }
 
 // fewAreYoung reports whether few servers of a node's first list are warming up by the servers'
@@ -163,11 +162,11 @@
 func (s *startTimes) fewAreYoung(list []endpoint.Endpoint, now time.Duration) bool {
 	ready, young := 0, 0
 	for i := range list {
-		if list[i].State() != policy.Ready {
+		if list[i].State != policy.Ready {
 			continue
 		}
 		ready++
-		if start := list[i].StartedUnixMilli; start > 0 && s.ageByServerClock(start, now) < s.slowStart {
+		if start := list[i].StartedAt; !start.IsZero() && s.ageByServerClock(start, now) < s.slowStart {
 			young++
 		}
 	}
@@ -195,11 +194,3 @@
 		return now-departed.departedAt > s.slowStart
 	})
 }
-
-// unixSpan converts a span of Unix time in milliseconds. One that no clock can show is the longest there is.
-func unixSpan(span float64) time.Duration {
-	if d, ok := milliseconds.ToDuration(span); ok {
-		return d
-	}
-	return longestSpan
-}
--- a/internal/node/start_times_test.go
+++ b/internal/node/start_times_test.go
@@ -18,7 +18,7 @@
 
 // process is an endpoint of a server s-0 whose process started at a wall time.
 func process(started time.Time) []endpoint.Endpoint {
-	return []endpoint.Endpoint{{InstanceID: "s-0", Lifecycle: "Ready", StartedUnixMilli: float64(started.UnixMilli())}}
+	return []endpoint.Endpoint{{ID: 1, State: policy.Ready, StartedAt: started}}
 }
 
 const (
@@ -111,7 +111,7 @@
 		var list []endpoint.Endpoint
 		for i, age := range []time.Duration{time.Second, 6 * time.Second, time.Minute} {
 			e := process(wall.Add(-age))[0]
-			e.InstanceID = fmt.Sprintf("s-%d", i)
+			e.ID = policy.ServerID(i + 1)
 			list = append(list, e)
 		}
 		ats := starts.update(policy.UpdateDelta, list, clockNow, wall.Add(ahead))
@@ -140,9 +140,9 @@
 				started = wall.Add(-time.Second)
 			}
 			e := process(started)[0]
-			e.InstanceID = fmt.Sprintf("s-%d", i)
+			e.ID = policy.ServerID(i + 1)
 			if i >= c.young {
-				e.StartedUnixMilli = 0
+				e.StartedAt = time.Time{}
 			}
 			list = append(list, e)
 		}
@@ -168,7 +168,7 @@
 		starts.update(policy.UpdateSnapshot, list, clockNow, wall)
 		starts.answered(clockNow)
 		gone := process(wall.Add(-processAge))
-		gone[0].Lifecycle = "Gone"
+		gone[0].State = policy.Gone
 		starts.update(policy.UpdateDelta, gone, clockNow, wall)
 		if len(starts.known) > 0 {
 			t.Errorf("%d processes that are gone are known", len(starts.known))
--- a/internal/testkit/backend.go
+++ b/internal/testkit/backend.go
@@ -7,7 +7,7 @@
 	"net/http/httptest"
 	"testing"
 
-	"calicohinge/internal/endpoint"
+	"calicohinge/internal/endpointjson"
 )
 
 // maxRecordedRequests bounds Backend.Requests; further requests are handled and not recorded.
@@ -59,8 +59,8 @@
 func (b *Backend) Address() string { return b.Listener.Addr().String() }
 
 // Endpoint returns the server's entry in an endpoint list.
-func (b *Backend) Endpoint(id string) endpoint.Endpoint { return readyEndpoint(id, b.Address()) }
+func (b *Backend) Endpoint(id string) endpointjson.Endpoint { return readyEndpoint(id, b.Address()) }
 
-func readyEndpoint(id, address string) endpoint.Endpoint {
-	return endpoint.Endpoint{InstanceID: id, Address: address, Zone: "a", Lifecycle: "Ready", Weight: 1}
+func readyEndpoint(id, address string) endpointjson.Endpoint {
+	return endpointjson.Endpoint{InstanceID: id, Address: address, Zone: "a", Lifecycle: "Ready", Weight: 1}
 }
--- a/internal/testkit/registry.go
+++ b/internal/testkit/registry.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"calicohinge/internal/endpoint"
+	"calicohinge/internal/endpointjson"
 )
 
 // maxRecordedCalls bounds Registry.Queries; further calls are answered and not recorded.
@@ -23,14 +23,14 @@
 	Queries chan string // the query of each call, in order of arrival
 
 	mu         sync.Mutex
-	endpoints  []endpoint.Endpoint
+	endpoints  []endpointjson.Endpoint
 	generation int
 	down       bool
 	changed    chan struct{} // closed at the next change
 }
 
 // NewRegistry starts a discovery service with an endpoint list. It stops at the end of the test.
-func NewRegistry(t *testing.T, endpoints ...endpoint.Endpoint) *Registry {
+func NewRegistry(t *testing.T, endpoints ...endpointjson.Endpoint) *Registry {
 	t.Helper()
 	registry := &Registry{
 		endpoints: endpoints, changed: make(chan struct{}), Queries: make(chan string, maxRecordedCalls),
@@ -57,13 +57,13 @@
 func (r *Registry) SetDown(down bool) { r.update(func() { r.down = down }) }
 
 // SetEndpoints replaces the list.
-func (r *Registry) SetEndpoints(endpoints ...endpoint.Endpoint) {
+func (r *Registry) SetEndpoints(endpoints ...endpointjson.Endpoint) {
 	r.update(func() { r.endpoints = endpoints })
 }
 
 // SetEndpointsAndWait replaces the list and waits for the next watch of the node: it has applied the
 // change before it calls again.
-func (r *Registry) SetEndpointsAndWait(t *testing.T, endpoints ...endpoint.Endpoint) {
+func (r *Registry) SetEndpointsAndWait(t *testing.T, endpoints ...endpointjson.Endpoint) {
 	t.Helper()
 	r.SetEndpoints(endpoints...)
 	r.mu.Lock()
@@ -87,7 +87,7 @@
 		http.Error(w, "down", http.StatusServiceUnavailable)
 		return
 	}
-	list := endpoint.List{Generation: uint64(r.generation), Reset: true, Endpoints: r.endpoints}
+	list := endpointjson.List{Generation: uint64(r.generation), Reset: true, Endpoints: r.endpoints}
 	_ = json.NewEncoder(w).Encode(list) // the client may have disconnected
 }
 
--- a/internal/testkit/stuck_server.go
+++ b/internal/testkit/stuck_server.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"calicohinge/internal/endpoint"
+	"calicohinge/internal/endpointjson"
 )
 
 // connectTimeout ends the connection attempt that shows a backlog to be full. The attempts before it
@@ -50,7 +50,7 @@
 }
 
 // Endpoint returns the server's entry in an endpoint list.
-func (s *StuckServer) Endpoint(id string) endpoint.Endpoint {
+func (s *StuckServer) Endpoint(id string) endpointjson.Endpoint {
 	return readyEndpoint(id, s.Addr().String())
 }
 
--- a/internal/upstream/endpoints.go
+++ b/internal/upstream/endpoints.go
@@ -28,14 +28,14 @@
 	listed := make(map[policy.ServerID]struct{}, len(endpoints))
 	revoked := RevokedServers{}
 	for _, current := range endpoints {
-		id := current.ServerID()
-		if current.State() == policy.Gone {
+		id := current.ID
+		if current.State == policy.Gone {
 			revoked.add(id)
 			p.removeLocked(id, p.servers[id])
 			continue
 		}
 		listed[id] = struct{}{}
-		if replaced := p.updateLocked(id, current); replaced || current.State() != policy.Ready {
+		if replaced := p.updateLocked(id, current); replaced || current.State != policy.Ready {
 			revoked.add(id)
 		}
 	}
@@ -55,11 +55,11 @@
 // is new or another process than before.
 func (p *Pool) updateLocked(id policy.ServerID, current endpoint.Endpoint) (replaced bool) {
 	old := p.servers[id]
-	if old != nil && old.address == current.Address && old.startedUnixMilli == current.StartedUnixMilli {
+	if old != nil && old.address == current.Address && old.startedAt.Equal(current.StartedAt) {
 		return false
 	}
 	p.removeLocked(id, old)
-	p.servers[id] = &server{address: current.Address, startedUnixMilli: current.StartedUnixMilli}
+	p.servers[id] = &server{address: current.Address, startedAt: current.StartedAt}
 	return true
 }
 
--- a/internal/upstream/endpoints_test.go
+++ b/internal/upstream/endpoints_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"testing"
+	"time"
 
 	"calicohinge/internal/endpoint"
 	"calicohinge/internal/testkit"
@@ -9,7 +10,7 @@
 )
 
 func TestUpdateEndpointsRevokesServersThatMayNotGetAttempts(t *testing.T) {
-	known := endpoint.Endpoint{InstanceID: "s", Address: "10.0.0.1:80", Lifecycle: "Ready", StartedUnixMilli: 1}
+	known := endpoint.Endpoint{ID: 1, Address: "10.0.0.1:80", State: policy.Ready, StartedAt: time.UnixMilli(1)}
 	changed := func(change func(e *endpoint.Endpoint)) []endpoint.Endpoint {
 		next := known
 		change(&next)
@@ -24,22 +25,22 @@
 		"unchanged":           {true, []endpoint.Endpoint{known}, false, true},
 		"not in a delta":      {false, nil, false, true},
 		"not in a full list":  {true, nil, true, false},
-		"draining":            {false, changed(func(e *endpoint.Endpoint) { e.Lifecycle = "Draining" }), true, true},
-		"gone":                {false, changed(func(e *endpoint.Endpoint) { e.Lifecycle = "Gone" }), true, false},
+		"draining":            {false, changed(func(e *endpoint.Endpoint) { e.State = policy.Draining }), true, true},
+		"gone":                {false, changed(func(e *endpoint.Endpoint) { e.State = policy.Gone }), true, false},
 		"at a new address":    {false, changed(func(e *endpoint.Endpoint) { e.Address = "10.0.0.2:80" }), true, true},
-		"with a new start":    {false, changed(func(e *endpoint.Endpoint) { e.StartedUnixMilli = 2 }), true, true},
+		"with a new start":    {false, changed(func(e *endpoint.Endpoint) { e.StartedAt = time.UnixMilli(2) }), true, true},
 		"with another weight": {false, changed(func(e *endpoint.Endpoint) { e.Weight = 2 }), false, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			pool := NewPool(poolConfig())
-			if revoked := pool.UpdateEndpoints(true, []endpoint.Endpoint{known}); !revoked.Contains(known.ServerID()) {
+			if revoked := pool.UpdateEndpoints(true, []endpoint.Endpoint{known}); !revoked.Contains(known.ID) {
 				t.Error("a new server is not in the set")
 			}
 			revoked := pool.UpdateEndpoints(c.complete, c.endpoints)
-			if got := revoked.Contains(known.ServerID()); got != c.revoked {
+			if got := revoked.Contains(known.ID); got != c.revoked {
 				t.Errorf("revoked %v, want %v", got, c.revoked)
 			}
-			if _, listed := pool.Stats().Servers[known.ServerID()]; listed != c.listed {
+			if _, listed := pool.Stats().Servers[known.ID]; listed != c.listed {
 				t.Errorf("listed %v, want %v", listed, c.listed)
 			}
 		})
@@ -56,7 +57,7 @@
 	}
 	expectStatus(t, pool, id, policy.OK) // leaves an idle connection
 
-	replaced := endpoint.Endpoint{InstanceID: "s", Address: server.Address, Lifecycle: "Ready", StartedUnixMilli: 1}
+	replaced := endpoint.Endpoint{ID: id, Address: server.Address, State: policy.Ready, StartedAt: time.UnixMilli(1)}
 	pool.UpdateEndpoints(false, []endpoint.Endpoint{replaced})
 	expectOpen(t, pool, 1)
 	pool.release(inUse, true)
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -50,9 +50,9 @@
 // poolTo returns a pool that knows one server.
 func poolTo(config Config, address string) (*Pool, policy.ServerID) {
 	pool := NewPool(config)
-	server := endpoint.Endpoint{InstanceID: "s", Address: address, Lifecycle: "Ready"}
+	server := endpoint.Endpoint{ID: 1, Address: address, State: policy.Ready}
 	pool.UpdateEndpoints(true, []endpoint.Endpoint{server})
-	return pool, server.ServerID()
+	return pool, server.ID
 }
 
 // connected is a client that does not disconnect.
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -61,10 +61,10 @@
 
 // server is one process of a server: what is known at one address since one start.
 type server struct {
-	address          string
-	startedUnixMilli float64       // as discovery reports it
-	idle             []*connection // in the order of their release
-	removed          bool          // no longer listed, or replaced: connections are not kept
+	address   string
+	startedAt time.Time     // of its process, by the wall clock of its machine
+	idle      []*connection // in the order of their release
+	removed   bool          // no longer listed, or replaced: connections are not kept
 }
 
 // reservation is the right to use one connection to a server.
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -67,9 +67,9 @@
 	config := poolConfig()
 	config.MaxOpen = 1
 	pool, id := poolTo(config, testkit.NewBackend(t, testkit.OK).Address())
-	other := testkit.NewBackend(t, testkit.OK).Endpoint("o")
+	other := endpoint.Endpoint{ID: 2, Address: testkit.NewBackend(t, testkit.OK).Address(), State: policy.Ready}
 	pool.UpdateEndpoints(false, []endpoint.Endpoint{other})
-	for _, target := range []policy.ServerID{id, other.ServerID(), id} {
+	for _, target := range []policy.ServerID{id, other.ID, id} {
 		expectStatus(t, pool, target, policy.OK)
 	}
 }
