--- a/cmd/balancer/benchmark_test.go
+++ b/cmd/balancer/benchmark_test.go
@@ -71,7 +71,7 @@
 			"settings": moreSettings(`"Limits": {"MaxAttempts": 3}`),
 		}, path)
 		addr := <-started.addr
-		if timeToReady(addr, time.Now(), testkit.Patience) >= testkit.Patience {
+		if timeToReady(addr, time.Now(), testkit.WaitTimeout) >= testkit.WaitTimeout {
 			b.Fatal("never ready")
 		}
 		before := processorTime(b, started.pid)
@@ -172,7 +172,7 @@
 	}, path)
 	select {
 	case <-taken:
-	case <-time.After(testkit.Patience):
+	case <-time.After(testkit.WaitTimeout):
 		b.Fatal("the lists are not taken in")
 	}
 	return peakResident(b, started.pid)
--- a/cmd/balancer/descriptors_test.go
+++ b/cmd/balancer/descriptors_test.go
@@ -162,7 +162,7 @@
 		"settings":  moreSettings(`"Limits": {"MaxAttempts": 3}`),
 	}, "sh", "-c", fmt.Sprintf("ulimit -n %d && exec %s", limit, program))
 	node := &nodeUnderFlood{t: t, pid: started.pid, addr: <-started.addr, limit: limit}
-	if timeToReady(node.addr, time.Now(), testkit.Patience) >= testkit.Patience {
+	if timeToReady(node.addr, time.Now(), testkit.WaitTimeout) >= testkit.WaitTimeout {
 		t.Fatal("never ready")
 	}
 	return node
--- a/cmd/balancer/main.go
+++ b/cmd/balancer/main.go
@@ -87,7 +87,7 @@
 			slog.Error("configuration reload failed, keeping the old one", "err", err)
 			continue
 		}
-		server.MoveDiscovery(address)
+		server.SetDiscoveryAddress(address)
 	}
 }
 
--- a/cmd/balancer/shutdown_clients_test.go
+++ b/cmd/balancer/shutdown_clients_test.go
@@ -94,7 +94,7 @@
 		return false, err
 	}
 	c.reader = bufio.NewReader(c.conn)
-	return false, c.conn.SetDeadline(time.Now().Add(testkit.Patience))
+	return false, c.conn.SetDeadline(time.Now().Add(testkit.WaitTimeout))
 }
 
 // roundTrip sends a request and reads its response. On an error it reports whether a
@@ -162,7 +162,7 @@
 func endUnderLoad(t *testing.T, program string, disturb func(pid int)) shutdownRun {
 	t.Helper()
 	server := testkit.NewBackend(t, testkit.OK)
-	hanging := testkit.NewBackend(t, testkit.Silent(make(chan struct{}, 1)))
+	hanging := testkit.NewBackend(t, testkit.Unresponsive(make(chan struct{}, 1)))
 	started := startProcess(t, map[string]any{
 		"discovery": "127.0.0.1:1",
 		"settings": testkit.JSON(strings.ReplaceAll(settings, "8000",
--- a/cmd/balancer/signals_test.go
+++ b/cmd/balancer/signals_test.go
@@ -163,7 +163,7 @@
 // awaitReady waits until a node answers that it is ready.
 func awaitReady(t *testing.T, addr string) {
 	t.Helper()
-	if timeToReady(addr, time.Now(), testkit.Patience) >= testkit.Patience {
+	if timeToReady(addr, time.Now(), testkit.WaitTimeout) >= testkit.WaitTimeout {
 		t.Fatal("never ready")
 	}
 }
--- a/cmd/balancer/silent_discovery_test.go
+++ b/cmd/balancer/silent_discovery_test.go
@@ -36,7 +36,7 @@
 }
 
 // answer answers a call with the complete list; a watch waits for one that is newer.
-func (w *watchedList) answer(r *http.Request) testkit.Answer {
+func (w *watchedList) answer(r *http.Request) testkit.Response {
 	after := r.URL.Query().Get("after")
 	w.watched <- after
 	w.mu.Lock()
@@ -49,9 +49,9 @@
 	defer w.mu.Unlock()
 	text, err := json.Marshal(w.list)
 	if err != nil {
-		return testkit.Answer{Status: http.StatusInternalServerError, Body: err.Error()}
+		return testkit.Response{Status: http.StatusInternalServerError, Body: err.Error()}
 	}
-	return testkit.Answer{Status: http.StatusOK, Body: string(text)}
+	return testkit.Response{Status: http.StatusOK, Body: string(text)}
 }
 
 // awaitWatch waits until a node has the list of a generation and watches for a newer one.
@@ -91,12 +91,12 @@
 	if body := post(addr); body != "done" {
 		t.Fatalf("answered %q", body)
 	}
-	machine.Vanish(t)
+	machine.Partition(t)
 	time.Sleep(outage) // what is under test
 	draining := former.Endpoint("s-0")
 	draining.Lifecycle = "Terminating"
 	list.set(endpointjson.List{Generation: 2, Reset: true, Endpoints: []endpointjson.Endpoint{draining, other.Endpoint("s-1")}})
-	machine.Return(t)
+	machine.Heal(t)
 	returned := time.Now()
 	list.awaitWatch(t, 2)
 	took := time.Since(returned)
--- a/cmd/balancer/soak_checks_test.go
+++ b/cmd/balancer/soak_checks_test.go
@@ -72,7 +72,7 @@
 func (run *soakRun) checkRepeat(request *soakRequest, index int) {
 	attempt := &request.attempts[index]
 	for _, earlier := range request.attempts[:index] {
-		if earlier.neverRan {
+		if earlier.notExecuted {
 			continue
 		}
 		age := attempt.at.Sub(earlier.at)
--- a/cmd/balancer/soak_discovery_test.go
+++ b/cmd/balancer/soak_discovery_test.go
@@ -55,13 +55,13 @@
 
 // address returns a new address, for one incarnation of a node.
 func (d *soakDiscovery) address(incarnation *soakIncarnation) string {
-	machine := testkit.NewMachine(d.t, func(r *http.Request) testkit.Answer { return d.answer(incarnation, r) })
+	machine := testkit.NewMachine(d.t, func(r *http.Request) testkit.Response { return d.answer(incarnation, r) })
 	d.mu.Lock()
 	d.machines = append(d.machines, machine)
 	silent := d.fault == faultSilent
 	d.mu.Unlock()
 	if silent {
-		machine.Vanish(d.t)
+		machine.Partition(d.t)
 	}
 	return machine.Address
 }
@@ -105,9 +105,9 @@
 	for _, machine := range machines {
 		switch {
 		case fault == faultSilent:
-			done.Go(func() { machine.Vanish(d.t) })
+			done.Go(func() { machine.Partition(d.t) })
 		case former == faultSilent:
-			machine.Return(d.t)
+			machine.Heal(d.t)
 		}
 	}
 	done.Wait()
@@ -120,7 +120,7 @@
 )
 
 // answer answers a call of an incarnation of a node.
-func (d *soakDiscovery) answer(incarnation *soakIncarnation, r *http.Request) testkit.Answer {
+func (d *soakDiscovery) answer(incarnation *soakIncarnation, r *http.Request) testkit.Response {
 	after, err := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	watch := err == nil
 	d.mu.Lock()
@@ -134,9 +134,9 @@
 	d.mu.Unlock()
 	switch fault {
 	case faultUnavailable:
-		return testkit.Answer{Status: http.StatusServiceUnavailable, Body: "down"}
+		return testkit.Response{Status: http.StatusServiceUnavailable, Body: "down"}
 	case faultReset:
-		return testkit.Answer{}
+		return testkit.Response{}
 	case faultSlow:
 		time.Sleep(time.Duration(rand.Float64() * float64(slowAnswer)))
 	case faultNone, faultSilent:
@@ -146,7 +146,7 @@
 	if err != nil {
 		d.t.Error(err)
 	}
-	return testkit.Answer{
+	return testkit.Response{
 		Status: http.StatusOK, Body: string(text), Sent: func() { incarnation.delivered(list.Generation) },
 	}
 }
--- a/cmd/balancer/soak_records_test.go
+++ b/cmd/balancer/soak_records_test.go
@@ -34,10 +34,10 @@
 
 // soakAttempt is one arrival of a request at a server.
 type soakAttempt struct {
-	server   *soakServer
-	at       time.Time
-	timeout  time.Duration // that the server was told
-	neverRan bool          // the server said so
+	server      *soakServer
+	at          time.Time
+	timeout     time.Duration // that the server was told
+	notExecuted bool          // the server said so
 }
 
 // soakViolation is a rule that was broken.
--- a/cmd/balancer/soak_servers_test.go
+++ b/cmd/balancer/soak_servers_test.go
@@ -57,9 +57,9 @@
 		s.records.violate("deadline", nil, "server %s was told the time %q", s.endpoint.InstanceID, r.Header.Get("X-Timeout-Ms"))
 	}
 	fate := rand.Float64()
-	neverRan := fate < notProcessedShare
+	notExecuted := fate < notProcessedShare
 	s.records.arrived(r.Header.Get("X-Request-Id"), soakAttempt{
-		server: s, at: now, timeout: time.Duration(milliseconds) * time.Millisecond, neverRan: neverRan,
+		server: s, at: now, timeout: time.Duration(milliseconds) * time.Millisecond, notExecuted: notExecuted,
 	})
 	if s.hanging.Load() {
 		<-r.Context().Done()
@@ -67,7 +67,7 @@
 	}
 	time.Sleep(time.Duration(rand.ExpFloat64() * float64(s.work)))
 	switch {
-	case neverRan:
+	case notExecuted:
 		testkit.NotProcessed(w, r)
 	case fate < notProcessedShare+errorShare:
 		testkit.ServerError(w, r)
--- a/internal/asyncwriter/asyncwriter_test.go
+++ b/internal/asyncwriter/asyncwriter_test.go
@@ -36,7 +36,7 @@
 		target.permissions <- struct{}{}
 	}
 	writeLines(t, w, 3)
-	w.Close(testkit.Patience)
+	w.Close(testkit.WaitTimeout)
 	if got, want := target.text.String(), "line 0\nline 1\nline 2\n"; got != want {
 		t.Errorf("wrote %q, want %q", got, want)
 	}
@@ -56,7 +56,7 @@
 	}
 	testkit.Until(t, "the queue to be written", func() bool { return len(w.lines) == 0 })
 	writeLines(t, w, 1)
-	w.Close(testkit.Patience)
+	w.Close(testkit.WaitTimeout)
 	if text := target.text.String(); !strings.HasSuffix(text, "\n5 log lines dropped\nline 0\n") {
 		t.Errorf("ended with %q", text[max(0, len(text)-80):])
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -38,7 +38,7 @@
 	Discovery      string // address of the discovery service
 	Seed           uint64
 	Limits         Limits
-	Known          endpoint.List // the endpoint list as this node last had it
+	CachedList     endpoint.List // the endpoint list as this node last had it
 	Policy         policy.Settings
 	Classes        map[string]int // name to index in Policy.Classes
 	Tenants        map[string]int // name to index in Policy.Tenants
@@ -148,7 +148,7 @@
 		return nil, &Error{Key: "settings", Allowed: "an object"}
 	}
 	config := &Config{
-		Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, Limits: file.Limits, Known: file.Known.Translate(),
+		Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, Limits: file.Limits, CachedList: file.Known.Translate(),
 	}
 	var err error
 	if config.Seed, err = parseSeed(file.Seed); err != nil {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -54,8 +54,8 @@
 		config.Seed != 0x8c1f30d27a5be964 || config.Limits != (Limits{Cores: 1.5, MemoryMB: 192, Sockets: 128}) {
 		t.Errorf("configuration %+v", config)
 	}
-	if config.Known.Generation != 7 || len(config.Known.Endpoints) != 1 || config.Known.Endpoints[0].Zone != "b" {
-		t.Errorf("known endpoints %+v", config.Known)
+	if config.CachedList.Generation != 7 || len(config.CachedList.Endpoints) != 1 || config.CachedList.Endpoints[0].Zone != "b" {
+		t.Errorf("known endpoints %+v", config.CachedList)
 	}
 	if config.Policy.Nodes != 3 || len(config.Policy.Classes) != 2 ||
 		config.Classes["pay"] != 1 || config.Tenants["two"] != 1 || config.Zones["b"] != 1 {
--- a/internal/config/example_config_test.go
+++ b/internal/config/example_config_test.go
@@ -30,10 +30,10 @@
 	if loaded.Name != "node-0" || loaded.Listen != "127.0.0.1:8000" || loaded.Discovery != "127.0.0.1:8500" {
 		t.Errorf("name %q, listen %q, discovery %q", loaded.Name, loaded.Listen, loaded.Discovery)
 	}
-	if len(loaded.Known.Endpoints) != 2 {
-		t.Errorf("%d known endpoints, want 2", len(loaded.Known.Endpoints))
+	if len(loaded.CachedList.Endpoints) != 2 {
+		t.Errorf("%d known endpoints, want 2", len(loaded.CachedList.Endpoints))
 	}
-	for _, server := range loaded.Known.Endpoints {
+	for _, server := range loaded.CachedList.Endpoints {
 		if _, known := loaded.Zones[server.Zone]; !known || server.State != policy.Ready {
 			t.Errorf("endpoint %x: zone %q, state %v", server.ID, server.Zone, server.State)
 		}
--- a/internal/config/setting_error.go
+++ b/internal/config/setting_error.go
@@ -77,7 +77,7 @@
 		{"Rules.SlowStartDuration", "Contract.ColdMs"},
 		{"Rules.OverloadMultiple", "Contract.FallMultiple"},
 		{"Rules.OverloadWindow", "Contract.FallMs"},
-		{"Rules.AnswerGrace", "Contract.GraceToAnswerMs"},
+		{"Rules.ResponseGrace", "Contract.GraceToAnswerMs"},
 		{"Rules.MaxPollInterval", "Contract.MustAskInMs"},
 	} {
 		if pair.field == name {
--- a/internal/config/setting_error_test.go
+++ b/internal/config/setting_error_test.go
@@ -81,7 +81,7 @@
 		"Limits.MaxAttempts": "Limits.MaxAttempts", "Limits.MaxRetryAfter": "Limits.MaxRetryAfterMs",
 		"Rules.SlowStartShare": "Contract.ColdFrom", "Rules.SlowStartDuration": "Contract.ColdMs",
 		"Rules.OverloadMultiple": "Contract.FallMultiple", "Rules.OverloadWindow": "Contract.FallMs",
-		"Rules.AnswerGrace": "Contract.GraceToAnswerMs", "Rules.MaxPollInterval": "Contract.MustAskInMs",
+		"Rules.ResponseGrace": "Contract.GraceToAnswerMs", "Rules.MaxPollInterval": "Contract.MustAskInMs",
 		"Tenants[0].QuotaPerS": "Accounts[0].QuotaPerS", "Tenants[1].QuotaPerS": "Accounts[1].QuotaPerS",
 	}
 	for _, index := range []string{"0", "1", "2"} {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -101,7 +101,7 @@
 	setIfGiven(&rules.OverloadMultiple, file.FallMultiple)
 	t.duration(&rules.SlowStartDuration, "Contract.ColdMs", file.ColdMs)
 	t.duration(&rules.OverloadWindow, "Contract.FallMs", file.FallMs)
-	t.duration(&rules.AnswerGrace, "Contract.GraceToAnswerMs", file.GraceToAnswerMs)
+	t.duration(&rules.ResponseGrace, "Contract.GraceToAnswerMs", file.GraceToAnswerMs)
 	t.duration(&rules.MaxPollInterval, "Contract.MustAskInMs", file.MustAskInMs)
 }
 
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -24,8 +24,8 @@
 type Handler interface {
 	// UpdateEndpoints receives an endpoint list, or changes to the former one.
 	UpdateEndpoints(kind policy.UpdateKind, endpoints []endpoint.Endpoint)
-	// EndpointsKnown is called after each list, also one without endpoints or changes.
-	EndpointsKnown()
+	// Synced is called after each list, also one without endpoints or changes.
+	Synced()
 	// WatchFailed is called in polling mode after a failed call. The node counts as notified at the
 	// given time of what the call has missed. The next call waits for RequestWatch.
 	WatchFailed(notifiedAt time.Time)
@@ -34,12 +34,12 @@
 // Config parameterizes a Client.
 type Config struct {
 	Address    string        // host and port of the discovery service
-	Known      endpoint.List // the cached list, possibly empty
+	Cached     endpoint.List // the cached list, possibly empty
 	Poll       bool          // polling mode: after a failure, the next call waits for RequestWatch
 	DrainGrace time.Duration // how long a draining server still serves, from the notification on
 }
 
-// Client follows the endpoint list. RequestWatch and Move may be called while Run is active.
+// Client follows the endpoint list. RequestWatch and SetAddress may be called while Run is active.
 type Client struct {
 	address        string // the first one; Run keeps the present one
 	cached         endpoint.List
@@ -55,7 +55,7 @@
 	dialer := net.Dialer{Timeout: connectLimit}
 	return &Client{
 		address:        config.Address,
-		cached:         config.Known,
+		cached:         config.Cached,
 		polling:        config.Poll,
 		maxBackoff:     maxBackoffFor(config.DrainGrace),
 		watchRequests:  make(chan struct{}, 1),
@@ -72,8 +72,8 @@
 	}
 }
 
-// Move changes the address of the discovery service. It has one caller at a time and never blocks.
-func (c *Client) Move(addr string) {
+// SetAddress changes the address of the discovery service. It has one caller at a time and never blocks.
+func (c *Client) SetAddress(addr string) {
 	select {
 	case <-c.addressChanges: // only the latest address counts
 	default:
@@ -107,7 +107,7 @@
 func (c *Client) reportCached(handler Handler) {
 	if len(c.cached.Endpoints) > 0 {
 		handler.UpdateEndpoints(policy.UpdateCached, c.cached.Endpoints)
-		handler.EndpointsKnown()
+		handler.Synced()
 	} else if c.polling {
 		handler.UpdateEndpoints(policy.UpdateCached, nil) // makes package policy request a watch
 	}
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -23,7 +23,7 @@
 func (r *recorder) UpdateEndpoints(kind policy.UpdateKind, _ []endpoint.Endpoint) {
 	r.updates <- kind
 }
-func (r *recorder) EndpointsKnown()                  {}
+func (r *recorder) Synced()                          {}
 func (r *recorder) WatchFailed(notifiedAt time.Time) { r.failed <- notifiedAt }
 
 // A watch is requested while one is active, which then fails: the handler requests the next one itself,
@@ -42,7 +42,7 @@
 	go func() { defer close(stopped); watch.run(ctx) }()
 	testkit.Wait(t, scripted.Calls, "the watch")
 	client.RequestWatch()
-	scripted.Answers <- testkit.AnswerReset
+	scripted.Responses <- testkit.ResponseReset
 	testkit.Wait(t, handler.failed, "the failure")
 	if len(client.watchRequests) > 0 || len(scripted.Calls) > 0 {
 		t.Error("the stale request stays, or was followed")
@@ -81,7 +81,7 @@
 func (c startOf) check(t *testing.T) {
 	scripted := testkit.NewScriptedDiscovery(t)
 	handler := newRecorder()
-	client := New(Config{Address: scripted.Address, Known: c.known, Poll: c.poll})
+	client := New(Config{Address: scripted.Address, Cached: c.known, Poll: c.poll})
 	go client.Run(t.Context(), handler)
 	for _, want := range c.updates {
 		if kind := testkit.Wait(t, handler.updates, "an update"); kind != want {
@@ -111,20 +111,20 @@
 			former, skipped, latest := testkit.NewScriptedDiscovery(t), testkit.FreeAddr(t), testkit.NewScriptedDiscovery(t)
 			client := New(Config{
 				Address: former.Address, Poll: poll,
-				Known: endpoint.List{Generation: 7, Endpoints: []endpoint.Endpoint{{ID: 1}}},
+				Cached: endpoint.List{Generation: 7, Endpoints: []endpoint.Endpoint{{ID: 1}}},
 			})
 			client.RequestWatch()
 			go client.Run(t.Context(), newRecorder())
 			pending := testkit.Wait(t, former.Calls, "the first call")
-			client.Move(skipped)
-			client.Move(latest.Address)
+			client.SetAddress(skipped)
+			client.SetAddress(latest.Address)
 			if query := testkit.Wait(t, latest.Calls, "a call to the new address").URL.RawQuery; query != "" {
 				t.Errorf("query %q, want none", query)
 			}
 			if err := pending.Context().Err(); err != nil {
 				t.Errorf("the former call has ended: %v; its answer may be on its way", err)
 			}
-			latest.Answers <- `{"generation":1,"reset":true,"instances":[]}`
+			latest.Responses <- `{"generation":1,"reset":true,"instances":[]}`
 			testkit.Wait(t, pending.Context().Done(), "the end of the former call")
 		})
 	}
--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -21,8 +21,8 @@
 	Reset
 	// Timeout is a call for the complete list without a complete answer in time.
 	Timeout
-	// Silent is a watch without a complete answer although its wait is over.
-	Silent
+	// Unresponsive is a watch without a complete answer although its wait is over.
+	Unresponsive
 	// BadStatus is an answer with a status other than 200.
 	BadStatus
 	// Malformed is an answer that is not valid HTTP, or whose body is not an endpoint list.
@@ -40,7 +40,7 @@
 		return "reset"
 	case Timeout:
 		return "timeout"
-	case Silent:
+	case Unresponsive:
 		return "silent"
 	case BadStatus:
 		return "bad_status"
--- a/internal/discovery/fetch.go
+++ b/internal/discovery/fetch.go
@@ -100,7 +100,7 @@
 func (f *follower) unanswered() error {
 	err := &Error{Kind: Timeout, Err: context.DeadlineExceeded}
 	if f.haveList {
-		return &Error{Kind: Silent, Err: err}
+		return &Error{Kind: Unresponsive, Err: err}
 	}
 	return err
 }
--- a/internal/discovery/fetch_test.go
+++ b/internal/discovery/fetch_test.go
@@ -98,10 +98,10 @@
 
 func TestCallWithoutAnswerEndsInTime(t *testing.T) {
 	for name, c := range map[string]unansweredCall{
-		"watch":                            {true, false, Silent, 4500 * time.Millisecond},
+		"watch":                            {true, false, Unresponsive, 4500 * time.Millisecond},
 		"complete list":                    {false, false, Timeout, 4500 * time.Millisecond},
 		"complete list from a new address": {false, true, Timeout, 2 * time.Second},
-		"watch at a new address":           {true, true, Silent, 4500 * time.Millisecond},
+		"watch at a new address":           {true, true, Unresponsive, 4500 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) { synctest.Test(t, c.check) })
 	}
@@ -138,7 +138,7 @@
 		watch.client.httpClient.Transport = silentTransport{}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		if _, err := watch.fetch(ctx); err == nil || kindOf(err) == Silent {
+		if _, err := watch.fetch(ctx); err == nil || kindOf(err) == Unresponsive {
 			t.Errorf("%v: %v", kindOf(err), err)
 		}
 	})
--- a/internal/discovery/follow.go
+++ b/internal/discovery/follow.go
@@ -142,7 +142,7 @@
 	case len(list.Endpoints) > 0:
 		f.handler.UpdateEndpoints(policy.UpdateDelta, list.Endpoints)
 	}
-	f.handler.EndpointsKnown()
+	f.handler.Synced()
 }
 
 func (f *follower) pauseAfterQuickCall(ctx context.Context, startedAt time.Time) {
@@ -213,7 +213,7 @@
 // retryDelay returns the delay after a failed call. The notification deadline leaves no time for a
 // backoff after a silent watch, nor before the first list at a new address.
 func (f *follower) retryDelay(kind ErrorKind) time.Duration {
-	if kind == Silent || f.awaitingFirstList() {
+	if kind == Unresponsive || f.awaitingFirstList() {
 		return shortDelay()
 	}
 	return f.backoff.next()
--- a/internal/discovery/follow_test.go
+++ b/internal/discovery/follow_test.go
@@ -20,7 +20,7 @@
 		addressChanged bool
 		grows          bool
 	}{
-		"silent watch":                {Silent, true, false, false},
+		"silent watch":                {Unresponsive, true, false, false},
 		"reset watch":                 {Reset, true, false, true},
 		"refused, no list":            {Unreachable, false, false, true},
 		"refused at a new address":    {Unreachable, false, true, false},
@@ -121,7 +121,7 @@
 		`{"generation":3,"reset":true,"instances":[]}`,
 	} {
 		testkit.Wait(t, scripted.Calls, "a call")
-		scripted.Answers <- answer
+		scripted.Responses <- answer
 	}
 	testkit.Wait(t, scripted.Calls, "the call after the last list")
 	var kinds []policy.UpdateKind
--- a/internal/discovery/history.go
+++ b/internal/discovery/history.go
@@ -54,5 +54,5 @@
 	}
 	slog.Info("endpoint list updated", "discovery_addr", f.address, "generation", list.Generation,
 		"former", f.generation, "complete", list.Complete,
-		"ready", counts[policy.Ready], "draining", counts[policy.Draining], "gone", counts[policy.Gone])
+		"ready", counts[policy.Ready], "draining", counts[policy.Draining], "gone", counts[policy.Removed])
 }
--- a/internal/discovery/late_answer_test.go
+++ b/internal/discovery/late_answer_test.go
@@ -64,7 +64,7 @@
 	transport := holdingTransport{make(chan *heldCall, 10)}
 	client := New(Config{
 		Address: "former", Poll: poll,
-		Known: endpoint.List{Generation: 3, Endpoints: []endpoint.Endpoint{{ID: 1}}},
+		Cached: endpoint.List{Generation: 3, Endpoints: []endpoint.Endpoint{{ID: 1}}},
 	})
 	client.httpClient.Transport = transport
 	handler := requester{newRecorder(), client}
@@ -143,9 +143,9 @@
 
 func checkFormerAddress(t *testing.T, client *Client, calls chan *heldCall, updates chan policy.UpdateKind) {
 	first := waitCall(t, calls)
-	client.Move("second")
+	client.SetAddress("second")
 	second := waitCall(t, calls)
-	client.Move("third")
+	client.SetAddress("third")
 	third := waitCall(t, calls)
 	first.body <- `{"generation":4,` + oneServer
 	if kind := testkit.Wait(t, updates, "an update"); kind != policy.UpdateDelta {
--- a/internal/downstream/admission_test.go
+++ b/internal/downstream/admission_test.go
@@ -59,7 +59,7 @@
 	if err := testkit.Wait(t, accepted, "the listener to end"); !errors.Is(err, net.ErrClosed) {
 		t.Errorf("accepting ended with %v", err)
 	}
-	if err := waiting.SetReadDeadline(time.Now().Add(testkit.Patience)); err != nil {
+	if err := waiting.SetReadDeadline(time.Now().Add(testkit.WaitTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	if n, err := waiting.Read(make([]byte, 1)); n != 0 || err == nil || testkit.IsTimeout(err) {
@@ -94,7 +94,7 @@
 	if err := listen(t, conns).Close(); err != nil {
 		t.Fatal(err)
 	}
-	if conns.waitForChange(admission{decision: decisionWait, wait: testkit.Patience}) {
+	if conns.waitForChange(admission{decision: decisionWait, wait: testkit.WaitTimeout}) {
 		t.Error("the wait went on after the listener was closed")
 	}
 }
--- a/internal/downstream/disconnect_test.go
+++ b/internal/downstream/disconnect_test.go
@@ -30,7 +30,7 @@
 func TestClientDisconnectedLeavesNextRequestUnread(t *testing.T) {
 	for name, prepare := range map[string]func(conns *Conns, c *Conn){
 		"between two requests": func(conns *Conns, c *Conn) { conns.ConnState(c, http.StateIdle) },
-		"after Finish":         func(conns *Conns, _ *Conn) { conns.Finish(canceledContext()) },
+		"after Finish":         func(conns *Conns, _ *Conn) { conns.Shutdown(canceledContext()) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			conns := newTestConns(5)
@@ -56,7 +56,7 @@
 	conns := newTestConns(5)
 	client, c := acceptConn(t, conns)
 	c.RequestComplete()
-	conns.Finish(canceledContext())
+	conns.Shutdown(canceledContext())
 	closeClient(t, client)
 	waitForState(t, c, sockstate.Closed)
 	if !c.ClientDisconnected() {
--- a/internal/downstream/drain.go
+++ b/internal/downstream/drain.go
@@ -14,12 +14,12 @@
 	cs.await(ctx, func() bool { return cs.open == 0 })
 }
 
-// Finish closes every connection as soon as its client waits for no response: those on
+// Shutdown closes every connection as soon as its client waits for no response: those on
 // which nothing has come, those with a part of a request of which nothing more has
 // arrived, and those whose last response is sent. It returns when each request that was
 // read has its response, or ctx ends. The caller has closed the listener and called Drain.
 // A connection whose next request has arrived is not closed but answered.
-func (cs *Conns) Finish(ctx context.Context) {
+func (cs *Conns) Shutdown(ctx context.Context) {
 	cs.beginClosing()
 	for {
 		cs.closeEach(cs.nextToFinish)
--- a/internal/downstream/drain_test.go
+++ b/internal/downstream/drain_test.go
@@ -91,10 +91,10 @@
 			client, c := acceptConn(t, conns)
 			prepare(conns, c)
 			sendUnread(t, client, c, "GET")
-			conns.Finish(canceledContext())
+			conns.Shutdown(canceledContext())
 			conns.ConnState(c, http.StateIdle)
 			expectRead(t, c, "GET")
-			conns.Finish(canceledContext())
+			conns.Shutdown(canceledContext())
 			if c.Closed() {
 				t.Error("the connection was closed before the response")
 			}
@@ -109,12 +109,12 @@
 	client, c := acceptConn(t, conns)
 	send(t, client, "GET")
 	expectRead(t, c, "GET")
-	conns.Finish(canceledContext())
+	conns.Shutdown(canceledContext())
 	if c.Closed() {
 		t.Fatal("a request that may be complete was dropped")
 	}
 	ended := startRead(c) // as net/http does if it is not
-	conns.Finish(t.Context())
+	conns.Shutdown(t.Context())
 	if err := testkit.Wait(t, ended, "the reader"); err == nil || !c.Closed() {
 		t.Errorf("reading ended with %v, closed %v", err, c.Closed())
 	}
@@ -131,7 +131,7 @@
 	c.RequestComplete()
 	finished := make(chan struct{})
 	go func() {
-		conns.Finish(context.WithoutCancel(t.Context()))
+		conns.Shutdown(context.WithoutCancel(t.Context()))
 		close(finished)
 	}()
 	testkit.Until(t, "Finish to wait", conns.isAwaited)
@@ -148,7 +148,7 @@
 }
 
 func TestRequestReadBeforeFinishIsReturned(t *testing.T) {
-	expectBufferedRequestReturned(t, func(conns *Conns) { conns.Finish(canceledContext()) })
+	expectBufferedRequestReturned(t, func(conns *Conns) { conns.Shutdown(canceledContext()) })
 }
 
 // A request in the read-ahead buffer does not show on the socket: the connection must
--- a/internal/endpointjson/endpointjson.go
+++ b/internal/endpointjson/endpointjson.go
@@ -69,7 +69,7 @@
 	case lifecycleReady:
 		return policy.Ready
 	case lifecycleGone:
-		return policy.Gone
+		return policy.Removed
 	}
 	return policy.Draining
 }
--- a/internal/endpointjson/endpointjson_test.go
+++ b/internal/endpointjson/endpointjson_test.go
@@ -14,7 +14,7 @@
 func TestUnknownLifecycleCountsAsDraining(t *testing.T) {
 	for lifecycle, want := range map[string]policy.EndpointState{
 		"Ready":       policy.Ready,
-		"Gone":        policy.Gone,
+		"Gone":        policy.Removed,
 		"Terminating": policy.Draining,
 		"Novel":       policy.Draining,
 		"ready":       policy.Draining,
--- a/internal/node/connection_limits_test.go
+++ b/internal/node/connection_limits_test.go
@@ -50,7 +50,7 @@
 			t.Fatalf("status %d although others are idle", resp.StatusCode)
 		}
 	}
-	if took := time.Since(began); took > testkit.Patience/2 {
+	if took := time.Since(began); took > testkit.WaitTimeout/2 {
 		t.Errorf("served after %v: new clients wait for others to age", took)
 	}
 }
--- a/internal/node/disconnect_crowd_test.go
+++ b/internal/node/disconnect_crowd_test.go
@@ -58,7 +58,7 @@
 // before the loop learns of the first disconnect: none of their attempts starts.
 func TestManyDisconnectsInMixedRequestStates(t *testing.T) {
 	t.Parallel()
-	servers := mixedServers{testkit.NewStuckServer(t), testkit.NewBackend(t, testkit.ServerError), testkit.NewBackend(t, testkit.Silent(nil))}
+	servers := mixedServers{testkit.NewStuckServer(t), testkit.NewBackend(t, testkit.ServerError), testkit.NewBackend(t, testkit.Unresponsive(nil))}
 	s := startHandler(t, servers.endpoints(90)...)
 	l := s.loop
 	var clients []*net.TCPConn
--- a/internal/node/disconnect_race_test.go
+++ b/internal/node/disconnect_race_test.go
@@ -27,9 +27,9 @@
 func requestPoints() map[string]requestPoint {
 	clockAdvanced := func(s *handlerServer) func(time.Duration) { return s.loop.advanceClock }
 	return map[string]requestPoint{
-		"queued":            {"pay", testkit.Silent(nil), 2, capacityFreed, 0, 0},
+		"queued":            {"pay", testkit.Unresponsive(nil), 2, capacityFreed, 0, 0},
 		"waits for a retry": {"read", testkit.ServerError, 0, clockAdvanced, 1, 0},
-		"a hedged request":  {"read", testkit.Silent(nil), 0, clockAdvanced, 1, 1},
+		"a hedged request":  {"read", testkit.Unresponsive(nil), 0, clockAdvanced, 1, 1},
 	}
 }
 
@@ -107,7 +107,7 @@
 	l := s.loop
 	l.inLoop(t, func() { // a request took half a minute here
 		l.balancer.Request(l.clock(), policy.Request{ID: 1 << 31, Timeout: time.Hour})
-		l.balancer.Outcome(l.clock(), policy.Outcome{ID: 1 << 31, RequestEnded: true, Latency: 30 * time.Second})
+		l.balancer.Outcome(l.clock(), policy.Outcome{ID: 1 << 31, RequestCompleted: true, Latency: 30 * time.Second})
 	})
 	for i := range point.others {
 		s.sendOnNewConn("pay", "")
--- a/internal/node/disconnect_test.go
+++ b/internal/node/disconnect_test.go
@@ -17,7 +17,7 @@
 
 func TestDisconnectCancelsTheAttempt(t *testing.T) {
 	cancelled := make(chan struct{}, 1)
-	b := testkit.NewBackend(t, testkit.Silent(cancelled))
+	b := testkit.NewBackend(t, testkit.Unresponsive(cancelled))
 	n, _ := startReady(t, b)
 	nc, err := net.Dial("tcp", n.addr)
 	if err != nil {
@@ -104,7 +104,7 @@
 	leaves, leave := context.WithCancel(t.Context())
 	l.submitAsync(leaves, l.newRequest(0, staysConnected))
 	sends := func() int { return len(bs[0].Requests) + len(bs[1].Requests) }
-	for end := time.Now().Add(testkit.Patience); sends() == 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testkit.WaitTimeout); sends() == 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
 	}
 	l.awaitRequests(t, 1, 0)
 	leave()
@@ -117,7 +117,7 @@
 // A client sends more behind its request and disconnects: its attempt is cancelled all the same.
 func TestDisconnectBehindReadAheadCancelsTheAttempt(t *testing.T) {
 	cancelled := make(chan struct{}, 1)
-	b := testkit.NewBackend(t, testkit.Silent(cancelled))
+	b := testkit.NewBackend(t, testkit.Unresponsive(cancelled))
 	n := start(t, testConfig(t, testkit.NewRegistry(t, b.Endpoint("s-0")), withDeadlines(600000)))
 	n.waitReady(http.StatusOK)
 	nc := n.dial()
--- a/internal/node/discovery_failure_test.go
+++ b/internal/node/discovery_failure_test.go
@@ -24,7 +24,7 @@
 	for _, mode := range discoveryModes() {
 		for name, fail := range map[string]func(*testkit.ScriptedDiscovery){
 			"silent": func(*testkit.ScriptedDiscovery) {},
-			"reset":  func(scripted *testkit.ScriptedDiscovery) { scripted.Answers <- testkit.AnswerReset },
+			"reset":  func(scripted *testkit.ScriptedDiscovery) { scripted.Responses <- testkit.ResponseReset },
 		} {
 			t.Run(mode+" "+name, func(t *testing.T) {
 				t.Parallel()
@@ -38,7 +38,7 @@
 	t.Helper()
 	n, scripted := startScripted(t, mode, nil)
 	testkit.Wait(t, scripted.Calls, "the first call")
-	scripted.Answers <- `{"generation":3,"reset":true,"instances":[]}`
+	scripted.Responses <- `{"generation":3,"reset":true,"instances":[]}`
 	n.waitReady(http.StatusOK)
 	testkit.Wait(t, scripted.Calls, "the watch")
 	began := time.Now()
@@ -53,7 +53,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	scripted.Answers <- string(text)
+	scripted.Responses <- string(text)
 	testkit.Wait(t, scripted.Calls, "the next watch")
 	if a := n.do(n.request("read")); a.status != http.StatusOK {
 		t.Errorf("status %d", a.status)
@@ -69,17 +69,17 @@
 			n, old := startScripted(t, mode, nil)
 			first := testkit.Wait(t, old.Calls, "the first call")
 			next := testkit.NewScriptedDiscovery(t)
-			n.node.MoveDiscovery(next.Address) // before any list is known
+			n.node.SetDiscoveryAddress(next.Address) // before any list is known
 			queryStarts(t, testkit.Wait(t, next.Calls, "a call to the new address"), "")
 			stillOpen(t, first)
-			next.Answers <- `{"generation":9,"reset":true,"instances":[]}`
+			next.Responses <- `{"generation":9,"reset":true,"instances":[]}`
 			n.waitReady(http.StatusOK)
 			testkit.Wait(t, first.Context().Done(), "the end of the old call")
 			watch := testkit.Wait(t, next.Calls, "the watch")
-			n.node.MoveDiscovery(old.Address) // and back, during the watch
+			n.node.SetDiscoveryAddress(old.Address) // and back, during the watch
 			queryStarts(t, testkit.Wait(t, old.Calls, "a call to the old address"), "")
 			stillOpen(t, watch)
-			old.Answers <- `{"generation":2,"reset":true,"instances":[]}`
+			old.Responses <- `{"generation":2,"reset":true,"instances":[]}`
 			testkit.Wait(t, watch.Context().Done(), "the end of the watch")
 			queryStarts(t, testkit.Wait(t, old.Calls, "its watch"), "after=2&")
 		})
@@ -109,16 +109,16 @@
 			next := testkit.NewScriptedDiscovery(t)
 			n.waitReady(http.StatusOK)
 			began := time.Now()
-			n.node.MoveDiscovery(next.Address)
+			n.node.SetDiscoveryAddress(next.Address)
 			for range 3 {
 				testkit.Wait(t, next.Calls, "a call to the new address")
-				next.Answers <- testkit.AnswerReset
+				next.Responses <- testkit.ResponseReset
 			}
 			testkit.Wait(t, next.Calls, "a call after the failed ones")
 			if took := time.Since(began); took >= 4*time.Second {
 				t.Errorf("called again after %v", took)
 			}
-			next.Answers <- `{"generation":1,"reset":true,"instances":[]}`
+			next.Responses <- `{"generation":1,"reset":true,"instances":[]}`
 			testkit.Wait(t, next.Calls, "the watch")
 		})
 	}
@@ -133,13 +133,13 @@
 			a, b := testkit.NewBackend(t, testkit.OK), testkit.NewBackend(t, testkit.OK)
 			n, scripted := startScripted(t, mode, nil)
 			testkit.Wait(t, scripted.Calls, "the first call")
-			scripted.Answers <- listText(t, endpointjson.List{Generation: 5, Endpoints: []endpointjson.Endpoint{a.Endpoint("s-0")}})
+			scripted.Responses <- listText(t, endpointjson.List{Generation: 5, Endpoints: []endpointjson.Endpoint{a.Endpoint("s-0")}})
 			testkit.Wait(t, scripted.Calls, "the watch")
-			scripted.Answers <- testkit.AnswerDown
+			scripted.Responses <- testkit.ResponseUnavailable
 			testkit.Wait(t, scripted.Calls, "a call while it is down")
-			scripted.Answers <- testkit.AnswerDown
+			scripted.Responses <- testkit.ResponseUnavailable
 			queryStarts(t, testkit.Wait(t, scripted.Calls, "a call as it is back"), "after=5&")
-			scripted.Answers <- listText(t, endpointjson.List{
+			scripted.Responses <- listText(t, endpointjson.List{
 				Generation: 6, Endpoints: []endpointjson.Endpoint{draining(a.Endpoint("s-0")), b.Endpoint("s-1")},
 			})
 			queryStarts(t, testkit.Wait(t, scripted.Calls, "the next watch"), "after=6&")
@@ -154,15 +154,15 @@
 // where little is polled: changes count as notified 6 s after discovery could be reached again.
 func TestFailedCallsAreRetriedBeforeTheNotificationDeadline(t *testing.T) {
 	answer := func(text string) func(*testNode, *testkit.ScriptedDiscovery) {
-		return func(_ *testNode, scripted *testkit.ScriptedDiscovery) { scripted.Answers <- text }
+		return func(_ *testNode, scripted *testkit.ScriptedDiscovery) { scripted.Responses <- text }
 	}
 	for name, fail := range map[string]func(*testNode, *testkit.ScriptedDiscovery){
-		"status 503": answer(testkit.AnswerDown),
-		"reset":      answer(testkit.AnswerReset),
+		"status 503": answer(testkit.ResponseUnavailable),
+		"reset":      answer(testkit.ResponseReset),
 		"no list":    answer("<html>"),
 		"silent":     func(*testNode, *testkit.ScriptedDiscovery) {},
 		"cancelled at SIGHUP": func(n *testNode, _ *testkit.ScriptedDiscovery) { // with the same address
-			n.node.MoveDiscovery(n.node.cfg.Discovery)
+			n.node.SetDiscoveryAddress(n.node.cfg.Discovery)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -177,7 +177,7 @@
 	scripted := testkit.NewScriptedDiscovery(t)
 	n := start(t, testConfig(t, testkit.NewRegistry(t), largeFleetConfig(scripted.Address)))
 	testkit.Wait(t, scripted.Calls, "the first call")
-	scripted.Answers <- `{"generation":3,"reset":true,"instances":[{"instanceId":"s","hostPort":"127.0.0.1:1","lifecycle":"Ready"}]}`
+	scripted.Responses <- `{"generation":3,"reset":true,"instances":[{"instanceId":"s","hostPort":"127.0.0.1:1","lifecycle":"Ready"}]}`
 	testkit.Wait(t, scripted.Calls, "the watch")
 	for range 2 {
 		began := time.Now()
@@ -226,8 +226,8 @@
 	t.Parallel()
 	for _, mode := range discoveryModes() {
 		for name, fail := range map[string]outage{
-			"down":   {answer: testkit.AnswerDown},
-			"reset":  {answer: testkit.AnswerReset},
+			"down":   {answer: testkit.ResponseUnavailable},
+			"reset":  {answer: testkit.ResponseReset},
 			"silent": {silent: true},
 		} {
 			t.Run(mode+" "+name, func(t *testing.T) {
@@ -252,10 +252,10 @@
 		meanwhile()
 		return
 	}
-	scripted.Answers <- o.answer
+	scripted.Responses <- o.answer
 	meanwhile()
 	testkit.Wait(t, scripted.Calls, "a call while it is down")
-	scripted.Answers <- o.answer
+	scripted.Responses <- o.answer
 }
 
 func testRecoveryDuringAFlood(t *testing.T, mode string, fail outage) {
@@ -283,7 +283,7 @@
 	}
 	began := time.Now()
 	close(back)
-	scripted.Answers <- text
+	scripted.Responses <- text
 	queryStarts(t, testkit.Wait(t, scripted.Calls, "the next watch"), "after=2&")
 	if took := time.Since(began); took > policy.NotificationDeadline {
 		t.Errorf("follows after %v", took)
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -41,11 +41,11 @@
 	for len(old.Queries) > 0 {
 		<-old.Queries
 	}
-	n.node.MoveDiscovery(testkit.FreeAddr(t)) // nobody there yet
+	n.node.SetDiscoveryAddress(testkit.FreeAddr(t)) // nobody there yet
 	if r := n.do(n.request("read")); r.status != http.StatusOK {
 		t.Errorf("status %d while discovery is away", r.status)
 	}
-	n.node.MoveDiscovery(next.Listener.Addr().String())
+	n.node.SetDiscoveryAddress(next.Listener.Addr().String())
 	if q := testkit.Wait(t, next.Queries, "the first call"); q != "" {
 		t.Errorf("the new address is queried with %q", q)
 	}
@@ -61,7 +61,7 @@
 	if r := n.do(n.request("read")); r.status != http.StatusServiceUnavailable {
 		t.Errorf("status %d: the new address is not watched", r.status)
 	}
-	n.node.MoveDiscovery(old.Listener.Addr().String())
+	n.node.SetDiscoveryAddress(old.Listener.Addr().String())
 	for q := range old.Queries {
 		if q == "" {
 			break
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -26,8 +26,8 @@
 	l.post(update)
 }
 
-// EndpointsKnown implements discovery.Handler.
-func (l *loop) EndpointsKnown() {
+// Synced implements discovery.Handler.
+func (l *loop) Synced() {
 	l.startTimes.answered(l.clock())
 	l.ready.Store(true)
 }
--- a/internal/node/endpoints_test.go
+++ b/internal/node/endpoints_test.go
@@ -118,10 +118,10 @@
 	b := testkit.NewBackend(t, testkit.OK)
 	good := b.Endpoint("s-0")
 	n, scripted := startScripted(t, "pushed", nil)
-	scripted.Answers <- "what?"
-	scripted.Answers <- `{"generation":"x"}`
-	scripted.Answers <- `{"generation":3,"instances":[{"instanceId":5}]}`
-	scripted.Answers <- `{"generation":4,"reset":true,"instances":[{},{"instanceId":"s-1","lifecycle":"Ready"},` +
+	scripted.Responses <- "what?"
+	scripted.Responses <- `{"generation":"x"}`
+	scripted.Responses <- `{"generation":3,"instances":[{"instanceId":5}]}`
+	scripted.Responses <- `{"generation":4,"reset":true,"instances":[{},{"instanceId":"s-1","lifecycle":"Ready"},` +
 		`{"instanceId":"s-2","hostPort":"nowhere","lifecycle":"Novel"},` +
 		`{"instanceId":"s-0","hostPort":"` + good.Address + `","zone":"far","cell":-1,"lifecycle":"Ready",` +
 		`"weight":-3,"startedAtMs":1.5e12,"novel":[]}]}`
@@ -145,7 +145,7 @@
 	}
 	at := time.Now().Add(-3 * time.Second).Round(0)
 	first := startedAt(at)
-	if age := l.clock() - first; age < 2900*time.Millisecond || age > 3*time.Second+testkit.Patience {
+	if age := l.clock() - first; age < 2900*time.Millisecond || age > 3*time.Second+testkit.WaitTimeout {
 		t.Errorf("a start 3 s ago is %v ago on the clock", age)
 	}
 	if again := startedAt(at); again != first {
--- a/internal/node/harness_client_test.go
+++ b/internal/node/harness_client_test.go
@@ -140,7 +140,7 @@
 // awaitSocketState waits until a connection's socket has a state.
 func awaitSocketState(t *testing.T, nc net.Conn, want sockstate.State) {
 	t.Helper()
-	for end := time.Now().Add(testkit.Patience); sockstate.Peek(nc) != want; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testkit.WaitTimeout); sockstate.Peek(nc) != want; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("the connection shows %v, want %v", sockstate.Peek(nc), want)
 		}
@@ -170,4 +170,4 @@
 func closeWrite(conn *net.TCPConn) { _ = conn.CloseWrite() }
 
 // limitToPatience bounds what a test does on a connection.
-func limitToPatience(conn net.Conn) { _ = conn.SetDeadline(time.Now().Add(testkit.Patience)) }
+func limitToPatience(conn net.Conn) { _ = conn.SetDeadline(time.Now().Add(testkit.WaitTimeout)) }
--- a/internal/node/harness_handler_test.go
+++ b/internal/node/harness_handler_test.go
@@ -37,7 +37,7 @@
 	t.Helper()
 	cfg := testConfig(t, testkit.NewRegistry(t), withDeadlines(600000))
 	cfg.Policy.Classes[1].KeyRetention = 10 * time.Minute
-	cfg.ConnectTimeout = testkit.Patience
+	cfg.ConnectTimeout = testkit.WaitTimeout
 	l, err := newLoop(t.Context(), cfg, upstream.NewPool(upstreamConfig(cfg, 400)), noWatcher{})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/node/harness_loop_test.go
+++ b/internal/node/harness_loop_test.go
@@ -77,7 +77,7 @@
 // awaitRequests waits until the loop has so many requests with so many attempts in flight.
 func (l *loop) awaitRequests(t *testing.T, requests, inFlight int) {
 	t.Helper()
-	for end := time.Now().Add(testkit.Patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testkit.WaitTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		n, m := 0, 0
 		l.inLoop(t, func() {
 			for _, r := range l.requests {
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -101,7 +101,7 @@
 		cancel()
 		select {
 		case <-ended:
-		case <-time.After(testkit.Patience):
+		case <-time.After(testkit.WaitTimeout):
 			t.Error("the node does not stop")
 		}
 	})
@@ -134,7 +134,7 @@
 
 func (n *testNode) waitReady(status int) {
 	n.t.Helper()
-	for end := time.Now().Add(testkit.Patience); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(testkit.WaitTimeout); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
 		resp, err := http.Get("http://" + n.addr + "/health/ready")
 		if err != nil {
 			continue
--- a/internal/node/host.go
+++ b/internal/node/host.go
@@ -46,7 +46,7 @@
 // get the same write deadline.
 func (l *loop) limitToKeyRetention(req *request, index int) {
 	class := &l.classes[req.class]
-	first := slices.IndexFunc(req.attempts, func(a *attempt) bool { return !a.neverRan })
+	first := slices.IndexFunc(req.attempts, func(a *attempt) bool { return !a.notExecuted })
 	if class.Idempotency != policy.IdempotentWithKey || first >= index {
 		return
 	}
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -193,7 +193,7 @@
 		return
 	}
 	ended.reported = true
-	ended.neverRan = result.Status.NeverRan()
+	ended.notExecuted = result.Status.NotExecuted()
 	req.inFlight--
 	ended.call.Cancel()
 	if ended.timer != nil {
@@ -204,7 +204,7 @@
 	}
 	l.balancer.Outcome(now, policy.Outcome{
 		ID: req.id, Attempt: index, Server: ended.server, Status: result.Status,
-		RequestEnded: req.completed, Latency: now - ended.sentAt,
+		RequestCompleted: req.completed, Latency: now - ended.sentAt,
 	})
 	l.release(req)
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -48,7 +48,7 @@
 		return nil, fmt.Errorf("listen: %w", err)
 	}
 	client := discovery.New(discovery.Config{
-		Address: cfg.Discovery, Known: cfg.Known, Poll: cfg.Policy.PollEndpoints, DrainGrace: cfg.DrainGrace,
+		Address: cfg.Discovery, Cached: cfg.CachedList, Poll: cfg.Policy.PollEndpoints, DrainGrace: cfg.DrainGrace,
 	})
 	return &Node{cfg: cfg, listener: listener, discovery: client}, nil
 }
@@ -56,9 +56,9 @@
 // Addr returns the address at which the node listens.
 func (n *Node) Addr() net.Addr { return n.listener.Addr() }
 
-// MoveDiscovery has the node follow the endpoint list at another address. It must not be
+// SetDiscoveryAddress has the node follow the endpoint list at another address. It must not be
 // called concurrently.
-func (n *Node) MoveDiscovery(addr string) { n.discovery.Move(addr) }
+func (n *Node) SetDiscoveryAddress(addr string) { n.discovery.SetAddress(addr) }
 
 // Run serves until the context ends or no connection can be accepted any more, then shuts down
 // gracefully: it completes the requests that were accepted. It returns an error if serving failed.
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -39,10 +39,10 @@
 
 // attempt is one send of a request. Only the goroutine of loop.run uses it.
 type attempt struct {
-	call     *upstream.Call
-	server   policy.ServerID
-	sentAt   time.Duration // on the loop's clock
-	reported bool          // the balancer has its outcome
-	neverRan bool          // by that outcome
-	timer    *time.Timer   // ends the attempt; nil: only the request's deadline does
+	call        *upstream.Call
+	server      policy.ServerID
+	sentAt      time.Duration // on the loop's clock
+	reported    bool          // the balancer has its outcome
+	notExecuted bool          // by that outcome
+	timer       *time.Timer   // ends the attempt; nil: only the request's deadline does
 }
--- a/internal/node/retry_test.go
+++ b/internal/node/retry_test.go
@@ -71,7 +71,7 @@
 // its response nothing more is sent and the attempt is cancelled.
 func TestUnresponsiveServerFailsTheRequestAtItsDeadline(t *testing.T) {
 	cancelled := make(chan struct{}, 1)
-	b := testkit.NewBackend(t, testkit.Silent(cancelled))
+	b := testkit.NewBackend(t, testkit.Unresponsive(cancelled))
 	n, _ := startReady(t, b)
 	r := n.request("pay")
 	r.Header.Set("X-Timeout-Ms", "300")
@@ -92,7 +92,7 @@
 	var quiet atomic.Bool // the next request met stays without an answer
 	handle := func(w http.ResponseWriter, r *http.Request) {
 		if quiet.CompareAndSwap(true, false) {
-			testkit.Silent(cancelled)(w, r)
+			testkit.Unresponsive(cancelled)(w, r)
 			return
 		}
 		testkit.OK(w, r)
@@ -243,8 +243,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			far, quiet := testkit.NewStuckServer(t), testkit.NewBackend(t, testkit.Silent(make(chan struct{}, 1)))
-			l := startLoopWith(t, func(pool *upstream.Config) { pool.ConnectTimeout = testkit.Patience },
+			far, quiet := testkit.NewStuckServer(t), testkit.NewBackend(t, testkit.Unresponsive(make(chan struct{}, 1)))
+			l := startLoopWith(t, func(pool *upstream.Config) { pool.ConnectTimeout = testkit.WaitTimeout },
 				far.Endpoint("late"), quiet.Endpoint("quiet"))
 			r := l.newRequest(c.class, staysConnected)
 			servers := []policy.ServerID{endpoint.IDOf("quiet"), endpoint.IDOf("quiet")}
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -122,7 +122,7 @@
 
 	finish, cancelFinish := finishContext(ctx, end)
 	defer cancelFinish()
-	s.conns.Finish(finish)
+	s.conns.Shutdown(finish)
 }
 
 // finishContext returns the context of what must not be left out at the end of a shutdown,
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -112,7 +112,7 @@
 // A request whose deadline is long after the kill is answered before it all the same.
 func TestShutdownFailsLongRequestsBeforeTheKill(t *testing.T) {
 	t.Parallel()
-	b := testkit.NewBackend(t, testkit.Silent(make(chan struct{}, 1)))
+	b := testkit.NewBackend(t, testkit.Unresponsive(make(chan struct{}, 1)))
 	d := testkit.NewRegistry(t, b.Endpoint("s-0"))
 	n := start(t, testConfig(t, d, withDeadlines(60000)))
 	n.waitReady(http.StatusOK)
@@ -137,7 +137,7 @@
 func TestShutdownAnswersRequestsInEveryState(t *testing.T) {
 	t.Parallel()
 	stuck := testkit.NewStuckServer(t)
-	b := testkit.NewBackend(t, testkit.Silent(make(chan struct{}, 10)))
+	b := testkit.NewBackend(t, testkit.Unresponsive(make(chan struct{}, 10)))
 	for name, c := range map[string]struct {
 		server endpointjson.Endpoint
 		first  int // requests that go before
@@ -232,7 +232,7 @@
 // are rejected and not dropped.
 func TestTerminationAnswersRequestsOnSilentConnections(t *testing.T) {
 	t.Parallel()
-	b := testkit.NewBackend(t, testkit.Silent(make(chan struct{}, 1)))
+	b := testkit.NewBackend(t, testkit.Unresponsive(make(chan struct{}, 1)))
 	d := testkit.NewRegistry(t, b.Endpoint("s-0"))
 	n := start(t, testConfig(t, d, withDeadlines(300)))
 	n.waitReady(http.StatusOK)
@@ -262,7 +262,7 @@
 // waits for its admission with a request: each request gets its response before the kill.
 func TestShutdownAnswersAConnectionThatWaitsForAdmission(t *testing.T) {
 	t.Parallel()
-	b := testkit.NewBackend(t, testkit.Silent(make(chan struct{}, 100)))
+	b := testkit.NewBackend(t, testkit.Unresponsive(make(chan struct{}, 100)))
 	d := testkit.NewRegistry(t, b.Endpoint("s-0"))
 	const sockets, connections = 64, 40 // more than divideDescriptors grants to clients
 	n := start(t, testConfig(t, d, func(file map[string]any) {
--- a/internal/node/start_times.go
+++ b/internal/node/start_times.go
@@ -96,7 +96,7 @@
 	start.update = s.updates
 	s.known[id] = start
 	delete(s.departed, id)
-	if e.State == policy.Gone {
+	if e.State == policy.Removed {
 		s.depart(id, start, now)
 	}
 	return start.at
--- a/internal/node/start_times_test.go
+++ b/internal/node/start_times_test.go
@@ -168,7 +168,7 @@
 		starts.update(policy.UpdateSnapshot, list, clockNow, wall)
 		starts.answered(clockNow)
 		gone := process(wall.Add(-processAge))
-		gone[0].State = policy.Gone
+		gone[0].State = policy.Removed
 		starts.update(policy.UpdateDelta, gone, clockNow, wall)
 		if len(starts.known) > 0 {
 			t.Errorf("%d processes that are gone are known", len(starts.known))
--- a/internal/simproto/decode.go
+++ b/internal/simproto/decode.go
@@ -134,7 +134,7 @@
 	}
 	event.Outcome = policy.Outcome{
 		ID: rec.requestID(), Attempt: int(rec.uint16(attemptAt)), Server: rec.serverID(serverAt),
-		Status: status, RequestEnded: rec[requestEndedAt] != 0, Latency: latency,
+		Status: status, RequestCompleted: rec[requestEndedAt] != 0, Latency: latency,
 	}
 	return nil
 }
@@ -233,7 +233,7 @@
 func endpointState(code byte) (policy.EndpointState, bool) {
 	switch code {
 	case 0:
-		return policy.Gone, true
+		return policy.Removed, true
 	case 1:
 		return policy.Ready, true
 	case 2:
--- a/internal/simproto/decode_test.go
+++ b/internal/simproto/decode_test.go
@@ -43,7 +43,7 @@
 		update.Endpoints[0] != want[0] || update.Endpoints[1] != want[1] {
 		t.Errorf("update %v %+v, want %+v", update.Kind, update.Endpoints, want)
 	}
-	wantOutcome := policy.Outcome{ID: 0x5d3a91c4, Server: server, Status: policy.OK, RequestEnded: true,
+	wantOutcome := policy.Outcome{ID: 0x5d3a91c4, Server: server, Status: policy.OK, RequestCompleted: true,
 		Latency: 18500 * time.Microsecond}
 	if events[4].Outcome != wantOutcome {
 		t.Errorf("outcome %+v, want %+v", events[4].Outcome, wantOutcome)
--- a/internal/testkit/handlers.go
+++ b/internal/testkit/handlers.go
@@ -28,9 +28,9 @@
 	}
 }
 
-// Silent returns a handler that never responds. It sends to the channel, unless that is full, once
+// Unresponsive returns a handler that never responds. It sends to the channel, unless that is full, once
 // the client has disconnected.
-func Silent(disconnected chan<- struct{}) http.HandlerFunc {
+func Unresponsive(disconnected chan<- struct{}) http.HandlerFunc {
 	return func(_ http.ResponseWriter, r *http.Request) {
 		<-r.Context().Done()
 		select {
--- a/internal/testkit/listener_test.go
+++ b/internal/testkit/listener_test.go
@@ -55,7 +55,7 @@
 		for _, address := range []string{
 			NewScriptedDiscovery(t).Address, NewBackend(t, OK).Address(), Listen(t).Addr().String(),
 			NewRegistry(t).Address(), FreeAddr(t), ReserveAddr(t).Address,
-			NewMachine(t, func(*http.Request) Answer { return Answer{Status: http.StatusOK, Body: ""} }).Address,
+			NewMachine(t, func(*http.Request) Response { return Response{Status: http.StatusOK, Body: ""} }).Address,
 		} {
 			host, _, err := net.SplitHostPort(address)
 			if err != nil {
--- a/internal/testkit/machine.go
+++ b/internal/testkit/machine.go
@@ -17,17 +17,17 @@
 	Address string
 
 	listener *net.TCPListener
-	answer   func(r *http.Request) Answer
+	answer   func(r *http.Request) Response
 
 	mu      sync.Mutex
 	away    bool
-	changed chan struct{} // closed at the next Vanish or Return
+	changed chan struct{} // closed at the next Partition or Heal
 	stays   int           // how often the machine has returned
 	fillers []net.Conn    // which fill the accept queue while it is away
 }
 
-// Answer is the answer to a call of a Machine.
-type Answer struct {
+// Response is the response to a call of a Machine.
+type Response struct {
 	Status int // 0: the call's connection is reset
 	Body   string
 	Sent   func() // called just before it is sent; nil: nobody wants to know
@@ -35,7 +35,7 @@
 
 // NewMachine starts a service that answers each call with what the function returns, which may block. It
 // stops at the end of the test.
-func NewMachine(tb testing.TB, answer func(r *http.Request) Answer) *Machine {
+func NewMachine(tb testing.TB, answer func(r *http.Request) Response) *Machine {
 	tb.Helper()
 	listener, err := ListenOnNewHost()
 	if err != nil {
@@ -54,8 +54,8 @@
 	return m
 }
 
-// Vanish takes the machine off the network.
-func (m *Machine) Vanish(tb testing.TB) {
+// Partition takes the machine off the network.
+func (m *Machine) Partition(tb testing.TB) {
 	tb.Helper()
 	m.setAway(true)
 	m.setBacklog(tb, 0)
@@ -70,8 +70,8 @@
 	}
 }
 
-// Return brings the machine back.
-func (m *Machine) Return(tb testing.TB) {
+// Heal brings the machine back.
+func (m *Machine) Heal(tb testing.TB) {
 	tb.Helper()
 	m.setBacklog(tb, syscall.SOMAXCONN)
 	m.setAway(false)
--- a/internal/testkit/machine_test.go
+++ b/internal/testkit/machine_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestMachineIsSilentWhileAway(t *testing.T) {
-	machine := NewMachine(t, func(*http.Request) Answer { return Answer{Status: http.StatusOK, Body: "here"} })
+	machine := NewMachine(t, func(*http.Request) Response { return Response{Status: http.StatusOK, Body: "here"} })
 	client := http.Client{Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
 	get := func() string {
@@ -26,13 +26,13 @@
 	if got := get(); got != "here" {
 		t.Fatalf("answered %q", got)
 	}
-	machine.Vanish(t)
+	machine.Partition(t)
 	if _, err := net.DialTimeout("tcp", machine.Address, connectTimeout); !IsTimeout(err) {
 		t.Errorf("dial while it is away: %v, want a timeout", err)
 	}
 	answers := make(chan string, 1)
 	go func() { answers <- get() }() // on the connection from before
-	machine.Return(t)
+	machine.Heal(t)
 	Wait(t, answers, "the end of the call while it was away")
 	if got := get(); got != "here" {
 		t.Errorf("answered %q after its return", got)
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -11,9 +11,9 @@
 	"time"
 )
 
-// Patience bounds the wait for a condition that must come true. It ends a test that fails and never
+// WaitTimeout bounds the wait for a condition that must come true. It ends a test that fails and never
 // delays one that passes.
-const Patience = 20 * time.Second
+const WaitTimeout = 20 * time.Second
 
 // Wait returns the next value of a channel, or fails the test. The description completes the words
 // "timed out waiting for".
@@ -22,7 +22,7 @@
 	select {
 	case value := <-values:
 		return value
-	case <-time.After(Patience):
+	case <-time.After(WaitTimeout):
 		t.Fatalf("timed out waiting for %s", description)
 		panic("unreachable")
 	}
@@ -34,7 +34,7 @@
 // Until waits until a condition holds, or fails the test.
 func Until(t *testing.T, description string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(Patience); !holds(); time.Sleep(pollInterval) {
+	for end := time.Now().Add(WaitTimeout); !holds(); time.Sleep(pollInterval) {
 		if time.Now().After(end) {
 			t.Fatalf("timed out waiting for %s", description)
 		}
--- a/internal/upstream/endpoints.go
+++ b/internal/upstream/endpoints.go
@@ -29,7 +29,7 @@
 	revoked := RevokedServers{}
 	for _, current := range endpoints {
 		id := current.ID
-		if current.State == policy.Gone {
+		if current.State == policy.Removed {
 			revoked.add(id)
 			p.removeLocked(id, p.servers[id])
 			continue
--- a/internal/upstream/exchange_test.go
+++ b/internal/upstream/exchange_test.go
@@ -102,7 +102,7 @@
 // response has to be recognized without the deadline of the attempt.
 func testResponse(t *testing.T, pool *Pool, id policy.ServerID, want policy.Status) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), testkit.Patience)
+	ctx, cancel := context.WithTimeout(t.Context(), testkit.WaitTimeout)
 	defer cancel()
 	result := send(ctx, pool, id, anyRequest())
 	if ctx.Err() != nil {
@@ -123,7 +123,7 @@
 		readTimeout time.Duration
 		want        policy.Status
 	}{
-		"within it": {testkit.Patience, policy.OK},
+		"within it": {testkit.WaitTimeout, policy.OK},
 		"after it":  {50 * time.Millisecond, policy.ServerError},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/upstream/send_test.go
+++ b/internal/upstream/send_test.go
@@ -128,7 +128,7 @@
 
 // readRequest reads a request with its body.
 func readRequest(conn net.Conn) error {
-	if err := conn.SetDeadline(time.Now().Add(testkit.Patience)); err != nil {
+	if err := conn.SetDeadline(time.Now().Add(testkit.WaitTimeout)); err != nil {
 		return err
 	}
 	request, err := http.ReadRequest(bufio.NewReader(conn))
--- a/policy/api.go
+++ b/policy/api.go
@@ -88,7 +88,7 @@
 	OverloadMultiple  float64       // a server that is warming up fails when it gets more than this
 	OverloadWindow    time.Duration // multiple of its current capacity for this long
 	MaxPollInterval   time.Duration // with Settings.PollEndpoints: longest time between two polls
-	AnswerGrace       time.Duration // time after a client's deadline at which a final answer still counts
+	ResponseGrace     time.Duration // time after a client's deadline at which a final answer still counts
 }
 
 // Settings configures a Balancer. Validate names the impossible ones.
@@ -111,12 +111,12 @@
 
 // The states of a server.
 const (
-	Gone     EndpointState = iota // not listed any more
+	Removed  EndpointState = iota // not listed any more
 	Ready                         // takes requests
 	Draining                      // completes its requests and takes no new ones
 )
 
-func (s EndpointState) String() string { return enumName(s, "gone", "ready", "draining") }
+func (s EndpointState) String() string { return enumName(s, "removed", "ready", "draining") }
 
 // Endpoint is a server in the endpoint list.
 type Endpoint struct {
@@ -173,17 +173,17 @@
 		"not sent")
 }
 
-// NeverRan reports whether an attempt of this status is known not to have been executed.
-func (s Status) NeverRan() bool { return s == Rejected || s == ConnectFailed || s == NotSent }
+// NotExecuted reports whether an attempt of this status is known not to have been executed.
+func (s Status) NotExecuted() bool { return s == Rejected || s == ConnectFailed || s == NotSent }
 
 // Outcome reports the end of one attempt. Each Host.Send is followed by one.
 type Outcome struct {
-	ID           RequestID
-	Attempt      int // index among the sends of this request, from 0
-	Server       ServerID
-	Status       Status
-	RequestEnded bool          // the client has its final answer, by this outcome or before
-	Latency      time.Duration // time since the send
+	ID               RequestID
+	Attempt          int // index among the sends of this request, from 0
+	Server           ServerID
+	Status           Status
+	RequestCompleted bool          // the client has its final answer, by this outcome or before
+	Latency          time.Duration // time since the send
 }
 
 // Host carries out the actions of a Balancer. It is called from within the Balancer's
--- a/policy/api_test.go
+++ b/policy/api_test.go
@@ -12,7 +12,7 @@
 	}{
 		{Idempotent, "idempotent"}, {IdempotentWithKey, "idempotent with key"}, {NotIdempotent, "not idempotent"},
 		{KeyScopeAll, "all"}, {KeyScopeZone, "zone"}, {KeyScopeCell, "cell"},
-		{Gone, "gone"}, {Ready, "ready"}, {Draining, "draining"},
+		{Removed, "removed"}, {Ready, "ready"}, {Draining, "draining"},
 		{UpdateDelta, "delta"}, {UpdateSnapshot, "snapshot"}, {UpdateCached, "cached"},
 		{OK, "ok"}, {ServerError, "server error"}, {Rejected, "rejected"}, {Timeout, "timeout"},
 		{ConnectFailed, "connect failed"}, {Reset, "reset"}, {Cancelled, "cancelled"}, {NotSent, "not sent"},
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -123,9 +123,9 @@
 		return
 	}
 	b.attemptEnded(request, attempt)
-	attempt.neverRan = outcome.Status.NeverRan()
+	attempt.notExecuted = outcome.Status.NotExecuted()
 	b.recordOutcome(now, request, attempt, outcome)
-	if outcome.RequestEnded || outcome.Status == OK {
+	if outcome.RequestCompleted || outcome.Status == OK {
 		b.complete(request)
 	} else if !request.completed && request.inFlight == 0 {
 		b.scheduleRetry(now, request)
@@ -165,7 +165,7 @@
 }
 
 // periodicCheck sheds load and checks every active request. The next one runs by the earliest deadline,
-// since AnswerGrace may be shorter than checkInterval.
+// since ResponseGrace may be shorter than checkInterval.
 func (b *Balancer) periodicCheck(now time.Duration) {
 	b.refresh(now)
 	b.shedLoad(now)
--- a/policy/balancer_test.go
+++ b/policy/balancer_test.go
@@ -18,7 +18,7 @@
 	h.balancer.ClientDisconnected(h.now, id)
 	h.balancer.StreamStarted(h.now, id, 0)
 	h.balancer.Timer(h.now, 77)
-	h.update(UpdateDelta, Endpoint{Server: 55, State: Gone})
+	h.update(UpdateDelta, Endpoint{Server: 55, State: Removed})
 	if len(h.host.log) != before {
 		t.Fatalf("stale events led to %v", h.host.log[before:])
 	}
@@ -74,7 +74,7 @@
 	const timeout, grace = 122*ms + ms/2, 5 * ms
 	for _, tick := range []time.Duration{ms, 5 * ms, 50 * ms} {
 		settings := testSettings()
-		settings.Tick, settings.Rules.AnswerGrace = tick, grace
+		settings.Tick, settings.Rules.ResponseGrace = tick, grace
 		h := newHarness(t, settings, 0)
 		h.update(UpdateSnapshot, ready(1, 1)...)
 		for range 40 {
--- a/policy/concurrency_limit_test.go
+++ b/policy/concurrency_limit_test.go
@@ -138,7 +138,7 @@
 			continue
 		}
 		for i := range record.attempts {
-			h.balancer.Outcome(h.now, Outcome{ID: id, Attempt: i, Status: OK, RequestEnded: true, Latency: age})
+			h.balancer.Outcome(h.now, Outcome{ID: id, Attempt: i, Status: OK, RequestCompleted: true, Latency: age})
 		}
 	}
 }
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -120,7 +120,7 @@
 // markAllGone covers the draining endpoints too, which may be left out of all later lists.
 func (e *endpointSet) markAllGone() {
 	for _, s := range e.byID {
-		s.State = Gone
+		s.State = Removed
 	}
 	e.ready = e.ready[:0]
 }
@@ -129,7 +129,7 @@
 	e.ready = slices.DeleteFunc(e.ready, func(s *server) bool { return s.State != Ready })
 	slices.SortFunc(e.ready, func(x, y *server) int { return cmp.Compare(x.ringPosition, y.ringPosition) })
 	for id, s := range e.byID {
-		if s.State == Gone && len(s.inFlight) == 0 {
+		if s.State == Removed && len(s.inFlight) == 0 {
 			delete(e.byID, id)
 		}
 	}
--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -15,7 +15,7 @@
 	first := h.host.sends[0]
 	h.endAttempt(first.id, ServerError, ms) // waits for its backoff
 	h.update(UpdateDelta, Endpoint{Server: 1, State: Draining})
-	h.update(UpdateDelta, Endpoint{Server: 2, State: Gone})
+	h.update(UpdateDelta, Endpoint{Server: 2, State: Removed})
 	before := len(h.host.sends)
 	h.advance(3 * time.Second)
 	if len(h.host.sends) != before {
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -44,7 +44,7 @@
 
 	balancer.Request(now, policy.Request{ID: 1, Timeout: 2 * time.Second})
 	now += 20 * time.Millisecond
-	balancer.Outcome(now, policy.Outcome{ID: 1, Status: policy.OK, RequestEnded: true, Latency: 20 * time.Millisecond})
+	balancer.Outcome(now, policy.Outcome{ID: 1, Status: policy.OK, RequestCompleted: true, Latency: 20 * time.Millisecond})
 
 	balancer.Request(now, policy.Request{ID: 2, Timeout: 2 * time.Second})
 	balancer.Outcome(now, policy.Outcome{ID: 2, Status: policy.ServerError, Latency: time.Millisecond})
@@ -53,7 +53,7 @@
 		balancer.Timer(now, 0)
 	}
 	balancer.Outcome(now, policy.Outcome{
-		ID: 2, Attempt: 1, Status: policy.OK, RequestEnded: true, Latency: 20 * time.Millisecond,
+		ID: 2, Attempt: 1, Status: policy.OK, RequestCompleted: true, Latency: 20 * time.Millisecond,
 	})
 
 	balancer.UpdateEndpoints(now, policy.UpdateSnapshot, nil) // no server is left
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -168,7 +168,7 @@
 	j.request.answered = j.request.answered || status == OK || status == Timeout
 	j.node.balancer.Outcome(f.now, Outcome{
 		ID: j.request.id, Attempt: j.index, Server: j.server.Server, Status: status,
-		RequestEnded: j.request.answered, Latency: f.now - j.sent,
+		RequestCompleted: j.request.answered, Latency: f.now - j.sent,
 	})
 }
 
@@ -243,7 +243,7 @@
 
 // restart stops a server and starts it, or another one in its place, again.
 func (f *simulatedFleet) restart(s *simulatedServer) {
-	s.State = Gone
+	s.State = Removed
 	if s.running != nil {
 		s.queue = append(s.queue, s.running)
 	}
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -159,7 +159,7 @@
 	i := h.outcomesGiven[id]
 	h.outcomesGiven[id]++
 	h.balancer.Outcome(h.now, Outcome{
-		ID: id, Attempt: i, Server: h.sendsOf(id)[i], Status: status, Latency: latency, RequestEnded: status == OK,
+		ID: id, Attempt: i, Server: h.sendsOf(id)[i], Status: status, Latency: latency, RequestCompleted: status == OK,
 	})
 }
 
--- a/policy/invariants_test.go
+++ b/policy/invariants_test.go
@@ -30,10 +30,10 @@
 }
 
 type checkedAttempt struct {
-	server   Endpoint
-	sentAt   time.Duration
-	inFlight bool
-	neverRan bool
+	server      Endpoint
+	sentAt      time.Duration
+	inFlight    bool
+	notExecuted bool
 }
 
 func (w *invariantChecker) Send(id RequestID, server ServerID, timeout time.Duration) {
@@ -49,7 +49,7 @@
 		w.t.Errorf("%v: request %d has too many attempts", w.now, id)
 	}
 	for _, a := range checked.attempts {
-		if a.neverRan {
+		if a.notExecuted {
 			continue
 		}
 		if checked.class.Idempotency == NotIdempotent {
@@ -81,7 +81,7 @@
 	w.fakeHost.Reject(id, after)
 	checked := w.recordAnswer(id)
 	for _, a := range checked.attempts {
-		if !a.neverRan && checked.class.Idempotency != Idempotent {
+		if !a.notExecuted && checked.class.Idempotency != Idempotent {
 			w.t.Errorf("%v: request %d rejected though it may have run", w.now, id)
 		}
 	}
@@ -103,12 +103,12 @@
 		status = Cancelled
 	}
 	a.inFlight = false
-	a.neverRan = status == Rejected || status == ConnectFailed
+	a.notExecuted = status == Rejected || status == ConnectFailed
 	if status == OK {
 		w.recordAnswer(id)
 	}
 	w.balancer.Outcome(w.now, Outcome{ID: id, Attempt: i, Server: a.server.Server, Status: status,
-		Latency: w.now - a.sentAt, RequestEnded: checked.completed})
+		Latency: w.now - a.sentAt, RequestCompleted: checked.completed})
 }
 
 func (w *invariantChecker) step(ids []RequestID) {
--- a/policy/request.go
+++ b/policy/request.go
@@ -16,7 +16,7 @@
 	zone, cell   int
 	sentAt       time.Duration
 	inFlight     bool
-	neverRan     bool // known not to have been executed
+	notExecuted  bool // known not to have been executed
 	unloaded     bool // had the server to itself when it was sent
 	unresponsive bool // not counted as in flight by the limiter any more
 }
@@ -39,9 +39,9 @@
 	activeIndex       int                 // in requestTable.active
 }
 
-// setDeadlines allows for a final answer that is handled a tick late, of which AnswerGrace covers a part.
+// setDeadlines allows for a final answer that is handled a tick late, of which ResponseGrace covers a part.
 func (r *request) setDeadlines(now time.Duration, settings *Settings) {
-	timeout := min(r.Timeout, r.class.Deadline) - max(0, settings.Tick-settings.Rules.AnswerGrace)
+	timeout := min(r.Timeout, r.class.Deadline) - max(0, settings.Tick-settings.Rules.ResponseGrace)
 	r.deadline = now + max(0, timeout)
 	r.queueingDeadline = now + (r.deadline-now)/2 - checkInterval
 	extension := time.Duration(r.class.ObjectivePerWork * float64(r.CostHint))
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -54,7 +54,7 @@
 		return false
 	}
 	for i := range request.attempts {
-		if a := &request.attempts[i]; !a.neverRan && !b.mayFollowExecuted(request, a, server) {
+		if a := &request.attempts[i]; !a.notExecuted && !b.mayFollowExecuted(request, a, server) {
 			return false
 		}
 	}
@@ -99,7 +99,7 @@
 // firstExecuted returns the first attempt that may have been executed, or nil.
 func (r *request) firstExecuted() *attempt {
 	for i := range r.attempts {
-		if a := &r.attempts[i]; !a.neverRan {
+		if a := &r.attempts[i]; !a.notExecuted {
 			return a
 		}
 	}
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -142,7 +142,7 @@
 	if !h.balancer.attemptPermitted(h.now, record, s) {
 		t.Fatal("an attempt at a ready server must be permitted")
 	}
-	for _, state := range []EndpointState{Draining, Gone} {
+	for _, state := range []EndpointState{Draining, Removed} {
 		s.State = state
 		if h.balancer.attemptPermitted(h.now, record, s) {
 			t.Errorf("an attempt at a server in state %v is permitted", state)
--- a/policy/validate.go
+++ b/policy/validate.go
@@ -68,7 +68,7 @@
 		checkNumber("Rules.OverloadMultiple", rules.OverloadMultiple),
 		checkDuration("Rules.OverloadWindow", rules.OverloadWindow),
 		checkDuration("Tick", s.Tick),
-		checkDuration("Rules.AnswerGrace", rules.AnswerGrace),
+		checkDuration("Rules.ResponseGrace", rules.ResponseGrace),
 		checkDuration("Rules.MaxPollInterval", rules.MaxPollInterval),
 	}
 }
--- a/policy/validate_test.go
+++ b/policy/validate_test.go
@@ -26,7 +26,7 @@
 		{"Classes[0].KeyScope", func(s *Settings) { s.Classes[0].KeyScope = 9 }},
 		{"Classes[0].KeyRetention", func(s *Settings) { s.Classes[0].KeyRetention = -1 }},
 		{"Tick", func(s *Settings) { s.Tick = -1 }},
-		{"Rules.AnswerGrace", func(s *Settings) { s.Rules.AnswerGrace = -1 }},
+		{"Rules.ResponseGrace", func(s *Settings) { s.Rules.ResponseGrace = -1 }},
 		{"Classes[2].PriorityWeight", func(s *Settings) { s.Classes[2].PriorityWeight = infinite }},
 		{"Tenants[0].QuotaPerS", func(s *Settings) { s.Tenants = []Tenant{{QuotaPerS: -1}} }},
 		{"OverQuotaFraction", func(s *Settings) { s.OverQuotaFraction = nan }},
