--- a/cmd/balancer/silent_discovery_test.go
+++ b/cmd/balancer/silent_discovery_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"calicohinge/internal/endpoint"
+	"calicohinge/internal/endpointjson"
 	"calicohinge/internal/testkit"
 	"calicohinge/policy"
 )
@@ -17,17 +17,17 @@
 // watchedList is the endpoint list of a discovery service on a Machine.
 type watchedList struct {
 	mu      sync.Mutex
-	list    endpoint.List
+	list    endpointjson.List
 	changed chan struct{} // closed at the next change
 	watched chan string   // the generation that each call names: its caller has that list
 }
 
-func newWatchedList(list endpoint.List) *watchedList {
+func newWatchedList(list endpointjson.List) *watchedList {
 	return &watchedList{list: list, changed: make(chan struct{}), watched: make(chan string, 1000)}
 }
 
 // set replaces the list.
-func (w *watchedList) set(list endpoint.List) {
+func (w *watchedList) set(list endpointjson.List) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.list = list
@@ -36,7 +36,7 @@
 }
 
 // answer answers a call with the complete list; a watch waits for one that is newer.
-func (w *watchedList) answer(r *http.Request) testkit.Answer {
+func (w *watchedList) answer(r *http.Request) testkit.Response {
 	after := r.URL.Query().Get("after")
 	w.watched <- after
 	w.mu.Lock()
@@ -49,9 +49,9 @@
 	defer w.mu.Unlock()
 	text, err := json.Marshal(w.list)
 	if err != nil {
-		return testkit.Answer{Status: http.StatusInternalServerError, Body: err.Error()}
+		return testkit.Response{Status: http.StatusInternalServerError, Body: err.Error()}
 	}
-	return testkit.Answer{Status: http.StatusOK, Body: string(text)}
+	return testkit.Response{Status: http.StatusOK, Body: string(text)}
 }
 
 // awaitWatch waits until a node has the list of a generation and watches for a newer one.
@@ -80,7 +80,7 @@
 func testSilentOutage(t *testing.T, program, mode string, outage time.Duration) {
 	t.Helper()
 	former, other := testkit.NewBackend(t, testkit.OK), testkit.NewBackend(t, testkit.OK)
-	list := newWatchedList(endpoint.List{Generation: 1, Reset: true, Endpoints: []endpoint.Endpoint{former.Endpoint("s-0")}})
+	list := newWatchedList(endpointjson.List{Generation: 1, Reset: true, Endpoints: []endpointjson.Endpoint{former.Endpoint("s-0")}})
 	machine := testkit.NewMachine(t, list.answer)
 	started := startProcess(t, map[string]any{
 		"discovery": machine.Address,
@@ -91,12 +91,12 @@
 	if body := post(addr); body != "done" {
 		t.Fatalf("answered %q", body)
 	}
-	machine.Vanish(t)
+	machine.Partition(t)
 	time.Sleep(outage) // what is under test
 	draining := former.Endpoint("s-0")
 	draining.Lifecycle = "Terminating"
-	list.set(endpoint.List{Generation: 2, Reset: true, Endpoints: []endpoint.Endpoint{draining, other.Endpoint("s-1")}})
-	machine.Return(t)
+	list.set(endpointjson.List{Generation: 2, Reset: true, Endpoints: []endpointjson.Endpoint{draining, other.Endpoint("s-1")}})
+	machine.Heal(t)
 	returned := time.Now()
 	list.awaitWatch(t, 2)
 	took := time.Since(returned)
--- a/cmd/balancer/soak_discovery_test.go
+++ b/cmd/balancer/soak_discovery_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"calicohinge/internal/endpoint"
+	"calicohinge/internal/endpointjson"
 	"calicohinge/internal/testkit"
 	"calicohinge/policy"
 )
@@ -29,7 +29,7 @@
 type soakChange struct {
 	generation uint64
 	at         time.Time
-	endpoints  []endpoint.Endpoint // that changed
+	endpoints  []endpointjson.Endpoint // that changed
 }
 
 // interval is a span of time.
@@ -41,8 +41,8 @@
 
 	mu        sync.Mutex
 	changes   []soakChange
-	current   map[string]endpoint.Endpoint // by ID
-	changed   chan struct{}                // closed at the next change or fault
+	current   map[string]endpointjson.Endpoint // by ID
+	changed   chan struct{}                    // closed at the next change or fault
 	fault     discoveryFault
 	faultFrom time.Time
 	faults    []interval // that are over and kept it from being reached
@@ -50,24 +50,24 @@
 }
 
 func newSoakDiscovery(t *testing.T) *soakDiscovery {
-	return &soakDiscovery{t: t, current: map[string]endpoint.Endpoint{}, changed: make(chan struct{})}
+	return &soakDiscovery{t: t, current: map[string]endpointjson.Endpoint{}, changed: make(chan struct{})}
 }
 
 // address returns a new address, for one incarnation of a node.
 func (d *soakDiscovery) address(incarnation *soakIncarnation) string {
-	machine := testkit.NewMachine(d.t, func(r *http.Request) testkit.Answer { return d.answer(incarnation, r) })
+	machine := testkit.NewMachine(d.t, func(r *http.Request) testkit.Response { return d.answer(incarnation, r) })
 	d.mu.Lock()
 	d.machines = append(d.machines, machine)
 	silent := d.fault == faultSilent
 	d.mu.Unlock()
 	if silent {
-		machine.Vanish(d.t)
+		machine.Partition(d.t)
 	}
 	return machine.Address
 }
 
 // publish makes a new version of the list and returns its generation.
-func (d *soakDiscovery) publish(endpoints ...endpoint.Endpoint) (generation uint64) {
+func (d *soakDiscovery) publish(endpoints ...endpointjson.Endpoint) (generation uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, e := range endpoints {
@@ -105,9 +105,9 @@
 	for _, machine := range machines {
 		switch {
 		case fault == faultSilent:
-			done.Go(func() { machine.Vanish(d.t) })
+			done.Go(func() { machine.Partition(d.t) })
 		case former == faultSilent:
-			machine.Return(d.t)
+			machine.Heal(d.t)
 		}
 	}
 	done.Wait()
@@ -120,7 +120,7 @@
 )
 
 // answer answers a call of an incarnation of a node.
-func (d *soakDiscovery) answer(incarnation *soakIncarnation, r *http.Request) testkit.Answer {
+func (d *soakDiscovery) answer(incarnation *soakIncarnation, r *http.Request) testkit.Response {
 	after, err := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	watch := err == nil
 	d.mu.Lock()
@@ -134,9 +134,9 @@
 	d.mu.Unlock()
 	switch fault {
 	case faultUnavailable:
-		return testkit.Answer{Status: http.StatusServiceUnavailable, Body: "down"}
+		return testkit.Response{Status: http.StatusServiceUnavailable, Body: "down"}
 	case faultReset:
-		return testkit.Answer{}
+		return testkit.Response{}
 	case faultSlow:
 		time.Sleep(time.Duration(rand.Float64() * float64(slowAnswer)))
 	case faultNone, faultSilent:
@@ -146,18 +146,18 @@
 	if err != nil {
 		d.t.Error(err)
 	}
-	return testkit.Answer{
+	return testkit.Response{
 		Status: http.StatusOK, Body: string(text), Sent: func() { incarnation.delivered(list.Generation) },
 	}
 }
 
 // list returns the complete list, or what changed after a generation.
-func (d *soakDiscovery) list(after uint64, watch bool) endpoint.List {
+func (d *soakDiscovery) list(after uint64, watch bool) endpointjson.List {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	list := endpoint.List{Generation: uint64(len(d.changes))}
+	list := endpointjson.List{Generation: uint64(len(d.changes))}
 	if watch && rand.Float64() >= completeShare {
-		latest := map[string]endpoint.Endpoint{}
+		latest := map[string]endpointjson.Endpoint{}
 		for _, change := range d.changes[min(after, list.Generation):] {
 			for _, e := range change.endpoints {
 				latest[e.InstanceID] = e
--- a/cmd/balancer/soak_servers_test.go
+++ b/cmd/balancer/soak_servers_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"calicohinge/internal/endpoint"
+	"calicohinge/internal/endpointjson"
 	"calicohinge/internal/testkit"
 )
 
@@ -17,7 +17,7 @@
 // sees who still sends to it.
 type soakServer struct {
 	records  *soakRecords
-	endpoint endpoint.Endpoint
+	endpoint endpointjson.Endpoint
 	work     time.Duration // mean time for a request
 	joinedAt time.Time     // when it was listed first; zero: it was there from the start
 	hanging  atomic.Bool   // it begins requests and does not answer
@@ -33,7 +33,7 @@
 	t.Helper()
 	s := &soakServer{records: records, work: work}
 	server := testkit.NewServer(t, s)
-	s.endpoint = endpoint.Endpoint{
+	s.endpoint = endpointjson.Endpoint{
 		InstanceID: id, Address: server.Listener.Addr().String(), Zone: "a", Lifecycle: "Ready", Weight: 1,
 	}
 	return s
@@ -57,9 +57,9 @@
 		s.records.violate("deadline", nil, "server %s was told the time %q", s.endpoint.InstanceID, r.Header.Get("X-Timeout-Ms"))
 	}
 	fate := rand.Float64()
-	neverRan := fate < notProcessedShare
+	notExecuted := fate < notProcessedShare
 	s.records.arrived(r.Header.Get("X-Request-Id"), soakAttempt{
-		server: s, at: now, timeout: time.Duration(milliseconds) * time.Millisecond, neverRan: neverRan,
+		server: s, at: now, timeout: time.Duration(milliseconds) * time.Millisecond, notExecuted: notExecuted,
 	})
 	if s.hanging.Load() {
 		<-r.Context().Done()
@@ -67,7 +67,7 @@
 	}
 	time.Sleep(time.Duration(rand.ExpFloat64() * float64(s.work)))
 	switch {
-	case neverRan:
+	case notExecuted:
 		testkit.NotProcessed(w, r)
 	case fate < notProcessedShare+errorShare:
 		testkit.ServerError(w, r)
--- a/internal/node/connection_limits_test.go
+++ b/internal/node/connection_limits_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"calicohinge/internal/endpoint"
+	"calicohinge/internal/endpointjson"
 	"calicohinge/internal/testkit"
 	"calicohinge/internal/upstream"
 )
@@ -50,7 +50,7 @@
 			t.Fatalf("status %d although others are idle", resp.StatusCode)
 		}
 	}
-	if took := time.Since(began); took > testkit.Patience/2 {
+	if took := time.Since(began); took > testkit.WaitTimeout/2 {
 		t.Errorf("served after %v: new clients wait for others to age", took)
 	}
 }
@@ -172,7 +172,7 @@
 	t.Helper()
 	release := make(chan struct{})
 	server := testkit.NewBackend(t, func(w http.ResponseWriter, r *http.Request) { <-release; testkit.OK(w, r) })
-	var list []endpoint.Endpoint
+	var list []endpointjson.Endpoint
 	for i := range 40 { // more than the limit, so that none is at its own limit
 		list = append(list, server.Endpoint(fmt.Sprintf("s-%d", i)))
 	}
--- a/internal/node/disconnect_crowd_test.go
+++ b/internal/node/disconnect_crowd_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"calicohinge/internal/endpoint"
+	"calicohinge/internal/endpointjson"
 	"calicohinge/internal/testkit"
 )
 
@@ -58,7 +58,7 @@
 // before the loop learns of the first disconnect: none of their attempts starts.
 func TestManyDisconnectsInMixedRequestStates(t *testing.T) {
 	t.Parallel()
-	servers := mixedServers{testkit.NewStuckServer(t), testkit.NewBackend(t, testkit.ServerError), testkit.NewBackend(t, testkit.Silent(nil))}
+	servers := mixedServers{testkit.NewStuckServer(t), testkit.NewBackend(t, testkit.ServerError), testkit.NewBackend(t, testkit.Unresponsive(nil))}
 	s := startHandler(t, servers.endpoints(90)...)
 	l := s.loop
 	var clients []*net.TCPConn
@@ -94,8 +94,8 @@
 	failing, mute *testkit.Backend
 }
 
-func (m mixedServers) endpoints(count int) (list []endpoint.Endpoint) {
-	kinds := []func(string) endpoint.Endpoint{m.stuck.Endpoint, m.failing.Endpoint, m.mute.Endpoint}
+func (m mixedServers) endpoints(count int) (list []endpointjson.Endpoint) {
+	kinds := []func(string) endpointjson.Endpoint{m.stuck.Endpoint, m.failing.Endpoint, m.mute.Endpoint}
 	for i := range count {
 		list = append(list, kinds[i%len(kinds)](fmt.Sprintf("s-%d", i)))
 	}
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"calicohinge/internal/endpoint"
+	"calicohinge/internal/endpointjson"
 	"calicohinge/internal/testkit"
 )
 
@@ -41,11 +41,11 @@
 	for len(old.Queries) > 0 {
 		<-old.Queries
 	}
-	n.node.MoveDiscovery(testkit.FreeAddr(t)) // nobody there yet
+	n.node.SetDiscoveryAddress(testkit.FreeAddr(t)) // nobody there yet
 	if r := n.do(n.request("read")); r.status != http.StatusOK {
 		t.Errorf("status %d while discovery is away", r.status)
 	}
-	n.node.MoveDiscovery(next.Listener.Addr().String())
+	n.node.SetDiscoveryAddress(next.Listener.Addr().String())
 	if q := testkit.Wait(t, next.Queries, "the first call"); q != "" {
 		t.Errorf("the new address is queried with %q", q)
 	}
@@ -61,7 +61,7 @@
 	if r := n.do(n.request("read")); r.status != http.StatusServiceUnavailable {
 		t.Errorf("status %d: the new address is not watched", r.status)
 	}
-	n.node.MoveDiscovery(old.Listener.Addr().String())
+	n.node.SetDiscoveryAddress(old.Listener.Addr().String())
 	for q := range old.Queries {
 		if q == "" {
 			break
@@ -79,7 +79,7 @@
 	d := testkit.NewRegistry(t)
 	d.SetDown(true)
 	n := start(t, testConfig(t, d, func(file map[string]any) {
-		file["known"] = endpoint.List{Generation: 7, Reset: true, Endpoints: []endpoint.Endpoint{b.Endpoint("s-0")}}
+		file["known"] = endpointjson.List{Generation: 7, Reset: true, Endpoints: []endpointjson.Endpoint{b.Endpoint("s-0")}}
 	}))
 	n.waitReady(http.StatusOK)
 	if a := n.do(n.request("read")); a.status != http.StatusOK {
--- a/internal/node/harness_handler_test.go
+++ b/internal/node/harness_handler_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"calicohinge/internal/downstream"
-	"calicohinge/internal/endpoint"
+	"calicohinge/internal/endpointjson"
 	"calicohinge/internal/sockstate"
 	"calicohinge/internal/testkit"
 	"calicohinge/internal/upstream"
@@ -27,23 +27,23 @@
 }
 
 // startHandler starts one with deadlines that no test reaches, and 400 client connections.
-func startHandler(t *testing.T, list ...endpoint.Endpoint) *handlerServer {
+func startHandler(t *testing.T, list ...endpointjson.Endpoint) *handlerServer {
 	t.Helper()
 	return startHandlerLingering(t, downstream.DefaultLingerTimeout, list...)
 }
 
 // startHandlerLingering does the same with another linger timeout.
-func startHandlerLingering(t *testing.T, linger time.Duration, list ...endpoint.Endpoint) *handlerServer {
+func startHandlerLingering(t *testing.T, linger time.Duration, list ...endpointjson.Endpoint) *handlerServer {
 	t.Helper()
 	cfg := testConfig(t, testkit.NewRegistry(t), withDeadlines(600000))
 	cfg.Policy.Classes[1].KeyRetention = 10 * time.Minute
-	cfg.ConnectTimeout = testkit.Patience
+	cfg.ConnectTimeout = testkit.WaitTimeout
 	l, err := newLoop(t.Context(), cfg, upstream.NewPool(upstreamConfig(cfg, 400)), noWatcher{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	go l.run()
-	l.UpdateEndpoints(policy.UpdateSnapshot, list)
+	l.UpdateEndpoints(policy.UpdateSnapshot, endpointjson.TranslateAll(list))
 	conns := downstreamConfig(400, 0)
 	conns.LingerTimeout = linger
 	s := &handlerServer{loop: l, handler: newHandler(cfg, l, downstream.NewConns(conns))}
