--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -41,7 +41,7 @@
 	case Timeout:
 		return "timeout"
 	case Unresponsive:
-		return "silent"
+		return "unresponsive"
 	case BadStatus:
 		return "bad_status"
 	case Malformed:
--- a/internal/discovery/follow.go
+++ b/internal/discovery/follow.go
@@ -99,7 +99,7 @@
 	case call.address == f.address:
 		return true
 	case !f.haveList: // it is in force until the present address gives its own
-		slog.Info("endpoint list of former address", "discovery_addr", call.address, "generation", call.list.Generation)
+		slog.Info("endpoint list of previous address", "discovery_addr", call.address, "generation", call.list.Generation)
 		f.handOver(call.list)
 	}
 	return false
--- a/internal/discovery/history.go
+++ b/internal/discovery/history.go
@@ -53,6 +53,6 @@
 		counts[list.Endpoints[i].State]++
 	}
 	slog.Info("endpoint list updated", "discovery_addr", f.address, "generation", list.Generation,
-		"former", f.generation, "complete", list.Complete,
-		"ready", counts[policy.Ready], "draining", counts[policy.Draining], "gone", counts[policy.Removed])
+		"previous_generation", f.generation, "complete", list.Complete,
+		"ready", counts[policy.Ready], "draining", counts[policy.Draining], "removed", counts[policy.Removed])
 }
