--- /dev/null
+++ b/internal/discovery/late_response_test.go
@@ -0,0 +1,221 @@
+package discovery
+
+import (
+	"context"
+	"io"
+	"net/http"
+	"net/http/httptrace"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"calicohinge/internal/endpoint"
+	"calicohinge/internal/testkit"
+	"calicohinge/policy"
+)
+
+// pendingCall is a call that waits for its response.
+type pendingCall struct {
+	request *http.Request
+	body    chan string
+}
+
+// controlledTransport has the test respond to each call, in any order.
+type controlledTransport struct{ calls chan *pendingCall }
+
+func (c controlledTransport) RoundTrip(request *http.Request) (*http.Response, error) {
+	call := &pendingCall{request, make(chan string, 1)}
+	trace := httptrace.ContextClientTrace(request.Context())
+	trace.GotConn(httptrace.GotConnInfo{})
+	trace.WroteRequest(httptrace.WroteRequestInfo{})
+	c.calls <- call
+	select {
+	case body := <-call.body:
+		return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(strings.NewReader(body)), Request: request}, nil
+	case <-request.Context().Done():
+		return nil, request.Context().Err()
+	}
+}
+
+// requester requests a watch after each failed call, as package policy does.
+type requester struct {
+	*recorder
+	client *Client
+}
+
+func (r requester) WatchFailed(time.Time) { r.client.RequestWatch() }
+
+// lateResponseTest is a test of a client that has generation 3 and to whose calls the test responds.
+type lateResponseTest struct {
+	*testing.T
+	client  *Client
+	calls   chan *pendingCall
+	updates chan policy.UpdateKind // that the handler has received
+}
+
+// testLateResponse runs a test in each way to follow the list.
+func testLateResponse(t *testing.T, body func(*lateResponseTest)) {
+	t.Helper()
+	for name, poll := range map[string]bool{"polled": true, "pushed": false} {
+		t.Run(name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) { runLateResponseTest(t, poll, body) })
+		})
+	}
+}
+
+func runLateResponseTest(t *testing.T, poll bool, body func(*lateResponseTest)) {
+	t.Helper()
+	transport := controlledTransport{make(chan *pendingCall, 10)}
+	client := New(Config{
+		Address: "first", Poll: poll,
+		Cached: endpoint.List{Generation: 3, Endpoints: []endpoint.Endpoint{{ID: 1}}},
+	})
+	client.httpClient.Transport = transport
+	handler := requester{newRecorder(), client}
+	client.RequestWatch()
+	ctx, cancel := context.WithCancel(t.Context())
+	stopped := make(chan struct{})
+	go func() { defer close(stopped); client.Run(ctx, handler) }()
+	if kind := testkit.Wait(t, handler.updates, "the cached list"); kind != policy.UpdateCached {
+		t.Errorf("update %v, want the cached list", kind)
+	}
+	body(&lateResponseTest{t, client, transport.calls, handler.updates})
+	cancel()
+	<-stopped
+}
+
+func (t *lateResponseTest) waitCall() *pendingCall {
+	t.Helper()
+	return testkit.Wait(t.T, t.calls, "a call")
+}
+
+// expectWatch waits for the next call, which has to follow a generation.
+func (t *lateResponseTest) expectWatch(after string) {
+	t.Helper()
+	if got := t.waitCall().request.URL.Query().Get("after"); got != after {
+		t.Errorf("the next call names generation %q, want %s", got, after)
+	}
+}
+
+// expectUpdate waits for a list, which has to be of a kind.
+func (t *lateResponseTest) expectUpdate(want policy.UpdateKind) {
+	t.Helper()
+	if kind := testkit.Wait(t.T, t.updates, "an update"); kind != want {
+		t.Errorf("update %v, want %v", kind, want)
+	}
+}
+
+// expectNoUpdate fails the test if the handler has received a list.
+func (t *lateResponseTest) expectNoUpdate() {
+	t.Helper()
+	synctest.Wait()
+	if len(t.updates) > 0 {
+		t.Errorf("update %v, want none", <-t.updates)
+	}
+}
+
+// expectEnd waits until a call is cancelled.
+func (t *lateResponseTest) expectEnd(call *pendingCall) {
+	t.Helper()
+	testkit.Wait(t.T, call.request.Context().Done(), "the end of a call")
+}
+
+const oneServer = `"instances":[{"instanceId":"s","hostPort":"127.0.0.1:1","lifecycle":"Terminating"}]}`
+
+// A response arrives after its timeout and the next call, because the service is slow or the node's process was
+// paused: the node counts as notified of what the service has written, so that it is used.
+func TestResponseAfterTheNextCallIsUsed(t *testing.T) {
+	testLateResponse(t, func(t *lateResponseTest) {
+		late, next := t.waitCall(), t.waitCall()
+		late.body <- `{"generation":4,` + oneServer
+		t.expectUpdate(policy.UpdateDelta)
+		t.expectWatch("4")
+		if err := next.request.Context().Err(); err != nil {
+			t.Errorf("the next call has ended: %v", err)
+		}
+		next.body <- `{"generation":5,` + oneServer
+		t.expectUpdate(policy.UpdateDelta)
+		t.expectWatch("5")
+	})
+}
+
+// The responses to two calls arrive in the wrong order: the older one is not used.
+func TestOlderResponseIsNotUsedAfterANewerOne(t *testing.T) {
+	testLateResponse(t, func(t *lateResponseTest) {
+		late, next := t.waitCall(), t.waitCall()
+		next.body <- `{"generation":5,` + oneServer
+		t.expectUpdate(policy.UpdateDelta)
+		t.expectEnd(late)
+		late.body <- `{"generation":4,` + oneServer
+		t.expectNoUpdate()
+	})
+}
+
+// The address changes while the response to a watch is on its way: the node counts as notified of what the
+// previous address has written. The watch there ends once the new address has returned its list.
+func TestResponseOfThePreviousAddressIsUsedUntilTheNewListArrives(t *testing.T) {
+	testLateResponse(t, checkPreviousAddress)
+}
+
+func checkPreviousAddress(t *lateResponseTest) {
+	first := t.waitCall()
+	t.client.SetAddress("second")
+	second := t.waitCall()
+	t.client.SetAddress("third")
+	third := t.waitCall()
+	first.body <- `{"generation":4,` + oneServer
+	t.expectUpdate(policy.UpdateDelta)
+	if url := third.request.URL; url.Host != "third" || url.RawQuery != "" {
+		t.Errorf("the call to the new address is %v, want one for the complete list", url)
+	}
+	third.body <- `{"generation":1,"reset":true,` + oneServer
+	t.expectUpdate(policy.UpdateSnapshot)
+	t.expectEnd(second)
+	second.body <- `{"generation":9,"reset":true,` + oneServer
+	t.expectNoUpdate()
+	t.expectWatch("1")
+}
+
+// A service responds to no call: how many stay in flight is bounded, and the last ones are kept.
+func TestCallsWithoutResponseAreBounded(t *testing.T) {
+	testLateResponse(t, checkCallsWithoutResponse)
+}
+
+func checkCallsWithoutResponse(t *lateResponseTest) {
+	const made = 12
+	var pending []*pendingCall
+	for range made {
+		pending = append(pending, t.waitCall())
+	}
+	synctest.Wait()
+	var inFlight []int
+	for i, call := range pending {
+		if call.request.Context().Err() == nil {
+			inFlight = append(inFlight, i)
+		}
+	}
+	if len(inFlight) < 2 || len(inFlight) > maxConnectionsPerHost || inFlight[len(inFlight)-1] != made-1 {
+		t.Errorf("calls %v are in flight, want 2 to %d with the last one", inFlight, maxConnectionsPerHost)
+	}
+}
+
+// A service that has restarted returns a lower generation than the one that the query names: its list is used.
+func TestListOfARestartedServiceIsUsed(t *testing.T) {
+	testLateResponse(t, func(t *lateResponseTest) {
+		t.waitCall().body <- `{"generation":1,"reset":true,` + oneServer
+		t.expectUpdate(policy.UpdateSnapshot)
+	})
+}
+
+// The response to the present call was written before that to an earlier one, and arrives after it.
+func TestStaleResponseIsNotUsed(t *testing.T) {
+	testLateResponse(t, func(t *lateResponseTest) {
+		late, next := t.waitCall(), t.waitCall()
+		late.body <- `{"generation":5,` + oneServer
+		t.expectUpdate(policy.UpdateDelta)
+		next.body <- `{"generation":4,` + oneServer
+		t.expectWatch("5")
+		t.expectNoUpdate()
+	})
+}
