--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -17,15 +17,15 @@
 	Unknown ErrorKind = iota
 	// Unreachable is a call without a connection, for example because the service refused it.
 	Unreachable
-	// Reset is a connection that ended before the answer was complete.
+	// Reset is a connection that ended before the response was complete.
 	Reset
-	// Timeout is a call for the complete list without a complete answer in time.
+	// Timeout is a call for the complete list without a complete response in time.
 	Timeout
-	// Unresponsive is a watch without a complete answer although its wait is over.
+	// Unresponsive is a watch without a complete response although its wait is over.
 	Unresponsive
-	// BadStatus is an answer with a status other than 200.
+	// BadStatus is a response with a status other than 200.
 	BadStatus
-	// Malformed is an answer that is not valid HTTP, or whose body is not an endpoint list.
+	// Malformed is a response that is not valid HTTP, or whose body is not an endpoint list.
 	Malformed
 )
 
@@ -53,7 +53,7 @@
 // Error is a failed call to the discovery service.
 type Error struct {
 	Kind   ErrorKind
-	Status int   // the HTTP status of an answer that is a failure for its status, else 0
+	Status int   // the HTTP status of a response that is a failure for its status, else 0
 	Err    error // the cause, nil if the status is
 }
 
@@ -68,17 +68,17 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// transportError classifies an error of the HTTP client, which occurred before the answer was complete.
+// transportError classifies an error of the HTTP client, which occurred before the response was complete.
 func transportError(err error) *Error { return &Error{Kind: transportErrorKind(err), Err: err} }
 
 func transportErrorKind(err error) ErrorKind {
-	var operation *net.OpError
+	operation, isOperation := errors.AsType[*net.OpError](err)
 	switch {
 	case errors.Is(err, context.DeadlineExceeded): // before others: it may have ended any operation
 		return Timeout
-	case errors.As(err, &operation) && operation.Op == "dial":
+	case isOperation && operation.Op == "dial":
 		return Unreachable
-	case operation != nil, errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF):
+	case isOperation, errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF):
 		return Reset
 	}
 	return Malformed
@@ -86,8 +86,7 @@
 
 // kindOf returns the kind of a failed call.
 func kindOf(err error) ErrorKind {
-	var failure *Error
-	if errors.As(err, &failure) {
+	if failure, ok := errors.AsType[*Error](err); ok {
 		return failure.Kind
 	}
 	return Unknown
--- a/internal/discovery/errors_test.go
+++ b/internal/discovery/errors_test.go
@@ -29,8 +29,8 @@
 	seen := map[string]ErrorKind{}
 	for kind := Unknown; kind <= Malformed; kind++ {
 		name := kind.String()
-		if former, found := seen[name]; found || strings.HasPrefix(name, "kind ") {
-			t.Errorf("kind %d is named %q like %d", int(kind), name, int(former))
+		if other, found := seen[name]; found || strings.HasPrefix(name, "kind ") {
+			t.Errorf("kind %d is named %q like %d", int(kind), name, int(other))
 		}
 		seen[name] = kind
 	}
--- a/internal/discovery/progress.go
+++ b/internal/discovery/progress.go
@@ -18,9 +18,9 @@
 	phaseConnecting
 	// phaseWriting is a call that has a connection.
 	phaseWriting
-	// phaseWaiting is a call that is written and has no byte of an answer.
+	// phaseWaiting is a call that is written and has no byte of a response.
 	phaseWaiting
-	// phaseReading is a call whose answer has begun.
+	// phaseReading is a call whose response has begun.
 	phaseReading
 )
 
@@ -41,10 +41,10 @@
 	return "phase " + strconv.Itoa(int(p))
 }
 
-// callProgress tells how far a call has come. The HTTP client updates it from goroutines of its own.
+// callProgress records how far a call has come. The HTTP client updates it from goroutines of its own.
 type callProgress struct{ phase atomic.Int32 }
 
-// enter notes that a call has reached a phase. It never goes back: a connection that is opened for a call
+// enter records that a call has reached a phase. It never goes back: a connection that is opened for a call
 // and no longer needed reports late.
 func (p *callProgress) enter(phase callPhase) {
 	for now := p.phase.Load(); now < int32(phase); now = p.phase.Load() {
@@ -54,6 +54,7 @@
 	}
 }
 
+// current returns the phase of the call.
 func (p *callProgress) current() callPhase { return callPhase(p.phase.Load()) }
 
 // track returns a context whose calls update the progress.
