--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -52,7 +52,7 @@
 
 // New makes a client. It sends nothing before Run.
 func New(config Config) *Client {
-	dialer := net.Dialer{Timeout: connectLimit}
+	dialer := net.Dialer{Timeout: connectTimeout}
 	return &Client{
 		address:        config.Address,
 		cached:         config.Cached,
@@ -86,7 +86,7 @@
 // the former address still answers.
 func (c *Client) Run(ctx context.Context, handler Handler) {
 	c.reportCached(handler)
-	calls := newOpenCalls(c.call)
+	calls := newInFlightCalls(c.send)
 	defer calls.close()
 	current := newFollower(c, handler, calls, c.address)
 	current.watching = !c.polling
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -32,7 +32,7 @@
 	scripted := testkit.NewScriptedDiscovery(t)
 	handler := newRecorder()
 	client := New(Config{Address: scripted.Address, Poll: true})
-	calls := newOpenCalls(client.call)
+	calls := newInFlightCalls(client.send)
 	t.Cleanup(calls.close)
 	watch := newFollower(client, handler, calls, scripted.Address)
 	watch.watching, watch.haveList = true, true
--- a/internal/discovery/fetch_test.go
+++ b/internal/discovery/fetch_test.go
@@ -33,7 +33,7 @@
 func testFollower(t *testing.T, address string, haveList bool) *follower {
 	t.Helper()
 	client := New(Config{Address: address})
-	calls := newOpenCalls(client.call)
+	calls := newInFlightCalls(client.send)
 	t.Cleanup(calls.close)
 	watch := newFollower(client, newRecorder(), calls, address)
 	watch.haveList = haveList
--- a/internal/discovery/follow.go
+++ b/internal/discovery/follow.go
@@ -17,7 +17,7 @@
 type follower struct {
 	client     *Client
 	handler    Handler
-	calls      *openCalls
+	calls      *inFlightCalls
 	address    string
 	backoff    backoff
 	watching   bool      // the next call needs no request; always so where lists are pushed
@@ -29,7 +29,7 @@
 }
 
 // newFollower makes a follower that has no list and waits for a request.
-func newFollower(client *Client, handler Handler, calls *openCalls, address string) *follower {
+func newFollower(client *Client, handler Handler, calls *inFlightCalls, address string) *follower {
 	return &follower{
 		client:  client,
 		handler: handler,
@@ -81,8 +81,8 @@
 		select {
 		case <-f.client.watchRequests:
 			return true
-		case ended := <-f.calls.ended:
-			f.useEarlier(ended)
+		case done := <-f.calls.done:
+			f.useEarlier(done)
 		case <-ctx.Done():
 			return false
 		}
@@ -92,22 +92,22 @@
 
 // answeredEarlier reports whether an earlier call has ended with a list from the present address. It uses a
 // list from a former one itself.
-func (f *follower) answeredEarlier(call *openCall) bool {
+func (f *follower) answeredEarlier(done *call) bool {
 	switch {
-	case !f.calls.answered(call):
+	case !f.calls.complete(done):
 		return false
-	case call.address == f.address:
+	case done.address == f.address:
 		return true
 	case !f.haveList: // it is in force until the present address gives its own
-		slog.Info("endpoint list of previous address", "discovery_addr", call.address, "generation", call.list.Generation)
-		f.handOver(call.list)
+		slog.Info("endpoint list of previous address", "discovery_addr", done.address, "generation", done.list.Generation)
+		f.handOver(done.list)
 	}
 	return false
 }
 
 // useEarlier uses the answer to an earlier call, if it has one, between two calls. It reports whether the
 // answer came from the present address, so that the list is followed again.
-func (f *follower) useEarlier(call *openCall) bool {
+func (f *follower) useEarlier(call *call) bool {
 	if !f.answeredEarlier(call) {
 		return false
 	}
@@ -116,7 +116,7 @@
 }
 
 // report hands the list of a call to the handler and keeps its generation for the next call.
-func (f *follower) report(call *openCall) {
+func (f *follower) report(call *call) {
 	f.backoff.reset()
 	f.watching = true
 	if f.overtaken(call) {
@@ -129,8 +129,8 @@
 
 // overtaken reports whether the answer to an earlier call has brought a newer list than this call since it
 // was made. A service whose generation is lower than the one that it is asked for has started anew instead.
-func (f *follower) overtaken(call *openCall) bool {
-	answeredMeanwhile := f.haveList && (call.question.complete || call.question.after != f.generation)
+func (f *follower) overtaken(call *call) bool {
+	answeredMeanwhile := f.haveList && (call.query.complete || call.query.after != f.generation)
 	return answeredMeanwhile && call.list.Generation < f.generation
 }
 
@@ -159,8 +159,8 @@
 		select {
 		case <-timer.C:
 			return
-		case ended := <-f.calls.ended:
-			if f.useEarlier(ended) {
+		case done := <-f.calls.done:
+			if f.useEarlier(done) {
 				return
 			}
 		case <-ctx.Done():
--- /dev/null
+++ b/internal/discovery/inflight.go
@@ -0,0 +1,118 @@
+package discovery
+
+import (
+	"context"
+	"slices"
+	"sync"
+	"time"
+
+	"calicohinge/internal/endpoint"
+)
+
+const (
+	// maxInFlightCalls bounds the calls in flight: the present one, and those whose response timeout has
+	// passed or whose address has changed. A watch, four addresses in a row and a repeated call fit.
+	maxInFlightCalls = 6
+	// maxCallDuration ends a call that no later one has superseded. A service that takes longer for a
+	// response is of no use; the node has made several calls since.
+	maxCallDuration = 30 * time.Second
+)
+
+// call is one call to the discovery service.
+type call struct {
+	address   string
+	query     query
+	startedAt time.Time
+	progress  *callProgress
+	cancel    context.CancelFunc
+
+	list endpoint.List // the result, once the call has been received from inFlightCalls.done
+	err  error
+}
+
+// sendFunc sends a query and returns the list in the response.
+type sendFunc func(context.Context, query) (endpoint.List, error)
+
+// inFlightCalls are the calls whose responses are still to be used, in the order of their starts. The node
+// counts as notified of what the service has written, whether or not it has read it. A call is therefore
+// never cancelled because time has passed or the address has changed, as its response may be on its way: it
+// stays in flight until a later one has returned a list. The goroutine of the present follower uses it.
+//
+//	event                                   method     effect
+//	a call is made                          start      cancels the oldest one if there are too many
+//	a follower no longer waits for a call   detach     cancels it if it has not reached the service
+//	a call has returned an error            complete   removes it
+//	a call has returned a list              complete   removes it, cancels those that started before it
+//	the client stops                        close      cancels all
+type inFlightCalls struct {
+	send     sendFunc
+	calls    []*call
+	done     chan *call     // receives each call that returns before it is cancelled
+	routines sync.WaitGroup // one for each call
+}
+
+func newInFlightCalls(send sendFunc) *inFlightCalls {
+	return &inFlightCalls{send: send, done: make(chan *call)}
+}
+
+// start makes a call, which outlasts ctx. The oldest one is cancelled if there would be too many.
+func (c *inFlightCalls) start(ctx context.Context, address string, query query) *call {
+	if len(c.calls) >= maxInFlightCalls {
+		c.supersede(1)
+	}
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), maxCallDuration)
+	started := &call{
+		address: address, query: query, startedAt: time.Now(), progress: &callProgress{}, cancel: cancel,
+	}
+	c.calls = append(c.calls, started)
+	c.routines.Go(func() {
+		started.list, started.err = c.send(withCallContext(started.progress.track(ctx)), query)
+		select {
+		case c.done <- started:
+		case <-ctx.Done():
+		}
+	})
+	return started
+}
+
+// detach leaves a call in flight that nobody waits for any more. One that has not reached the service is
+// cancelled: it has no response on its way.
+func (c *inFlightCalls) detach(detached *call) {
+	if detached.progress.current() < phaseWriting {
+		c.remove(detached)
+	}
+}
+
+// complete ends a call that has been received from done. If it has returned a list, it supersedes the calls
+// that started before it. It returns true if the list is to be used: the call has not been superseded itself.
+func (c *inFlightCalls) complete(done *call) bool {
+	index := slices.Index(c.calls, done)
+	if index < 0 {
+		return false
+	}
+	if done.err != nil {
+		c.remove(done)
+		return false
+	}
+	c.supersede(index + 1)
+	return true
+}
+
+// supersede cancels the oldest calls.
+func (c *inFlightCalls) supersede(count int) {
+	for _, superseded := range slices.Clone(c.calls[:count]) {
+		c.remove(superseded)
+	}
+}
+
+// remove cancels a call, whose result is of no use any more. Every call ends here.
+func (c *inFlightCalls) remove(ended *call) {
+	ended.cancel()
+	c.calls = slices.DeleteFunc(c.calls, func(other *call) bool { return other == ended })
+}
+
+// close cancels all calls and waits for their goroutines.
+func (c *inFlightCalls) close() {
+	c.supersede(len(c.calls))
+	c.routines.Wait()
+}
