--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -9,20 +9,17 @@
 	"log/slog"
 	"net"
 	"net/http"
+	"sync"
 	"time"
 
 	"calicohinge/internal/endpoint"
 	"calicohinge/policy"
 )
 
-// addressChangeDeadline is the time after a change of the address within which a node counts as notified
-// of the list at the new one. The operators' contract gives it, from SIGHUP on.
-const addressChangeDeadline = 4 * time.Second
-
 // Handler receives what a Client learns. Its methods are called from the goroutine
-// of Client.Run, one at a time.
+// of Client.Run or one that it starts, one at a time.
 type Handler interface {
-	// UpdateEndpoints receives an endpoint list, or changes to the former one.
+	// UpdateEndpoints receives an endpoint list, or changes to the previous one.
 	UpdateEndpoints(kind policy.UpdateKind, endpoints []endpoint.Endpoint)
 	// Synced is called after each list, also one without endpoints or changes.
 	Synced()
@@ -41,7 +38,7 @@
 
 // Client follows the endpoint list. RequestWatch and SetAddress may be called while Run is active.
 type Client struct {
-	address        string // the first one; Run keeps the present one
+	address        string // the initial one; the follower has the present one
 	cached         endpoint.List
 	polling        bool
 	maxBackoff     time.Duration
@@ -81,15 +78,14 @@
 	c.addressChanges <- addr
 }
 
-// Run reports the cached list and follows it until the context ends. After a change of the address it
-// requests the complete list from the new one; the node uses the former list until that arrives, and what
-// the former address still answers.
+// Run reports the cached list and follows the list until the context ends. After a change of the address it
+// requests the complete list from the new one. The node uses the previous list until that arrives, and what
+// the previous address still returns.
 func (c *Client) Run(ctx context.Context, handler Handler) {
 	c.reportCached(handler)
 	calls := newInFlightCalls(c.send)
 	defer calls.close()
 	current := newFollower(c, handler, calls, c.address)
-	current.watching = !c.polling
 	current.haveList = len(c.cached.Endpoints) > 0
 	current.generation = c.cached.Generation
 	for ctx.Err() == nil {
@@ -113,21 +109,16 @@
 	}
 }
 
-// followUntilAddressChange runs the follower until the address changes or the context ends, and returns
-// once the follower has stopped.
-func (c *Client) followUntilAddressChange(ctx context.Context, current *follower) (address string, changed bool) {
+// followUntilAddressChange runs the follower until the address changes or the context ends, and returns once
+// the follower has stopped. It returns the new address, or false if the context has ended.
+func (c *Client) followUntilAddressChange(ctx context.Context, current *follower) (string, bool) {
 	followCtx, cancel := context.WithCancel(ctx)
-	stopped := make(chan struct{})
-	go func() {
-		defer close(stopped)
-		current.run(followCtx)
-	}()
-	defer func() {
-		cancel()
-		<-stopped
-	}()
+	var running sync.WaitGroup
+	running.Go(func() { current.run(followCtx) })
+	defer running.Wait()
+	defer cancel()
 	select {
-	case address = <-c.addressChanges:
+	case address := <-c.addressChanges:
 		return address, true
 	case <-ctx.Done():
 		return "", false
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -35,7 +35,7 @@
 	calls := newInFlightCalls(client.send)
 	t.Cleanup(calls.close)
 	watch := newFollower(client, handler, calls, scripted.Address)
-	watch.watching, watch.haveList = true, true
+	watch.state, watch.haveList = stateCalling, true
 	stopped := make(chan struct{})
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -53,9 +53,9 @@
 	testkit.Wait(t, stopped, "the follower to stop")
 }
 
-// startOf is how a client starts.
-type startOf struct {
-	known   endpoint.List
+// clientStart is how a client starts.
+type clientStart struct {
+	cached  endpoint.List
 	poll    bool
 	updates []policy.UpdateKind // before the first call
 	query   string              // of the first call
@@ -63,9 +63,10 @@
 
 // In polling mode no call is made before a request.
 func TestCachedListIsReportedBeforeTheFirstCall(t *testing.T) {
+	t.Parallel()
 	cached := endpoint.List{Generation: 7, Endpoints: []endpoint.Endpoint{{ID: 1}}}
 	update := []policy.UpdateKind{policy.UpdateCached}
-	for name, c := range map[string]startOf{
+	for name, c := range map[string]clientStart{
 		"polled, cached list": {cached, true, update, "after=7&wait_ms=3000"},
 		"polled, no list":     {endpoint.List{}, true, update, ""}, // package policy requests the first watch
 		"pushed, cached list": {cached, false, update, "after=7&wait_ms=3000"},
@@ -78,10 +79,11 @@
 	}
 }
 
-func (c startOf) check(t *testing.T) {
+func (c clientStart) check(t *testing.T) {
+	t.Helper()
 	scripted := testkit.NewScriptedDiscovery(t)
 	handler := newRecorder()
-	client := New(Config{Address: scripted.Address, Cached: c.known, Poll: c.poll})
+	client := New(Config{Address: scripted.Address, Cached: c.cached, Poll: c.poll})
 	go client.Run(t.Context(), handler)
 	for _, want := range c.updates {
 		if kind := testkit.Wait(t, handler.updates, "an update"); kind != want {
@@ -103,29 +105,30 @@
 }
 
 // After a change of the address the complete list is requested from the latest address, in polling mode
-// too. The pending call ends once that has answered.
+// too. The pending call ends once that has returned its list.
 func TestAddressChangeRequestsTheCompleteList(t *testing.T) {
+	t.Parallel()
 	for name, poll := range map[string]bool{"polled": true, "pushed": false} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			former, skipped, latest := testkit.NewScriptedDiscovery(t), testkit.FreeAddr(t), testkit.NewScriptedDiscovery(t)
+			previous, skipped, latest := testkit.NewScriptedDiscovery(t), testkit.FreeAddr(t), testkit.NewScriptedDiscovery(t)
 			client := New(Config{
-				Address: former.Address, Poll: poll,
+				Address: previous.Address, Poll: poll,
 				Cached: endpoint.List{Generation: 7, Endpoints: []endpoint.Endpoint{{ID: 1}}},
 			})
 			client.RequestWatch()
 			go client.Run(t.Context(), newRecorder())
-			pending := testkit.Wait(t, former.Calls, "the first call")
+			pending := testkit.Wait(t, previous.Calls, "the first call")
 			client.SetAddress(skipped)
 			client.SetAddress(latest.Address)
 			if query := testkit.Wait(t, latest.Calls, "a call to the new address").URL.RawQuery; query != "" {
 				t.Errorf("query %q, want none", query)
 			}
 			if err := pending.Context().Err(); err != nil {
-				t.Errorf("the former call has ended: %v; its answer may be on its way", err)
+				t.Errorf("the previous call has ended: %v; its response may be on its way", err)
 			}
 			latest.Responses <- `{"generation":1,"reset":true,"instances":[]}`
-			testkit.Wait(t, pending.Context().Done(), "the end of the former call")
+			testkit.Wait(t, pending.Context().Done(), "the end of the previous call")
 		})
 	}
 }
--- a/internal/discovery/fetch_test.go
+++ b/internal/discovery/fetch_test.go
@@ -14,14 +14,14 @@
 	"calicohinge/policy"
 )
 
-// The time of a silent watch, a late answer and the spread of the next calls leave an eighth of the
-// notification deadline for the answer to the next call.
-func TestSilentWatchLeavesTimeForAnotherCall(t *testing.T) {
-	if left := policy.NotificationDeadline - watchWait - watchAnswerMargin - time.Second*3/4; left < policy.NotificationDeadline/8 {
+// The time of an unresponsive watch, a late response and the spread of the next calls leave an eighth of the
+// notification deadline for the response to the next call.
+func TestUnresponsiveWatchLeavesTimeForAnotherCall(t *testing.T) {
+	if left := policy.NotificationDeadline - watchWait - watchResponseMargin - time.Second*3/4; left < policy.NotificationDeadline/8 {
 		t.Errorf("%v are left for the next call", left)
 	}
-	if callPatience > watchWait+watchAnswerMargin {
-		t.Errorf("a watch may take %v, more than its wait and the margin", callPatience)
+	if responseTimeout > watchWait+watchResponseMargin {
+		t.Errorf("a watch may take %v, more than its wait and the margin", responseTimeout)
 	}
 	// For a call that may wait, the deadline is 2 s after its wait, if that is later.
 	if watchWait+2*time.Second > policy.NotificationDeadline {
@@ -72,8 +72,8 @@
 
 func checkFailure(t *testing.T, err error, kind ErrorKind, status int) {
 	t.Helper()
-	var failure *Error
-	if !errors.As(err, &failure) {
+	failure, ok := errors.AsType[*Error](err)
+	if !ok {
 		t.Fatalf("error %v, want an *Error", err)
 	}
 	if failure.Kind != kind || failure.Status != status {
@@ -88,16 +88,16 @@
 	}
 }
 
-// silentTransport answers no call before its context ends.
-type silentTransport struct{}
+// unresponsiveTransport returns no response to a call before its context ends.
+type unresponsiveTransport struct{}
 
-func (silentTransport) RoundTrip(request *http.Request) (*http.Response, error) {
+func (unresponsiveTransport) RoundTrip(request *http.Request) (*http.Response, error) {
 	<-request.Context().Done()
 	return nil, request.Context().Err()
 }
 
-func TestCallWithoutAnswerEndsInTime(t *testing.T) {
-	for name, c := range map[string]unansweredCall{
+func TestCallWithoutResponseEndsInTime(t *testing.T) {
+	for name, c := range map[string]timedOutCall{
 		"watch":                            {true, false, Unresponsive, 4500 * time.Millisecond},
 		"complete list":                    {false, false, Timeout, 4500 * time.Millisecond},
 		"complete list from a new address": {false, true, Timeout, 2 * time.Second},
@@ -107,19 +107,19 @@
 	}
 }
 
-// unansweredCall is a call that gets no answer, and how it has to end.
-type unansweredCall struct {
+// timedOutCall is a call that gets no response, and how it has to end.
+type timedOutCall struct {
 	haveList       bool
 	addressChanged bool
 	kind           ErrorKind
 	took           time.Duration
 }
 
-func (c unansweredCall) check(t *testing.T) {
+func (c timedOutCall) check(t *testing.T) {
 	watch := testFollower(t, "discovery", c.haveList)
-	watch.client.httpClient.Transport = silentTransport{}
+	watch.client.httpClient.Transport = unresponsiveTransport{}
 	if c.addressChanged {
-		watch.listDue = time.Now().Add(addressChangeDeadline)
+		watch.deadlines.present = time.Now().Add(addressChangeDeadline)
 	}
 	startedAt := time.Now()
 	_, err := watch.fetch(t.Context())
@@ -131,11 +131,11 @@
 	}
 }
 
-// A watch that is cancelled from outside has not become silent.
-func TestCancelledWatchIsNotSilent(t *testing.T) {
+// A watch that is cancelled from outside has not become unresponsive.
+func TestCancelledWatchIsNotUnresponsive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		watch := testFollower(t, "discovery", true)
-		watch.client.httpClient.Transport = silentTransport{}
+		watch.client.httpClient.Transport = unresponsiveTransport{}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		if _, err := watch.fetch(ctx); err == nil || kindOf(err) == Unresponsive {
@@ -144,10 +144,10 @@
 	})
 }
 
-// A call without a present list asks for the complete one, whatever the answer says of itself.
+// A call without a present list is for the complete one, whatever the response says of itself.
 func TestListIsCompleteIfNoneWasKnown(t *testing.T) {
 	for _, haveList := range []bool{false, true} {
-		list, err := testFollower(t, "discovery", haveList).query().decode([]byte(`{"generation":3,"instances":[]}`))
+		list, err := testFollower(t, "discovery", haveList).nextQuery().decode([]byte(`{"generation":3,"instances":[]}`))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -157,10 +157,10 @@
 	}
 }
 
-// silentMachine answers no attempt to connect to it.
-type silentMachine struct{ begun, underWay atomic.Int32 }
+// unresponsiveMachine accepts and refuses no attempt to connect to it.
+type unresponsiveMachine struct{ begun, underWay atomic.Int32 }
 
-func (m *silentMachine) dial(ctx context.Context, _, _ string) (net.Conn, error) {
+func (m *unresponsiveMachine) dial(ctx context.Context, _, _ string) (net.Conn, error) {
 	m.begun.Add(1)
 	m.underWay.Add(1)
 	defer m.underWay.Add(-1)
@@ -168,23 +168,23 @@
 	return nil, &net.OpError{Op: "dial", Err: ctx.Err()}
 }
 
-// A call is given up while its connection is being opened: no attempt outlasts it, and the next call begins
+// A call is cancelled while its connection is being opened: no attempt outlasts it, and the next call begins
 // one of its own at once, however many there were.
 func TestConnectionAttemptsEndWithTheirCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		machine := &silentMachine{}
+		machine := &unresponsiveMachine{}
 		watch := testFollower(t, "discovery:1", true)
 		watch.client.httpClient.Transport = newTransport(machine.dial)
-		for call := range int32(2 * maxConnectionsPerHost) {
+		for calls := range int32(2 * maxConnectionsPerHost) {
 			ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
-			_, err := watch.fetch(ctx)
+			failed, err := watch.fetch(ctx)
 			cancel()
 			synctest.Wait()
-			if phase := watch.history.progress.current(); err == nil || phase > phaseConnecting {
+			if phase := failed.progress.current(); err == nil || phase > phaseConnecting {
 				t.Fatalf("%v in phase %v, want a failed call that has no connection", err, phase)
 			}
-			if begun, underWay := machine.begun.Load(), machine.underWay.Load(); begun != call+1 || underWay != 0 {
-				t.Fatalf("after call %d: %d attempts begun, %d under way", call+1, begun, underWay)
+			if begun, underWay := machine.begun.Load(), machine.underWay.Load(); begun != calls+1 || underWay != 0 {
+				t.Fatalf("after call %d: %d attempts begun, %d under way", calls+1, begun, underWay)
 			}
 		}
 	})
--- a/internal/discovery/follow_test.go
+++ b/internal/discovery/follower_test.go
@@ -11,7 +11,7 @@
 	"calicohinge/policy"
 )
 
-// After a silent watch, and before the first list at a new address, the delay only spreads the calls of
+// After an unresponsive watch, and before the initial list at a new address, the delay only spreads the calls of
 // the nodes and does not grow.
 func TestRetryDelayAfterFailure(t *testing.T) {
 	for name, c := range map[string]struct {
@@ -20,17 +20,17 @@
 		addressChanged bool
 		grows          bool
 	}{
-		"silent watch":                {Unresponsive, true, false, false},
-		"reset watch":                 {Reset, true, false, true},
-		"refused, no list":            {Unreachable, false, false, true},
-		"refused at a new address":    {Unreachable, false, true, false},
-		"bad status, list known anew": {BadStatus, true, true, true},
+		"unresponsive watch":           {Unresponsive, true, false, false},
+		"reset watch":                  {Reset, true, false, true},
+		"refused, no list":             {Unreachable, false, false, true},
+		"refused at a new address":     {Unreachable, false, true, false},
+		"bad status, list known again": {BadStatus, true, true, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			watch := testFollower(t, "discovery", c.haveList)
 			watch.backoff = newBackoff(time.Second)
 			if c.addressChanged {
-				watch.listDue = time.Now().Add(time.Hour)
+				watch.deadlines.present = time.Now().Add(time.Hour)
 			}
 			for range 10 {
 				delay := watch.retryDelay(c.kind)
@@ -51,7 +51,7 @@
 	for name, c := range map[string]failureDeadline{
 		"address unchanged":                  {0, 0, policy.NotificationDeadline},
 		"address changed":                    {addressChangeDeadline, 0, addressChangeDeadline},
-		"list due later":                     {time.Hour, 0, policy.NotificationDeadline},
+		"list deadline later":                {time.Hour, 0, policy.NotificationDeadline},
 		"list overdue":                       {-time.Second, 0, policy.NotificationDeadline},
 		"address changed twice":              {addressChangeDeadline, 3 * time.Second, 3 * time.Second},
 		"address changed twice, one overdue": {addressChangeDeadline, time.Second / 2, addressChangeDeadline},
@@ -62,29 +62,29 @@
 
 // failureDeadline is the deadline that is reported with a failed call. All times count from its start.
 type failureDeadline struct {
-	listDueIn   time.Duration // 0: the address has not changed
-	formerDueIn time.Duration // 0: no earlier change awaits its list
-	notifiedIn  time.Duration
+	presentIn  time.Duration // 0: the address has not changed
+	previousIn time.Duration // 0: no earlier change awaits its list
+	notifiedIn time.Duration
 }
 
 func (c failureDeadline) check(t *testing.T) {
 	watch := testFollower(t, "discovery", false)
 	handler := newRecorder()
-	watch.handler, watch.watching = handler, true
-	startedAt := time.Now()
-	if c.listDueIn != 0 {
-		watch.listDue = startedAt.Add(c.listDueIn)
+	watch.handler, watch.client.polling, watch.state = handler, true, stateCalling
+	failed := &call{startedAt: time.Now(), progress: &callProgress{}}
+	if c.presentIn != 0 {
+		watch.deadlines.present = failed.startedAt.Add(c.presentIn)
 	}
-	if c.formerDueIn != 0 {
-		watch.formerDue = startedAt.Add(c.formerDueIn)
+	if c.previousIn != 0 {
+		watch.deadlines.previous = failed.startedAt.Add(c.previousIn)
 	}
 	time.Sleep(time.Second) // the call
-	watch.reportFailure(&Error{Kind: Reset, Err: errors.New("reset")}, startedAt)
-	if notifiedIn := (<-handler.failed).Sub(startedAt); notifiedIn != c.notifiedIn {
+	next := watch.handleFailure(t.Context(), failed, &Error{Kind: Reset, Err: errors.New("reset")})
+	if notifiedIn := (<-handler.failed).Sub(failed.startedAt); notifiedIn != c.notifiedIn {
 		t.Errorf("notified after %v, want %v", notifiedIn, c.notifiedIn)
 	}
-	if watch.watching {
-		t.Error("the next call waits for no request")
+	if next != stateIdle {
+		t.Errorf("next state %d: the next call waits for no request", next)
 	}
 }
 
@@ -100,28 +100,28 @@
 		} {
 			time.Sleep(time.Until(began.Add(c.changedAt)))
 			watch = watch.moveTo("next", time.Now())
-			if due := watch.nextDue(time.Now()).Sub(began); due != c.due {
+			if due := watch.deadlines.nextAt(time.Now()).Sub(began); due != c.due {
 				t.Errorf("changed at %v: due at %v, want %v", c.changedAt, due, c.due)
 			}
 		}
 	})
 }
 
-// An answer is reported by its kind: a complete list, changes, or nothing new.
+// A response is reported by its kind: a complete list, changes, or nothing new.
 func TestListIsReportedByItsKind(t *testing.T) {
 	scripted := testkit.NewScriptedDiscovery(t)
 	handler := newRecorder()
 	client := New(Config{Address: scripted.Address})
 	go client.Run(t.Context(), handler)
 	const instances = `"instances":[{"instanceId":"s","hostPort":"127.0.0.1:1","lifecycle":"Ready"}]}`
-	for _, answer := range []string{
+	for _, response := range []string{
 		`{"generation":1,` + instances, // the first one is complete
 		`{"generation":2,` + instances,
 		`{"generation":2,"instances":[]}`,
 		`{"generation":3,"reset":true,"instances":[]}`,
 	} {
 		testkit.Wait(t, scripted.Calls, "a call")
-		scripted.Responses <- answer
+		scripted.Responses <- response
 	}
 	testkit.Wait(t, scripted.Calls, "the call after the last list")
 	var kinds []policy.UpdateKind
