--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -26,12 +26,24 @@
 func (r *recorder) Synced()                          {}
 func (r *recorder) WatchFailed(notifiedAt time.Time) { r.failed <- notifiedAt }
 
+// requestCounter records how many watch requests are pending when a failure is reported.
+type requestCounter struct {
+	*recorder
+	client  *Client
+	pending chan int
+}
+
+func (r requestCounter) WatchFailed(notifiedAt time.Time) {
+	r.pending <- len(r.client.watchRequests)
+	r.recorder.WatchFailed(notifiedAt)
+}
+
 // A watch is requested while one is active, which then fails: the handler requests the next one itself,
 // and the stale request must not make all nodes call at once.
 func TestStaleWatchRequestIsDropped(t *testing.T) {
 	scripted := testkit.NewScriptedDiscovery(t)
-	handler := newRecorder()
 	client := New(Config{Address: scripted.Address, Poll: true})
+	handler := requestCounter{newRecorder(), client, make(chan int, 1)}
 	calls := newInFlightCalls(client.send)
 	t.Cleanup(calls.close)
 	watch := newFollower(client, handler, calls, scripted.Address)
@@ -43,6 +55,9 @@
 	testkit.Wait(t, scripted.Calls, "the watch")
 	client.RequestWatch()
 	scripted.Responses <- testkit.ResponseReset
+	if pending := testkit.Wait(t, handler.pending, "the failure"); pending > 0 {
+		t.Error("the stale request is pending when the failure is reported")
+	}
 	testkit.Wait(t, handler.failed, "the failure")
 	if len(client.watchRequests) > 0 || len(scripted.Calls) > 0 {
 		t.Error("the stale request stays, or was followed")
--- /dev/null
+++ b/internal/discovery/follower_state_test.go
@@ -0,0 +1,139 @@
+package discovery
+
+import (
+	"context"
+	"errors"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"calicohinge/internal/endpoint"
+)
+
+// The URLs of the calls of a followerTest. That of the present call is none of them.
+const (
+	earlierURL  = "earlier call"
+	previousURL = "call to a previous address"
+)
+
+// result is what a call returns.
+type result struct {
+	list endpoint.List
+	err  error
+}
+
+// followerTest runs a follower whose calls return what the test gives.
+type followerTest struct {
+	*testing.T
+	present, earlier, previous chan result // results of the calls
+}
+
+// send waits for the result of a call.
+func (t *followerTest) send(ctx context.Context, query query) (endpoint.List, error) {
+	results := map[string]chan result{earlierURL: t.earlier, previousURL: t.previous}[query.url]
+	if results == nil {
+		results = t.present
+	}
+	select {
+	case r := <-results:
+		return r.list, r.err
+	case <-ctx.Done():
+		return endpoint.List{}, ctx.Err()
+	}
+}
+
+// transition is a row of the table of states at follower.
+type transition struct {
+	polling  bool
+	state    state
+	haveList bool
+	event    func(*followerTest, *follower)
+	next     state
+	updates  int // lists that the handler receives
+	failures int // failures that the handler receives
+}
+
+func returnList(results chan<- result) {
+	results <- result{list: endpoint.List{Generation: 4, Complete: true}}
+}
+
+func TestFollowerChangesItsStateByTheTable(t *testing.T) {
+	requestWatch := func(_ *followerTest, f *follower) { f.client.RequestWatch() }
+	earlierList := func(t *followerTest, _ *follower) { returnList(t.earlier) }
+	earlierError := func(t *followerTest, _ *follower) { t.earlier <- result{err: errors.New("reset")} }
+	previousList := func(t *followerTest, _ *follower) { returnList(t.previous) }
+	presentList := func(t *followerTest, _ *follower) { returnList(t.present) }
+	presentError := func(t *followerTest, _ *follower) { t.present <- result{err: errors.New("reset")} }
+	listAfterASecond := func(t *followerTest, _ *follower) {
+		time.Sleep(time.Second)
+		returnList(t.present)
+	}
+	nothing := func(*followerTest, *follower) {}
+	wait := func(delay time.Duration) func(*followerTest, *follower) {
+		return func(*followerTest, *follower) { time.Sleep(delay) }
+	}
+	for name, c := range map[string]transition{
+		"idle, no event":                    {true, stateIdle, true, nothing, stateIdle, 0, 0},
+		"idle, request":                     {true, stateIdle, true, requestWatch, stateCalling, 0, 0},
+		"idle, earlier list":                {true, stateIdle, true, earlierList, stateCalling, 1, 0},
+		"idle, earlier failure":             {true, stateIdle, true, earlierError, stateIdle, 0, 0},
+		"idle, previous address":            {true, stateIdle, false, previousList, stateIdle, 1, 0},
+		"idle, previous address, have list": {true, stateIdle, true, previousList, stateIdle, 0, 0},
+		"calling, no event":                 {false, stateCalling, true, nothing, stateCalling, 0, 0},
+		"calling, list at once":             {false, stateCalling, true, presentList, statePausing, 1, 0},
+		"calling, list":                     {true, stateCalling, true, listAfterASecond, stateCalling, 1, 0},
+		"calling, earlier list at once":     {false, stateCalling, true, earlierList, statePausing, 1, 0},
+		"calling, earlier failure":          {true, stateCalling, true, earlierError, stateCalling, 0, 0},
+		"calling, previous address":         {true, stateCalling, false, previousList, stateCalling, 1, 0},
+		"calling, failure, polled":          {true, stateCalling, true, presentError, stateIdle, 0, 1},
+		"calling, failure, pushed":          {false, stateCalling, true, presentError, statePausing, 0, 0},
+		"calling, timeout, polled":          {true, stateCalling, true, wait(responseTimeout), stateIdle, 0, 1},
+		"calling, timeout, pushed":          {false, stateCalling, true, wait(responseTimeout), statePausing, 0, 0},
+		"pausing, no event":                 {false, statePausing, true, nothing, statePausing, 0, 0},
+		"pausing, delay over":               {false, statePausing, true, wait(time.Minute), stateCalling, 0, 0},
+		"pausing, earlier list":             {false, statePausing, true, earlierList, stateCalling, 1, 0},
+		"pausing, earlier failure":          {false, statePausing, true, earlierError, statePausing, 0, 0},
+		"pausing, previous address":         {false, statePausing, false, previousList, statePausing, 1, 0},
+		"pausing, request":                  {true, statePausing, true, requestWatch, statePausing, 0, 0},
+	} {
+		t.Run(name, func(t *testing.T) { synctest.Test(t, c.check) })
+	}
+}
+
+func (c transition) check(t *testing.T) {
+	test := &followerTest{t, make(chan result, 1), make(chan result, 1), make(chan result, 1)}
+	client := New(Config{Address: "discovery", Poll: c.polling})
+	handler := newRecorder()
+	calls := newInFlightCalls(test.send)
+	watch := newFollower(client, handler, calls, "discovery")
+	watch.state, watch.haveList, watch.delay = c.state, c.haveList, time.Minute
+	calls.start(t.Context(), "previous", query{url: previousURL, complete: true})
+	calls.start(t.Context(), "discovery", query{url: earlierURL})
+	ctx, cancel := context.WithCancel(t.Context())
+	stopped := make(chan struct{})
+	go func() { defer close(stopped); watch.run(ctx) }()
+	synctest.Wait()
+
+	c.event(test, watch)
+	synctest.Wait()
+	cancel()
+	<-stopped
+	calls.close()
+
+	if watch.state != c.next {
+		t.Errorf("state %d, want %d", watch.state, c.next)
+	}
+	if len(handler.updates) != c.updates || len(handler.failed) != c.failures {
+		t.Errorf("%d lists and %d failures, want %d and %d",
+			len(handler.updates), len(handler.failed), c.updates, c.failures)
+	}
+}
+
+// A follower of another address calls at once, also in polling mode.
+func TestFollowerOfANewAddressCallsAtOnce(t *testing.T) {
+	watch := testFollower(t, "first", true)
+	watch.client.polling, watch.state = true, stateIdle
+	if next := watch.moveTo("second", time.Now()); next.state != stateCalling || next.haveList {
+		t.Errorf("state %d, have list %v, want to call for the initial list", next.state, next.haveList)
+	}
+}
