--- a/internal/netdial/netdial.go
+++ b/internal/netdial/netdial.go
@@ -1,5 +1,6 @@
-// Package netdial opens connections on a machine whose system calls may fail for a moment, for instance
-// as it is short of ports or memory. Packages upstream and discovery use it. It keeps no state.
+// Package netdial wraps a function that opens connections. Repeat retries after transient errors of this
+// machine, for instance a lack of ports or memory. Stagger opens connections to an unresponsive peer faster
+// than TCP would. Packages upstream and discovery use it. It keeps no state.
 package netdial
 
 import (
@@ -13,21 +14,22 @@
 )
 
 const (
-	// maxDials is how often a connection is tried if the system refuses at once.
-	maxDials = 3
-	// dialPause precedes another try. It is short beside the latency of a request.
-	dialPause = time.Millisecond
+	// maxAttempts bounds the attempts to open a connection that Repeat makes.
+	maxAttempts = 3
+	// retryDelay precedes each retry. It is short beside the latency of a request.
+	retryDelay = time.Millisecond
 )
 
 // Func opens a connection, as net.Dialer.DialContext does.
 type Func func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Repeat returns a function that calls dial again if it fails for a moment.
+// Repeat returns a function that retries dial after a transient error. It fails with the last error of dial
+// after maxAttempts, after another error, or when ctx ends.
 func Repeat(dial Func) Func {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
-		for dials := 1; ; dials++ {
+		for attempts := 1; ; attempts++ {
 			conn, err := dial(ctx, network, address)
-			if err == nil || dials == maxDials || !isMomentary(err) || !pause(ctx) {
+			if err == nil || attempts == maxAttempts || !isTransient(err) || !awaitRetry(ctx) {
 				return conn, err
 			}
 		}
@@ -41,14 +43,14 @@
 		errors.Is(err, syscall.EADDRINUSE) || errors.Is(err, syscall.ENETDOWN)
 }
 
-// isMomentary reports whether another dial may succeed at once.
-func isMomentary(err error) bool {
+// isTransient reports whether a retry may succeed.
+func isTransient(err error) bool {
 	return IsLocalFailure(err) || errors.Is(err, syscall.ENETUNREACH) || errors.Is(err, syscall.EHOSTUNREACH)
 }
 
-// pause waits for dialPause, and returns false if ctx ends before.
-func pause(ctx context.Context) bool {
-	timer := time.NewTimer(dialPause)
+// awaitRetry returns true after retryDelay, or false as soon as ctx ends.
+func awaitRetry(ctx context.Context) bool {
+	timer := time.NewTimer(retryDelay)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
--- a/internal/netdial/netdial_test.go
+++ b/internal/netdial/netdial_test.go
@@ -12,27 +12,30 @@
 	"calicohinge/internal/testkit"
 )
 
-// failingDials returns a dial function whose first calls fail with an error of the system,
-// and a counter of its calls.
-func failingDials(failures int, callName string, errno syscall.Errno) (dial Func, calls *int) {
-	var dialer net.Dialer
-	calls = new(int)
-	return func(ctx context.Context, network, address string) (net.Conn, error) {
-		if *calls++; *calls <= failures {
-			return nil, &net.OpError{Op: "dial", Net: network, Err: os.NewSyscallError(callName, errno)}
-		}
-		return dialer.DialContext(ctx, network, address)
-	}, calls
+// failingDialer is a dialer whose first attempts fail with an error of the system.
+type failingDialer struct {
+	net.Dialer
+	failures int // attempts that fail
+	callName string
+	errno    syscall.Errno
+	attempts int
 }
 
-// The system may refuse a socket or a connection for a moment: the connection is opened all
-// the same. A refusal by the peer is final.
-func TestDialIsRepeatedAfterMomentaryFailure(t *testing.T) {
+func (d *failingDialer) dial(ctx context.Context, network, address string) (net.Conn, error) {
+	if d.attempts++; d.attempts <= d.failures {
+		return nil, &net.OpError{Op: "dial", Net: network, Err: os.NewSyscallError(d.callName, d.errno)}
+	}
+	return d.DialContext(ctx, network, address)
+}
+
+// The system may have no socket or connection for a moment: a retry opens the connection. A refusal by the peer
+// is final.
+func TestDialIsRetriedAfterATransientFailure(t *testing.T) {
 	address := testkit.Listen(t).Addr().String()
 	for _, c := range []struct {
 		callName         string
 		errno            syscall.Errno
-		local, momentary bool
+		local, transient bool
 	}{
 		{"socket", syscall.EMFILE, true, true},
 		{"socket", syscall.ENFILE, true, true},
@@ -48,20 +51,20 @@
 		{"connect", syscall.ETIMEDOUT, false, false},
 	} {
 		t.Run(fmt.Sprintf("%s %v", c.callName, c.errno), func(t *testing.T) {
-			wantCalls := 1
-			if c.momentary {
-				wantCalls = maxDials
+			wantAttempts := 1
+			if c.transient {
+				wantAttempts = maxAttempts
 			}
-			dial, calls := failingDials(maxDials-1, c.callName, c.errno)
-			conn, err := Repeat(dial)(t.Context(), "tcp", address)
-			if *calls != wantCalls || (err == nil) != c.momentary {
-				t.Errorf("%d dials, %v", *calls, err)
+			recovering := &failingDialer{failures: maxAttempts - 1, callName: c.callName, errno: c.errno}
+			conn, err := Repeat(recovering.dial)(t.Context(), "tcp", address)
+			if recovering.attempts != wantAttempts || (err == nil) != c.transient {
+				t.Errorf("%d attempts, %v", recovering.attempts, err)
 			}
 			if err == nil {
 				_ = conn.Close() // nothing was sent on it
 			}
-			dial, _ = failingDials(maxDials, c.callName, c.errno)
-			_, err = Repeat(dial)(t.Context(), "tcp", address)
+			failing := &failingDialer{failures: maxAttempts, callName: c.callName, errno: c.errno}
+			_, err = Repeat(failing.dial)(t.Context(), "tcp", address)
 			if !errors.Is(err, c.errno) || IsLocalFailure(err) != c.local {
 				t.Errorf("%v, local %v", err, IsLocalFailure(err))
 			}
@@ -69,11 +72,11 @@
 	}
 }
 
-func TestDialIsNotRepeatedAfterItsContext(t *testing.T) {
+func TestDialIsNotRetriedAfterItsContext(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	dial, calls := failingDials(maxDials, "socket", syscall.ENFILE)
-	if _, err := Repeat(dial)(ctx, "tcp", "127.0.0.1:1"); !errors.Is(err, syscall.ENFILE) || *calls != 1 {
-		t.Errorf("%v after %d dials", err, *calls)
+	failing := &failingDialer{failures: maxAttempts, callName: "socket", errno: syscall.ENFILE}
+	if _, err := Repeat(failing.dial)(ctx, "tcp", "127.0.0.1:1"); !errors.Is(err, syscall.ENFILE) || failing.attempts != 1 {
+		t.Errorf("%v after %d attempts", err, failing.attempts)
 	}
 }
--- a/internal/netdial/stagger_test.go
+++ b/internal/netdial/stagger_test.go
@@ -14,22 +14,22 @@
 
 const (
 	testInterval = 500 * time.Millisecond
-	testLimit    = 1500 * time.Millisecond
+	testTimeout  = 1500 * time.Millisecond
 )
 
-// silentPeer is a peer that answers no attempt to connect before a given time.
-type silentPeer struct {
-	answersAt time.Time
+// partitionedPeer is a peer that no packet reaches before a given time.
+type partitionedPeer struct {
+	healedAt time.Time
 
-	mu   sync.Mutex
-	open int // attempts that are under way
-	most int // that were under way at once
+	mu       sync.Mutex
+	attempts int // in progress
+	peak     int // the most attempts that were in progress at once
 }
 
-func (p *silentPeer) dial(ctx context.Context, _, _ string) (net.Conn, error) {
+func (p *partitionedPeer) dial(ctx context.Context, _, _ string) (net.Conn, error) {
 	p.count(1)
 	defer p.count(-1)
-	if time.Now().Before(p.answersAt) { // the packet is lost, and no other one follows
+	if time.Now().Before(p.healedAt) { // the packet is lost, and no other one follows
 		<-ctx.Done()
 		return nil, &net.OpError{Op: "dial", Err: ctx.Err()}
 	}
@@ -37,41 +37,41 @@
 	return conn, nil
 }
 
-// count adds to the attempts that are under way.
-func (p *silentPeer) count(attempts int) {
+// count adds to the attempts in progress.
+func (p *partitionedPeer) count(attempts int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.open += attempts
-	p.most = max(p.most, p.open)
+	p.attempts += attempts
+	p.peak = max(p.peak, p.attempts)
 }
 
-// check fails the test if attempts are left behind, or if there were too many at once.
-func (p *silentPeer) check(t *testing.T) {
+// checkAttempts fails the test if attempts are still in progress, or if there were too many at once.
+func (p *partitionedPeer) checkAttempts(t *testing.T) {
 	t.Helper()
 	synctest.Wait()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.open != 0 || p.most > int(testLimit/testInterval)+1 {
-		t.Errorf("%d attempts are left behind, there were up to %d at once", p.open, p.most)
+	if p.attempts != 0 || p.peak > int(testTimeout/testInterval)+1 {
+		t.Errorf("%d attempts are in progress, there were up to %d at once", p.attempts, p.peak)
 	}
 }
 
-// A peer answers no attempt for a while: the connection comes up an interval after its return at the latest,
-// however long it was away, and no attempt outlasts its limit or the call.
-func TestStaggeredDialReachesAPeerThatReturns(t *testing.T) {
-	for _, away := range []time.Duration{0, testInterval, 4 * time.Second, time.Minute} {
+// A peer is partitioned for a while: the connection is open an interval after the partition heals at the latest,
+// however long it took, and no attempt outlasts its timeout or the call.
+func TestStaggeredDialReachesAPeerAfterAPartition(t *testing.T) {
+	for _, partition := range []time.Duration{0, testInterval, 4 * time.Second, time.Minute} {
 		synctest.Test(t, func(t *testing.T) {
 			began := time.Now()
-			peer := &silentPeer{answersAt: began.Add(away)}
-			conn, err := Stagger(peer.dial, testInterval, testLimit)(t.Context(), "tcp", "peer")
+			peer := &partitionedPeer{healedAt: began.Add(partition)}
+			conn, err := Stagger(peer.dial, testInterval, testTimeout)(t.Context(), "tcp", "peer")
 			if err != nil {
 				t.Fatal(err)
 			}
 			_ = conn.Close() // nothing was sent on it
-			if took := time.Since(began); took > away+testInterval {
-				t.Errorf("connected after %v, the peer was away for %v", took, away)
+			if took := time.Since(began); took > partition+testInterval {
+				t.Errorf("connected after %v, the partition took %v", took, partition)
 			}
-			peer.check(t)
+			peer.checkAttempts(t)
 		})
 	}
 }
@@ -79,18 +79,18 @@
 func TestStaggeredDialEndsWithItsContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
-		peer := &silentPeer{answersAt: began.Add(time.Hour)}
+		peer := &partitionedPeer{healedAt: began.Add(time.Hour)}
 		ctx, cancel := context.WithTimeout(t.Context(), 4*time.Second)
 		defer cancel()
-		_, err := Stagger(peer.dial, testInterval, testLimit)(ctx, "tcp", "peer")
+		_, err := Stagger(peer.dial, testInterval, testTimeout)(ctx, "tcp", "peer")
 		if !errors.Is(err, context.DeadlineExceeded) || time.Since(began) != 4*time.Second {
 			t.Errorf("%v after %v", err, time.Since(began))
 		}
-		peer.check(t)
+		peer.checkAttempts(t)
 	})
 }
 
-// A refusal is an answer: it ends the dial at once. That the system gives an attempt up is none.
+// A refusal is the peer's response: it ends the dial at once. A timeout of the system ends its attempt only.
 func TestStaggeredDialFailsWithItsPeersRefusal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		errnos := []syscall.Errno{syscall.ETIMEDOUT, syscall.ECONNREFUSED}
@@ -100,7 +100,7 @@
 			attempts++
 			return nil, &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", errno)}
 		}
-		_, err := Stagger(dial, testInterval, testLimit)(t.Context(), "tcp", "peer")
+		_, err := Stagger(dial, testInterval, testTimeout)(t.Context(), "tcp", "peer")
 		if !errors.Is(err, syscall.ECONNREFUSED) || attempts != len(errnos) {
 			t.Errorf("%v after %d attempts", err, attempts)
 		}
