--- a/internal/endpoint/endpoint.go
+++ b/internal/endpoint/endpoint.go
@@ -1,5 +1,6 @@
-// Package endpoint defines the endpoint list as the programs use it: the servers of the fleet with their
-// identifiers, states and start times. Package endpointjson decodes it from its JSON form. It keeps no state.
+// Package endpoint defines the endpoint list as the node uses it: the servers of the fleet with their
+// identifiers, states and start times. Package endpointjson translates the JSON form into it; packages
+// config, discovery, node and upstream use it. It keeps no state.
 package endpoint
 
 import (
--- a/internal/milliseconds/milliseconds.go
+++ b/internal/milliseconds/milliseconds.go
@@ -1,5 +1,5 @@
-// Package milliseconds converts between the times that the operators' interfaces
-// give, as floating-point milliseconds, and time.Duration.
+// Package milliseconds converts between time.Duration and the floating-point milliseconds of the operators'
+// interfaces. Packages config and simproto use it. It keeps no state.
 package milliseconds
 
 import (
@@ -10,8 +10,8 @@
 // limit keeps sums of a few converted times inside the range of time.Duration.
 const limit = float64(math.MaxInt64) / 4 / float64(time.Millisecond)
 
-// ToDuration converts a time in milliseconds, rounded to the nanosecond. It
-// reports false for a value that is not a number or out of range.
+// ToDuration converts a time in milliseconds, rounded to the nanosecond. It returns false for a value that is
+// not a number or out of range.
 func ToDuration(ms float64) (time.Duration, bool) {
 	if !(ms > -limit && ms < limit) {
 		return 0, false
--- a/internal/milliseconds/milliseconds_test.go
+++ b/internal/milliseconds/milliseconds_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestToDurationRefusesWhatIsNoNumberOrOutOfRange(t *testing.T) {
+func TestToDurationRejectsWhatIsNoNumberOrOutOfRange(t *testing.T) {
 	for _, value := range []float64{
 		math.NaN(), math.Inf(1), math.Inf(-1), 1e300, -1e300, limit, -limit, 2.4e12, -2.4e12,
 	} {
