--- a/internal/config/setting_error_test.go
+++ b/internal/config/setting_error_test.go
@@ -95,9 +95,9 @@
 		}
 	}
 	for _, field := range namedFields(t) {
-		got, ok := keyOfField(field)
-		if !ok || got != want[field] {
-			t.Errorf("field %s: key %q, known %v, want %q", field, got, ok, want[field])
+		got, ok := settingOfField(field)
+		if !ok || got.key != want[field] {
+			t.Errorf("field %s: key %q, in the table %v, want %q", field, got.key, ok, want[field])
 		}
 		delete(want, field)
 	}
@@ -108,8 +108,8 @@
 
 func TestUnknownFieldsHaveNoKey(t *testing.T) {
 	for _, field := range []string{"", "Novel", "Classes[0].Novel", "Tenants[0].Novel", "Novel[0].Deadline"} {
-		if key, ok := keyOfField(field); ok {
-			t.Errorf("field %q has the key %q, want none", field, key)
+		if found, ok := settingOfField(field); ok {
+			t.Errorf("field %q has the key %q, want none", field, found.key)
 		}
 	}
 }
--- /dev/null
+++ b/internal/config/settings_table_test.go
@@ -0,0 +1,195 @@
+package config
+
+import (
+	"errors"
+	"maps"
+	"os"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"calicohinge/policy"
+)
+
+// leaves returns the paths of the values in a struct type with their types, by the names in JSON. A list of
+// structs is a value, and so are the values in its elements.
+func leaves(structType reflect.Type, prefix string) map[string]reflect.Type {
+	found := map[string]reflect.Type{}
+	for field := range structType.Fields() {
+		path := prefix + field.Name
+		if name := field.Tag.Get("json"); name != "" {
+			path = prefix + name
+		}
+		fieldType := field.Type
+		if fieldType.Kind() == reflect.Pointer {
+			fieldType = fieldType.Elem()
+		}
+		switch {
+		case fieldType.Kind() == reflect.Struct:
+			maps.Copy(found, leaves(fieldType, path+"."))
+		case fieldType.Kind() == reflect.Slice && fieldType.Elem().Kind() == reflect.Struct:
+			found[path] = fieldType
+			maps.Copy(found, leaves(fieldType.Elem(), path+"[]."))
+		default:
+			found[path] = fieldType
+		}
+	}
+	return found
+}
+
+// checkSameSet fails the test for each element that is in one list only.
+func checkSameSet(t *testing.T, got, want []string) {
+	t.Helper()
+	for _, element := range got {
+		if !slices.Contains(want, element) {
+			t.Errorf("%s is not expected", element)
+		}
+	}
+	for _, element := range want {
+		if !slices.Contains(got, element) {
+			t.Errorf("%s is missing", element)
+		}
+	}
+}
+
+func TestTableHasEachKeyThatIsDecodedOnce(t *testing.T) {
+	decoded := leaves(reflect.TypeFor[settingsFile](), "")
+	maps.Copy(decoded, leaves(reflect.TypeFor[nodeSettings](), ""))
+	var keys []string
+	for _, s := range settingsTable() {
+		if slices.Contains(keys, s.key) {
+			t.Errorf("%s is in the table twice", s.key)
+		}
+		keys = append(keys, s.key)
+	}
+	checkSameSet(t, keys, slices.Collect(maps.Keys(decoded)))
+}
+
+func TestTableHasEachFieldOfThePolicyOnce(t *testing.T) {
+	fields := leaves(reflect.TypeFor[policy.Settings](), "")
+	var named []string
+	for _, s := range settingsTable() {
+		if s.field == "" {
+			continue
+		}
+		if slices.Contains(named, s.field) {
+			t.Errorf("%s is in the table twice", s.field)
+		}
+		named = append(named, s.field)
+		isDuration := fields[s.field] == reflect.TypeFor[time.Duration]()
+		if isDuration != (s.kind == kindMilliseconds) {
+			t.Errorf("%s has the kind %d, is a duration: %v", s.field, s.kind, isDuration)
+		}
+	}
+	checkSameSet(t, named, slices.Collect(maps.Keys(fields)))
+}
+
+func TestKeysOfMillisecondsSayTheirUnit(t *testing.T) {
+	for _, s := range settingsTable() {
+		if strings.HasSuffix(s.key, "Ms") != (s.kind == kindMilliseconds) {
+			t.Errorf("%s has the kind %d", s.key, s.kind)
+		}
+	}
+}
+
+// settingAlone returns settings that have one key only, with a value in JSON.
+func settingAlone(key, value string) string {
+	path := strings.Split(key, ".")
+	for _, name := range slices.Backward(path) {
+		if list, isList := strings.CutSuffix(name, "[]"); isList {
+			value = `{"` + list + `": [` + value + `]}`
+		} else {
+			value = `{"` + name + `": ` + value + `}`
+		}
+	}
+	return value
+}
+
+// A value that cannot be translated is reported under the key of the table.
+func TestUntranslatableSettingsNameTheirKey(t *testing.T) {
+	impossible := map[kind]string{kindMilliseconds: "1e300", kindWord: `"unknown"`}
+	for _, s := range settingsTable() {
+		value, translated := impossible[s.kind]
+		if !translated {
+			continue
+		}
+		text := []byte(settingAlone(s.key, value))
+		_, err := ParseSettings(text)
+		if s.field == "" {
+			err = (&Config{}).applyNodeSettings(text)
+		}
+		want := settingsKey + "." + strings.Replace(s.key, "[]", "[0]", 1)
+		if got, ok := errors.AsType[*Error](err); !ok || got.Key != want {
+			t.Errorf("%s: error %v, want one of %s", text, err, want)
+		}
+	}
+}
+
+// readmeKey is a row of one of the README's tables of keys.
+type readmeKey struct{ key, unit string }
+
+// readmeKeys returns the rows of the tables of keys in the README's section Configuration.
+func readmeKeys(t *testing.T) []readmeKey {
+	t.Helper()
+	text, err := os.ReadFile("../../README.md")
+	if err != nil {
+		t.Fatal(err)
+	}
+	_, section, _ := strings.Cut(string(text), "\n## Configuration\n")
+	section, _, _ = strings.Cut(section, "\n## ")
+	var rows []readmeKey
+	header := ""
+	for line := range strings.Lines(section) {
+		cells := strings.Split(line, "|")
+		if len(cells) < 3 { // not in a table
+			header = ""
+			continue
+		}
+		first := strings.TrimSpace(cells[1])
+		if header == "" {
+			header = first
+		} else if header == "key" && strings.HasPrefix(first, "`") {
+			rows = append(rows, readmeKey{strings.Trim(first, "`"), strings.TrimSpace(cells[2])})
+		}
+	}
+	return rows
+}
+
+// isSetting reports whether a key is one of the settings: the keys of the file start in lower case.
+func (r readmeKey) isSetting() bool { return strings.ToLower(r.key[:1]) != r.key[:1] }
+
+func TestReadmeHasEachSettingWithItsUnit(t *testing.T) {
+	var documented, want []string
+	for _, row := range readmeKeys(t) {
+		if row.isSetting() {
+			documented = append(documented, row.key)
+			if (row.unit == "ms") != strings.HasSuffix(row.key, "Ms") {
+				t.Errorf("%s has the unit %q", row.key, row.unit)
+			}
+		}
+	}
+	for _, s := range settingsTable() {
+		if s.kind != kindList { // the settings of its elements have rows
+			want = append(want, s.key)
+		}
+	}
+	checkSameSet(t, documented, want)
+}
+
+func TestReadmeHasEachKeyOfTheFile(t *testing.T) {
+	var documented, want []string
+	for _, row := range readmeKeys(t) {
+		if !row.isSetting() {
+			documented = append(documented, row.key)
+		}
+	}
+	for key := range leaves(reflect.TypeFor[configFile](), "") {
+		if !strings.HasPrefix(key, "known.") { // the form of the list is that of discovery
+			want = append(want, key)
+		}
+	}
+	want = append(want, "known")
+	checkSameSet(t, documented, want)
+}
