--- /dev/null
+++ b/internal/config/address.go
@@ -0,0 +1,21 @@
+package config
+
+import (
+	"net"
+	"strconv"
+)
+
+// addressInWords describes the allowed addresses.
+const addressInWords = "an address of the form host:port"
+
+// validateAddress checks the form of an address found under a key.
+func validateAddress(key, address string) error {
+	_, port, err := net.SplitHostPort(address)
+	if err == nil {
+		_, err = strconv.ParseUint(port, 10, 16)
+	}
+	if err != nil {
+		return &Error{Key: key, Value: address, Allowed: addressInWords, Err: err}
+	}
+	return nil
+}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -7,15 +7,9 @@
 package config
 
 import (
-	"encoding/json"
-	"net"
-	"os"
-	"strconv"
 	"time"
 
 	"calicohinge/internal/endpoint"
-	"calicohinge/internal/endpointjson"
-	"calicohinge/internal/syserror"
 	"calicohinge/policy"
 )
 
@@ -27,9 +21,6 @@
 	envDiscovery = "BALANCER_DISCOVERY"
 )
 
-// addressInWords describes the allowed addresses.
-const addressInWords = "an address of the form host:port"
-
 // Config is the configuration of a node. Only Discovery can change while the node runs; see
 // ReloadDiscovery.
 type Config struct {
@@ -38,25 +29,14 @@
 	Discovery      string // address of the discovery service
 	Seed           uint64
 	Limits         Limits
-	CachedList     endpoint.List // the endpoint list as this node last had it
+	CachedList     endpoint.List // the endpoint list that the node starts with
 	Policy         policy.Settings
 	Classes        map[string]int // name to index in Policy.Classes
 	Tenants        map[string]int // name to index in Policy.Tenants
 	Zones          map[string]int // name to the number that package policy uses
-	IdleTimeout    time.Duration  // servers close a connection that has been idle for so long
-	ConnectTimeout time.Duration
-	DrainGrace     time.Duration // longest time between the notice that a server drains and the last send to it
-}
-
-// configFile is the configuration file.
-type configFile struct {
-	Name      string            `json:"name"`
-	Listen    string            `json:"listen"`
-	Discovery string            `json:"discovery"`
-	Seed      string            `json:"seed"`
-	Limits    Limits            `json:"limits"`
-	Known     endpointjson.List `json:"known"`
-	Settings  json.RawMessage   `json:"settings"`
+	IdleTimeout    time.Duration  // servers close a connection after this idle time
+	ConnectTimeout time.Duration  // of a connection to a server
+	DrainGrace     time.Duration  // time after a drain notification in which an attempt may still be sent
 }
 
 // Load reads the file named by BALANCER_CONFIG. The other BALANCER variables override the
@@ -100,83 +80,9 @@
 	return config.Discovery, nil
 }
 
+// override replaces a value of the file by one of the environment, if there is one.
 func override(field *string, value string) {
 	if value != "" {
 		*field = value
 	}
 }
-
-// validateAddress checks the form of an address found under a key.
-func validateAddress(key, address string) error {
-	_, port, err := net.SplitHostPort(address)
-	if err == nil {
-		_, err = strconv.ParseUint(port, 10, 16)
-	}
-	if err != nil {
-		return &Error{Key: key, Value: address, Allowed: addressInWords, Err: err}
-	}
-	return nil
-}
-
-// readConfig reads the file without the overrides. It returns the file's path, too.
-func readConfig(getenv func(string) string) (*Config, string, error) {
-	path := getenv(envFile)
-	if path == "" {
-		return nil, "", &Error{Key: envFile, Allowed: "the path of the configuration file"}
-	}
-	var text []byte
-	err := syserror.Retry(func() (err error) {
-		text, err = os.ReadFile(path)
-		return err
-	})
-	if err != nil {
-		return nil, "", &Error{File: path, Err: err}
-	}
-	config, err := parseConfig(text)
-	if err != nil {
-		return nil, "", withFile(err, path)
-	}
-	return config, path, nil
-}
-
-func parseConfig(text []byte) (*Config, error) {
-	var file configFile
-	if err := decodeJSON(text, "", &file); err != nil {
-		return nil, err
-	}
-	if len(file.Settings) == 0 {
-		return nil, &Error{Key: "settings", Allowed: "an object"}
-	}
-	config := &Config{
-		Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, Limits: file.Limits, CachedList: file.Known.Translate(),
-	}
-	var err error
-	if config.Seed, err = parseSeed(file.Seed); err != nil {
-		return nil, err
-	}
-	if err := file.Limits.validate(); err != nil {
-		return nil, err
-	}
-	if config.Limits.Sockets, err = effectiveSockets(file.Limits.Sockets); err != nil {
-		return nil, err
-	}
-	if config.Policy, err = ParseSettings(file.Settings); err != nil {
-		return nil, err
-	}
-	if err := config.applyNodeSettings(file.Settings); err != nil {
-		return nil, err
-	}
-	return config, nil
-}
-
-// parseSeed reads a seed of up to 16 hexadecimal digits; an absent one is 0.
-func parseSeed(text string) (uint64, error) {
-	if text == "" {
-		return 0, nil
-	}
-	seed, err := strconv.ParseUint(text, 16, 64)
-	if err != nil {
-		return 0, &Error{Key: "seed", Value: text, Allowed: "a hexadecimal number of up to 64 bits", Err: err}
-	}
-	return seed, nil
-}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -119,8 +119,8 @@
 			}
 			continue
 		}
-		var configError *Error
-		if !errors.As(err, &configError) || configError.Key != missing || configError.Value != nil {
+		configError, ok := errors.AsType[*Error](err)
+		if !ok || configError.Key != missing || configError.Value != nil {
 			t.Errorf("error %v, want one for the missing %s", err, missing)
 		}
 	}
@@ -128,8 +128,8 @@
 
 func TestBadAddressFromTheEnvironmentNamesTheVariable(t *testing.T) {
 	_, err := Load(environment(writeFile(t, fileWith("")), map[string]string{"BALANCER_DISCOVERY": "nowhere"}))
-	var configError *Error
-	if !errors.As(err, &configError) || configError.Key != "BALANCER_DISCOVERY" || configError.File != "" ||
+	configError, ok := errors.AsType[*Error](err)
+	if !ok || configError.Key != "BALANCER_DISCOVERY" || configError.File != "" ||
 		configError.Value != "nowhere" {
 		t.Errorf("error %+v, want one that names BALANCER_DISCOVERY and no file", err)
 	}
@@ -194,8 +194,8 @@
 			_, loadErr := Load(getenv)
 			_, reloadErr := ReloadDiscovery(getenv)
 			for _, err := range []error{loadErr, reloadErr} {
-				var configError *Error
-				if !errors.As(err, &configError) || configError.File != path || configError.Key != bad.key {
+				configError, ok := errors.AsType[*Error](err)
+				if !ok || configError.File != path || configError.Key != bad.key {
 					t.Fatalf("error %v, want the file %s and the key %q", err, path, bad.key)
 				}
 				if !strings.Contains(err.Error(), path) || !strings.Contains(err.Error(), bad.key) ||
@@ -216,8 +216,8 @@
 		_, loadErr := Load(getenv)
 		_, reloadErr := ReloadDiscovery(getenv)
 		for _, err := range []error{loadErr, reloadErr} {
-			var configError *Error
-			if !errors.As(err, &configError) || !strings.Contains(err.Error(), name) {
+			_, ok := errors.AsType[*Error](err)
+			if !ok || !strings.Contains(err.Error(), name) {
 				t.Errorf("error %v, want an *Error that names %s", err, name)
 			}
 			if name == path && !errors.Is(err, fs.ErrNotExist) {
--- a/internal/config/error.go
+++ b/internal/config/error.go
@@ -43,8 +43,7 @@
 
 // withFile adds the path of the file to an error of this package.
 func withFile(err error, path string) error {
-	var configError *Error
-	if errors.As(err, &configError) {
+	if configError, ok := errors.AsType[*Error](err); ok {
 		configError.File = path
 	}
 	return err
@@ -62,8 +61,8 @@
 	if err == nil {
 		return nil
 	}
-	var typeError *json.UnmarshalTypeError
-	if !errors.As(err, &typeError) {
+	typeError, ok := errors.AsType[*json.UnmarshalTypeError](err)
+	if !ok {
 		return &Error{Key: key, Err: err}
 	}
 	return &Error{
@@ -72,6 +71,7 @@
 	}
 }
 
+// joinKeys joins two paths of keys, each of which may be empty.
 func joinKeys(outer, inner string) string {
 	if outer == "" || inner == "" {
 		return outer + inner
@@ -79,6 +79,7 @@
 	return outer + "." + inner
 }
 
+// typeInWords says which values of JSON a type of Go holds.
 func typeInWords(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.Bool:
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -3,8 +3,10 @@
 import "syscall"
 
 const (
-	defaultSockets = 1024 // where the file gives no number
-	minSockets     = 64   // with fewer, too few would remain for clients and servers
+	// defaultSockets is the number of sockets where the file gives none.
+	defaultSockets = 1024
+	// minSockets is the least number that leaves enough for clients and servers.
+	minSockets = 64
 )
 
 // Limits are the resources that the operators grant the process. Cores and MemoryMB of 0
@@ -15,7 +17,7 @@
 	Sockets  int     `json:"sockets"`
 }
 
-// validate refuses negative numbers.
+// validate rejects negative numbers.
 func (l Limits) validate() error {
 	const allowed = "at least 0"
 	switch {
--- a/internal/config/node_settings.go
+++ b/internal/config/node_settings.go
@@ -33,6 +33,7 @@
 	return c.applyTimeouts(&settings)
 }
 
+// indexNames sets the maps from the names of classes, tenants and zones to their indexes.
 func (c *Config) indexNames(settings *nodeSettings) error {
 	c.Classes, c.Tenants, c.Zones = map[string]int{}, map[string]int{}, map[string]int{}
 	for i, class := range settings.Classes {
@@ -67,6 +68,7 @@
 	return t.err
 }
 
+// positiveOr returns a value, or its default if it is not positive.
 func positiveOr(value, defaultValue time.Duration) time.Duration {
 	if value > 0 {
 		return value
--- a/internal/config/setting_error_test.go
+++ b/internal/config/setting_error_test.go
@@ -14,8 +14,8 @@
 func spoil(value reflect.Value) {
 	switch value.Kind() {
 	case reflect.Struct:
-		for i := range value.NumField() {
-			spoil(value.Field(i))
+		for _, field := range value.Fields() {
+			spoil(field)
 		}
 	case reflect.Slice:
 		for i := range value.Len() {
@@ -27,6 +27,7 @@
 		value.SetInt(-1)
 	case reflect.Float64:
 		value.SetFloat(-1)
+	default: // every bool is possible
 	}
 }
 
@@ -65,8 +66,8 @@
 		if err == nil {
 			return fields
 		}
-		var settingError *policy.SettingError
-		if !errors.As(err, &settingError) {
+		settingError, ok := errors.AsType[*policy.SettingError](err)
+		if !ok {
 			t.Fatalf("Validate returned %v, want a *policy.SettingError", err)
 		}
 		fields = append(fields, settingError.Field)
@@ -137,8 +138,8 @@
 			Key: "settings.Contract.MustAskInMs", Value: -10.0, Allowed: "at least 0"},
 	} {
 		_, err := ParseSettings([]byte(text))
-		var got *Error
-		if !errors.As(err, &got) {
+		got, ok := errors.AsType[*Error](err)
+		if !ok {
 			t.Errorf("%s: error %v, want an *Error", text, err)
 			continue
 		}
@@ -150,8 +151,8 @@
 
 func TestErrorOfAnImpossibleSettingWrapsThePolicyError(t *testing.T) {
 	_, err := ParseSettings([]byte(`{"Classes": [{"DeadlineMs": -5}]}`))
-	var settingError *policy.SettingError
-	if !errors.As(err, &settingError) || settingError.Field != "Classes[0].Deadline" {
+	settingError, ok := errors.AsType[*policy.SettingError](err)
+	if !ok || settingError.Field != "Classes[0].Deadline" {
 		t.Errorf("error %v wraps %+v, want the field Classes[0].Deadline", err, settingError)
 	}
 	const want = "configuration: settings.Classes[0].DeadlineMs is -5, must be more than 0"
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -65,6 +65,7 @@
 	return settings, nil
 }
 
+// settings translates all settings. Absent ones keep the values of policy.Defaults.
 func (t *translator) settings(file *settingsFile) policy.Settings {
 	settings := policy.Defaults()
 	setIfGiven(&settings.Nodes, file.Balancers)
@@ -85,6 +86,7 @@
 	return settings
 }
 
+// limits translates what clients and servers permit.
 func (t *translator) limits(limits *policy.Limits, file *limitSettings) {
 	setIfGiven(&limits.MaxAttempts, file.MaxAttempts)
 	limits.Cancel = file.Cancel
@@ -96,6 +98,7 @@
 	}
 }
 
+// rules translates the operators' rules for polling, slow start and responses.
 func (t *translator) rules(rules *policy.Rules, file *contractSettings) {
 	setIfGiven(&rules.SlowStartShare, file.ColdFrom)
 	setIfGiven(&rules.OverloadMultiple, file.FallMultiple)
--- a/internal/config/translator.go
+++ b/internal/config/translator.go
@@ -7,12 +7,13 @@
 	"calicohinge/policy"
 )
 
-// translator translates the operators' values. It keeps its first error, so that a caller
-// can translate many values and check once. Its keys are those within the settings.
+// translator translates the operators' values. It keeps its first error, so that a caller can translate many
+// values and check once. Its keys are those of settingsTable, with indexes.
 type translator struct {
 	err error
 }
 
+// fail records an error, unless there is one already.
 func (t *translator) fail(key string, value any, allowed string) {
 	if t.err == nil {
 		t.err = &Error{Key: joinKeys(settingsKey, key), Value: value, Allowed: allowed}
@@ -61,7 +62,7 @@
 	return policy.KeyScopeCell
 }
 
-// pollEndpoints translates the way in which a node gets the endpoint list.
+// pollEndpoints translates the mode of discovery. An absent one counts as pushed.
 func (t *translator) pollEndpoints(word string) bool {
 	switch word {
 	case "on_request":
