--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -5,10 +5,12 @@
 	"io/fs"
 	"os"
 	"path/filepath"
+	"reflect"
 	"strings"
 	"testing"
 	"time"
 
+	"calicohinge/internal/endpoint"
 	"calicohinge/policy"
 )
 
@@ -50,21 +52,30 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if config.Name != "n3" || config.Listen != "10.0.0.4:8000" || config.Discovery != "10.2.0.1:8500" ||
-		config.Seed != 0x8c1f30d27a5be964 || config.Limits != (Limits{Cores: 1.5, MemoryMB: 192, Sockets: 128}) {
-		t.Errorf("configuration %+v", config)
-	}
-	if config.CachedList.Generation != 7 || len(config.CachedList.Endpoints) != 1 || config.CachedList.Endpoints[0].Zone != "b" {
-		t.Errorf("known endpoints %+v", config.CachedList)
-	}
-	if config.Policy.Nodes != 3 || len(config.Policy.Classes) != 2 ||
-		config.Classes["pay"] != 1 || config.Tenants["two"] != 1 || config.Zones["b"] != 1 {
-		t.Errorf("settings %+v, classes %v, tenants %v, zones %v",
-			config.Policy, config.Classes, config.Tenants, config.Zones)
+	want := &Config{
+		Name: "n3", Listen: "10.0.0.4:8000", Discovery: "10.2.0.1:8500", Seed: 0x8c1f30d27a5be964,
+		Limits: Limits{Cores: 1.5, MemoryMB: 192, Sockets: 128},
+		CachedList: endpoint.List{Generation: 7, Endpoints: []endpoint.Endpoint{
+			{ID: endpoint.IDOf("s-1"), Zone: "b", State: policy.Draining},
+		}},
+		Policy:         policy.Defaults(),
+		Classes:        map[string]int{"read": 0, "pay": 1},
+		Tenants:        map[string]int{"one": 0, "two": 1},
+		Zones:          map[string]int{"a": 0, "b": 1},
+		IdleTimeout:    9 * time.Second,
+		ConnectTimeout: 150 * time.Millisecond,
+		DrainGrace:     time.Second,
+	}
+	want.Policy.Nodes = 3
+	want.Policy.Tenants = []policy.Tenant{{}, {}}
+	for _, deadline := range []time.Duration{100 * time.Millisecond, 200 * time.Millisecond} {
+		want.Policy.Classes = append(want.Policy.Classes, policy.Class{
+			Deadline: deadline, Objective: deadline, PriorityWeight: 1,
+			Idempotency: policy.NotIdempotent, KeyScope: policy.KeyScopeCell,
+		})
 	}
-	if config.IdleTimeout != 9*time.Second || config.ConnectTimeout != 150*time.Millisecond ||
-		config.DrainGrace != time.Second {
-		t.Errorf("timeouts %v, %v, %v", config.IdleTimeout, config.ConnectTimeout, config.DrainGrace)
+	if !reflect.DeepEqual(config, want) {
+		t.Errorf("configuration\n%+v, want\n%+v", config, want)
 	}
 }
 
--- a/internal/config/example_config_test.go
+++ b/internal/config/example_config_test.go
@@ -31,7 +31,7 @@
 		t.Errorf("name %q, listen %q, discovery %q", loaded.Name, loaded.Listen, loaded.Discovery)
 	}
 	if len(loaded.CachedList.Endpoints) != 2 {
-		t.Errorf("%d known endpoints, want 2", len(loaded.CachedList.Endpoints))
+		t.Errorf("%d cached endpoints, want 2", len(loaded.CachedList.Endpoints))
 	}
 	for _, server := range loaded.CachedList.Endpoints {
 		if _, known := loaded.Zones[server.Zone]; !known || server.State != policy.Ready {
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -1,6 +1,7 @@
 package config
 
 import (
+	"reflect"
 	"strings"
 	"testing"
 	"time"
@@ -23,22 +24,32 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	class := settings.Classes[0]
-	if settings.Nodes != 2 || settings.Zone != 1 || !settings.WeightByWork || !settings.PollEndpoints ||
-		settings.OverQuotaFraction != 0.05 ||
-		settings.Tenants[0].QuotaPerS != 84 || class.Idempotency != policy.IdempotentWithKey || class.KeyScope != policy.KeyScopeZone ||
-		class.KeyRetention != 5*time.Second || class.Objective != 580*time.Millisecond || class.LateFraction != 0.5 ||
-		!class.Streaming || class.ObjectivePerWork != 4 ||
-		settings.Limits != (policy.Limits{
-			MaxAttempts: 4, Hedging: true, Cancel: true, MaxRetryAfter: 600 * time.Millisecond}) ||
-		settings.Rules.OverloadMultiple != 3 || settings.Rules.SlowStartDuration != 8800*time.Millisecond ||
-		settings.Rules.MaxPollInterval != 9*time.Second {
-		t.Errorf("settings %+v", settings)
+	want := policy.Settings{
+		Nodes: 2, Zone: 1,
+		Classes: []policy.Class{
+			{
+				Deadline: 1400 * time.Millisecond, Objective: 580 * time.Millisecond, ObjectivePerWork: 4,
+				LateFraction: 0.5, PriorityWeight: 2, Streaming: true,
+				Idempotency: policy.IdempotentWithKey, KeyScope: policy.KeyScopeZone, KeyRetention: 5 * time.Second,
+			},
+			{
+				Deadline: 100 * time.Millisecond, Objective: 100 * time.Millisecond, PriorityWeight: 1,
+				Idempotency: policy.NotIdempotent, KeyScope: policy.KeyScopeCell,
+			},
+		},
+		Tenants:           []policy.Tenant{{QuotaPerS: 84}},
+		OverQuotaFraction: 0.05, WeightByWork: true, PollEndpoints: true,
+		Tick: policy.Defaults().Tick,
+		Limits: policy.Limits{
+			MaxAttempts: 4, Hedging: true, Cancel: true, MaxRetryAfter: 600 * time.Millisecond,
+		},
+		Rules: policy.Rules{
+			SlowStartShare: 0.32, SlowStartDuration: 8800 * time.Millisecond,
+			OverloadMultiple: 3, OverloadWindow: time.Second, MaxPollInterval: 9 * time.Second,
+		},
 	}
-	second := settings.Classes[1]
-	if second.Idempotency != policy.NotIdempotent || second.KeyScope != policy.KeyScopeCell ||
-		second.Objective != second.Deadline || second.PriorityWeight != 1 {
-		t.Errorf("class without most keys %+v: not the safe defaults", second)
+	if !reflect.DeepEqual(settings, want) {
+		t.Errorf("settings\n%+v, want\n%+v", settings, want)
 	}
 }
 
