--- a/internal/discovery/apply.go
+++ b/internal/discovery/apply.go
@@ -7,8 +7,8 @@
 	"calicohinge/policy"
 )
 
-// applyList applies the list of a completed call: it hands the list to the handler and, if it is from the
-// present address, follows it from now on. No other method applies a list.
+// applyList applies the list of a completed call: it delivers the list to the handler and, if the list is of
+// the present address, the next call follows its generation. No other method applies a list.
 func (f *follower) applyList(completed *call) {
 	if completed.address != f.address {
 		f.applyPreviousList(completed)
@@ -20,7 +20,7 @@
 	}
 	f.logList(completed.list)
 	f.haveList, f.generation = true, completed.list.Generation
-	f.handOver(completed.list)
+	f.deliver(completed.list)
 }
 
 // applyPreviousList applies a list of a previous address. It is in force until the present address gives its
@@ -31,18 +31,18 @@
 	}
 	slog.Info("endpoint list of previous address",
 		"discovery_addr", completed.address, "generation", completed.list.Generation)
-	f.handOver(completed.list)
+	f.deliver(completed.list)
 }
 
 // isStale reports whether another call has returned a newer list since this one was made. A lower generation
-// alone does not show that: a service that has started anew counts from the beginning.
+// alone does not show that: a service that has restarted counts from the beginning.
 func (f *follower) isStale(completed *call) bool {
 	appliedMeanwhile := f.haveList && (completed.query.complete || completed.query.after != f.generation)
 	return appliedMeanwhile && completed.list.Generation < f.generation
 }
 
-// handOver hands a list to the handler.
-func (f *follower) handOver(list endpoint.List) {
+// deliver passes a list to the handler.
+func (f *follower) deliver(list endpoint.List) {
 	switch {
 	case list.Complete:
 		f.handler.UpdateEndpoints(policy.UpdateSnapshot, list.Endpoints)
--- a/internal/discovery/follower.go
+++ b/internal/discovery/follower.go
@@ -37,6 +37,8 @@
 //	                                                pushed: choose the retry delay    pausing
 //	pausing  the delay has passed                   -                                 calling
 //	pausing  an earlier call returns a list         apply the list                    calling
+//	calling  RequestWatch                           -; a failure of the present       unchanged
+//	                                                call drops the request
 //	any      an earlier call fails                  -                                 unchanged
 //	any      a call to a previous address           apply the list, unless the        unchanged
 //	         returns a list                         present address has given one
