--- a/internal/discovery/follower.go
+++ b/internal/discovery/follower.go
@@ -24,21 +24,21 @@
 
 // follower follows the endpoint list at one address. It is a state machine; each method for a state waits for
 // the events of its rows and returns the next state. The present call is the latest one. An earlier call is
-// one that is still in flight although its response timeout has passed.
+// another one to the present address, still in flight although its response timeout has passed.
 //
 //	state    event                                  action                            next state
 //	-----    -----                                  ------                            ----------
 //	idle     RequestWatch                           -                                 calling
 //	idle     an earlier call returns a list         apply the list                    calling
-//	calling  any call returns a list                apply the list                    calling, or pausing
-//	                                                                                  after a short call
+//	calling  the present or an earlier call         apply the list                    calling, or pausing
+//	         returns a list                                                           after a short call
 //	calling  the present call fails, or its         in polling mode: report           idle
 //	         response timeout passes                the failure to the handler
 //	                                                pushed: choose the retry delay    pausing
-//	pausing  the delay has passed                   -                                 calling
-//	pausing  an earlier call returns a list         apply the list                    calling
 //	calling  RequestWatch                           -; a failure of the present       unchanged
 //	                                                call drops the request
+//	pausing  the delay has passed                   -                                 calling
+//	pausing  an earlier call returns a list         apply the list                    calling
 //	any      an earlier call fails                  -                                 unchanged
 //	any      a call to a previous address           apply the list, unless the        unchanged
 //	         returns a list                         present address has given one
