--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -26,16 +26,28 @@
 func (r *recorder) Synced()                          {}
 func (r *recorder) WatchFailed(notifiedAt time.Time) { r.failed <- notifiedAt }
 
+// requestCounter records how many watch requests are pending when a failure is reported.
+type requestCounter struct {
+	*recorder
+	client  *Client
+	pending chan int
+}
+
+func (r requestCounter) WatchFailed(notifiedAt time.Time) {
+	r.pending <- len(r.client.watchRequests)
+	r.recorder.WatchFailed(notifiedAt)
+}
+
 // A watch is requested while one is active, which then fails: the handler requests the next one itself,
 // and the stale request must not make all nodes call at once.
 func TestStaleWatchRequestIsDropped(t *testing.T) {
 	scripted := testkit.NewScriptedDiscovery(t)
-	handler := newRecorder()
 	client := New(Config{Address: scripted.Address, Poll: true})
-	calls := newOpenCalls(client.call)
+	handler := requestCounter{newRecorder(), client, make(chan int, 1)}
+	calls := newInFlightCalls(client.send)
 	t.Cleanup(calls.close)
 	watch := newFollower(client, handler, calls, scripted.Address)
-	watch.watching, watch.haveList = true, true
+	watch.state, watch.haveList = stateCalling, true
 	stopped := make(chan struct{})
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -43,6 +55,9 @@
 	testkit.Wait(t, scripted.Calls, "the watch")
 	client.RequestWatch()
 	scripted.Responses <- testkit.ResponseReset
+	if pending := testkit.Wait(t, handler.pending, "the failure"); pending > 0 {
+		t.Error("the stale request is pending when the failure is reported")
+	}
 	testkit.Wait(t, handler.failed, "the failure")
 	if len(client.watchRequests) > 0 || len(scripted.Calls) > 0 {
 		t.Error("the stale request stays, or was followed")
@@ -53,9 +68,9 @@
 	testkit.Wait(t, stopped, "the follower to stop")
 }
 
-// startOf is how a client starts.
-type startOf struct {
-	known   endpoint.List
+// clientStart is how a client starts.
+type clientStart struct {
+	cached  endpoint.List
 	poll    bool
 	updates []policy.UpdateKind // before the first call
 	query   string              // of the first call
@@ -63,9 +78,10 @@
 
 // In polling mode no call is made before a request.
 func TestCachedListIsReportedBeforeTheFirstCall(t *testing.T) {
+	t.Parallel()
 	cached := endpoint.List{Generation: 7, Endpoints: []endpoint.Endpoint{{ID: 1}}}
 	update := []policy.UpdateKind{policy.UpdateCached}
-	for name, c := range map[string]startOf{
+	for name, c := range map[string]clientStart{
 		"polled, cached list": {cached, true, update, "after=7&wait_ms=3000"},
 		"polled, no list":     {endpoint.List{}, true, update, ""}, // package policy requests the first watch
 		"pushed, cached list": {cached, false, update, "after=7&wait_ms=3000"},
@@ -78,10 +94,11 @@
 	}
 }
 
-func (c startOf) check(t *testing.T) {
+func (c clientStart) check(t *testing.T) {
+	t.Helper()
 	scripted := testkit.NewScriptedDiscovery(t)
 	handler := newRecorder()
-	client := New(Config{Address: scripted.Address, Cached: c.known, Poll: c.poll})
+	client := New(Config{Address: scripted.Address, Cached: c.cached, Poll: c.poll})
 	go client.Run(t.Context(), handler)
 	for _, want := range c.updates {
 		if kind := testkit.Wait(t, handler.updates, "an update"); kind != want {
@@ -103,29 +120,30 @@
 }
 
 // After a change of the address the complete list is requested from the latest address, in polling mode
-// too. The pending call ends once that has answered.
+// too. The pending call ends once that has returned its list.
 func TestAddressChangeRequestsTheCompleteList(t *testing.T) {
+	t.Parallel()
 	for name, poll := range map[string]bool{"polled": true, "pushed": false} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			former, skipped, latest := testkit.NewScriptedDiscovery(t), testkit.FreeAddr(t), testkit.NewScriptedDiscovery(t)
+			previous, skipped, latest := testkit.NewScriptedDiscovery(t), testkit.FreeAddr(t), testkit.NewScriptedDiscovery(t)
 			client := New(Config{
-				Address: former.Address, Poll: poll,
+				Address: previous.Address, Poll: poll,
 				Cached: endpoint.List{Generation: 7, Endpoints: []endpoint.Endpoint{{ID: 1}}},
 			})
 			client.RequestWatch()
 			go client.Run(t.Context(), newRecorder())
-			pending := testkit.Wait(t, former.Calls, "the first call")
+			pending := testkit.Wait(t, previous.Calls, "the first call")
 			client.SetAddress(skipped)
 			client.SetAddress(latest.Address)
 			if query := testkit.Wait(t, latest.Calls, "a call to the new address").URL.RawQuery; query != "" {
 				t.Errorf("query %q, want none", query)
 			}
 			if err := pending.Context().Err(); err != nil {
-				t.Errorf("the former call has ended: %v; its answer may be on its way", err)
+				t.Errorf("the previous call has ended: %v; its response may be on its way", err)
 			}
 			latest.Responses <- `{"generation":1,"reset":true,"instances":[]}`
-			testkit.Wait(t, pending.Context().Done(), "the end of the former call")
+			testkit.Wait(t, pending.Context().Done(), "the end of the previous call")
 		})
 	}
 }
--- a/internal/discovery/errors_test.go
+++ b/internal/discovery/errors_test.go
@@ -13,7 +13,7 @@
 		text string
 	}{
 		{&Error{Kind: Unreachable, Err: cause}, "unreachable: connection refused"},
-		{&Error{Kind: Unresponsive, Err: &Error{Kind: Timeout, Err: cause}}, "silent: timeout: connection refused"},
+		{&Error{Kind: Unresponsive, Err: &Error{Kind: Timeout, Err: cause}}, "unresponsive: timeout: connection refused"},
 		{&Error{Kind: BadStatus, Status: 503}, "status 503"},
 	} {
 		if c.err.Error() != c.text {
@@ -29,8 +29,8 @@
 	seen := map[string]ErrorKind{}
 	for kind := Unknown; kind <= Malformed; kind++ {
 		name := kind.String()
-		if former, found := seen[name]; found || strings.HasPrefix(name, "kind ") {
-			t.Errorf("kind %d is named %q like %d", int(kind), name, int(former))
+		if other, found := seen[name]; found || strings.HasPrefix(name, "kind ") {
+			t.Errorf("kind %d is named %q like %d", int(kind), name, int(other))
 		}
 		seen[name] = kind
 	}
