--- a/internal/downstream/admission.go
+++ b/internal/downstream/admission.go
@@ -6,7 +6,7 @@
 type decision int
 
 const (
-	decisionAdmit decision = iota // it is in the set, in phaseSilent
+	decisionAdmit decision = iota // it is in the set, in stateNoData
 	decisionEvict                 // close the victim's socket, then decide again
 	decisionWait                  // wait for a change, then decide again
 )
@@ -48,7 +48,7 @@
 		case decisionEvict:
 			_ = step.victim.Conn.Close() // nothing can be done about a failure
 		case decisionWait:
-			if !cs.waitForChange(step) {
+			if !cs.awaitCapacity(step) {
 				return false
 			}
 		}
@@ -62,7 +62,8 @@
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	if cs.open < cs.config.MaxOpen {
-		return cs.add(c)
+		cs.addConn(c)
+		return admission{decision: decisionAdmit}
 	}
 	candidate, wait := cs.evictionCandidate()
 	switch {
@@ -70,25 +71,19 @@
 		return admission{decision: decisionWait, changed: cs.nextChange()}
 	case candidate == nil:
 		c.overLimit = true
-		return cs.add(c)
+		cs.addConn(c)
+		return admission{decision: decisionAdmit}
 	case wait > 0:
 		return admission{decision: decisionWait, wait: wait, changed: cs.nextChange()}
 	}
 	cs.evicted++
-	cs.close(candidate)
+	cs.markClosed(candidate)
 	return admission{decision: decisionEvict, victim: candidate}
 }
 
-// add makes c one of the set's connections. The caller holds cs.mu.
-func (cs *Conns) add(c *Conn) admission {
-	cs.open++
-	cs.setPhase(c, phaseSilent)
-	return admission{decision: decisionAdmit}
-}
-
-// waitForChange waits until a connection changes or the time of the step is over. It
+// awaitCapacity waits until a connection changes or the time of the step is over. It
 // returns false if the listener was closed.
-func (cs *Conns) waitForChange(step admission) bool {
+func (cs *Conns) awaitCapacity(step admission) bool {
 	var evictable <-chan time.Time // never ready if no connection becomes evictable by itself
 	if step.wait > 0 {
 		timer := time.NewTimer(step.wait)
--- a/internal/downstream/admission_test.go
+++ b/internal/downstream/admission_test.go
@@ -94,7 +94,7 @@
 	if err := listen(t, conns).Close(); err != nil {
 		t.Fatal(err)
 	}
-	if conns.waitForChange(admission{decision: decisionWait, wait: testkit.WaitTimeout}) {
+	if conns.awaitCapacity(admission{decision: decisionWait, wait: testkit.WaitTimeout}) {
 		t.Error("the wait went on after the listener was closed")
 	}
 }
--- a/internal/downstream/conn.go
+++ b/internal/downstream/conn.go
@@ -21,9 +21,9 @@
 	overLimit bool // set at its admission
 
 	// The fields below are guarded by conns.mu.
-	phase     phase
+	state     connState
 	since     time.Time     // when it was put at the end of its queue
-	element   *list.Element // in the queue of its phase; nil if the phase has none
+	element   *list.Element // in the queue of its state; nil if the state has none
 	readAhead []byte        // received while a request was active, not yet returned by Read
 	readErr   error         // the error that ended reading
 	queueTime time.Duration // see QueueTime
@@ -73,11 +73,11 @@
 	c.conns.mu.Lock()
 	defer c.conns.mu.Unlock()
 	c.awaiting = false
-	if !errors.Is(waitErr, os.ErrDeadlineExceeded) || c.phase != phaseSilent && c.phase != phaseIdle ||
-		sockstate.Peek(c.Conn) != sockstate.Readable {
+	if !errors.Is(waitErr, os.ErrDeadlineExceeded) || c.state != stateNoData && c.state != stateIdle ||
+		!c.hasUnreadBytes() {
 		return false
 	}
-	c.conns.setPhase(c, phaseReadingHead)
+	c.conns.beginRequest(c)
 	return c.SetReadDeadline(time.Now().Add(partialGracePeriod)) == nil
 }
 
@@ -88,15 +88,15 @@
 	defer c.conns.mu.Unlock()
 	c.awaiting = false
 	switch {
-	case c.phase == phaseClosed:
+	case c.state == stateClosed:
 		return 0, true, errClosed
 	case c.isBackgroundRead(p):
 		err = c.receiveInBackground(fd)
 		return 0, err != nil, err
 	}
 	n, err = c.receiveRequest(fd, p)
-	if n > 0 && (c.phase == phaseSilent || c.phase == phaseIdle) {
-		c.conns.setPhase(c, phaseReadingHead)
+	if n > 0 && (c.state == stateNoData || c.state == stateIdle) {
+		c.conns.beginRequest(c)
 	}
 	done = n > 0 || err != nil
 	if !done {
@@ -111,14 +111,14 @@
 // single byte, possibly before RequestComplete is called; a body is read in larger
 // pieces. The caller holds conns.mu.
 func (c *Conn) isBackgroundRead(p []byte) bool {
-	return c.phase == phaseActive || c.phase == phaseLingering || len(p) == 1 && c.phase != phaseReadingHead
+	return c.state == stateActive || c.state == stateLingering || len(p) == 1 && c.state != stateReadingHead
 }
 
 // receiveInBackground returns an error if the client has disconnected. The caller
 // holds conns.mu.
 func (c *Conn) receiveInBackground(fd int) error {
 	switch {
-	case c.phase == phaseLingering:
+	case c.state == stateLingering:
 		if sockstate.Peek(c.Conn) == sockstate.Closed {
 			return io.EOF
 		}
@@ -146,9 +146,7 @@
 func (c *Conn) RequestComplete() {
 	c.conns.mu.Lock()
 	defer c.conns.mu.Unlock()
-	if c.phase != phaseClosed {
-		c.conns.setPhase(c, phaseActive)
-	}
+	c.conns.completeRequest(c)
 }
 
 // ClientDisconnected reports whether the client of the active request has
@@ -161,9 +159,9 @@
 	c.conns.mu.Lock()
 	defer c.conns.mu.Unlock()
 	switch {
-	case c.phase == phaseClosed || c.readErr != nil:
+	case c.state == stateClosed || c.readErr != nil:
 		return true
-	case c.phase != phaseActive:
+	case c.state != stateActive:
 		return false // the request has its answer, its attempts are revoked
 	case c.conns.closing:
 		return sockstate.Peek(c.Conn) == sockstate.Closed
@@ -192,16 +190,19 @@
 	c.queueTime = d
 }
 
+// hasUnreadBytes reports whether bytes have arrived that nobody has read.
+func (c *Conn) hasUnreadBytes() bool { return sockstate.Peek(c.Conn) == sockstate.Readable }
+
 // Closed reports whether the connection has been closed by this node.
 func (c *Conn) Closed() bool {
 	c.conns.mu.Lock()
 	defer c.conns.mu.Unlock()
-	return c.phase == phaseClosed
+	return c.state == stateClosed
 }
 
 // Lingering reports whether LingeringClose was called.
 func (c *Conn) Lingering() bool {
 	c.conns.mu.Lock()
 	defer c.conns.mu.Unlock()
-	return c.phase == phaseLingering
+	return c.state == stateLingering
 }
--- a/internal/downstream/conn_test.go
+++ b/internal/downstream/conn_test.go
@@ -16,7 +16,7 @@
 	conns := newTestConns(1)
 	client, c := acceptConn(t, conns)
 	conns.mu.Lock()
-	c.phase = phaseClosed // as by a concurrent caller of Conns.close
+	c.state = stateClosed // as by a concurrent caller of Conns.markClosed
 	conns.mu.Unlock()
 	send(t, client, "GET")
 	expectReadError(t, c)
@@ -40,7 +40,7 @@
 	conns := newTestConns(5)
 	client, c := acceptConn(t, conns)
 	conns.mu.Lock()
-	conns.setPhase(c, phaseReadingHead)
+	conns.beginRequest(c)
 	conns.mu.Unlock()
 	ended := startRead(c)
 	setReadDeadline(t, c, past())
--- a/internal/downstream/conns.go
+++ b/internal/downstream/conns.go
@@ -11,12 +11,10 @@
 	"net/http"
 	"sync"
 	"time"
-
-	"calicohinge/internal/sockstate"
 )
 
 // DefaultLingerTimeout is how long a client may take to close a connection after
-// its last answer.
+// its last response.
 const DefaultLingerTimeout = 500 * time.Millisecond
 
 // Config holds the limits of a set of connections.
@@ -41,16 +39,16 @@
 	config         Config
 	listenerClosed chan struct{} // closed with the listener
 
-	mu       sync.Mutex
-	open     int           // connections that are admitted and not closed
-	active   int           // those in phaseActive
-	silent   connQueue     // those in phaseSilent
-	partial  connQueue     // those in phaseReadingHead or phaseReadingBody
-	idle     connQueue     // those in phaseIdle
-	linger   connQueue     // those in phaseLingering
-	draining bool          // connections are closed instead of falling idle
-	closing  bool          // they are closed as soon as no request is being read or answered
-	changed  chan struct{} // closed at the next change; nil if nobody waits for it
+	mu        sync.Mutex
+	open      int           // connections that are admitted and not closed
+	active    int           // those in stateActive
+	noData    connQueue     // those in stateNoData
+	partial   connQueue     // those in stateReadingHead or stateReadingBody
+	idle      connQueue     // those in stateIdle
+	lingering connQueue     // those in stateLingering
+	draining  bool          // connections are closed instead of falling idle
+	closing   bool          // they are closed as soon as their clients wait for no response
+	changed   chan struct{} // closed at the next change; nil if nobody waits for it
 
 	evicted, incomplete int // see Stats
 }
@@ -68,7 +66,7 @@
 }
 
 // ConnState is the callback for http.Server.ConnState. From it the set learns when
-// the head of a request has been read and when an answer is complete.
+// the head of a request has been read and when a response is complete.
 func (cs *Conns) ConnState(netConn net.Conn, state http.ConnState) {
 	c, ok := netConn.(*Conn)
 	if !ok {
@@ -76,64 +74,16 @@
 	}
 	switch state {
 	case http.StateActive:
-		cs.headComplete(c)
+		cs.mu.Lock()
+		cs.completeHead(c)
+		cs.mu.Unlock()
 	case http.StateIdle:
-		if cs.requestFinished(c) {
+		cs.mu.Lock()
+		closed := cs.completeResponse(c)
+		cs.mu.Unlock()
+		if closed {
 			_ = c.Conn.Close() // net/http finds out when it reads
 		}
+	case http.StateNew, http.StateClosed, http.StateHijacked: // the set does not need them
 	}
 }
-
-// headComplete records that net/http has read the head of a request. A phase that
-// counts from the first byte of the request goes on: c keeps its place in the queue.
-func (cs *Conns) headComplete(c *Conn) {
-	cs.mu.Lock()
-	defer cs.mu.Unlock()
-	if c.phase == phaseReadingHead {
-		c.phase = phaseReadingBody
-	}
-}
-
-// requestFinished records that an answer is complete. It returns true if the
-// connection was marked closed and the caller has to close its socket.
-func (cs *Conns) requestFinished(c *Conn) (closed bool) {
-	cs.mu.Lock()
-	defer cs.mu.Unlock()
-	c.queueTime = 0
-	switch {
-	case c.phase == phaseClosed:
-		return false
-	case len(c.readAhead) > 0: // the next request, or a part of it
-		cs.setPhase(c, phaseReadingHead)
-		return false
-	case cs.draining:
-		return cs.closeIdle(c)
-	default:
-		cs.setPhase(c, phaseIdle)
-		return false
-	}
-}
-
-// close marks c closed, so that it is not read any more, and stops counting it. It
-// returns false if c was marked before. The caller holds cs.mu and closes the socket
-// after releasing it: closing waits for a reader, which may be waiting for cs.mu.
-func (cs *Conns) close(c *Conn) bool {
-	if c.phase == phaseClosed {
-		return false
-	}
-	c.readAhead = nil
-	cs.open--
-	cs.setPhase(c, phaseClosed)
-	return true
-}
-
-// closeIdle is close for a connection between two requests. If the client has sent
-// bytes of its next request, the connection stays open and that request is read.
-// The caller holds cs.mu.
-func (cs *Conns) closeIdle(c *Conn) bool {
-	if sockstate.Peek(c.Conn) == sockstate.Readable {
-		cs.setPhase(c, phaseReadingHead)
-		return false
-	}
-	return cs.close(c)
-}
--- a/internal/downstream/drain.go
+++ b/internal/downstream/drain.go
@@ -2,8 +2,6 @@
 
 import (
 	"context"
-
-	"calicohinge/internal/sockstate"
 )
 
 // Drain closes idle connections, and from now on every other as soon as it falls
@@ -80,7 +78,7 @@
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	for c := cs.idle.oldest(); c != nil; c = cs.idle.oldest() {
-		if cs.closeIdle(c) {
+		if cs.markIdleClosed(c) {
 			return c
 		}
 	}
@@ -92,13 +90,13 @@
 func (cs *Conns) nextToFinish() *Conn {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	for _, queue := range []*connQueue{&cs.silent, &cs.idle, &cs.partial} {
+	for _, queue := range []*connQueue{&cs.noData, &cs.idle, &cs.partial} {
 		for element := queue.conns.Front(); element != nil; element = element.Next() {
 			if c := element.Value.(*Conn); c.hasNoRequest() {
 				if queue == &cs.partial {
 					cs.incomplete++
 				}
-				cs.close(c)
+				cs.markClosed(c)
 				return c
 			}
 		}
@@ -111,7 +109,7 @@
 func (cs *Conns) finished() (changed <-chan struct{}, finished bool) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	unanswered := cs.active + cs.silent.conns.Len() + cs.idle.conns.Len() + cs.partial.conns.Len()
+	unanswered := cs.active + cs.noData.conns.Len() + cs.idle.conns.Len() + cs.partial.conns.Len()
 	return cs.nextChange(), unanswered == 0
 }
 
@@ -119,8 +117,8 @@
 // not active. A part of one is with net/http, which waits for the rest. The caller holds
 // conns.mu.
 func (c *Conn) hasNoRequest() bool {
-	if c.phase != phaseSilent && c.phase != phaseIdle && !c.awaiting {
+	if c.state != stateNoData && c.state != stateIdle && !c.awaiting {
 		return false
 	}
-	return len(c.readAhead) == 0 && sockstate.Peek(c.Conn) != sockstate.Readable
+	return len(c.readAhead) == 0 && !c.hasUnreadBytes()
 }
--- a/internal/downstream/drain_test.go
+++ b/internal/downstream/drain_test.go
@@ -38,8 +38,8 @@
 	t.Helper()
 	conns.mu.Lock()
 	defer conns.mu.Unlock()
-	if candidate, _ := conns.evictionCandidate(); candidate != c || c.phase != phaseReadingHead {
-		t.Errorf("the eviction candidate is %p, want %p; phase %v", candidate, c, c.phase)
+	if candidate, _ := conns.evictionCandidate(); candidate != c || c.state != stateReadingHead {
+		t.Errorf("the eviction candidate is %p, want %p; state %v", candidate, c, c.state)
 	}
 }
 
@@ -140,7 +140,9 @@
 		t.Fatal("finished before the response")
 	default:
 	}
-	c.beginLingering()
+	conns.mu.Lock()
+	conns.beginLingering(c)
+	conns.mu.Unlock()
 	testkit.Wait(t, finished, "the end")
 	if c.Closed() {
 		t.Error("closed before the client has read the response")
--- a/internal/downstream/eviction.go
+++ b/internal/downstream/eviction.go
@@ -7,7 +7,7 @@
 )
 
 // A connection that has not sent a complete request may be evicted only after a grace
-// period, which counts from its last change of phase.
+// period, which counts from its last change of state.
 const (
 	// silentGracePeriod applies to a new connection. A client connects because it
 	// has a request to send, so that its first bytes follow at once.
@@ -38,10 +38,10 @@
 		queue       *connQueue
 		gracePeriod time.Duration
 	}{
-		{&cs.silent, silentGracePeriod},
+		{&cs.noData, silentGracePeriod},
 		{&cs.idle, idleGracePeriod},
 		{&cs.partial, partialGracePeriod},
-		{&cs.linger, lingerGracePeriod},
+		{&cs.lingering, lingerGracePeriod},
 	} {
 		oldest := class.queue.oldest()
 		if oldest == nil {
@@ -62,20 +62,20 @@
 // something that a busy node has not read yet, to the queue of partial requests. It
 // stops at the first that is to stay. The caller holds cs.mu.
 func (cs *Conns) requeueSilent(now time.Time) {
-	for c := cs.silent.oldest(); c != nil; c = cs.silent.oldest() {
+	for c := cs.noData.oldest(); c != nil; c = cs.noData.oldest() {
 		if now.Sub(c.since) < silentGracePeriod || sockstate.Peek(c.Conn) == sockstate.Quiet {
 			return
 		}
-		cs.setPhase(c, phaseReadingHead)
+		cs.beginRequest(c)
 	}
 }
 
 // requeueIdle does the same for idle connections. The caller holds cs.mu.
 func (cs *Conns) requeueIdle() {
 	for c := cs.idle.oldest(); c != nil; c = cs.idle.oldest() {
-		if sockstate.Peek(c.Conn) != sockstate.Readable {
+		if !c.hasUnreadBytes() {
 			return
 		}
-		cs.setPhase(c, phaseReadingHead)
+		cs.beginRequest(c)
 	}
 }
