--- a/internal/downstream/admission.go
+++ b/internal/downstream/admission.go
@@ -24,8 +24,8 @@
 	return "unknown"
 }
 
-// admission is one step of admitting a new connection. What it asks for is done
-// without holding cs.mu.
+// admission is one step of admitting a new connection. The caller of tryAdmit carries it
+// out without holding cs.mu.
 type admission struct {
 	decision decision
 	victim   *Conn // with decisionEvict: marked closed, its socket is still open
@@ -37,8 +37,8 @@
 
 // admit makes c one of the set's connections and returns true, or returns false if the
 // listener was closed. It blocks while the first connection that may be evicted is in its
-// grace period, and while all are active, the reserve included: that of the reserve get
-// their answer at once. Closing c instead could drop a request that its client has sent.
+// grace period, and while all are active, the reserve included: those of the reserve get
+// their response at once. Closing c instead could drop a request that its client has sent.
 func (cs *Conns) admit(c *Conn) bool {
 	for {
 		step := cs.tryAdmit(c)
@@ -57,7 +57,7 @@
 
 // tryAdmit adds c if there is capacity, and otherwise chooses a connection to evict.
 // The reserve is used only while all connections are active, so that their clients
-// are not affected and the new one gets an answer.
+// are not affected and the new one gets a response.
 func (cs *Conns) tryAdmit(c *Conn) admission {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
@@ -65,7 +65,9 @@
 		cs.addConn(c)
 		return admission{decision: decisionAdmit}
 	}
-	candidate, wait := cs.evictionCandidate()
+	now := time.Now()
+	cs.beginUnreadRequests(now)
+	candidate, wait := cs.evictionCandidate(now)
 	switch {
 	case candidate == nil && cs.open >= cs.config.MaxOpen+cs.config.Reserve:
 		return admission{decision: decisionWait, changed: cs.nextChange()}
--- a/internal/downstream/drain_test.go
+++ b/internal/downstream/drain_test.go
@@ -4,6 +4,7 @@
 	"context"
 	"net/http"
 	"testing"
+	"time"
 
 	"calicohinge/internal/sockstate"
 	"calicohinge/internal/testkit"
@@ -38,7 +39,9 @@
 	t.Helper()
 	conns.mu.Lock()
 	defer conns.mu.Unlock()
-	if candidate, _ := conns.evictionCandidate(); candidate != c || c.state != stateReadingHead {
+	now := time.Now()
+	conns.beginUnreadRequests(now)
+	if candidate, _ := conns.evictionCandidate(now); candidate != c || c.state != stateReadingHead {
 		t.Errorf("the eviction candidate is %p, want %p; state %v", candidate, c, c.state)
 	}
 }
@@ -65,7 +68,7 @@
 			client, c := acceptConn(t, conns)
 			prepare(conns, c)
 			conns.beginClosing()
-			if closing := conns.nextToFinish(); closing != c {
+			if closing := conns.takeWithoutRequest(); closing != c {
 				t.Fatalf("%p is closed next, want %p", closing, c)
 			}
 			sendUnread(t, client, c, "GET")
--- a/internal/downstream/eviction_test.go
+++ b/internal/downstream/eviction_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A client whose bytes the node was too busy to read is not evicted as a silent one.
+// A client whose bytes the node was too busy to read is not evicted as one without data.
 func TestUnreadBytesExtendGracePeriod(t *testing.T) {
 	listener := listen(t, newTestConns(1))
 	connect := func(text string) {
@@ -17,11 +17,11 @@
 	began := time.Now()
 	connect("")
 	if took := time.Since(began); took < partialGracePeriod {
-		t.Errorf("a connection with unread bytes was evicted after %v like a silent one", took)
+		t.Errorf("a connection with unread bytes was evicted after %v like one without data", took)
 	}
 	began = time.Now()
 	connect("")
-	if took := time.Since(began); took < silentGracePeriod {
-		t.Errorf("a silent connection was evicted after %v", took)
+	if took := time.Since(began); took < noDataGracePeriod {
+		t.Errorf("a connection without data was evicted after %v", took)
 	}
 }
