--- a/internal/downstream/listener.go
+++ b/internal/downstream/listener.go
@@ -80,7 +80,7 @@
 	c, err := newConn(netConn, l.conns)
 	if err != nil {
 		_ = netConn.Close() // nothing can be done about a failure
-		return nil, &connError{err}
+		return nil, err
 	}
 	if !l.admit(c) {
 		_ = netConn.Close() // as above
