--- /dev/null
+++ b/internal/downstream/accept_pause_test.go
@@ -0,0 +1,33 @@
+package downstream
+
+import (
+	"testing"
+	"time"
+)
+
+func TestPauseDelaysConnectionsForItsTimeAndSoonAfter(t *testing.T) {
+	const ms = time.Millisecond
+	at := func(after time.Duration) time.Time { return time.Unix(1000, 0).Add(after) }
+	var pause acceptPause
+	expect := func(after, want time.Duration) {
+		t.Helper()
+		if got := pause.maxDelay(at(after)); got != want {
+			t.Errorf("after %v: delayed by %v, want %v", after, got, want)
+		}
+	}
+	expect(0, 0)
+	pause.begin(at(0))
+	pause.begin(at(20 * ms)) // another failure
+	expect(40*ms, 40*ms)
+	pause.end(at(50 * ms))
+	pause.end(at(60 * ms)) // another success
+	expect(50*ms, 50*ms)
+	expect(50*ms+acceptPauseEffect-ms, 50*ms+acceptPauseEffect-ms)
+	expect(50*ms+acceptPauseEffect, 0)
+	pause.begin(at(time.Second))
+	pause.end(at(time.Second + 10*ms))
+	pause.begin(at(time.Second + 20*ms)) // soon after the other
+	expect(time.Second+30*ms, 30*ms)
+	pause.reset()
+	expect(time.Second+30*ms, 0)
+}
--- a/internal/downstream/conns.go
+++ b/internal/downstream/conns.go
@@ -1,9 +1,13 @@
 // Package downstream owns the client connections of a node: how many are open,
 // which of them are evicted for new ones, when their sockets are read, and whether
-// a client has disconnected. Package node calls it: it serves HTTP on the listener
-// of Conns and notifies each Conn when a request is complete. This package parses
-// no request and decides about none; all it knows of a request is where it begins
-// and ends.
+// a client has disconnected. It parses no request and decides about none; all it knows
+// of a request is where it begins and ends.
+//
+// Package node calls it. It serves HTTP on the Listener of a Conns, passes on net/http's
+// callback ConnState, calls Conn.RequestComplete once a request is read, and calls
+// Listener.StopAccepting, Conns.Drain and Conns.Shutdown at the node's end. In between each
+// Conn passes through the states of connState; Read, an eviction and a shutdown may
+// change a connection at any time, always under the lock of its Conns.
 package downstream
 
 import (
--- a/internal/downstream/listener.go
+++ b/internal/downstream/listener.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// minAcceptBackoff and maxAcceptBackoff bound the pause after a failed accept, which
-	// doubles with each failure on end. A client waits for its response meanwhile, so that
-	// the longest pause has to be short beside any deadline.
+	// minAcceptBackoff and maxAcceptBackoff bound the backoff after a failed accept, which
+	// doubles with each consecutive failure. A client waits for its response meanwhile, so that
+	// the longest backoff has to be short beside any deadline.
 	minAcceptBackoff = time.Millisecond
 	maxAcceptBackoff = 20 * time.Millisecond
 	// acceptLogInterval is the shortest time between two log lines about failed accepts.
@@ -29,8 +29,8 @@
 
 	// Only Accept uses the fields below; net/http calls it from one goroutine.
 	failures int       // of accept that are not logged yet
-	loggedAt time.Time // the last of them that is
-	stall    acceptStall
+	loggedAt time.Time // the last log line about them
+	pause    acceptPause
 }
 
 // Listener returns a listener whose connections are admitted to the set. A set has one
@@ -55,8 +55,8 @@
 			return nil, err
 		}
 		l.logFailure(err)
-		l.stall.begin(time.Now())
-		if !l.pause(backoff) {
+		l.pause.begin(time.Now())
+		if !l.wait(backoff) {
 			return nil, net.ErrClosed
 		}
 		backoff = min(2*backoff, maxAcceptBackoff)
@@ -89,29 +89,29 @@
 	return c, nil
 }
 
-// acceptInner accepts a connection. If it has to wait for one, none is held up any more.
+// acceptInner accepts a connection. If it has to wait for one, no delayed one is left.
 func (l *Listener) acceptInner() (net.Conn, error) {
 	calledAt := time.Now()
 	netConn, err := l.inner.Accept()
-	if time.Since(calledAt) >= minStall {
-		l.stall.clear()
+	if time.Since(calledAt) >= minAcceptPause {
+		l.pause.reset()
 	}
 	return netConn, err
 }
 
-// admit admits a connection that was accepted, and notes how long it may have been held up.
+// admit admits a connection that was accepted, and records how long it may have been delayed.
 func (l *Listener) admit(c *Conn) bool {
 	acceptedAt := time.Now()
-	l.stall.end(acceptedAt)
+	l.pause.end(acceptedAt)
 	if !l.conns.admit(c) {
 		return false
 	}
 	admittedAt := time.Now()
-	if admittedAt.Sub(acceptedAt) >= minStall {
-		l.stall.begin(acceptedAt)
-		l.stall.end(admittedAt)
+	if admittedAt.Sub(acceptedAt) >= minAcceptPause {
+		l.pause.begin(acceptedAt)
+		l.pause.end(admittedAt)
 	}
-	c.setQueueTime(l.stall.heldUpFor(admittedAt))
+	c.setQueueTime(l.pause.maxDelay(admittedAt))
 	return true
 }
 
@@ -125,8 +125,8 @@
 	l.failures, l.loggedAt = 0, time.Now()
 }
 
-// pause waits before another accept. It returns false if the listener was closed.
-func (l *Listener) pause(d time.Duration) bool {
+// wait waits before another accept. It returns false if the listener was closed.
+func (l *Listener) wait(d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/internal/downstream/read_ahead.go
+++ b/internal/downstream/read_ahead.go
@@ -12,11 +12,11 @@
 const readAheadChunk = 4096
 
 // errReadAheadFull ends the reading of a client that sends on without waiting for
-// its answers.
-var errReadAheadFull = errors.New("client sent more than one request ahead of an answer")
+// its responses. It counts as disconnected.
+var errReadAheadFull = errors.New("client sent more than one request ahead of a response")
 
 // fillReadAhead buffers what has arrived while a request is active, until the socket
-// is empty, the buffer is full or reading fails. It notes the latter two in
+// is empty, the buffer is full or reading fails. It records the latter two in
 // c.readErr. The caller holds conns.mu.
 func (c *Conn) fillReadAhead(fd int) {
 	var chunk [readAheadChunk]byte
--- a/internal/downstream/stats.go
+++ b/internal/downstream/stats.go
@@ -5,7 +5,7 @@
 	Open       int // admitted and not closed
 	Active     int // with a request that has no complete response
 	Evicted    int // closed for a new connection so far
-	Incomplete int // closed by Finish with a part of a request
+	Incomplete int // closed by Shutdown with a part of a request
 }
 
 // Stats returns the present numbers of connections.
