--- a/internal/downstream/admission_test.go
+++ b/internal/downstream/admission_test.go
@@ -36,7 +36,7 @@
 	if err := last.Close(); err != nil {
 		t.Fatal(err)
 	}
-	c := testkit.Wait(t, accepted, "the connection beyond the reserve").(*Conn)
+	c := testkit.Wait(t, accepted, "the connection beyond the reserve")
 	expectRead(t, c, "GET")
 }
 
@@ -47,11 +47,7 @@
 	dial(t, listener)
 	accept(t, listener).RequestComplete()
 	waiting := dial(t, listener)
-	accepted := make(chan error, 1)
-	go func() {
-		_, err := listener.Accept()
-		accepted <- err
-	}()
+	accepted := startAccept(listener)
 	testkit.Until(t, "the connection beyond the reserve to wait", conns.isAwaited)
 	if err := listener.Close(); err != nil {
 		t.Fatal(err)
@@ -67,28 +63,6 @@
 	}
 }
 
-// isAwaited reports whether somebody waits for a change of the set's connections.
-func (cs *Conns) isAwaited() bool {
-	cs.mu.Lock()
-	defer cs.mu.Unlock()
-	return cs.changed != nil
-}
-
-// acceptInBackground accepts a connection and sends it to the channel.
-func acceptInBackground(t *testing.T, listener net.Listener) <-chan net.Conn {
-	t.Helper()
-	accepted := make(chan net.Conn, 1)
-	go func() {
-		netConn, err := listener.Accept()
-		if err != nil {
-			t.Error(err)
-			return
-		}
-		accepted <- netConn
-	}()
-	return accepted
-}
-
 func TestListenerCloseEndsWaitOfAdmission(t *testing.T) {
 	conns := newTestConns(1)
 	if err := listen(t, conns).Close(); err != nil {
--- a/internal/downstream/conn_test.go
+++ b/internal/downstream/conn_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"io"
+	"net"
 	"net/http"
 	"testing"
 	"time"
@@ -11,13 +12,11 @@
 )
 
 // Bytes that arrive at a connection which was closed concurrently stay unread: nobody
-// would answer them. Only the caller that marked it closed gives its capacity back.
+// would respond to them. Only the caller that marked it closed gives its capacity back.
 func TestReadAfterConcurrentCloseReturnsNothing(t *testing.T) {
 	conns := newTestConns(1)
 	client, c := acceptConn(t, conns)
-	conns.mu.Lock()
-	c.state = stateClosed // as by a concurrent caller of Conns.markClosed
-	conns.mu.Unlock()
+	underLock(conns, func() { c.state = stateClosed }) // as by a concurrent caller of Conns.markClosed
 	send(t, client, "GET")
 	expectReadError(t, c)
 	if err := c.Close(); err != nil {
@@ -31,22 +30,23 @@
 	}
 }
 
-// past returns a time before any deadline of a test.
-func past() time.Time { return time.Unix(1, 0) }
+// expireRead has a read of c wait until its deadline has passed. The deadline stays.
+func expireRead(t *testing.T, c *Conn) {
+	t.Helper()
+	ended := startRead(c)
+	setReadDeadline(t, c, time.Unix(1, 0))
+	if err := testkit.Wait(t, ended, "the reader"); !testkit.IsTimeout(err) {
+		t.Fatalf("reading ended with %v", err)
+	}
+}
 
 // The read deadline of a request may pass just as bytes arrive. They stay unread: the
 // connection is closed. None is read and dropped.
 func TestReadAfterDeadlineLeavesBytesUnread(t *testing.T) {
 	conns := newTestConns(5)
 	client, c := acceptConn(t, conns)
-	conns.mu.Lock()
-	conns.beginRequest(c)
-	conns.mu.Unlock()
-	ended := startRead(c)
-	setReadDeadline(t, c, past())
-	if err := testkit.Wait(t, ended, "the reader"); !testkit.IsTimeout(err) {
-		t.Fatalf("reading ended with %v", err)
-	}
+	underLock(conns, func() { conns.beginRequest(c) })
+	expireRead(t, c)
 	sendUnread(t, client, c, "GET")
 	n, err := c.Read(make([]byte, 10))
 	if n != 0 || !testkit.IsTimeout(err) || sockstate.Peek(c.Conn) != sockstate.Readable {
@@ -60,26 +60,15 @@
 // to be over by a node that was busy as it arrived. The request is read: its client would
 // get a reset connection otherwise.
 func TestRequestAtTheEndOfTheIdleTimeoutIsRead(t *testing.T) {
-	for name, prepare := range map[string]func(conns *Conns, c *Conn){
-		"on a new connection":  func(*Conns, *Conn) {},
-		"between two requests": makeIdle,
-	} {
-		t.Run(name, func(t *testing.T) {
-			conns := newTestConns(5)
-			client, c := acceptConn(t, conns)
-			prepare(conns, c)
-			ended := startRead(c)
-			setReadDeadline(t, c, past())
-			if err := testkit.Wait(t, ended, "the reader"); !testkit.IsTimeout(err) {
-				t.Fatalf("reading ended with %v", err)
-			}
-			sendUnread(t, client, c, "GET")
-			expectRead(t, c, "GET")
-			if err := testkit.Wait(t, startRead(c), "the read timeout"); !testkit.IsTimeout(err) {
-				t.Errorf("reading the rest ended with %v", err)
-			}
-		})
-	}
+	forEachConnAwaitingRequest(t, func(t *testing.T, _ *Conns, client net.Conn, c *Conn) {
+		t.Helper()
+		expireRead(t, c)
+		sendUnread(t, client, c, "GET")
+		expectRead(t, c, "GET")
+		if err := testkit.Wait(t, startRead(c), "the read timeout"); !testkit.IsTimeout(err) {
+			t.Errorf("reading the rest ended with %v", err)
+		}
+	})
 }
 
 // On an idle connection net/http applies the read timeout once four bytes have
--- a/internal/downstream/disconnect_test.go
+++ b/internal/downstream/disconnect_test.go
@@ -24,13 +24,13 @@
 	}
 }
 
-// An attempt may ask whether its client has disconnected when the request already has
-// an answer (a hedged request whose connection comes up just then) or after
-// Finish. What the client sends next stays unread then.
+// An attempt may check whether its client has disconnected when the request already has
+// a response (a hedged request whose connection comes up just then) or after
+// Shutdown. What the client sends next stays unread then.
 func TestClientDisconnectedLeavesNextRequestUnread(t *testing.T) {
 	for name, prepare := range map[string]func(conns *Conns, c *Conn){
 		"between two requests": func(conns *Conns, c *Conn) { conns.ConnState(c, http.StateIdle) },
-		"after Finish":         func(conns *Conns, _ *Conn) { conns.Shutdown(canceledContext()) },
+		"after Shutdown":       func(conns *Conns, _ *Conn) { conns.Shutdown(canceledContext()) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			conns := newTestConns(5)
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestClientDisconnectedAfterFinish(t *testing.T) {
+func TestClientDisconnectedAfterShutdown(t *testing.T) {
 	conns := newTestConns(5)
 	client, c := acceptConn(t, conns)
 	c.RequestComplete()
--- a/internal/downstream/drain_test.go
+++ b/internal/downstream/drain_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"net"
 	"net/http"
 	"testing"
 	"time"
@@ -15,7 +16,7 @@
 func TestIdleConnWithUnreadRequestStaysOpen(t *testing.T) {
 	for name, attempt := range map[string]func(t *testing.T, conns *Conns, c *Conn){
 		"drain": func(_ *testing.T, conns *Conns, _ *Conn) { conns.Drain(canceledContext()) },
-		"request finished while draining": func(_ *testing.T, conns *Conns, c *Conn) {
+		"response complete while draining": func(_ *testing.T, conns *Conns, c *Conn) {
 			c.RequestComplete()
 			conns.beginDraining()
 			conns.ConnState(c, http.StateIdle)
@@ -58,36 +59,29 @@
 
 // Once connections are closed for good, those that wait for a request are closed. One that
 // arrives after that stays unread, so that its client retries at another node.
-func TestRequestAfterFinishStaysUnread(t *testing.T) {
-	for name, prepare := range map[string]func(conns *Conns, c *Conn){
-		"on a new connection":  func(*Conns, *Conn) {},
-		"between two requests": makeIdle,
-	} {
-		t.Run(name, func(t *testing.T) {
-			conns := newTestConns(5)
-			client, c := acceptConn(t, conns)
-			prepare(conns, c)
-			conns.beginClosing()
-			if closing := conns.takeWithoutRequest(); closing != c {
-				t.Fatalf("%p is closed next, want %p", closing, c)
-			}
-			sendUnread(t, client, c, "GET")
-			conns.ConnState(c, http.StateIdle)
-			expectReadError(t, c)
-			if sockstate.Peek(c.Conn) != sockstate.Readable {
-				t.Error("the request was read")
-			}
-		})
-	}
+func TestRequestAfterShutdownStaysUnread(t *testing.T) {
+	forEachConnAwaitingRequest(t, func(t *testing.T, conns *Conns, client net.Conn, c *Conn) {
+		t.Helper()
+		conns.beginClosing()
+		if closing := conns.takeWithoutRequest(); closing != c {
+			t.Fatalf("%p is closed next, want %p", closing, c)
+		}
+		sendUnread(t, client, c, "GET")
+		conns.ConnState(c, http.StateIdle)
+		expectReadError(t, c)
+		if sockstate.Peek(c.Conn) != sockstate.Readable {
+			t.Error("the request was read")
+		}
+	})
 }
 
 // A request that has arrived by the time at which connections are closed for good is read,
 // whatever its connection did before, and its connection stays open for the response.
-func TestRequestBeforeFinishIsRead(t *testing.T) {
+func TestRequestBeforeShutdownIsRead(t *testing.T) {
 	for name, prepare := range map[string]func(conns *Conns, c *Conn){
-		"on a new connection":   func(*Conns, *Conn) {},
-		"between two requests":  makeIdle,
-		"right after an answer": func(_ *Conns, c *Conn) { c.RequestComplete() },
+		"on a new connection":    func(*Conns, *Conn) {},
+		"between two requests":   makeIdle,
+		"right after a response": func(_ *Conns, c *Conn) { c.RequestComplete() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			conns := newTestConns(5)
@@ -106,8 +100,8 @@
 }
 
 // A client that has sent a part of a request and stops is not waited for. Until net/http
-// has asked for more the request may be complete, and its connection stays open.
-func TestFinishClosesIncompleteRequest(t *testing.T) {
+// waits for more the request may be complete, and its connection stays open.
+func TestShutdownClosesIncompleteRequest(t *testing.T) {
 	conns := newTestConns(5)
 	client, c := acceptConn(t, conns)
 	send(t, client, "GET")
@@ -126,33 +120,31 @@
 	}
 }
 
-// Finish waits for the response to each request that was read, and not for the client to
+// Shutdown waits for the response to each request that was read, and not for the client to
 // close its connection after that.
-func TestFinishWaitsForResponses(t *testing.T) {
+func TestShutdownWaitsForResponses(t *testing.T) {
 	conns := newTestConns(5)
 	_, c := acceptConn(t, conns)
 	c.RequestComplete()
-	finished := make(chan struct{})
+	returned := make(chan struct{})
 	go func() {
 		conns.Shutdown(context.WithoutCancel(t.Context()))
-		close(finished)
+		close(returned)
 	}()
-	testkit.Until(t, "Finish to wait", conns.isAwaited)
+	testkit.Until(t, "Shutdown to wait", conns.isAwaited)
 	select {
-	case <-finished:
-		t.Fatal("finished before the response")
+	case <-returned:
+		t.Fatal("Shutdown returned before the response")
 	default:
 	}
-	conns.mu.Lock()
-	conns.beginLingering(c)
-	conns.mu.Unlock()
-	testkit.Wait(t, finished, "the end")
+	underLock(conns, func() { conns.beginLingering(c) })
+	testkit.Wait(t, returned, "Shutdown to return")
 	if c.Closed() {
 		t.Error("closed before the client has read the response")
 	}
 }
 
-func TestRequestReadBeforeFinishIsReturned(t *testing.T) {
+func TestRequestReadBeforeShutdownIsReturned(t *testing.T) {
 	expectBufferedRequestReturned(t, func(conns *Conns) { conns.Shutdown(canceledContext()) })
 }
 
--- a/internal/downstream/helpers_test.go
+++ b/internal/downstream/helpers_test.go
@@ -29,13 +29,9 @@
 }
 
 // listen returns a listener that admits to conns.
-func listen(t *testing.T, conns *Conns) net.Listener {
+func listen(t *testing.T, conns *Conns) *Listener {
 	t.Helper()
-	inner, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	listener := conns.Listener(inner)
+	listener := conns.Listener(testkit.Listen(t))
 	t.Cleanup(func() { _ = listener.Close() }) // the test is over
 	return listener
 }
@@ -63,13 +59,69 @@
 }
 
 // acceptConn returns both ends of a connection that was admitted to conns.
-func acceptConn(t *testing.T, conns *Conns) (client net.Conn, node *Conn) {
+func acceptConn(t *testing.T, conns *Conns) (net.Conn, *Conn) {
 	t.Helper()
 	listener := listen(t, conns)
-	client = dial(t, listener)
+	client := dial(t, listener)
 	return client, accept(t, listener)
 }
 
+// acceptInBackground accepts a connection and sends it to the channel.
+func acceptInBackground(t *testing.T, listener net.Listener) <-chan *Conn {
+	t.Helper()
+	accepted := make(chan *Conn, 1)
+	go func() {
+		netConn, err := listener.Accept()
+		if err != nil {
+			t.Error(err)
+			return
+		}
+		accepted <- netConn.(*Conn)
+	}()
+	return accepted
+}
+
+// startAccept accepts a connection in the background and sends the error to the channel.
+func startAccept(listener net.Listener) <-chan error {
+	ended := make(chan error, 1)
+	go func() {
+		_, err := listener.Accept()
+		ended <- err
+	}()
+	return ended
+}
+
+// forEachConnAwaitingRequest runs a subtest for a new connection, and one for a connection
+// between two requests.
+func forEachConnAwaitingRequest(t *testing.T, test func(t *testing.T, conns *Conns, client net.Conn, c *Conn)) {
+	t.Helper()
+	for name, prepare := range map[string]func(conns *Conns, c *Conn){
+		"on a new connection":  func(*Conns, *Conn) {},
+		"between two requests": makeIdle,
+	} {
+		t.Run(name, func(t *testing.T) {
+			conns := newTestConns(5)
+			client, c := acceptConn(t, conns)
+			prepare(conns, c)
+			test(t, conns, client, c)
+		})
+	}
+}
+
+// underLock calls a function that needs the lock of the set.
+func underLock(conns *Conns, call func()) {
+	conns.mu.Lock()
+	defer conns.mu.Unlock()
+	call()
+}
+
+// isAwaited reports whether somebody waits for a change of the set's connections.
+func (cs *Conns) isAwaited() bool {
+	cs.mu.Lock()
+	defer cs.mu.Unlock()
+	return cs.changed != nil
+}
+
 // makeIdle passes c through a request, to the time between two requests.
 func makeIdle(conns *Conns, c *Conn) {
 	c.RequestComplete()
--- a/internal/downstream/listener_test.go
+++ b/internal/downstream/listener_test.go
@@ -32,8 +32,8 @@
 	return &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", errno)}
 }
 
-// After any error of accept that may pass, the connection is accepted by a later one.
-func TestAcceptIsRepeatedAfterMomentaryFailure(t *testing.T) {
+// After any temporary error of accept, the connection is accepted by a later one.
+func TestAcceptIsRetriedAfterTemporaryFailure(t *testing.T) {
 	for _, errno := range []syscall.Errno{
 		syscall.ECONNABORTED, syscall.EINTR, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
 		syscall.EPROTO, syscall.EPERM, syscall.ETIMEDOUT, syscall.ENETDOWN, syscall.ENOPROTOOPT, syscall.EHOSTDOWN,
@@ -61,15 +61,11 @@
 	}
 }
 
-// Closing the listener ends the pause after a failure.
-func TestCloseEndsThePauseAfterAFailure(t *testing.T) {
+// Closing the listener ends the backoff after a failure.
+func TestCloseEndsTheBackoffAfterAFailure(t *testing.T) {
 	const endless = 1 << 30
 	listener := newTestConns(5).Listener(&failingListener{testkit.Listen(t), endless, acceptError(syscall.ENFILE)})
-	ended := make(chan error, 1)
-	go func() {
-		_, err := listener.Accept()
-		ended <- err
-	}()
+	ended := startAccept(listener)
 	if err := listener.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -82,11 +78,7 @@
 func TestStopAcceptingReturnsQueuedConnections(t *testing.T) {
 	const queued = 20
 	conns := newTestConns(queued)
-	inner, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	listener := conns.Listener(inner)
+	listener := listen(t, conns)
 	for range queued {
 		send(t, dial(t, listener), "GET")
 	}
@@ -102,44 +94,44 @@
 		t.Errorf("accepting ended with %v", err)
 	}
 	testkit.Wait(t, stopped, "StopAccepting")
-	if conn, err := net.Dial("tcp", inner.Addr().String()); err == nil {
+	if conn, err := net.Dial("tcp", listener.Addr().String()); err == nil {
 		t.Error("a connection was accepted after the end")
 		_ = conn.Close() // nothing was sent on it
 	}
 }
 
-// Connections that nobody accepts do not hold up the shutdown.
+// Connections that nobody accepts do not delay the shutdown.
 func TestStopAcceptingGivesUpWhenItsContextEnds(t *testing.T) {
-	listener := newTestConns(5).Listener(testkit.Listen(t))
+	listener := listen(t, newTestConns(5))
 	dial(t, listener)
 	listener.StopAccepting(canceledContext())
 }
 
 // What a client sends as it connects may wait for a failing accept to succeed, and for the
-// admission of its connection and of those before it. The connection tells for how long.
+// admission of its connection and of those before it. The connection reports for how long.
 func TestQueueTimeCoversFailuresAndAdmission(t *testing.T) {
 	const failures = 4
-	const pauses = minAcceptBackoff * (1<<failures - 1)
+	const backoff = minAcceptBackoff * (1<<failures - 1)
 	conns := newTestConns(1)
 	inner := &failingListener{Listener: testkit.Listen(t), err: acceptError(syscall.ENFILE)}
 	listener := conns.Listener(inner)
 	dial(t, listener)
 	inner.failures = failures
 	c := accept(t, listener)
-	if c.QueueTime() < pauses {
-		t.Errorf("%v in the queue after failures for %v", c.QueueTime(), pauses)
+	if c.QueueTime() < backoff {
+		t.Errorf("%v in the queue after failures for %v", c.QueueTime(), backoff)
 	}
 	c.RequestComplete()
 	dial(t, listener)
 	accepted := acceptInBackground(t, listener)
 	testkit.Until(t, "the admission to wait", conns.isAwaited)
-	time.Sleep(pauses)
+	time.Sleep(backoff)
 	if err := c.Close(); err != nil {
 		t.Fatal(err)
 	}
-	waited := testkit.Wait(t, accepted, "the admission").(*Conn)
-	if waited.QueueTime() < pauses {
-		t.Errorf("%v in the queue after an admission of %v", waited.QueueTime(), pauses)
+	waited := testkit.Wait(t, accepted, "the admission")
+	if waited.QueueTime() < backoff {
+		t.Errorf("%v in the queue after an admission of %v", waited.QueueTime(), backoff)
 	}
 	makeIdle(conns, waited)
 	if waited.QueueTime() > 0 {
--- a/internal/downstream/read_ahead_test.go
+++ b/internal/downstream/read_ahead_test.go
@@ -9,8 +9,8 @@
 	"calicohinge/internal/testkit"
 )
 
-// What arrives ahead of an answer is buffered up to the size of one request and read
-// after the answer. A client that sends more counts as disconnected.
+// What arrives ahead of a response is buffered up to the size of one request and read
+// after the response. A client that sends more counts as disconnected.
 func TestReadAheadIsBounded(t *testing.T) {
 	conns := newTestConns(5)
 	client, c := acceptConn(t, conns)
