--- a/internal/upstream/call.go
+++ b/internal/upstream/call.go
@@ -14,26 +14,17 @@
 	errRevoked            = errors.New("attempt was revoked")
 )
 
-// Call controls one attempt from outside of its Send. Its methods may be called
-// from several goroutines.
+// Call controls one attempt from outside of its Send, which may run in another goroutine. It
+// holds the attempt's context, as http.Request does. Its methods may be called from several
+// goroutines.
 type Call struct {
 	ctx                context.Context
 	cancel             context.CancelFunc
 	clientDisconnected func() bool
-	state              atomic.Int32              // of type callState
+	state              atomicCallState
 	writeDeadline      atomic.Pointer[time.Time] // nil: none
 }
 
-// callState says whether an attempt has been written. The first byte is written
-// after the change from unsent to sending, which excludes the change to revoked.
-type callState int32
-
-const (
-	unsent callState = iota
-	sending
-	revoked
-)
-
 // NewCall prepares an attempt that ends with ctx or Cancel. clientDisconnected is
 // called just before the first byte is written: nothing is written if it reports
 // that nobody waits for the response any more.
@@ -46,15 +37,15 @@
 // Cancel ends the attempt: its connection is closed.
 func (c *Call) Cancel() { c.cancel() }
 
-// Revoke prevents the attempt from being written. It reports false if the attempt
+// Revoke prevents the attempt from being written. It returns false if the attempt
 // has started or was revoked before.
-func (c *Call) Revoke() bool { return c.transition(revoked) }
+func (c *Call) Revoke() bool { return c.state.revoke() }
 
 // Revoked reports whether Revoke came before the first byte.
-func (c *Call) Revoked() bool { return c.is(revoked) }
+func (c *Call) Revoked() bool { return c.state.is(callRevoked) }
 
 // Started reports whether writing the first byte has been permitted.
-func (c *Call) Started() bool { return c.is(sending) }
+func (c *Call) Started() bool { return c.state.is(callStarted) }
 
 // SetWriteDeadline sets the time from which on no byte of the attempt is written.
 // It has no effect on an attempt that has started.
@@ -69,10 +60,11 @@
 }
 
 // start permits the first byte to be written, or returns why nothing may be written. The
-// loop may have revoked the attempt, or be late to do so at the write deadline. The client
-// is asked last, as the event of its disconnection may still be queued: an attempt must not
-// begin 0.1 s after a client has left, and a node may be held up for longer between a look
-// at the clock and a write.
+// caller of Send may have revoked the attempt, or be late to do so at the write deadline.
+//
+// The client is checked after the clock, as the event of its disconnect may still be queued.
+// An attempt must not begin 0.1 s after its client has disconnected, and the process may be
+// paused for longer between reading the clock and a write.
 func (c *Call) start() error {
 	if deadline := c.writeDeadlineOrZero(); !deadline.IsZero() && !time.Now().Before(deadline) {
 		return errWriteDeadline
@@ -80,16 +72,8 @@
 	if c.clientDisconnected() {
 		return errClientDisconnected
 	}
-	if !c.transition(sending) {
+	if !c.state.start() {
 		return errRevoked
 	}
 	return nil
 }
-
-// transition changes an unsent attempt's state; it reports false if the attempt is
-// not unsent any more.
-func (c *Call) transition(to callState) bool {
-	return c.state.CompareAndSwap(int32(unsent), int32(to))
-}
-
-func (c *Call) is(state callState) bool { return c.state.Load() == int32(state) }
