--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -16,12 +16,13 @@
 	reader         *bufio.Reader // reads through connection.Read
 	responseBudget int           // bytes that the present response may still take
 	readErr        error         // result of the last read from the socket
+	reusable       bool          // it may carry a further request
 	reused         bool          // it has been released before
 	idleSince      time.Time     // its last release
 }
 
 func newConnection(socket net.Conn, target *server) *connection {
-	conn := &connection{Conn: socket, server: target}
+	conn := &connection{Conn: socket, server: target, reusable: true}
 	conn.reader = bufio.NewReader(conn)
 	return conn
 }
--- a/internal/upstream/endpoints_test.go
+++ b/internal/upstream/endpoints_test.go
@@ -60,6 +60,6 @@
 	replaced := endpoint.Endpoint{ID: id, Address: server.Address, State: policy.Ready, StartedAt: time.UnixMilli(1)}
 	pool.UpdateEndpoints(false, []endpoint.Endpoint{replaced})
 	expectOpen(t, pool, 1)
-	pool.release(inUse, true)
+	pool.release(inUse)
 	expectOpen(t, pool, 0)
 }
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -20,25 +20,26 @@
 )
 
 // exchange writes a request and reads its response. A request may have been
-// executed once its last byte is written, and not before. It reports whether the
-// connection can carry a further request.
-func (c *connection) exchange(request *encodedRequest) (result Result, reusable bool) {
+// executed once its last byte is written, and not before. The connection is reusable
+// afterwards only if the response is complete and nothing follows it.
+func (c *connection) exchange(request *encodedRequest) Result {
+	c.reusable = false
 	if _, err := c.Write(request.message); err != nil {
-		return Result{Status: policy.ConnectFailed}, false // its last byte was not written
+		return Result{Status: policy.ConnectFailed} // its last byte was not written
 	}
 	c.responseBudget = maxResponse
 	response, err := c.readFinalHeader(request)
 	if err != nil {
-		return Result{Status: c.failureStatus(err)}, false
+		return Result{Status: c.failureStatus(err)}
 	}
 	body, err := readBody(response)
 	if err != nil {
-		return Result{Status: c.failureStatus(err)}, false
+		return Result{Status: c.failureStatus(err)}
 	}
 	c.limitRead(time.Time{})
 	// Bytes beyond the response could be taken for the next one.
-	reusable = !response.Close && c.reader.Buffered() == 0
-	return classify(response, body), reusable
+	c.reusable = !response.Close && c.reader.Buffered() == 0
+	return classify(response, body)
 }
 
 // readFinalHeader reads interim responses and returns the final response, of which
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -59,7 +59,7 @@
 	open    int // connections to all servers, those being opened included
 }
 
-// server is one process of a server: what is known at one address since one start.
+// server is one incarnation of a server: its process at one address since one start.
 type server struct {
 	address   string
 	startedAt time.Time     // of its process, by the wall clock of its machine
@@ -113,11 +113,10 @@
 
 // takeIdleLocked removes and returns the connection that was released last among
 // those that have settled, or nil. A request written before its connection has
-// settled may be lost, or get bytes that belong to the former response: nothing in
+// settled may be lost, or get bytes that belong to the previous response: nothing in
 // a response names its request.
 func (p *Pool) takeIdleLocked(target *server) *connection {
-	for i := len(target.idle) - 1; i >= 0; i-- {
-		conn := target.idle[i]
+	for i, conn := range slices.Backward(target.idle) {
 		idleFor := time.Since(conn.idleSince)
 		if idleFor < p.config.SettleDelay {
 			continue
@@ -152,11 +151,11 @@
 
 // release returns a connection to the pool, which keeps it for a further request
 // if it is reusable and closes it otherwise.
-func (p *Pool) release(conn *connection, reusable bool) {
+func (p *Pool) release(conn *connection) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	target := conn.server
-	if !reusable || target.removed || len(target.idle) >= maxIdlePerServer {
+	if !conn.reusable || target.removed || len(target.idle) >= maxIdlePerServer {
 		p.closeLocked(conn)
 		return
 	}
--- a/internal/upstream/send.go
+++ b/internal/upstream/send.go
@@ -30,13 +30,14 @@
 		left := time.Until(deadline)
 		encoded, err := request.encode(left)
 		if err != nil || left <= 0 {
-			p.release(conn, true)
+			p.release(conn)
 			return Result{Status: policy.NotSent}
 		}
 		if conn.quiet() {
 			return p.sendOn(conn, call, encoded)
 		}
-		p.release(conn, false)
+		conn.reusable = false
+		p.release(conn)
 		if !conn.reused {
 			return Result{Status: policy.ConnectFailed}
 		}
@@ -51,14 +52,17 @@
 	writeDeadline := call.writeDeadlineOrZero()
 	conn.limitWrite(writeDeadline)
 	if err := call.start(); err != nil {
-		p.release(conn, stopAbort())
+		conn.reusable = stopAbort()
+		p.release(conn)
 		return Result{Status: policy.NotSent, ClientDisconnected: errors.Is(err, errClientDisconnected)}
 	}
 	if latest := call.writeDeadlineOrZero(); !latest.Equal(writeDeadline) {
 		conn.limitWrite(latest) // it was set meanwhile
 	}
-	result, reusable := conn.exchange(request)
-	notAborted := stopAbort()
-	p.release(conn, notAborted && reusable)
+	result := conn.exchange(request)
+	if aborted := !stopAbort(); aborted {
+		conn.reusable = false
+	}
+	p.release(conn)
 	return result
 }
