--- a/internal/upstream/endpoints.go
+++ b/internal/upstream/endpoints.go
@@ -19,9 +19,9 @@
 
 // UpdateEndpoints applies an update of the endpoint list: the complete list, or
 // the endpoints that changed. A server with a new address or a new start time is
-// another process: idle connections to the former one are closed, and those in use
+// another incarnation: idle connections to the previous one are closed, and those in use
 // once they are released. It returns the servers that were added or removed, that
-// are not ready, or that are another process now.
+// are not ready, or that are another incarnation now.
 func (p *Pool) UpdateEndpoints(complete bool, endpoints []endpoint.Endpoint) RevokedServers {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -51,9 +51,9 @@
 	return revoked
 }
 
-// updateLocked records an endpoint that is not gone. It reports whether the server
-// is new or another process than before.
-func (p *Pool) updateLocked(id policy.ServerID, current endpoint.Endpoint) (replaced bool) {
+// updateLocked records an endpoint that was not removed. It returns true if the server
+// is new or another incarnation than before.
+func (p *Pool) updateLocked(id policy.ServerID, current endpoint.Endpoint) bool {
 	old := p.servers[id]
 	if old != nil && old.address == current.Address && old.startedAt.Equal(current.StartedAt) {
 		return false
--- a/internal/upstream/limits.go
+++ b/internal/upstream/limits.go
@@ -17,6 +17,6 @@
 	errResponseTooLarge   = errors.New("response is too large")
 	errBodyTooLarge       = errors.New("body of the response is too large")
 	errInterimResponses   = errors.New("too many interim responses")
-	errSwitchingProtocols = errors.New("server switches protocols unasked")
+	errSwitchingProtocols = errors.New("server switches protocols without an upgrade request")
 	errNotHTTP            = errors.New("response is not HTTP/1")
 )
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -3,7 +3,9 @@
 // on the endpoint list and decides which server gets an attempt, and when. Each
 // Send writes a request at most once; retries are the caller's. The package does
 // not touch the state of requests or of package policy: an attempt is described by
-// its Call and its Result alone.
+// its Call and its Result alone. While Send waits for a connection its Call may be
+// revoked, and at any time canceled; see callState. An idle connection may be closed at
+// any time: by its server, by RetireIdle, or for a connection to another server.
 package upstream
 
 import (
--- a/internal/upstream/retire.go
+++ b/internal/upstream/retire.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"slices"
 	"time"
 )
 
@@ -36,6 +37,6 @@
 			p.closeLocked(s.idle[expired])
 			expired++
 		}
-		s.idle = append(s.idle[:0], s.idle[expired:]...)
+		s.idle = slices.Delete(s.idle, 0, expired)
 	}
 }
--- a/internal/upstream/stats.go
+++ b/internal/upstream/stats.go
@@ -15,7 +15,8 @@
 }
 
 // Idle counts the idle connections to all servers.
-func (s Stats) Idle() (count int) {
+func (s Stats) Idle() int {
+	count := 0
 	for _, server := range s.Servers {
 		count += server.Idle
 	}
