--- a/internal/upstream/dial_test.go
+++ b/internal/upstream/dial_test.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// The server is told how long the client still waits as the request is written, after the
-// time that its connection took.
+// The timeout that a server gets is what the client has left as the request is written,
+// after the time that its connection took.
 func TestTimeForTheConnectionIsTakenFromTheTimeout(t *testing.T) {
 	const timeout, connecting = 10 * time.Second, 300 * time.Millisecond
 	backend := testkit.NewBackend(t, testkit.OK)
@@ -47,9 +47,9 @@
 		t.Fatalf("status %v", result.Status)
 	}
 	received := testkit.Wait(t, backend.Requests, "the request")
-	told, err := strconv.Atoi(received.Header.Get(timeoutHeader))
-	if err != nil || told <= 0 || time.Duration(told)*time.Millisecond > timeout-connecting {
-		t.Errorf("the server was told %d ms, %v; want %v at most", told, err, timeout-connecting)
+	milliseconds, err := strconv.Atoi(received.Header.Get(timeoutHeader))
+	if err != nil || milliseconds <= 0 || time.Duration(milliseconds)*time.Millisecond > timeout-connecting {
+		t.Errorf("the server got a timeout of %d ms, %v; want %v at most", milliseconds, err, timeout-connecting)
 	}
 }
 
@@ -64,11 +64,11 @@
 	}
 }
 
-// The client is asked after the last reading of the clock. A node may be held up between that
-// and a write, for longer than an attempt may begin after its client has disconnected.
-func TestClientIsAskedAfterTheWriteDeadline(t *testing.T) {
+// The client is checked after the last reading of the clock. The process may be paused between
+// that and a write, for longer than an attempt may begin after its client has disconnected.
+func TestClientIsCheckedAfterTheWriteDeadline(t *testing.T) {
 	call := NewCall(t.Context(), func() bool {
-		t.Error("the client was asked although the deadline has passed")
+		t.Error("the client was checked although the deadline has passed")
 		return false
 	})
 	call.SetWriteDeadline(time.Now())
--- a/internal/upstream/endpoints.go
+++ b/internal/upstream/endpoints.go
@@ -64,7 +64,7 @@
 }
 
 // removeLocked closes the idle connections to a server, which may be nil, and
-// forgets it.
+// removes it from the pool.
 func (p *Pool) removeLocked(id policy.ServerID, s *server) {
 	if s == nil {
 		return
--- a/internal/upstream/endpoints_test.go
+++ b/internal/upstream/endpoints_test.go
@@ -26,7 +26,7 @@
 		"not in a delta":      {false, nil, false, true},
 		"not in a full list":  {true, nil, true, false},
 		"draining":            {false, changed(func(e *endpoint.Endpoint) { e.State = policy.Draining }), true, true},
-		"gone":                {false, changed(func(e *endpoint.Endpoint) { e.State = policy.Removed }), true, false},
+		"removed":             {false, changed(func(e *endpoint.Endpoint) { e.State = policy.Removed }), true, false},
 		"at a new address":    {false, changed(func(e *endpoint.Endpoint) { e.Address = "10.0.0.2:80" }), true, true},
 		"with a new start":    {false, changed(func(e *endpoint.Endpoint) { e.StartedAt = time.UnixMilli(2) }), true, true},
 		"with another weight": {false, changed(func(e *endpoint.Endpoint) { e.Weight = 2 }), false, true},
--- a/internal/upstream/exchange_test.go
+++ b/internal/upstream/exchange_test.go
@@ -155,6 +155,7 @@
 // A response that never ends costs its attempt and its connection, neither the
 // time of the request nor memory.
 func TestEndlessResponseIsServerErrorAndClosesItsConnection(t *testing.T) {
+	t.Parallel()
 	for name, start := range map[string]string{
 		"header": "HTTP/1.1 200 OK\r\nX: ",
 		"body":   "HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n",
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -91,6 +91,7 @@
 }
 
 func testSettleDelay(t *testing.T, afterResponse func(conn net.Conn)) {
+	t.Helper()
 	served := make(chan struct{}, 10)
 	backend := testkit.NewBackend(t, hijacking(func(conn net.Conn) {
 		writeQuietly(conn, okResponse)
--- a/internal/upstream/send_test.go
+++ b/internal/upstream/send_test.go
@@ -111,12 +111,14 @@
 // a time.
 func listenWithSmallBuffers(t *testing.T) net.Listener {
 	t.Helper()
-	config := net.ListenConfig{Control: func(_, _ string, socket syscall.RawConn) (err error) {
-		return errors.Join(socket.Control(func(fd uintptr) {
-			err = errors.Join(
+	config := net.ListenConfig{Control: func(_, _ string, socket syscall.RawConn) error {
+		var optionErr error
+		controlErr := socket.Control(func(fd uintptr) {
+			optionErr = errors.Join(
 				syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 1024),
 				syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_MAXSEG, 88))
-		}), err)
+		})
+		return errors.Join(controlErr, optionErr)
 	}}
 	listener, err := config.Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
