--- /dev/null
+++ b/internal/simproto/codes.go
@@ -0,0 +1,88 @@
+package simproto
+
+import "calicohinge/policy"
+
+// statusCode is the protocol's code of how an attempt ended.
+type statusCode uint16
+
+const (
+	statusOK            statusCode = 200
+	statusTimeout       statusCode = 408
+	statusNotSent       statusCode = 409
+	statusRejected      statusCode = 429
+	statusCancelled     statusCode = 444
+	statusServerError   statusCode = 502
+	statusReset         statusCode = 520
+	statusConnectFailed statusCode = 521
+)
+
+// policyStatus translates the code; it returns false for an unknown one.
+func (c statusCode) policyStatus() (policy.Status, bool) {
+	switch c {
+	case statusOK:
+		return policy.OK, true
+	case statusTimeout:
+		return policy.Timeout, true
+	case statusNotSent:
+		return policy.NotSent, true
+	case statusRejected:
+		return policy.Rejected, true
+	case statusCancelled:
+		return policy.Cancelled, true
+	case statusServerError:
+		return policy.ServerError, true
+	case statusReset:
+		return policy.Reset, true
+	case statusConnectFailed:
+		return policy.ConnectFailed, true
+	}
+	return 0, false
+}
+
+// updateCode is the protocol's code of what an update of the endpoint list holds.
+type updateCode uint8
+
+const (
+	updateDelta       updateCode = 0
+	updateSnapshot    updateCode = 1
+	updateCached      updateCode = 2
+	updateWatchFailed updateCode = 3 // no update: a watch of the endpoint list has failed
+)
+
+// policyKind translates the code; it returns false for an unknown one, and for a failed
+// watch.
+func (c updateCode) policyKind() (policy.UpdateKind, bool) {
+	switch c {
+	case updateDelta:
+		return policy.UpdateDelta, true
+	case updateSnapshot:
+		return policy.UpdateSnapshot, true
+	case updateCached:
+		return policy.UpdateCached, true
+	case updateWatchFailed:
+		return 0, false
+	}
+	return 0, false
+}
+
+// stateCode is the protocol's code of a server's state.
+type stateCode uint8
+
+const (
+	stateRemoved  stateCode = 0
+	stateReady    stateCode = 1
+	stateDraining stateCode = 2
+)
+
+// policyState translates the code; it returns false for an unknown one.
+func (c stateCode) policyState() (policy.EndpointState, bool) {
+	switch c {
+	case stateRemoved:
+		return policy.Removed, true
+	case stateReady:
+		return policy.Ready, true
+	case stateDraining:
+		return policy.Draining, true
+	}
+	return 0, false
+}
--- a/internal/simproto/decode_test.go
+++ b/internal/simproto/decode_test.go
@@ -60,7 +60,7 @@
 		521: policy.ConnectFailed, 520: policy.Reset, 444: policy.Cancelled, 409: policy.NotSent,
 	}
 	for code := range uint16(1000) {
-		status, ok := attemptStatus(code)
+		status, ok := statusCode(code).policyStatus()
 		if wanted, known := want[code]; ok != known || status != wanted {
 			t.Errorf("code %d: status %v, known %v, want %v, %v", code, status, ok, wanted, known)
 		}
--- a/internal/simproto/encode.go
+++ b/internal/simproto/encode.go
@@ -32,14 +32,14 @@
 // initialReplyCapacity holds the reply to a usual batch, in bytes.
 const initialReplyCapacity = 1 << 14
 
-// Reply collects the actions that answer one batch. It implements policy.Host for the instance
+// Reply collects the actions that reply to one batch. It implements policy.Host for the instance
 // selected. Reset must be called before the first use. It is not safe for concurrent use.
 type Reply struct {
 	frame    []byte // the header, filled in by WriteTo, and the records
 	tail     []byte
 	count    uint32 // records so far
 	selected uint16 // the instance of the next action
-	context  int    // the instance of the last context record, or noInstance
+	inEffect int    // the instance of the last context record, or noInstance
 }
 
 var _ policy.Host = (*Reply)(nil)
@@ -52,7 +52,7 @@
 	r.frame = r.frame[:replyHeaderSize]
 	r.tail = r.tail[:0]
 	r.count = 0
-	r.context = noInstance
+	r.inEffect = noInstance
 }
 
 // SelectInstance sets the instance to which the following actions belong.
@@ -60,9 +60,9 @@
 
 // action appends an action record, after a context record if the instance has changed.
 func (r *Reply) action(code actionCode) record {
-	if r.context != int(r.selected) {
-		r.context = int(r.selected)
-		r.appendRecord(actionContext).putUint16(1, r.selected)
+	if r.inEffect != int(r.selected) {
+		r.inEffect = int(r.selected)
+		r.appendRecord(actionContext).putUint16(instanceAt, r.selected)
 	}
 	return r.appendRecord(code)
 }
@@ -72,7 +72,7 @@
 	r.frame = append(r.frame, blank[:]...)
 	r.count++
 	rec := record(r.frame[len(r.frame)-actionSize:])
-	rec[0] = byte(code)
+	rec[codeAt] = byte(code)
 	return rec
 }
 
--- a/internal/simproto/error.go
+++ b/internal/simproto/error.go
@@ -5,19 +5,21 @@
 	"fmt"
 )
 
-// ErrFormat is in the tree of every error about a malformed frame.
+// ErrFormat is in the tree of every error about a malformed frame, see FormatError.
 var ErrFormat = errors.New("malformed frame")
 
 // WholeFrame is the Record of a FormatError that does not concern a single record.
 const WholeFrame = -1
 
-// FormatError reports a malformed frame. errors.Is finds ErrFormat in it.
+// FormatError reports a malformed frame or record. errors.Is finds ErrFormat and the cause
+// in it.
 type FormatError struct {
 	Batch  uint32 // number of the batch
 	Record int    // index of the record in the batch, from 0, or WholeFrame
 	Err    error  // the cause
 }
 
+// Error names the batch, the record if there is one, and the cause, in one line.
 func (e *FormatError) Error() string {
 	if e.Record == WholeFrame {
 		return fmt.Sprintf("%v: batch %d: %v", ErrFormat, e.Batch, e.Err)
--- a/internal/simproto/event.go
+++ b/internal/simproto/event.go
@@ -16,7 +16,7 @@
 	EventRequest            EventCode = 3  // a client's request has arrived
 	EventStreamStarted      EventCode = 4  // the response to an attempt of a streaming class has started
 	EventOutcome            EventCode = 5  // an attempt has ended
-	EventClientDisconnected EventCode = 6  // a client has disconnected, or its final answer is overdue
+	EventClientDisconnected EventCode = 6  // a client has disconnected, or its final response is overdue
 	EventTimer              EventCode = 7  // a timer has expired
 	EventProbeResult        EventCode = 8  // a health check has ended
 	EventPeerMessage        EventCode = 9  // a message of another instance
@@ -26,31 +26,23 @@
 
 // String returns the name of the event, or its code if it has none.
 func (c EventCode) String() string {
-	switch c {
-	case EventOpen:
-		return "open"
-	case EventEndpoints:
-		return "endpoints"
-	case EventRequest:
-		return "request"
-	case EventStreamStarted:
-		return "stream started"
-	case EventOutcome:
-		return "outcome"
-	case EventClientDisconnected:
-		return "client disconnected"
-	case EventTimer:
-		return "timer"
-	case EventProbeResult:
-		return "probe result"
-	case EventPeerMessage:
-		return "peer message"
-	case EventStop:
-		return "stop"
-	case EventInstance:
-		return "instance"
+	names := [...]string{
+		EventOpen:               "open",
+		EventEndpoints:          "endpoints",
+		EventRequest:            "request",
+		EventStreamStarted:      "stream started",
+		EventOutcome:            "outcome",
+		EventClientDisconnected: "client disconnected",
+		EventTimer:              "timer",
+		EventProbeResult:        "probe result",
+		EventPeerMessage:        "peer message",
+		EventStop:               "stop",
+		EventInstance:           "instance",
 	}
-	return fmt.Sprintf("event code %d", uint8(c))
+	if int(c) >= len(names) || names[c] == "" {
+		return fmt.Sprintf("event code %d", uint8(c))
+	}
+	return names[c]
 }
 
 // Event is one record of a batch. Only the fields that name its code are valid.
--- a/internal/simproto/reader.go
+++ b/internal/simproto/reader.go
@@ -2,14 +2,10 @@
 
 import (
 	"bufio"
-	"encoding/binary"
 	"errors"
 	"fmt"
 	"io"
-	"math"
 	"time"
-
-	"calicohinge/internal/milliseconds"
 )
 
 const (
@@ -59,20 +55,18 @@
 		}
 		return nil, r.formatError("header of the next batch: %w", err)
 	}
-	header := r.header[:]
-	size := binary.BigEndian.Uint32(header[batchBodySizeAt:])
-	count := binary.BigEndian.Uint32(header[batchCountAt:])
-	r.batch.Number = binary.BigEndian.Uint32(header[batchNumberAt:])
+	header := record(r.header[:])
+	size, count := header.uint32(batchBodySizeAt), header.uint32(batchCountAt)
+	r.batch.Number = header.uint32(batchNumberAt)
 	if size > maxBodySize || uint64(count)*eventSize > uint64(size) {
 		return nil, r.formatError("%d records in %d bytes", count, size)
 	}
 	if err := r.readBody(int(size)); err != nil {
 		return nil, r.formatError("body: %w", err)
 	}
-	clock := math.Float64frombits(binary.BigEndian.Uint64(header[batchTimeAt:]))
-	now, ok := milliseconds.ToDuration(clock)
+	now, ok := header.duration(batchTimeAt)
 	if !ok {
-		return nil, r.formatError("clock %v", clock)
+		return nil, r.formatError("clock %v", header.float64(batchTimeAt))
 	}
 	r.batch.Now = now
 	r.batch.Count = int(count)
--- a/internal/simproto/record.go
+++ b/internal/simproto/record.go
@@ -13,10 +13,21 @@
 // address is above them.
 const serverIDPortBits = 16
 
-// requestIDAt is the position of the request's ID in all events and actions that concern one.
-const requestIDAt = 1
+// The positions of fields that several events and actions share.
+const (
+	codeAt      = 0
+	requestIDAt = 1 // if the record concerns a request
+	instanceAt  = 1 // if the record selects an instance
+)
+
+// The sizes of what precedes the second part of a value, in bytes.
+const (
+	addressSize = 4 // of a server, before its port
+	offsetSize  = 4 // of a reference to the tail, before the length
+)
 
-// record is the bytes of an event or of an endpoint. Positions count from its first byte.
+// record is the bytes of a header, an event, an action or an endpoint. Positions count from
+// its first byte.
 type record []byte
 
 func (r record) uint16(at int) uint16 { return binary.BigEndian.Uint16(r[at:]) }
@@ -26,14 +37,14 @@
 func (r record) float32(at int) float64 { return float64(math.Float32frombits(r.uint32(at))) }
 func (r record) float64(at int) float64 { return math.Float64frombits(r.uint64(at)) }
 
-// duration reads a time; it reports false for one that is not a number or out of range.
+// duration reads a time; it returns false for one that is not a number or out of range.
 func (r record) duration(at int) (time.Duration, bool) { return milliseconds.ToDuration(r.float64(at)) }
 
 func (r record) requestID() policy.RequestID { return policy.RequestID(r.uint32(requestIDAt)) }
 
 // serverID reads four bytes of address and a port.
 func (r record) serverID(at int) policy.ServerID {
-	return policy.ServerID(r.uint32(at))<<serverIDPortBits | policy.ServerID(r.uint16(at+4))
+	return policy.ServerID(r.uint32(at))<<serverIDPortBits | policy.ServerID(r.uint16(at+addressSize))
 }
 
 func (r record) putUint16(at int, value uint16) { binary.BigEndian.PutUint16(r[at:], value) }
@@ -48,5 +59,5 @@
 
 func (r record) putServerID(at int, server policy.ServerID) {
 	r.putUint32(at, uint32(server>>serverIDPortBits))
-	r.putUint16(at+4, uint16(server))
+	r.putUint16(at+addressSize, uint16(server))
 }
--- a/internal/simproto/simproto.go
+++ b/internal/simproto/simproto.go
@@ -3,7 +3,9 @@
 // big-endian and have a header, records of a fixed size, and a tail for what varies in size.
 //
 // It translates between records and the types of package policy, makes no decisions and keeps
-// no state between batches but its buffers. cmd/simadapter is its only caller.
+// no state between batches but its buffers. The protocol's names and codes occur only here.
+// cmd/simadapter is its only caller: it reads a Batch, decodes each Event, and fills one Reply.
+// Any input may be malformed, which Reader.Read and Batch.Event report as a *FormatError.
 package simproto
 
 // The sizes of a frame's parts, in bytes.
