--- a/cmd/simadapter/adapter.go
+++ b/cmd/simadapter/adapter.go
@@ -5,12 +5,15 @@
 	"fmt"
 	"os"
 	"runtime/debug"
+	"time"
 
 	"calicohinge/internal/config"
 	"calicohinge/internal/simproto"
 	"calicohinge/policy"
 )
 
+// errNoInstance is the cause of a *simproto.FormatError for an event that no open instance
+// is selected for.
 var errNoInstance = errors.New("the selected instance is not open")
 
 // adapter passes the events of batches to the instances and collects their actions. The
@@ -26,7 +29,8 @@
 	return &adapter{instances: map[uint16]*policy.Balancer{}}
 }
 
-// handleBatch replaces the reply by the actions that answer the batch.
+// handleBatch replaces the reply by the actions that reply to the batch. An error is a
+// *simproto.FormatError.
 func (a *adapter) handleBatch(batch *simproto.Batch) error {
 	a.reply.Reset()
 	instanceSelected := false // a selection does not last beyond its batch
@@ -55,7 +59,7 @@
 	a.reply.SelectInstance(instance)
 }
 
-// accepts reports whether the selected instance may get an event: one that is not open can
+// accepts reports whether the selected instance may get an event. One that is not open can
 // only be opened.
 func (a *adapter) accepts(code simproto.EventCode) bool {
 	return code == simproto.EventOpen || a.instances[a.selected] != nil
@@ -70,18 +74,19 @@
 			a.reply.Fatal(fmt.Sprintf("panic: %v", cause))
 		}
 	}()
-	now, balancer := batch.Now, a.instances[a.selected]
+	a.dispatch(batch.Now, event)
+}
+
+// dispatch calls the method of the selected instance that an event is for.
+func (a *adapter) dispatch(now time.Duration, event *simproto.Event) {
+	balancer := a.instances[a.selected]
 	switch event.Code {
 	case simproto.EventOpen:
 		a.open(event)
 	case simproto.EventStop:
 		delete(a.instances, a.selected)
 	case simproto.EventEndpoints:
-		if event.WatchFailed {
-			balancer.WatchFailed(now, now+policy.NotificationDeadline)
-		} else {
-			balancer.UpdateEndpoints(now, event.Kind, event.Endpoints)
-		}
+		updateEndpoints(balancer, now, event)
 	case simproto.EventRequest:
 		balancer.Request(now, event.Request)
 	case simproto.EventStreamStarted:
@@ -92,7 +97,18 @@
 		balancer.ClientDisconnected(now, event.Outcome.ID)
 	case simproto.EventTimer:
 		balancer.Timer(now, event.Token)
+	case simproto.EventProbeResult, simproto.EventPeerMessage: // the instances use neither
+	case simproto.EventInstance: // see handleBatch
+	}
+}
+
+// updateEndpoints passes on an update of the endpoint list, or that a watch has failed.
+func updateEndpoints(balancer *policy.Balancer, now time.Duration, event *simproto.Event) {
+	if event.WatchFailed {
+		balancer.WatchFailed(now, now+policy.NotificationDeadline)
+		return
 	}
+	balancer.UpdateEndpoints(now, event.Kind, event.Endpoints)
 }
 
 // open starts the selected instance anew. Impossible settings are reported as fatal.
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -29,14 +29,14 @@
 	}
 }
 
-// run answers batches until the input ends between two of them.
+// run replies to batches until the input ends between two of them.
 func run(in io.Reader, out io.Writer) error {
 	adapter := newAdapter()
 	reader := simproto.NewReader(in)
 	writer := bufio.NewWriterSize(out, writeBufferSize)
 	for {
 		batch, err := reader.Read()
-		if errors.Is(err, io.EOF) && !errors.Is(err, simproto.ErrFormat) {
+		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -82,7 +82,7 @@
 	return codes
 }
 
-func TestRunAnswersBatchesUntilTheInputEnds(t *testing.T) {
+func TestRunRepliesToBatchesUntilTheInputEnds(t *testing.T) {
 	entry := "\x0a\x00\x00\x01\x1f\x90" +
 		"\x00\x00\x00\x00\x00\x00\x01\x3f\x80\x00\x00" + strings.Repeat("\x00", 8)
 	in := bytes.Join([][]byte{
@@ -112,7 +112,7 @@
 	}
 }
 
-func TestRunRefusesEventsForInstancesThatAreNotOpen(t *testing.T) {
+func TestRunRejectsEventsForInstancesThatAreNotOpen(t *testing.T) {
 	for name, in := range map[string][]byte{
 		"never opened": encodeBatch("", selectInstance(), eventRecord(eventTimer, uint64(0))),
 		"not selected": encodeBatch("", eventRecord(eventTimer, uint64(0))),
