--- a/internal/simproto/decode_test.go
+++ b/internal/simproto/decode_test.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"io"
+	"reflect"
 	"testing"
 	"time"
 
@@ -25,32 +26,32 @@
 	if !errors.Is(err, io.EOF) || errors.Is(err, ErrFormat) {
 		t.Fatalf("ends with %v, want a clean end", err)
 	}
-	if events[0].Instance != 3 || events[2].Token != 0x4d || events[7].Code != EventStop {
-		t.Fatalf("instance %d, token %d, last code %v", events[0].Instance, events[2].Token, events[7].Code)
-	}
-	wantRequest := policy.Request{ID: 0x5d3a91c4, Tenant: 1,
-		Timeout: 240 * time.Millisecond, CostHint: 12 * time.Millisecond}
-	if events[1].Request != wantRequest {
-		t.Errorf("request %+v, want %+v", events[1].Request, wantRequest)
-	}
 	const server = policy.ServerID(0x0a124a071f93)
-	update := events[3]
-	want := []policy.Endpoint{
-		{Server: server, Zone: 1, Cell: 2, State: policy.Ready, Weight: 1},
-		{Server: 0x0a9011f21fbc, State: policy.Draining, Weight: 1.5, StartedAt: 6100 * time.Millisecond},
-	}
-	if update.Kind != policy.UpdateCached || len(update.Endpoints) != 2 ||
-		update.Endpoints[0] != want[0] || update.Endpoints[1] != want[1] {
-		t.Errorf("update %v %+v, want %+v", update.Kind, update.Endpoints, want)
+	want := []Event{
+		{Code: EventInstance, Instance: 3},
+		{Code: EventRequest, Request: policy.Request{
+			ID: 0x5d3a91c4, Tenant: 1, Timeout: 240 * time.Millisecond, CostHint: 12 * time.Millisecond,
+		}},
+		{Code: EventTimer, Token: 0x4d},
+		{Code: EventEndpoints, Kind: policy.UpdateCached, Endpoints: []policy.Endpoint{
+			{Server: server, Zone: 1, Cell: 2, State: policy.Ready, Weight: 1},
+			{Server: 0x0a9011f21fbc, State: policy.Draining, Weight: 1.5, StartedAt: 6100 * time.Millisecond},
+		}},
+		{Code: EventOutcome, Outcome: policy.Outcome{
+			ID: 0x5d3a91c4, Server: server, Status: policy.OK, RequestCompleted: true,
+			Latency: 18500 * time.Microsecond,
+		}},
+		{Code: EventClientDisconnected, Outcome: policy.Outcome{ID: 0x0e6f2b19}},
+		{Code: EventStreamStarted, Outcome: policy.Outcome{ID: 0x5d3a91c4, Attempt: 2, Server: server}},
+		{Code: EventStop},
 	}
-	wantOutcome := policy.Outcome{ID: 0x5d3a91c4, Server: server, Status: policy.OK, RequestCompleted: true,
-		Latency: 18500 * time.Microsecond}
-	if events[4].Outcome != wantOutcome {
-		t.Errorf("outcome %+v, want %+v", events[4].Outcome, wantOutcome)
+	if len(events) != len(want) {
+		t.Fatalf("%d events, want %d", len(events), len(want))
 	}
-	if events[5].Outcome.ID != 0x0e6f2b19 || events[6].Outcome.Attempt != 2 ||
-		events[6].Outcome.Server != server {
-		t.Errorf("client disconnected %+v, stream started %+v", events[5].Outcome, events[6].Outcome)
+	for i := range want {
+		if !reflect.DeepEqual(events[i], want[i]) {
+			t.Errorf("event %d is %+v, want %+v", i, events[i], want[i])
+		}
 	}
 }
 
@@ -67,24 +68,27 @@
 	}
 }
 
-func TestFailedWatchHasNoUpdate(t *testing.T) {
-	events, err := decodeAll(frame(1, eventRecord(t, "02 03"), nil))
+// decodeOne decodes a batch of one event, written as hexadecimal digits.
+func decodeOne(t *testing.T, text string) Event {
+	t.Helper()
+	events, err := decodeAll(frame(1, eventRecord(t, text), nil))
 	if !errors.Is(err, io.EOF) || len(events) != 1 {
 		t.Fatalf("%d events, error %v", len(events), err)
 	}
-	if !events[0].WatchFailed || len(events[0].Endpoints) != 0 {
-		t.Errorf("event %+v, want a failed watch", events[0])
+	return events[0]
+}
+
+func TestFailedWatchHasNoUpdate(t *testing.T) {
+	event := decodeOne(t, "02 03")
+	if !event.WatchFailed || len(event.Endpoints) != 0 {
+		t.Errorf("event %+v, want a failed watch", event)
 	}
 }
 
 func TestCostHintThatIsNotMarkedValidIsIgnored(t *testing.T) {
-	events, err := decodeAll(frame(1,
-		eventRecord(t, "03 5d3a91c4 00 0001 91f03b7c55d20a64 406e000000000000 4028000000000000 06"), nil))
-	if !errors.Is(err, io.EOF) || len(events) != 1 {
-		t.Fatalf("%d events, error %v", len(events), err)
-	}
-	if events[0].Request.CostHint != 0 {
-		t.Errorf("cost hint %v, want none", events[0].Request.CostHint)
+	event := decodeOne(t, "03 5d3a91c4 00 0001 91f03b7c55d20a64 406e000000000000 4028000000000000 06")
+	if event.Request.CostHint != 0 {
+		t.Errorf("cost hint %v, want none", event.Request.CostHint)
 	}
 }
 
--- a/internal/simproto/encode_test.go
+++ b/internal/simproto/encode_test.go
@@ -10,6 +10,18 @@
 	"calicohinge/policy"
 )
 
+// expectWritten writes the reply to a batch and compares its bytes.
+func expectWritten(t *testing.T, reply *Reply, batch uint32, want []byte) {
+	t.Helper()
+	var out bytes.Buffer
+	if err := reply.WriteTo(bufio.NewWriter(&out), batch); err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(out.Bytes(), want) {
+		t.Fatalf("got\n%x\nwant\n%x", out.Bytes(), want)
+	}
+}
+
 func TestReplyEncodesActions(t *testing.T) {
 	var reply Reply
 	reply.Reset()
@@ -23,19 +35,13 @@
 	reply.Fail(7)
 	reply.WatchEndpoints()
 	reply.Fatal("broken")
-	var out bytes.Buffer
-	if err := reply.WriteTo(bufio.NewWriter(&out), 12); err != nil {
-		t.Fatal(err)
-	}
 	action := func(text string) []byte { return padded(t, actionSize, text) }
 	want := join(unhex(t, "00000009 000000de 0000000c"),
 		action("44 0003"), action("42 5d3a91c4 0a124a07 1f93 4054000000000000"),
 		action("48 40c0680000000000 000000000000004d"),
 		action("41 5d3a91c4 0001"), action("44 0005"), action("47 0e6f2b19 406f400000000000"), action("49 00000007"),
 		action("4b 01"), action("4d 00000000 00000006"), []byte("broken"))
-	if !bytes.Equal(out.Bytes(), want) {
-		t.Fatalf("got\n%x\nwant\n%x", out.Bytes(), want)
-	}
+	expectWritten(t, &reply, 12, want)
 }
 
 func TestSecondReplyHasNothingOfTheFirst(t *testing.T) {
@@ -45,15 +51,9 @@
 	reply.Fatal("broken")
 	reply.Reset()
 	reply.Fail(7)
-	var out bytes.Buffer
-	if err := reply.WriteTo(bufio.NewWriter(&out), 13); err != nil {
-		t.Fatal(err)
-	}
 	want := join(unhex(t, "00000002 00000030 0000000d"),
 		padded(t, actionSize, "44 0003"), padded(t, actionSize, "49 00000007"))
-	if !bytes.Equal(out.Bytes(), want) {
-		t.Fatalf("got\n%x\nwant\n%x", out.Bytes(), want)
-	}
+	expectWritten(t, &reply, 13, want)
 }
 
 var errBroken = errors.New("broken pipe")
--- a/internal/simproto/frame_test.go
+++ b/internal/simproto/frame_test.go
@@ -10,25 +10,25 @@
 )
 
 // unhex reads hexadecimal digits; spaces are ignored.
-func unhex(t testing.TB, text string) []byte {
-	t.Helper()
+func unhex(tb testing.TB, text string) []byte {
+	tb.Helper()
 	raw, err := hex.DecodeString(strings.ReplaceAll(text, " ", ""))
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return raw
 }
 
 // padded returns the bytes of a record, written as hexadecimal digits, padded to its size.
-func padded(t testing.TB, size int, text string) []byte {
-	t.Helper()
-	raw := unhex(t, text)
+func padded(tb testing.TB, size int, text string) []byte {
+	tb.Helper()
+	raw := unhex(tb, text)
 	return append(raw, make([]byte, size-len(raw))...)
 }
 
-func eventRecord(t testing.TB, text string) []byte {
-	t.Helper()
-	return padded(t, eventSize, text)
+func eventRecord(tb testing.TB, text string) []byte {
+	tb.Helper()
+	return padded(tb, eventSize, text)
 }
 
 // frame builds batch 12, whose clock is 8,500 ms.
--- a/internal/simproto/malformed_test.go
+++ b/internal/simproto/malformed_test.go
@@ -9,27 +9,27 @@
 
 // malformedFrames returns frames of which each must give an error of one line with its batch,
 // and no panic.
-func malformedFrames(t testing.TB) map[string][]byte {
-	t.Helper()
+func malformedFrames(tb testing.TB) map[string][]byte {
+	tb.Helper()
 	return map[string][]byte{
 		"truncated header":           frame(0, nil, nil)[:7],
-		"truncated body":             frame(1, eventRecord(t, "0b 0003"), nil)[:40],
+		"truncated body":             frame(1, eventRecord(tb, "0b 0003"), nil)[:40],
 		"huge claimed length":        replaced(frame(0, nil, nil), 0, 0xff),
 		"long claimed length":        replaced(frame(0, nil, nil), 0, 0x30),
-		"more records than bytes":    frame(9, eventRecord(t, "0b 0003"), nil),
-		"unknown event":              frame(1, eventRecord(t, "63"), nil),
-		"settings outside the tail":  frame(1, eventRecord(t, "01 0000000000000001 00000000 00000009"), []byte("{}")),
-		"endpoints outside the tail": frame(1, eventRecord(t, "02 01 0000000000000001 fffffff0 ffffffff"), nil),
-		"unknown kind of update":     frame(1, eventRecord(t, "02 09"), nil),
-		"unknown status":             frame(1, eventRecord(t, "05 5d3a91c4 0001"), nil),
-		"latency not a number":       frame(1, eventRecord(t, "05 5d3a91c4 00c8 01 0a124a07 1f93 0000 7ff8000000000001"), nil),
-		"timeout not finite":         frame(1, eventRecord(t, "03 5d3a91c4 00 0000 91f03b7c55d20a64 7ff0000000000000"), nil),
-		"message outside the tail":   frame(1, eventRecord(t, "09 00000002 00000000 00000004"), nil),
+		"more records than bytes":    frame(9, eventRecord(tb, "0b 0003"), nil),
+		"unknown event":              frame(1, eventRecord(tb, "63"), nil),
+		"settings outside the tail":  frame(1, eventRecord(tb, "01 0000000000000001 00000000 00000009"), []byte("{}")),
+		"endpoints outside the tail": frame(1, eventRecord(tb, "02 01 0000000000000001 fffffff0 ffffffff"), nil),
+		"unknown kind of update":     frame(1, eventRecord(tb, "02 09"), nil),
+		"unknown status":             frame(1, eventRecord(tb, "05 5d3a91c4 0001"), nil),
+		"latency not a number":       frame(1, eventRecord(tb, "05 5d3a91c4 00c8 01 0a124a07 1f93 0000 7ff8000000000001"), nil),
+		"timeout not finite":         frame(1, eventRecord(tb, "03 5d3a91c4 00 0000 91f03b7c55d20a64 7ff0000000000000"), nil),
+		"message outside the tail":   frame(1, eventRecord(tb, "09 00000002 00000000 00000004"), nil),
 		"clock not a number":         replaced(frame(0, nil, nil), 4, 0x7f, 0xf8),
-		"unknown server state": frame(1, eventRecord(t, "02 01 0000000000000001 00000000 00000001"),
-			unhex(t, "0a124a07 1f93 0000 0000 0000 07 3f800000 0000000000000000")),
-		"weight not a number": frame(1, eventRecord(t, "02 01 0000000000000001 00000000 00000001"),
-			unhex(t, "0a124a07 1f93 0000 0000 0000 01 7fc00000 0000000000000000")),
+		"unknown server state": frame(1, eventRecord(tb, "02 01 0000000000000001 00000000 00000001"),
+			unhex(tb, "0a124a07 1f93 0000 0000 0000 07 3f800000 0000000000000000")),
+		"weight not a number": frame(1, eventRecord(tb, "02 01 0000000000000001 00000000 00000001"),
+			unhex(tb, "0a124a07 1f93 0000 0000 0000 01 7fc00000 0000000000000000")),
 	}
 }
 
@@ -72,8 +72,8 @@
 			"malformed frame: batch 12, record 0: unknown status 1", nil},
 	} {
 		_, err := decodeAll(test.raw)
-		var formatError *FormatError
-		if !errors.As(err, &formatError) || formatError.Batch != test.batch || formatError.Record != test.record {
+		formatError, ok := errors.AsType[*FormatError](err)
+		if !ok || formatError.Batch != test.batch || formatError.Record != test.record {
 			t.Errorf("error %v, want a *FormatError for batch %d, record %d", err, test.batch, test.record)
 			continue
 		}
