--- a/internal/sockstate/sockstate.go
+++ b/internal/sockstate/sockstate.go
@@ -59,7 +59,7 @@
 	for {
 		n, _, err := syscall.Recvfrom(fd, buffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		if errors.Is(err, syscall.EINTR) {
-			continue // interrupted by a signal, which says nothing of the socket
+			continue // interrupted by a signal, which says nothing about the socket
 		}
 		return stateOf(n, err)
 	}
@@ -69,7 +69,7 @@
 func stateOf(n int, err error) State {
 	switch {
 	case errors.Is(err, syscall.EAGAIN), errors.Is(err, syscall.ENOMEM), errors.Is(err, syscall.ENOBUFS):
-		return Quiet // the latter are shortages of the system for a moment
+		return Quiet // the latter two are temporary shortages of the system
 	case err == nil && n > 0:
 		return Readable
 	}
--- a/internal/sockstate/sockstate_test.go
+++ b/internal/sockstate/sockstate_test.go
@@ -1,6 +1,7 @@
 package sockstate
 
 import (
+	"errors"
 	"io"
 	"net"
 	"syscall"
@@ -9,14 +10,10 @@
 	"calicohinge/internal/testkit"
 )
 
-// connect returns both ends of a loopback connection.
-func connect(t *testing.T) (local, remote *net.TCPConn) {
+// connect returns the local end and the peer's end of a loopback connection.
+func connect(t *testing.T) (*net.TCPConn, *net.TCPConn) {
 	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer closeQuietly(listener)
+	listener := testkit.Listen(t)
 	dialed, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -33,11 +30,10 @@
 // closeQuietly closes what the test may have closed already.
 func closeQuietly(closer io.Closer) { _ = closer.Close() }
 
-func write(t *testing.T, conn net.Conn, text string) {
-	t.Helper()
-	if _, err := io.WriteString(conn, text); err != nil {
-		t.Fatal(err)
-	}
+// writeByte writes the byte "x".
+func writeByte(conn *net.TCPConn) error {
+	_, err := io.WriteString(conn, "x")
+	return err
 }
 
 func check(t *testing.T, err error) {
@@ -49,25 +45,19 @@
 
 func TestPeekShowsWhatThePeerDid(t *testing.T) {
 	for name, c := range map[string]struct {
-		act  func(t *testing.T, peer *net.TCPConn)
+		act  func(peer *net.TCPConn) error
 		want State
 	}{
-		"nothing":            {func(*testing.T, *net.TCPConn) {}, Quiet},
-		"wrote":              {func(t *testing.T, peer *net.TCPConn) { write(t, peer, "x") }, Readable},
-		"closed":             {func(t *testing.T, peer *net.TCPConn) { check(t, peer.Close()) }, Closed},
-		"closed for writing": {func(t *testing.T, peer *net.TCPConn) { check(t, peer.CloseWrite()) }, Closed},
-		"reset": {func(t *testing.T, peer *net.TCPConn) {
-			check(t, peer.SetLinger(0))
-			check(t, peer.Close())
-		}, Closed},
-		"wrote, then closed": {func(t *testing.T, peer *net.TCPConn) {
-			write(t, peer, "x")
-			check(t, peer.Close())
-		}, Readable},
+		"nothing":            {func(*net.TCPConn) error { return nil }, Quiet},
+		"wrote":              {writeByte, Readable},
+		"closed":             {(*net.TCPConn).Close, Closed},
+		"closed for writing": {(*net.TCPConn).CloseWrite, Closed},
+		"reset":              {func(peer *net.TCPConn) error { return errors.Join(peer.SetLinger(0), peer.Close()) }, Closed},
+		"wrote, then closed": {func(peer *net.TCPConn) error { return errors.Join(writeByte(peer), peer.Close()) }, Readable},
 	} {
 		t.Run(name, func(t *testing.T) {
 			local, peer := connect(t)
-			c.act(t, peer)
+			check(t, c.act(peer))
 			testkit.Until(t, "the connection to be "+c.want.String(), func() bool { return Peek(local) == c.want })
 		})
 	}
@@ -75,7 +65,7 @@
 
 func TestPeekLeavesUnreadBytes(t *testing.T) {
 	local, peer := connect(t)
-	write(t, peer, "x")
+	check(t, writeByte(peer))
 	check(t, peer.CloseWrite())
 	testkit.Until(t, "bytes", func() bool { return Peek(local) == Readable })
 	text, err := io.ReadAll(local)
@@ -87,7 +77,7 @@
 	}
 }
 
-// A reader that blocks in the connection must not hold up Peek.
+// A reader that blocks in the connection must not delay Peek.
 func TestPeekDoesNotWaitForABlockedReader(t *testing.T) {
 	local, peer := connect(t)
 	raw, err := local.SyscallConn()
@@ -140,7 +130,7 @@
 	}
 }
 
-// A receive call that fails for a reason of the system says nothing of the peer: its
+// A receive call that fails for a reason of this machine says nothing about the peer, whose
 // connection must not count as closed.
 func TestStateOfFailedReceive(t *testing.T) {
 	for errno, want := range map[syscall.Errno]State{
