--- a/internal/syserror/syserror.go
+++ b/internal/syserror/syserror.go
@@ -1,18 +1,20 @@
-// Package syserror classifies errors of system calls and repeats operations that failed for a moment.
-// Packages config, node and upstream use it. It keeps no state.
+// Package syserror classifies errors of system calls and retries operations that failed for a moment.
+// Packages config, node, netdial and downstream call it. It keeps no state.
 package syserror
 
 import (
 	"errors"
+	"slices"
 	"syscall"
 	"time"
 )
 
 const (
-	// maxTries is how often Retry calls an operation.
-	maxTries = 6
-	// firstPause precedes the second try; it doubles with each further one, up to 310 ms in all.
-	firstPause = 10 * time.Millisecond
+	// maxAttempts is how often Retry calls an operation.
+	maxAttempts = 6
+	// initialBackoff precedes the second attempt. The backoff doubles with each further one, up to
+	// 310 ms in all.
+	initialBackoff = 10 * time.Millisecond
 )
 
 // IsShortage reports whether the system was out of a resource or interrupted the call: the same
@@ -29,28 +31,20 @@
 
 // isAny reports whether an error is one of the given ones of the system.
 func isAny(err error, candidates ...syscall.Errno) bool {
-	var errno syscall.Errno
-	if !errors.As(err, &errno) {
-		return false
-	}
-	for _, candidate := range candidates {
-		if errno == candidate {
-			return true
-		}
-	}
-	return false
+	errno, ok := errors.AsType[syscall.Errno](err)
+	return ok && slices.Contains(candidates, errno)
 }
 
-// Retry calls an operation until it succeeds or fails for good, with pauses between the calls. It
-// returns the error of the last one.
+// Retry calls an operation until it succeeds, fails for a reason that is not momentary, or has had
+// all its attempts, with a backoff between the calls. It returns the error of the last one.
 func Retry(operation func() error) error {
-	pause := firstPause
-	for try := 1; ; try++ {
+	backoff := initialBackoff
+	for attempt := 1; ; attempt++ {
 		err := operation()
-		if err == nil || try == maxTries || !IsMomentary(err) {
+		if err == nil || attempt == maxAttempts || !IsMomentary(err) {
 			return err
 		}
-		time.Sleep(pause)
-		pause *= 2
+		time.Sleep(backoff)
+		backoff *= 2
 	}
 }
--- a/internal/syserror/syserror_test.go
+++ b/internal/syserror/syserror_test.go
@@ -47,7 +47,7 @@
 		{"lasting failure", []error{syscall.EMFILE, syscall.ENOENT}, 2, true},
 		{"too many", []error{
 			syscall.EIO, syscall.EIO, syscall.EIO, syscall.EIO, syscall.EIO, syscall.EIO, syscall.EIO,
-		}, maxTries, true},
+		}, maxAttempts, true},
 	} {
 		calls := 0
 		err := Retry(func() error {
