--- a/internal/asyncwriter/asyncwriter.go
+++ b/internal/asyncwriter/asyncwriter.go
@@ -1,8 +1,11 @@
 // Package asyncwriter writes log lines without making their writers wait. A node must not stop serving,
-// or fail to shut down, because whoever reads its log is slow or gone. The balancer program uses it.
+// or fail to shut down, because the reader of its log is slow or has exited. The balancer program creates
+// a Writer for its standard error and closes it at its end. The package owns the lines that are queued; any
+// of them may be dropped if the target blocks.
 package asyncwriter
 
 import (
+	"bytes"
 	"fmt"
 	"io"
 	"sync"
@@ -16,7 +19,7 @@
 // goroutines.
 type Writer struct {
 	target io.Writer
-	ended  chan struct{} // closed when all lines are written
+	done   chan struct{} // closed when all lines are written
 
 	mu      sync.Mutex
 	lines   chan []byte
@@ -26,7 +29,7 @@
 
 // New returns a writer to target. Close ends its goroutine.
 func New(target io.Writer) *Writer {
-	w := &Writer{target: target, ended: make(chan struct{}), lines: make(chan []byte, maxQueuedLines)}
+	w := &Writer{target: target, done: make(chan struct{}), lines: make(chan []byte, maxQueuedLines)}
 	go w.run()
 	return w
 }
@@ -39,7 +42,7 @@
 	if w.closed {
 		return len(line), nil
 	}
-	text := append([]byte(nil), line...)
+	text := bytes.Clone(line)
 	if w.dropped > 0 {
 		text = append(fmt.Appendf(nil, "%d log lines dropped\n", w.dropped), text...)
 	}
@@ -61,14 +64,14 @@
 	}
 	w.mu.Unlock()
 	select {
-	case <-w.ended:
+	case <-w.done:
 	case <-time.After(timeout):
 	}
 }
 
 func (w *Writer) run() {
-	defer close(w.ended)
+	defer close(w.done)
 	for line := range w.lines {
-		_, _ = w.target.Write(line) // there is no other place to tell of a failure
+		_, _ = w.target.Write(line) // there is no other place to report a failure
 	}
 }
--- a/internal/asyncwriter/asyncwriter_test.go
+++ b/internal/asyncwriter/asyncwriter_test.go
@@ -8,14 +8,14 @@
 	"calicohinge/internal/testkit"
 )
 
-// gatedWriter blocks in each write until it gets a permission.
+// gatedWriter blocks in each write until it gets a permit.
 type gatedWriter struct {
-	permissions chan struct{}
-	text        strings.Builder
+	permits chan struct{}
+	text    strings.Builder
 }
 
 func (w *gatedWriter) Write(line []byte) (int, error) {
-	<-w.permissions
+	<-w.permits
 	return w.text.Write(line)
 }
 
@@ -30,10 +30,10 @@
 
 // Lines are written in order, and Close waits for them.
 func TestLinesAreWrittenInOrder(t *testing.T) {
-	target := &gatedWriter{permissions: make(chan struct{}, 3)}
+	target := &gatedWriter{permits: make(chan struct{}, 3)}
 	w := New(target)
 	for range 3 {
-		target.permissions <- struct{}{}
+		target.permits <- struct{}{}
 	}
 	writeLines(t, w, 3)
 	w.Close(testkit.WaitTimeout)
@@ -43,16 +43,16 @@
 	writeLines(t, w, 1) // after the end
 }
 
-// A target that blocks does not hold up those that log, nor Close, and a later line tells how
-// many were dropped.
-func TestBlockedTargetHoldsNobodyUp(t *testing.T) {
-	target := &gatedWriter{permissions: make(chan struct{}, maxQueuedLines+2)}
+// A target that blocks delays neither those that log nor Close, and a later line says how
+// many lines were dropped.
+func TestBlockedTargetDelaysNeitherWriteNorClose(t *testing.T) {
+	target := &gatedWriter{permits: make(chan struct{}, maxQueuedLines+2)}
 	w := New(target)
 	writeLines(t, w, 1)
 	testkit.Until(t, "the target to block", func() bool { return len(w.lines) == 0 })
 	writeLines(t, w, maxQueuedLines+5)
 	for range maxQueuedLines + 2 {
-		target.permissions <- struct{}{}
+		target.permits <- struct{}{}
 	}
 	testkit.Until(t, "the queue to be written", func() bool { return len(w.lines) == 0 })
 	writeLines(t, w, 1)
