--- a/internal/simproto/decode_endpoints.go
+++ b/internal/simproto/decode_endpoints.go
@@ -51,9 +51,9 @@
 	if !(weight >= 0) || math.IsInf(weight, 1) { // also excludes NaN
 		return policy.Endpoint{}, fmt.Errorf("weight of a server %v", weight)
 	}
-	startedAt, ok := rec.duration(startedAtAt)
-	if !ok {
-		return policy.Endpoint{}, fmt.Errorf("start time of a server %v", rec.float64(startedAtAt))
+	startedAt, err := rec.duration(startedAtAt, "start time of a server")
+	if err != nil {
+		return policy.Endpoint{}, err
 	}
 	return policy.Endpoint{
 		Server: rec.serverID(serverAt), Zone: int(rec.uint16(zoneAt)), Cell: int(rec.uint16(cellAt)),
--- a/internal/simproto/decode_request.go
+++ b/internal/simproto/decode_request.go
@@ -31,13 +31,13 @@
 
 		flagCostHintValid = 1
 	)
-	timeout, ok := rec.duration(timeoutAt)
-	if !ok {
-		return fmt.Errorf("timeout of a request %v", rec.float64(timeoutAt))
+	timeout, err := rec.duration(timeoutAt, "timeout of a request")
+	if err != nil {
+		return err
 	}
-	costHint, ok := rec.duration(costHintAt)
-	if !ok {
-		return fmt.Errorf("cost hint of a request %v", rec.float64(costHintAt))
+	costHint, err := rec.duration(costHintAt, "cost hint of a request")
+	if err != nil {
+		return err
 	}
 	if rec[flagsAt]&flagCostHintValid == 0 {
 		costHint = 0
@@ -72,9 +72,9 @@
 	if !ok {
 		return fmt.Errorf("unknown status %d", code)
 	}
-	latency, ok := rec.duration(latencyAt)
-	if !ok {
-		return fmt.Errorf("latency %v", rec.float64(latencyAt))
+	latency, err := rec.duration(latencyAt, "latency")
+	if err != nil {
+		return err
 	}
 	event.Outcome = policy.Outcome{
 		ID: rec.requestID(), Attempt: int(rec.uint16(attemptAt)), Server: rec.serverID(serverAt),
--- a/internal/simproto/reader.go
+++ b/internal/simproto/reader.go
@@ -53,20 +53,20 @@
 		if n == 0 && errors.Is(err, io.EOF) {
 			return nil, io.EOF
 		}
-		return nil, r.formatError("header of the next batch: %w", err)
+		return nil, r.formatError(fmt.Errorf("header of the next batch: %w", err))
 	}
 	header := record(r.header[:])
 	size, count := header.uint32(batchBodySizeAt), header.uint32(batchCountAt)
 	r.batch.Number = header.uint32(batchNumberAt)
 	if size > maxBodySize || uint64(count)*eventSize > uint64(size) {
-		return nil, r.formatError("%d records in %d bytes", count, size)
+		return nil, r.formatError(fmt.Errorf("%d records in %d bytes", count, size))
 	}
 	if err := r.readBody(int(size)); err != nil {
-		return nil, r.formatError("body: %w", err)
+		return nil, r.formatError(fmt.Errorf("body: %w", err))
 	}
-	now, ok := header.duration(batchTimeAt)
-	if !ok {
-		return nil, r.formatError("clock %v", header.float64(batchTimeAt))
+	now, err := header.duration(batchTimeAt, "clock")
+	if err != nil {
+		return nil, r.formatError(err)
 	}
 	r.batch.Now = now
 	r.batch.Count = int(count)
@@ -75,8 +75,8 @@
 	return &r.batch, nil
 }
 
-func (r *Reader) formatError(format string, args ...any) error {
-	return &FormatError{Batch: r.batch.Number, Record: WholeFrame, Err: fmt.Errorf(format, args...)}
+func (r *Reader) formatError(cause error) error {
+	return &FormatError{Batch: r.batch.Number, Record: WholeFrame, Err: cause}
 }
 
 // readBody reads size bytes into the body.
--- a/internal/simproto/record.go
+++ b/internal/simproto/record.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/binary"
+	"fmt"
 	"math"
 	"time"
 
@@ -37,8 +38,16 @@
 func (r record) float32(at int) float64 { return float64(math.Float32frombits(r.uint32(at))) }
 func (r record) float64(at int) float64 { return math.Float64frombits(r.uint64(at)) }
 
-// duration reads a time; it returns false for one that is not a number or out of range.
-func (r record) duration(at int) (time.Duration, bool) { return milliseconds.ToDuration(r.float64(at)) }
+// duration reads a time. It returns an error that names the field for one that is not a number
+// or out of range.
+func (r record) duration(at int, field string) (time.Duration, error) {
+	value := r.float64(at)
+	duration, ok := milliseconds.ToDuration(value)
+	if !ok {
+		return 0, fmt.Errorf("%s %v", field, value)
+	}
+	return duration, nil
+}
 
 func (r record) requestID() policy.RequestID { return policy.RequestID(r.uint32(requestIDAt)) }
 
