--- a/internal/downstream/admission.go
+++ b/internal/downstream/admission.go
@@ -24,9 +24,9 @@
 	return "unknown"
 }
 
-// admission is one step of admitting a new connection. The caller of tryAdmit carries it
+// admissionStep is one step of admitting a new connection. The caller of tryAdmit carries it
 // out without holding cs.mu.
-type admission struct {
+type admissionStep struct {
 	decision decision
 	victim   *Conn // with decisionEvict: marked closed, its socket is still open
 	// With decisionWait: the time until a connection may be evicted, 0 if all are active,
@@ -58,34 +58,34 @@
 // tryAdmit adds c if there is capacity, and otherwise chooses a connection to evict.
 // The reserve is used only while all connections are active, so that their clients
 // are not affected and the new one gets a response.
-func (cs *Conns) tryAdmit(c *Conn) admission {
+func (cs *Conns) tryAdmit(c *Conn) admissionStep {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	if cs.open < cs.config.MaxOpen {
 		cs.addConn(c)
-		return admission{decision: decisionAdmit}
+		return admissionStep{decision: decisionAdmit}
 	}
 	now := time.Now()
 	cs.beginUnreadRequests(now)
 	candidate, wait := cs.evictionCandidate(now)
 	switch {
 	case candidate == nil && cs.open >= cs.config.MaxOpen+cs.config.Reserve:
-		return admission{decision: decisionWait, changed: cs.nextChange()}
+		return admissionStep{decision: decisionWait, changed: cs.nextChange()}
 	case candidate == nil:
 		c.overLimit = true
 		cs.addConn(c)
-		return admission{decision: decisionAdmit}
+		return admissionStep{decision: decisionAdmit}
 	case wait > 0:
-		return admission{decision: decisionWait, wait: wait, changed: cs.nextChange()}
+		return admissionStep{decision: decisionWait, wait: wait, changed: cs.nextChange()}
 	}
 	cs.evicted++
 	cs.markClosed(candidate)
-	return admission{decision: decisionEvict, victim: candidate}
+	return admissionStep{decision: decisionEvict, victim: candidate}
 }
 
 // awaitCapacity waits until a connection changes or the time of the step is over. It
 // returns false if the listener was closed.
-func (cs *Conns) awaitCapacity(step admission) bool {
+func (cs *Conns) awaitCapacity(step admissionStep) bool {
 	var evictable <-chan time.Time // never ready if no connection becomes evictable by itself
 	if step.wait > 0 {
 		timer := time.NewTimer(step.wait)
--- a/internal/downstream/admission_test.go
+++ b/internal/downstream/admission_test.go
@@ -68,7 +68,7 @@
 	if err := listen(t, conns).Close(); err != nil {
 		t.Fatal(err)
 	}
-	if conns.awaitCapacity(admission{decision: decisionWait, wait: testkit.WaitTimeout}) {
+	if conns.awaitCapacity(admissionStep{decision: decisionWait, wait: testkit.WaitTimeout}) {
 		t.Error("the wait went on after the listener was closed")
 	}
 }
--- a/internal/downstream/conn_read.go
+++ b/internal/downstream/conn_read.go
@@ -92,7 +92,7 @@
 		if sockstate.Peek(c.Conn) == sockstate.Closed {
 			return io.EOF
 		}
-	case !c.conns.closing:
+	case c.conns.stage < stageClosing:
 		c.fillReadAhead(fd)
 	}
 	return c.readErr
--- a/internal/downstream/conn_state.go
+++ b/internal/downstream/conn_state.go
@@ -12,7 +12,7 @@
 //	completeRequest   any but closed        active       the request is complete (Conn.RequestComplete)
 //	completeResponse  any but closed        idle         the response is complete (Conns.ConnState, StateIdle)
 //	                                        readingHead  the same, and bytes of the next request have arrived
-//	                                        closed       the same, while draining
+//	                                        closed       the same, in stageDraining or later
 //	beginLingering    any but closed        lingering    the last response is sent (Conn.LingeringClose)
 //	markClosed        any but closed        closed       net/http closes it (Conn.Close), or it is evicted,
 //	                                                     drained or shut down
@@ -101,7 +101,7 @@
 	case len(c.readAhead) > 0: // the next request, or a part of it
 		cs.beginRequest(c)
 		return false
-	case cs.draining:
+	case cs.stage >= stageDraining:
 		return cs.markIdleClosed(c)
 	default:
 		cs.setState(c, stateIdle)
--- a/internal/downstream/conns.go
+++ b/internal/downstream/conns.go
@@ -44,14 +44,13 @@
 	listenerClosed chan struct{} // closed with the listener
 
 	mu        sync.Mutex
-	open      int           // connections that are admitted and not closed
-	active    int           // those in stateActive
-	noData    connQueue     // those in stateNoData
-	partial   connQueue     // those in stateReadingHead or stateReadingBody
-	idle      connQueue     // those in stateIdle
-	lingering connQueue     // those in stateLingering
-	draining  bool          // connections are closed instead of falling idle
-	closing   bool          // they are closed as soon as their clients wait for no response
+	open      int       // connections that are admitted and not closed
+	active    int       // those in stateActive
+	noData    connQueue // those in stateNoData
+	partial   connQueue // those in stateReadingHead or stateReadingBody
+	idle      connQueue // those in stateIdle
+	lingering connQueue // those in stateLingering
+	stage     shutdownStage
 	changed   chan struct{} // closed at the next change; nil if nobody waits for it
 
 	evicted, incomplete int // see Stats
--- a/internal/downstream/disconnect.go
+++ b/internal/downstream/disconnect.go
@@ -16,7 +16,7 @@
 		return true
 	case c.state != stateActive:
 		return false // the request has its response, its attempts are revoked
-	case c.conns.closing:
+	case c.conns.stage == stageClosing:
 		return sockstate.Peek(c.Conn) == sockstate.Closed
 	}
 	if err := c.raw.Control(func(fd uintptr) { c.fillReadAhead(int(fd)) }); err != nil {
--- a/internal/downstream/drain.go
+++ b/internal/downstream/drain.go
@@ -2,10 +2,21 @@
 
 import "context"
 
+// shutdownStage says which connections a set closes by itself. It only advances; Conns.mu
+// guards it.
+type shutdownStage int
+
+// The stages of a set of connections.
+const (
+	stageServing  shutdownStage = iota // those that are evicted
+	stageDraining                      // from Conns.Drain on: idle ones too, each as it falls idle
+	stageClosing                       // from Conns.Shutdown on: all whose clients wait for no response
+)
+
 // Drain closes idle connections, and from now on every other as soon as it falls
 // idle. It returns when no connection is open or ctx ends, and may be called again.
 func (cs *Conns) Drain(ctx context.Context) {
-	cs.beginDraining()
+	cs.advanceTo(stageDraining)
 	cs.closeEach(cs.takeIdle)
 	for {
 		done, changed := cs.check(cs.isEmpty)
@@ -22,7 +33,7 @@
 // If the next request on a connection has arrived, the connection stays open and the
 // request gets a response.
 func (cs *Conns) Shutdown(ctx context.Context) {
-	cs.beginClosing()
+	cs.advanceTo(stageClosing)
 	for {
 		cs.closeEach(cs.takeWithoutRequest)
 		done, changed := cs.check(cs.allResponsesComplete)
@@ -32,17 +43,11 @@
 	}
 }
 
-func (cs *Conns) beginDraining() {
-	cs.mu.Lock()
-	defer cs.mu.Unlock()
-	cs.draining = true
-}
-
-func (cs *Conns) beginClosing() {
+// advanceTo begins a stage, unless it or a later one has begun.
+func (cs *Conns) advanceTo(stage shutdownStage) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	cs.draining = true
-	cs.closing = true
+	cs.stage = max(cs.stage, stage)
 }
 
 // closeEach closes the sockets of the connections that take returns, without holding
--- a/internal/downstream/drain_test.go
+++ b/internal/downstream/drain_test.go
@@ -18,7 +18,7 @@
 		"drain": func(_ *testing.T, conns *Conns, _ *Conn) { conns.Drain(canceledContext()) },
 		"response complete while draining": func(_ *testing.T, conns *Conns, c *Conn) {
 			c.RequestComplete()
-			conns.beginDraining()
+			conns.advanceTo(stageDraining)
 			conns.ConnState(c, http.StateIdle)
 		},
 		"eviction": expectCandidateReadingHead,
@@ -62,7 +62,7 @@
 func TestRequestAfterShutdownStaysUnread(t *testing.T) {
 	forEachConnAwaitingRequest(t, func(t *testing.T, conns *Conns, client net.Conn, c *Conn) {
 		t.Helper()
-		conns.beginClosing()
+		conns.advanceTo(stageClosing)
 		if closing := conns.takeWithoutRequest(); closing != c {
 			t.Fatalf("%p is closed next, want %p", closing, c)
 		}
@@ -151,7 +151,7 @@
 // A request in the read-ahead buffer does not show on the socket: the connection must
 // not be closed as idle.
 func TestBufferedRequestWhileDrainingIsReturned(t *testing.T) {
-	expectBufferedRequestReturned(t, (*Conns).beginDraining)
+	expectBufferedRequestReturned(t, func(conns *Conns) { conns.advanceTo(stageDraining) })
 }
 
 // expectBufferedRequestReturned has the next request in the read-ahead buffer when a step
--- a/internal/downstream/listener.go
+++ b/internal/downstream/listener.go
@@ -42,7 +42,7 @@
 // Addr implements net.Listener.
 func (l *Listener) Addr() net.Addr { return l.inner.Addr() }
 
-// Accept implements net.Listener. It tries again after every error that the system may
+// Accept implements net.Listener. It retries after every error that the system may
 // return for a moment, so that a failure of the system does not end the node.
 func (l *Listener) Accept() (net.Conn, error) {
 	backoff := minAcceptBackoff
