--- a/internal/downstream/admission.go
+++ b/internal/downstream/admission.go
@@ -6,7 +6,7 @@
 type decision int
 
 const (
-	decisionAdmit decision = iota // it is in the set, in phaseSilent
+	decisionAdmit decision = iota // it is in the set, in stateNoData
 	decisionEvict                 // close the victim's socket, then decide again
 	decisionWait                  // wait for a change, then decide again
 )
@@ -24,9 +24,9 @@
 	return "unknown"
 }
 
-// admission is one step of admitting a new connection. What it asks for is done
-// without holding cs.mu.
-type admission struct {
+// admissionStep is one step of admitting a new connection. The caller of tryAdmit carries it
+// out without holding cs.mu.
+type admissionStep struct {
 	decision decision
 	victim   *Conn // with decisionEvict: marked closed, its socket is still open
 	// With decisionWait: the time until a connection may be evicted, 0 if all are active,
@@ -37,8 +37,8 @@
 
 // admit makes c one of the set's connections and returns true, or returns false if the
 // listener was closed. It blocks while the first connection that may be evicted is in its
-// grace period, and while all are active, the reserve included: that of the reserve get
-// their answer at once. Closing c instead could drop a request that its client has sent.
+// grace period, and while all are active, the reserve included: those of the reserve get
+// their response at once. Closing c instead could drop a request that its client has sent.
 func (cs *Conns) admit(c *Conn) bool {
 	for {
 		step := cs.tryAdmit(c)
@@ -48,7 +48,7 @@
 		case decisionEvict:
 			_ = step.victim.Conn.Close() // nothing can be done about a failure
 		case decisionWait:
-			if !cs.waitForChange(step) {
+			if !cs.awaitCapacity(step) {
 				return false
 			}
 		}
@@ -57,38 +57,35 @@
 
 // tryAdmit adds c if there is capacity, and otherwise chooses a connection to evict.
 // The reserve is used only while all connections are active, so that their clients
-// are not affected and the new one gets an answer.
-func (cs *Conns) tryAdmit(c *Conn) admission {
+// are not affected and the new one gets a response.
+func (cs *Conns) tryAdmit(c *Conn) admissionStep {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	if cs.open < cs.config.MaxOpen {
-		return cs.add(c)
+		cs.addConn(c)
+		return admissionStep{decision: decisionAdmit}
 	}
-	candidate, wait := cs.evictionCandidate()
+	now := time.Now()
+	cs.beginUnreadRequests(now)
+	candidate, wait := cs.evictionCandidate(now)
 	switch {
 	case candidate == nil && cs.open >= cs.config.MaxOpen+cs.config.Reserve:
-		return admission{decision: decisionWait, changed: cs.nextChange()}
+		return admissionStep{decision: decisionWait, changed: cs.nextChange()}
 	case candidate == nil:
 		c.overLimit = true
-		return cs.add(c)
+		cs.addConn(c)
+		return admissionStep{decision: decisionAdmit}
 	case wait > 0:
-		return admission{decision: decisionWait, wait: wait, changed: cs.nextChange()}
+		return admissionStep{decision: decisionWait, wait: wait, changed: cs.nextChange()}
 	}
 	cs.evicted++
-	cs.close(candidate)
-	return admission{decision: decisionEvict, victim: candidate}
+	cs.markClosed(candidate)
+	return admissionStep{decision: decisionEvict, victim: candidate}
 }
 
-// add makes c one of the set's connections. The caller holds cs.mu.
-func (cs *Conns) add(c *Conn) admission {
-	cs.open++
-	cs.setPhase(c, phaseSilent)
-	return admission{decision: decisionAdmit}
-}
-
-// waitForChange waits until a connection changes or the time of the step is over. It
+// awaitCapacity waits until a connection changes or the time of the step is over. It
 // returns false if the listener was closed.
-func (cs *Conns) waitForChange(step admission) bool {
+func (cs *Conns) awaitCapacity(step admissionStep) bool {
 	var evictable <-chan time.Time // never ready if no connection becomes evictable by itself
 	if step.wait > 0 {
 		timer := time.NewTimer(step.wait)
--- a/internal/simproto/reader.go
+++ b/internal/simproto/reader.go
@@ -2,14 +2,10 @@
 
 import (
 	"bufio"
-	"encoding/binary"
 	"errors"
 	"fmt"
 	"io"
-	"math"
 	"time"
-
-	"calicohinge/internal/milliseconds"
 )
 
 const (
@@ -57,22 +53,20 @@
 		if n == 0 && errors.Is(err, io.EOF) {
 			return nil, io.EOF
 		}
-		return nil, r.formatError("header of the next batch: %w", err)
+		return nil, r.formatError(fmt.Errorf("header of the next batch: %w", err))
 	}
-	header := r.header[:]
-	size := binary.BigEndian.Uint32(header[batchBodySizeAt:])
-	count := binary.BigEndian.Uint32(header[batchCountAt:])
-	r.batch.Number = binary.BigEndian.Uint32(header[batchNumberAt:])
+	header := record(r.header[:])
+	size, count := header.uint32(batchBodySizeAt), header.uint32(batchCountAt)
+	r.batch.Number = header.uint32(batchNumberAt)
 	if size > maxBodySize || uint64(count)*eventSize > uint64(size) {
-		return nil, r.formatError("%d records in %d bytes", count, size)
+		return nil, r.formatError(fmt.Errorf("%d records in %d bytes", count, size))
 	}
 	if err := r.readBody(int(size)); err != nil {
-		return nil, r.formatError("body: %w", err)
+		return nil, r.formatError(fmt.Errorf("body: %w", err))
 	}
-	clock := math.Float64frombits(binary.BigEndian.Uint64(header[batchTimeAt:]))
-	now, ok := milliseconds.ToDuration(clock)
-	if !ok {
-		return nil, r.formatError("clock %v", clock)
+	now, err := header.duration(batchTimeAt, "clock")
+	if err != nil {
+		return nil, r.formatError(err)
 	}
 	r.batch.Now = now
 	r.batch.Count = int(count)
@@ -81,8 +75,8 @@
 	return &r.batch, nil
 }
 
-func (r *Reader) formatError(format string, args ...any) error {
-	return &FormatError{Batch: r.batch.Number, Record: WholeFrame, Err: fmt.Errorf(format, args...)}
+func (r *Reader) formatError(cause error) error {
+	return &FormatError{Batch: r.batch.Number, Record: WholeFrame, Err: cause}
 }
 
 // readBody reads size bytes into the body.
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -3,7 +3,9 @@
 // on the endpoint list and decides which server gets an attempt, and when. Each
 // Send writes a request at most once; retries are the caller's. The package does
 // not touch the state of requests or of package policy: an attempt is described by
-// its Call and its Result alone.
+// its Call and its Result alone. While Send waits for a connection its Call may be
+// revoked, and at any time canceled; see callState. An idle connection may be closed at
+// any time: by its server, by RetireIdle, or for a connection to another server.
 package upstream
 
 import (
@@ -59,7 +61,7 @@
 	open    int // connections to all servers, those being opened included
 }
 
-// server is one process of a server: what is known at one address since one start.
+// server is one incarnation of a server: its process at one address since one start.
 type server struct {
 	address   string
 	startedAt time.Time     // of its process, by the wall clock of its machine
@@ -113,11 +115,10 @@
 
 // takeIdleLocked removes and returns the connection that was released last among
 // those that have settled, or nil. A request written before its connection has
-// settled may be lost, or get bytes that belong to the former response: nothing in
+// settled may be lost, or get bytes that belong to the previous response: nothing in
 // a response names its request.
 func (p *Pool) takeIdleLocked(target *server) *connection {
-	for i := len(target.idle) - 1; i >= 0; i-- {
-		conn := target.idle[i]
+	for i, conn := range slices.Backward(target.idle) {
 		idleFor := time.Since(conn.idleSince)
 		if idleFor < p.config.SettleDelay {
 			continue
@@ -152,11 +153,11 @@
 
 // release returns a connection to the pool, which keeps it for a further request
 // if it is reusable and closes it otherwise.
-func (p *Pool) release(conn *connection, reusable bool) {
+func (p *Pool) release(conn *connection) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	target := conn.server
-	if !reusable || target.removed || len(target.idle) >= maxIdlePerServer {
+	if !conn.reusable || target.removed || len(target.idle) >= maxIdlePerServer {
 		p.closeLocked(conn)
 		return
 	}
