--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"calicohinge/internal/endpoint"
+	"calicohinge/internal/processstart"
 	"calicohinge/internal/upstream"
 	"calicohinge/policy"
 )
@@ -15,7 +16,7 @@
 // and have none, are skipped.
 func (l *loop) UpdateEndpoints(kind policy.UpdateKind, list []endpoint.Endpoint) {
 	update := endpointsUpdated{kind: kind}
-	starts := l.startTimes.update(kind, list, l.clock(), time.Now())
+	starts := l.starts.Update(kind, list, processstart.Moment{Clock: l.clock(), Wall: time.Now()})
 	for i, e := range list {
 		if e.ID == 0 || (e.Address == "" && e.State == policy.Ready) {
 			continue
@@ -28,7 +29,7 @@
 
 // Synced implements discovery.Handler.
 func (l *loop) Synced() {
-	l.startTimes.answered(l.clock())
+	l.starts.Synced(l.clock())
 	l.ready.Store(true)
 }
 
--- a/internal/node/endpoints_test.go
+++ b/internal/node/endpoints_test.go
@@ -7,6 +7,7 @@
 
 	"calicohinge/internal/endpoint"
 	"calicohinge/internal/endpointjson"
+	"calicohinge/internal/processstart"
 	"calicohinge/internal/testkit"
 	"calicohinge/policy"
 )
@@ -141,7 +142,7 @@
 	}
 	startedAt := func(wall time.Time) time.Duration {
 		list := []endpoint.Endpoint{{ID: 1, State: policy.Ready, StartedAt: wall}}
-		return l.startTimes.update(policy.UpdateSnapshot, list, l.clock(), time.Now())[0]
+		return l.starts.Update(policy.UpdateSnapshot, list, processstart.Moment{Clock: l.clock(), Wall: time.Now()})[0]
 	}
 	at := time.Now().Add(-3 * time.Second).Round(0)
 	first := startedAt(at)
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"calicohinge/internal/config"
+	"calicohinge/internal/processstart"
 	"calicohinge/internal/upstream"
 	"calicohinge/policy"
 )
@@ -28,7 +29,7 @@
 type loop struct {
 	ctx         context.Context
 	clockOrigin time.Time // when the clock would have shown 0
-	startTimes  *startTimes
+	starts      *processstart.Registry
 	pool        *upstream.Pool
 	watcher     watcher
 	zones       map[string]int // indexes of the configured zones by name
@@ -63,7 +64,7 @@
 		events:      make(chan event, eventQueueSize),
 		requests:    map[policy.RequestID]*request{},
 	}
-	l.startTimes = newStartTimes(l.clockOrigin, cfg.Policy.Rules.SlowStartDuration)
+	l.starts = processstart.NewRegistry(l.clockOrigin, cfg.Policy.Rules.SlowStartDuration)
 	var err error
 	l.balancer, err = policy.New(cfg.Policy, cfg.Seed, l)
 	return l, err
--- /dev/null
+++ b/internal/processstart/registry_test.go
@@ -0,0 +1,203 @@
+package processstart
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+
+	"calicohinge/internal/endpoint"
+	"calicohinge/policy"
+)
+
+const (
+	clockNow      = 2 * time.Hour
+	processAge    = 3 * time.Second
+	testSlowStart = 9 * time.Second
+)
+
+// wallNow returns the true wall time at the moment at which the node's clock shows clockNow.
+func wallNow() time.Time { return time.Date(2026, 12, 2, 10, 0, 0, 0, time.UTC) }
+
+// nowWithWallClockAhead is the present moment on a machine whose wall clock is ahead of the true time.
+func nowWithWallClockAhead(ahead time.Duration) Moment {
+	return Moment{Clock: clockNow, Wall: wallNow().Add(ahead)}
+}
+
+// before returns an earlier moment.
+func (m Moment) before(d time.Duration) Moment { return m.after(-d) }
+
+// after returns a later moment.
+func (m Moment) after(d time.Duration) Moment {
+	return Moment{Clock: m.Clock + d, Wall: m.Wall.Add(d)}
+}
+
+// newTestRegistry returns the registry of a node that started with its wall clock ahead of the true time.
+func newTestRegistry(ahead time.Duration) *Registry {
+	return NewRegistry(wallNow().Add(ahead-clockNow), testSlowStart)
+}
+
+// endpointStarted returns an endpoint of one server whose process started at a wall time of its machine.
+func endpointStarted(startedAt time.Time) []endpoint.Endpoint {
+	return []endpoint.Endpoint{{ID: 1, State: policy.Ready, StartedAt: startedAt}}
+}
+
+// endpointsStarted returns the endpoints of several servers.
+func endpointsStarted(startedAt ...time.Time) []endpoint.Endpoint {
+	var list []endpoint.Endpoint
+	for i, at := range startedAt {
+		e := endpointStarted(at)[0]
+		e.ID = policy.ServerID(i + 1)
+		list = append(list, e)
+	}
+	return list
+}
+
+// A wall clock is stepped after the node's start, that of all machines, of this one or of the
+// server's. A process that has just started has to count as one, not as warm, and not as one
+// that starts in the future.
+func TestStartOfANewProcessSurvivesClockSteps(t *testing.T) {
+	for _, step := range []time.Duration{0, time.Hour, -time.Hour, 5 * time.Second, -5 * time.Second} {
+		for name, c := range map[string]struct{ own, server time.Duration }{
+			"all machines": {step, step},
+			"this machine": {step, 0},
+			"the server's": {0, step},
+		} {
+			t.Run(fmt.Sprintf("%s by %v", name, step), func(t *testing.T) {
+				testStartOfANewProcess(t, c.own, c.server)
+			})
+		}
+	}
+}
+
+// testStartOfANewProcess steps the wall clocks of the node and of a server before the server is
+// restarted.
+func testStartOfANewProcess(t *testing.T, ownStep, serverStep time.Duration) {
+	t.Helper()
+	registry := newTestRegistry(0)
+	registry.Update(policy.UpdateSnapshot, endpointStarted(wallNow().Add(-time.Hour)), Moment{clockNow - processAge, wallNow()})
+	registry.Synced(clockNow - processAge)
+	list := endpointStarted(wallNow().Add(serverStep - processAge))
+
+	start := registry.Update(policy.UpdateDelta, list, nowWithWallClockAhead(ownStep))[0]
+
+	if age := clockNow - start; age < 0 || age > processAge {
+		t.Errorf("the process counts as %v old, want 0 to %v, when discovery last responded", age, processAge)
+	}
+	for range 2 {
+		later := Moment{clockNow + time.Second, wallNow()}
+		if again := registry.Update(policy.UpdateSnapshot, list, later)[0]; again != start {
+			t.Errorf("the start moved from %v to %v", start, again)
+		}
+	}
+}
+
+// Without steps a start is estimated where it was, also that of a process older than the node.
+func TestStartIsEstimatedByItsWallTime(t *testing.T) {
+	for _, age := range []time.Duration{0, time.Millisecond, processAge, time.Minute, clockNow - time.Second} {
+		registry, list := newTestRegistry(0), endpointStarted(wallNow().Add(-age))
+		if start := registry.Update(policy.UpdateCached, list, nowWithWallClockAhead(0))[0]; start != clockNow-age {
+			t.Errorf("a process %v old counts as %v old", age, clockNow-start)
+		}
+	}
+}
+
+// A server that was restarted while the node did not follow discovery, or that only the
+// configuration listed, is as old as discovery says.
+func TestRestartBeforeTheFirstListKeepsItsAge(t *testing.T) {
+	registry, now := newTestRegistry(0), nowWithWallClockAhead(0)
+	registry.Update(policy.UpdateCached, endpointStarted(wallNow().Add(-time.Hour)), now)
+	start := registry.Update(policy.UpdateSnapshot, endpointStarted(wallNow().Add(-time.Minute)), now)[0]
+	if age := clockNow - start; age != time.Minute {
+		t.Errorf("the process counts as %v old, want 1m", age)
+	}
+}
+
+// A server with an ID that is new to a node that follows discovery has just started, also if the node's
+// wall clock was wrong from its start on.
+func TestNewServerHasJustStartedWhateverTheWallClockShows(t *testing.T) {
+	for _, ahead := range []time.Duration{0, time.Second, 5 * time.Second, 30 * time.Second, time.Hour, -time.Hour} {
+		registry, now := newTestRegistry(ahead), nowWithWallClockAhead(ahead)
+		registry.Update(policy.UpdateSnapshot, nil, Moment{clockNow - processAge, now.Wall})
+		registry.Synced(clockNow - processAge)
+		start := registry.Update(policy.UpdateDelta, endpointStarted(wallNow().Add(-time.Millisecond)), now)[0]
+		if start != clockNow {
+			t.Errorf("wall clock ahead by %v: the process counts as %v old, want 0", ahead, clockNow-start)
+		}
+	}
+}
+
+// Discovery is unavailable while servers start: they count as old as the servers' own clock shows, but for
+// the newest one, and as the time since discovery last responded.
+func TestServersThatStartDuringAnOutageAreCompared(t *testing.T) {
+	const outage = 8 * time.Second
+	want := []time.Duration{clockNow, clockNow - 5*time.Second, clockNow - outage}
+	for _, ahead := range []time.Duration{0, 30 * time.Second, time.Hour} {
+		registry, now := newTestRegistry(ahead), nowWithWallClockAhead(ahead)
+		registry.Update(policy.UpdateSnapshot, nil, now.before(outage))
+		registry.Synced(clockNow - outage)
+		list := endpointsStarted(wallNow().Add(-time.Second), wallNow().Add(-6*time.Second), wallNow().Add(-time.Minute))
+
+		starts := registry.Update(policy.UpdateDelta, list, now)
+
+		if !slices.Equal(starts, want) {
+			t.Errorf("wall clock ahead by %v: starts %v, want %v", ahead, starts, want)
+		}
+	}
+}
+
+// A node whose wall clock is ahead starts among servers of which a few have just been restarted: they count
+// as young as the list permits. If many were, the wall clock decides, right or wrong.
+func TestFirstListBoundsTheAgeOfFewYoungServers(t *testing.T) {
+	const ahead = time.Hour
+	for _, c := range []struct {
+		young, old int
+		wantAge    time.Duration // of the second youngest, a second older than the youngest
+	}{{2, 8, time.Second}, {2, 6, time.Second}, {2, 5, ahead + time.Second}, {4, 0, ahead + time.Second}} {
+		startedAt := []time.Time{wallNow()}
+		startedAt = append(startedAt, slices.Repeat([]time.Time{wallNow().Add(-time.Second)}, c.young-1)...)
+		startedAt = append(startedAt, make([]time.Time, c.old)...) // long ago
+
+		starts := newTestRegistry(ahead).Update(policy.UpdateSnapshot, endpointsStarted(startedAt...), nowWithWallClockAhead(ahead))
+
+		if age := clockNow - starts[1]; age != c.wantAge {
+			t.Errorf("%d young and %d old servers: age %v, want %v", c.young, c.old, age, c.wantAge)
+		}
+		if c.old > 0 && starts[c.young] != 0 {
+			t.Errorf("a server that started long ago counts as started at %v", starts[c.young])
+		}
+	}
+}
+
+// A server that is removed and returns as the same process keeps its start, unless it was removed for long.
+// What is kept of servers that were removed expires.
+func TestStartOfAReturningProcessIsStable(t *testing.T) {
+	for removedFor, want := range map[time.Duration]time.Duration{
+		processAge:        clockNow - processAge,
+		testSlowStart:     clockNow - processAge,
+		testSlowStart + 1: clockNow + testSlowStart + 1,
+	} {
+		registry, now := newTestRegistry(0), nowWithWallClockAhead(0)
+		list := endpointStarted(wallNow().Add(-processAge))
+		registry.Update(policy.UpdateSnapshot, list, now)
+		registry.Synced(clockNow)
+		removed := slices.Clone(list)
+		removed[0].State = policy.Removed
+		registry.Update(policy.UpdateDelta, removed, now)
+		if len(registry.listed) > 0 {
+			t.Errorf("%d processes that are removed count as listed", len(registry.listed))
+		}
+
+		later := now.after(removedFor)
+		registry.Synced(later.Clock)
+		if again := registry.Update(policy.UpdateDelta, list, later)[0]; again != want {
+			t.Errorf("removed for %v: started at %v, want %v", removedFor, again, want)
+		}
+
+		registry.Update(policy.UpdateSnapshot, nil, later)
+		registry.Update(policy.UpdateDelta, nil, Moment{later.Clock + testSlowStart + 1, now.Wall})
+		if kept := len(registry.listed) + len(registry.removed); kept > 0 {
+			t.Errorf("%d processes that are removed are kept", kept)
+		}
+	}
+}
