--- a/internal/node/connection_limits_test.go
+++ b/internal/node/connection_limits_test.go
@@ -183,7 +183,7 @@
 		testkit.Wait(t, server.Requests, "a request in flight")
 	}
 	last := l.newRequest(class, staysConnected)
-	last.deadline = l.clock() + 4*time.Second
+	last.deadline = l.clock.now() + 4*time.Second
 	further := l.submitAsync(t.Context(), last)
 	want := http.StatusServiceUnavailable
 	if freed {
--- a/internal/node/disconnect_crowd_test.go
+++ b/internal/node/disconnect_crowd_test.go
@@ -27,15 +27,15 @@
 	for range crowdSize {
 		clients = append(clients, s.sendOnNewConn([]string{"read", "push", "pay"}[len(clients)%3], ""))
 	}
-	testkit.Until(t, "the requests", func() bool { return len(l.events) == crowdSize })
+	testkit.Until(t, "the requests", func() bool { return len(l.queue.posted) == crowdSize })
 	var all []*request
-	l.post(eventFunc(func(time.Duration) {
-		for _, r := range l.requests {
+	l.queue.post(eventFunc(func(time.Duration) {
+		for _, r := range l.requests.active {
 			all = append(all, r)
 		}
 	}))
-	for len(l.events) < cap(l.events)-crowdSize/3 {
-		l.post(eventFunc(func(time.Duration) {}))
+	for len(l.queue.posted) < cap(l.queue.posted)-crowdSize/3 {
+		l.queue.post(eventFunc(func(time.Duration) {}))
 	}
 	for i, leave := 0, []func(*net.TCPConn){
 		func(nc *net.TCPConn) { closeConn(nc) }, func(nc *net.TCPConn) { resetConn(nc) },
@@ -45,7 +45,7 @@
 	for _, client := range clients {
 		s.awaitDisconnect(client)
 	}
-	testkit.Until(t, "a full queue", func() bool { return len(l.events) == cap(l.events) })
+	testkit.Until(t, "a full queue", func() bool { return len(l.queue.posted) == cap(l.queue.posted) })
 	release()
 	s.awaitNoRequests()
 	if n := startedAttempts(all...); len(all) != crowdSize || n > 0 || len(b.Requests) > 0 {
@@ -66,7 +66,7 @@
 		clients = append(clients, s.sendOnNewConn([]string{"read", "push"}[len(clients)%2], ""))
 	}
 	states, all, resume := s.pauseAtRest(servers)
-	l.post(eventFunc(l.advanceClock))
+	l.queue.post(eventFunc(l.advanceClock))
 	for _, client := range clients {
 		closeConn(client)
 	}
@@ -115,7 +115,7 @@
 	state := stateQueued
 	for _, a := range r.attempts {
 		switch addr := l.pool.Stats().Servers[a.server].Address; {
-		case a.reported:
+		case a.state != attemptInFlight:
 			state = stateBackoff
 		case addr == m.stuck.Addr().String():
 			state = stateDialing
@@ -137,7 +137,7 @@
 		reached, resume = s.loop.pause(s.t)
 		testkit.Wait(s.t, reached, "the loop")
 		states, all = map[string]int{}, nil
-		for _, r := range s.loop.requests {
+		for _, r := range s.loop.requests.active {
 			all = append(all, r)
 			states[servers.state(s.loop, r)]++
 		}
--- a/internal/node/disconnect_race_test.go
+++ b/internal/node/disconnect_race_test.go
@@ -36,7 +36,7 @@
 // capacityFreed ends one of the attempts in flight, so that a queued request could be sent.
 func capacityFreed(s *handlerServer) func(time.Duration) {
 	return func(now time.Duration) {
-		for _, r := range s.loop.requests {
+		for _, r := range s.loop.requests.active {
 			if r.inFlight > 0 {
 				s.loop.reportOutcome(now, r, 0, upstream.Result{Status: policy.OK})
 				return
@@ -106,8 +106,8 @@
 	s := &servedRequest{handlerServer: startHandler(t, a.Endpoint("s-0"), b.Endpoint("s-1")), checked: make(chan bool, 10)}
 	l := s.loop
 	l.inLoop(t, func() { // a request took half a minute here
-		l.balancer.Request(l.clock(), policy.Request{ID: 1 << 31, Timeout: time.Hour})
-		l.balancer.Outcome(l.clock(), policy.Outcome{ID: 1 << 31, RequestCompleted: true, Latency: 30 * time.Second})
+		l.balancer.Request(l.clock.now(), policy.Request{ID: 1 << 31, Timeout: time.Hour})
+		l.balancer.Outcome(l.clock.now(), policy.Outcome{ID: 1 << 31, RequestCompleted: true, Latency: 30 * time.Second})
 	})
 	for i := range point.others {
 		s.sendOnNewConn("pay", "")
@@ -120,7 +120,7 @@
 	})
 	reached, resume := l.pause(t)
 	testkit.Wait(t, reached, "the loop")
-	s.request, s.lastID, s.resume = l.requests[l.lastID], l.lastID, resume
+	s.request, s.lastID, s.resume = l.requests.get(l.requests.lastID), l.requests.lastID, resume
 	conn := s.request.client
 	s.request.client = clientFunc(func() bool {
 		disconnected := conn.ClientDisconnected()
@@ -136,14 +136,14 @@
 	s.resume()
 	way.disconnect(s.client)
 	s.loop.awaitRequests(s.t, point.others, point.others)
-	s.loop.post(eventFunc(point.due(s.handlerServer)))
+	s.loop.queue.post(eventFunc(point.due(s.handlerServer)))
 }
 
 // disconnectBehindDecision has the client disconnect while the decision waits in the loop's
 // queue, so that only the socket shows it.
 func (s *servedRequest) disconnectBehindDecision(point requestPoint, way disconnection) {
 	s.t.Helper()
-	s.loop.post(eventFunc(point.due(s.handlerServer)))
+	s.loop.queue.post(eventFunc(point.due(s.handlerServer)))
 	behind, resumeAgain := s.loop.pause(s.t)
 	way.disconnect(s.client)
 	s.awaitDisconnect(s.client)
@@ -165,8 +165,8 @@
 		s.awaitNoRequests()
 	}
 	l.inLoop(s.t, func() {
-		if n := startedAttempts(s.request); n != point.started || l.lastID != s.lastID {
-			s.t.Errorf("%d attempts started, want %d; requests %d, want %d", n, point.started, l.lastID, s.lastID)
+		if n := startedAttempts(s.request); n != point.started || l.requests.lastID != s.lastID {
+			s.t.Errorf("%d attempts started, want %d; requests %d, want %d", n, point.started, l.requests.lastID, s.lastID)
 		}
 	})
 	if text, err := io.ReadAll(s.client); len(text) > 0 || testkit.IsTimeout(err) {
--- a/internal/node/disconnect_test.go
+++ b/internal/node/disconnect_test.go
@@ -143,13 +143,13 @@
 			if attempt > 0 {
 				testkit.Wait(t, bad.Requests, "the first attempt")
 				l.awaitRequests(t, 1, 0)
-				l.UpdateEndpoints(policy.UpdateDelta, endpointjson.TranslateAll([]endpointjson.Endpoint{far.Endpoint("s-0")}))
-				l.post(eventFunc(l.advanceClock))
+				l.endpoints.UpdateEndpoints(policy.UpdateDelta, endpointjson.TranslateAll([]endpointjson.Endpoint{far.Endpoint("s-0")}))
+				l.queue.post(eventFunc(l.advanceClock))
 			}
 			l.awaitRequests(t, 1, 1)
 			reached, release := l.pause(t)
 			testkit.Wait(t, reached, "the loop")
-			r := l.requests[l.lastID]
+			r := l.requests.get(l.requests.lastID)
 			closeConn(client)
 			s.awaitDisconnect(client)
 			received := far.Admit()
@@ -183,7 +183,7 @@
 				c := s.nodeConn(client)
 				return c != nil && c.Closed()
 			})
-			if len(b.Requests) > 0 || s.loop.lastID > 0 {
+			if len(b.Requests) > 0 || s.loop.requests.lastID > 0 {
 				t.Errorf("%s, %s: treated as a request", name, way)
 			}
 		}
--- a/internal/node/discovery_failure_test.go
+++ b/internal/node/discovery_failure_test.go
@@ -199,9 +199,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	go client.Run(t.Context(), l)
+	go client.Run(t.Context(), l.endpoints)
 	for range 5 { // no list, a refused call, a timer, the same again
-		testkit.Wait(t, l.events, "an event").handle(l, l.clock())
+		testkit.Wait(t, l.queue.posted, "an event").handle(l, l.clock.now())
 	}
 	back, err := reserved.Listen()
 	if err != nil {
--- a/internal/node/endpoints_test.go
+++ b/internal/node/endpoints_test.go
@@ -69,7 +69,7 @@
 			done := l.submitAsync(t.Context(), l.newRequest(2, staysConnected))
 			l.awaitRequests(t, 1, 1)
 			b := testkit.NewBackend(t, testkit.OK)
-			l.UpdateEndpoints(policy.UpdateSnapshot, endpointjson.TranslateAll(c.change([]endpointjson.Endpoint{stuck.Endpoint("s-0"), b.Endpoint("s-1")})))
+			l.endpoints.UpdateEndpoints(policy.UpdateSnapshot, endpointjson.TranslateAll(c.change([]endpointjson.Endpoint{stuck.Endpoint("s-0"), b.Endpoint("s-1")})))
 			l.firstAttemptsRevoked(t)
 			received := stuck.Admit()
 			final := testkit.Wait(t, done, "a response")
@@ -90,8 +90,8 @@
 func (l *loop) firstAttemptsRevoked(t *testing.T) {
 	t.Helper()
 	l.inLoop(t, func() {
-		for _, r := range l.requests {
-			if a := r.attempts[0]; !a.reported || !a.call.Revoked() {
+		for _, r := range l.requests.active {
+			if a := r.attempts[0]; a.state == attemptInFlight || !a.call.Revoked() {
 				t.Error("the attempt may still be sent")
 			}
 		}
@@ -106,9 +106,9 @@
 	testkit.Wait(t, a.Requests, "the first attempt")
 	l.awaitRequests(t, 1, 0)
 	drains := b.Endpoint("s-1")
-	l.UpdateEndpoints(policy.UpdateDelta, endpointjson.TranslateAll([]endpointjson.Endpoint{drains}))
+	l.endpoints.UpdateEndpoints(policy.UpdateDelta, endpointjson.TranslateAll([]endpointjson.Endpoint{drains}))
 	drains.Lifecycle = "Terminating"
-	l.UpdateEndpoints(policy.UpdateDelta, endpointjson.TranslateAll([]endpointjson.Endpoint{drains, c.Endpoint("s-2")}))
+	l.endpoints.UpdateEndpoints(policy.UpdateDelta, endpointjson.TranslateAll([]endpointjson.Endpoint{drains, c.Endpoint("s-2")}))
 	if x := testkit.Wait(t, answered, "an answer"); x.status != http.StatusOK || len(b.Requests) > 0 {
 		t.Errorf("status %d, %d sends to the server that drains", x.status, len(b.Requests))
 	}
@@ -142,11 +142,11 @@
 	}
 	startedAt := func(wall time.Time) time.Duration {
 		list := []endpoint.Endpoint{{ID: 1, State: policy.Ready, StartedAt: wall}}
-		return l.starts.Update(policy.UpdateSnapshot, list, processstart.Moment{Clock: l.clock(), Wall: time.Now()})[0]
+		return l.endpoints.starts.Update(policy.UpdateSnapshot, list, processstart.Moment{Clock: l.clock.now(), Wall: time.Now()})[0]
 	}
 	at := time.Now().Add(-3 * time.Second).Round(0)
 	first := startedAt(at)
-	if age := l.clock() - first; age < 2900*time.Millisecond || age > 3*time.Second+testkit.WaitTimeout {
+	if age := l.clock.now() - first; age < 2900*time.Millisecond || age > 3*time.Second+testkit.WaitTimeout {
 		t.Errorf("a start 3 s ago is %v ago on the clock", age)
 	}
 	if again := startedAt(at); again != first {
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -8,7 +8,8 @@
 	"calicohinge/policy"
 )
 
-// event is a message to the loop. handle runs in the loop's goroutine.
+// event is a message to the loop. handle runs in the loop's goroutine and makes one call, of the method
+// that handles this kind of event.
 type event interface {
 	handle(l *loop, now time.Duration)
 }
@@ -16,7 +17,7 @@
 // requestArrived is sent by submit.
 type requestArrived struct{ request *request }
 
-func (e requestArrived) handle(l *loop, now time.Duration) { l.start(now, e.request) }
+func (e requestArrived) handle(l *loop, now time.Duration) { l.arrive(now, e.request) }
 
 // clientDisconnected is sent by submit when the context of the HTTP request ends.
 type clientDisconnected struct{ request *request }
@@ -36,12 +37,7 @@
 	result  upstream.Result
 }
 
-func (e attemptEnded) handle(l *loop, now time.Duration) {
-	if e.result.ClientDisconnected {
-		l.disconnect(now, e.request)
-	}
-	l.reportOutcome(now, e.request, e.index, e.result)
-}
+func (e attemptEnded) handle(l *loop, now time.Duration) { l.endAttempt(now, e.request, e.index, e.result) }
 
 // keyRetentionEnded is sent by a timer when servers may have forgotten a request's
 // idempotency key.
@@ -50,50 +46,35 @@
 	index   int // of the attempt that must not be sent any more
 }
 
-func (e keyRetentionEnded) handle(l *loop, now time.Duration) {
-	if e.request.attempts[e.index].call.Revoke() {
-		l.reportOutcome(now, e.request, e.index, upstream.Result{Status: policy.NotSent})
-	}
-}
+func (e keyRetentionEnded) handle(l *loop, now time.Duration) { l.endKeyRetention(now, e.request, e.index) }
 
-// requestCompleted is deferred by the host calls that complete a request.
-type requestCompleted struct{ request *request }
+// requestCompletedByHost is deferred by the host calls that complete a request.
+type requestCompletedByHost struct{ request *request }
 
-func (e requestCompleted) handle(l *loop, _ time.Duration) { l.release(e.request) }
+func (e requestCompletedByHost) handle(l *loop, _ time.Duration) { l.release(e.request) }
 
 // timerFired is sent by the timers that the balancer has requested.
 type timerFired struct{ token uint64 }
 
-func (e timerFired) handle(l *loop, now time.Duration) { l.balancer.Timer(now, e.token) }
+func (e timerFired) handle(l *loop, now time.Duration) { l.fireTimer(now, e.token) }
 
 // endpointsUpdated is sent by the discovery client.
 type endpointsUpdated struct {
-	kind   policy.UpdateKind
-	usable []endpoint.Endpoint // for the pool
-	policy []policy.Endpoint   // the same for the balancer
+	kind        policy.UpdateKind
+	forPool     []endpoint.Endpoint
+	forBalancer []policy.Endpoint // the same ones
 }
 
-func (e endpointsUpdated) handle(l *loop, now time.Duration) {
-	revoked := l.revokeUnsent(l.pool.UpdateEndpoints(e.kind != policy.UpdateDelta, e.usable))
-	l.balancer.UpdateEndpoints(now, e.kind, e.policy)
-	for _, a := range revoked {
-		l.reportOutcome(now, a.request, a.index, upstream.Result{Status: policy.NotSent})
-	}
-}
+func (e endpointsUpdated) handle(l *loop, now time.Duration) { l.updateEndpoints(now, e) }
 
 // watchFailed is sent by the discovery client.
 type watchFailed struct {
-	notifiedAt time.Time // when changes that were missed count as notified
+	notifiedAt time.Duration // on the node's clock: when changes that were missed count as notified
 }
 
-func (e watchFailed) handle(l *loop, now time.Duration) {
-	l.balancer.WatchFailed(now, e.notifiedAt.Sub(l.clockOrigin))
-}
+func (e watchFailed) handle(l *loop, now time.Duration) { l.failWatch(now, e.notifiedAt) }
 
-// terminated is sent by terminateAll at the end of a graceful shutdown.
+// terminated is sent by terminateAll near the end of a graceful shutdown.
 type terminated struct{}
 
-func (terminated) handle(l *loop, now time.Duration) {
-	l.terminated = true
-	l.balancer.TerminateAll(now)
-}
+func (terminated) handle(l *loop, now time.Duration) { l.terminate(now) }
--- a/internal/node/handler.go
+++ b/internal/node/handler.go
@@ -32,7 +32,7 @@
 	conns        *downstream.Conns
 	shuttingDown atomic.Bool  // the node is not ready any more
 	draining     atomic.Bool  // responses close their connections
-	lastRequest  atomic.Int64 // when a request was last accepted, a time.Duration on the loop's clock
+	lastRequest  atomic.Int64 // when a request was last accepted, a time.Duration on the node's clock
 	activeIDs    requestIDs   // of the requests that have no final response yet
 	stats        requestStats
 }
@@ -89,7 +89,7 @@
 
 // serveReadiness answers the health check of whoever assigns clients to nodes.
 func (h *handler) serveReadiness(w http.ResponseWriter) {
-	if !h.loop.ready.Load() || h.shuttingDown.Load() {
+	if !h.loop.endpoints.synced.Load() || h.shuttingDown.Load() {
 		writeText(w, http.StatusServiceUnavailable, "not ready")
 		return
 	}
@@ -142,7 +142,7 @@
 	if !h.activeIDs.reserve(id) {
 		return response{}, &rejectionError{status: http.StatusConflict, reason: "a request with this X-Request-ID is open"}
 	}
-	h.lastRequest.Store(int64(h.loop.clock()))
+	h.lastRequest.Store(int64(h.loop.clock.now()))
 	control := http.NewResponseController(w)
 	// net/http goes on reading, to see the client disconnect. The deadline of the
 	// request's own bytes would look like that. A broken connection shows elsewhere.
@@ -154,15 +154,15 @@
 		panic(http.ErrAbortHandler)
 	}
 	// If the connection is broken, so is the write.
-	_ = control.SetWriteDeadline(time.Now().Add(parsed.deadline - h.loop.clock() + writeTimeout))
+	_ = control.SetWriteDeadline(time.Now().Add(parsed.deadline - h.loop.clock.now() + writeTimeout))
 	return final, nil
 }
 
-// activeSince reports whether the given time on the loop's clock or the last request is
+// activeSince reports whether the given time on the node's clock or the last request is
 // less than the quiet period ago.
 func (h *handler) activeSince(at time.Duration) bool {
 	last := time.Duration(h.lastRequest.Load())
-	return h.loop.clock()-max(at, last) < quietPeriod
+	return h.loop.clock.now()-max(at, last) < quietPeriod
 }
 
 // contextConn is the client connection of a request that came over none of downstream.
--- a/internal/node/harness_handler_test.go
+++ b/internal/node/harness_handler_test.go
@@ -43,7 +43,7 @@
 		t.Fatal(err)
 	}
 	go l.run()
-	l.UpdateEndpoints(policy.UpdateSnapshot, endpointjson.TranslateAll(list))
+	l.endpoints.UpdateEndpoints(policy.UpdateSnapshot, endpointjson.TranslateAll(list))
 	conns := downstreamConfig(400, 0)
 	conns.LingerTimeout = linger
 	s := &handlerServer{loop: l, handler: newHandler(cfg, l, downstream.NewConns(conns))}
--- a/internal/node/harness_loop_test.go
+++ b/internal/node/harness_loop_test.go
@@ -31,7 +31,7 @@
 		t.Fatal(err)
 	}
 	go l.run()
-	l.UpdateEndpoints(policy.UpdateSnapshot, endpointjson.TranslateAll(list))
+	l.endpoints.UpdateEndpoints(policy.UpdateSnapshot, endpointjson.TranslateAll(list))
 	return l
 }
 
@@ -63,14 +63,14 @@
 
 // newRequest makes a request as the handler would.
 func (l *loop) newRequest(class int, disconnected func() bool) *request {
-	return &request{Request: *forwardedTestRequest(), class: class, deadline: l.clock() + time.Minute, client: clientFunc(disconnected)}
+	return &request{Request: *forwardedTestRequest(), class: class, deadline: l.clock.now() + time.Minute, client: clientFunc(disconnected)}
 }
 
 // inLoop runs a function in the loop, after all events that were posted before.
 func (l *loop) inLoop(t *testing.T, what func()) {
 	t.Helper()
 	done := make(chan struct{})
-	l.post(eventFunc(func(time.Duration) { what(); close(done) }))
+	l.queue.post(eventFunc(func(time.Duration) { what(); close(done) }))
 	testkit.Wait(t, done, "the loop")
 }
 
@@ -80,7 +80,7 @@
 	for end := time.Now().Add(testkit.WaitTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		n, m := 0, 0
 		l.inLoop(t, func() {
-			for _, r := range l.requests {
+			for _, r := range l.requests.active {
 				n++
 				m += r.inFlight
 			}
@@ -97,15 +97,15 @@
 	blocked, unblock := make(chan struct{}), make(chan struct{})
 	resume = sync.OnceFunc(func() { close(unblock) })
 	t.Cleanup(resume)
-	l.post(eventFunc(func(time.Duration) { close(blocked); <-unblock }))
+	l.queue.post(eventFunc(func(time.Duration) { close(blocked); <-unblock }))
 	return blocked, resume
 }
 
 // advanceClock moves the clock past every backoff and the delay of a hedged request, and has the
 // balancer act on it.
 func (l *loop) advanceClock(time.Duration) {
-	l.clockOrigin = l.clockOrigin.Add(-200 * time.Second)
-	l.balancer.Timer(l.clock(), 0)
+	l.clock.origin = l.clock.origin.Add(-200 * time.Second)
+	l.balancer.Timer(l.clock.now(), 0)
 }
 
 // startedAttempts counts the attempts whose first byte was released for writing.
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -4,8 +4,6 @@
 	"context"
 	"errors"
 	"net/http"
-	"sync"
-	"sync/atomic"
 	"time"
 
 	"calicohinge/internal/config"
@@ -14,100 +12,81 @@
 	"calicohinge/policy"
 )
 
-const (
-	// clockOffset is what the loop's clock shows at its creation. It keeps the start of a
-	// server that is older than this node positive: the balancer takes 0 and less for "long ago".
-	clockOffset = time.Hour
-	// eventQueueSize is how many events may wait before their senders block.
-	eventQueueSize = 1024
-)
-
+// errClientDisconnected says that a request has no final response since nobody waits for one.
 var errClientDisconnected = errors.New("client disconnected")
 
-// loop owns the balancer, its clock and its timers, and carries out its actions. All
-// other goroutines send it events.
+// loop drives the balancer: its goroutine handles one event after the other, and nothing else calls the
+// balancer. Handlers of HTTP requests submit theirs from other goroutines.
 type loop struct {
-	ctx         context.Context
-	clockOrigin time.Time // when the clock would have shown 0
-	starts      *processstart.Registry
-	pool        *upstream.Pool
-	watcher     watcher
-	zones       map[string]int // indexes of the configured zones by name
-	classes     []policy.Class
-	maxAttempts int
-	retryAfter  time.Duration // sent with rejections by a node that has terminated all requests
-	events      chan event
-	ready       atomic.Bool    // an endpoint list is known
-	sends       sync.WaitGroup // attempts that are being carried out
+	clock      *clock
+	queue      *eventQueue
+	endpoints  *discoveryHandler
+	pool       *upstream.Pool
+	retryAfter time.Duration // sent with rejections by a node that has terminated all requests
 
 	// Only the goroutine of run uses the fields below.
 	balancer   *policy.Balancer
-	requests   map[policy.RequestID]*request // active ones
-	lastID     policy.RequestID
-	terminated bool    // new requests are rejected
-	deferred   []event // by host calls, which must not call the balancer back
+	host       *policyHost
+	requests   *requestTable
+	terminated bool // new requests are rejected
 }
 
-// watcher starts a watch of the endpoint list.
-type watcher interface{ RequestWatch() }
-
+// newLoop returns a loop that ends with ctx, as do all attempts.
 func newLoop(ctx context.Context, cfg *config.Config, pool *upstream.Pool, watcher watcher) (*loop, error) {
-	l := &loop{
-		ctx:         ctx,
-		clockOrigin: time.Now().Add(-clockOffset),
-		pool:        pool,
-		watcher:     watcher,
-		zones:       cfg.Zones,
+	clock, queue, requests := newClock(), newEventQueue(ctx.Done()), newRequestTable()
+	host := &policyHost{
+		clock:    clock,
+		queue:    queue,
+		requests: requests,
+		pool:     pool,
+		watcher:  watcher,
+		newCall: func(clientDisconnected func() bool) *upstream.Call {
+			return upstream.NewCall(ctx, clientDisconnected)
+		},
 		classes:     cfg.Policy.Classes,
 		maxAttempts: cfg.Policy.Limits.MaxAttempts,
-		retryAfter:  cfg.Policy.Limits.MaxRetryAfter,
-		events:      make(chan event, eventQueueSize),
-		requests:    map[policy.RequestID]*request{},
 	}
-	l.starts = processstart.NewRegistry(l.clockOrigin, cfg.Policy.Rules.SlowStartDuration)
-	var err error
-	l.balancer, err = policy.New(cfg.Policy, cfg.Seed, l)
-	return l, err
+	balancer, err := policy.New(cfg.Policy, cfg.Seed, host)
+	if err != nil {
+		return nil, err
+	}
+	endpoints := &discoveryHandler{
+		clock:  clock,
+		queue:  queue,
+		starts: processstart.NewRegistry(clock.origin, cfg.Policy.Rules.SlowStartDuration),
+		zones:  cfg.Zones,
+	}
+	return &loop{
+		clock:      clock,
+		queue:      queue,
+		endpoints:  endpoints,
+		pool:       pool,
+		retryAfter: cfg.Policy.Limits.MaxRetryAfter,
+		balancer:   balancer,
+		host:       host,
+		requests:   requests,
+	}, nil
 }
 
-// clock returns the node's monotonic time.
-func (l *loop) clock() time.Duration { return time.Since(l.clockOrigin) }
-
-// run handles events until the context ends, and returns when no attempt is being carried
-// out any more. An event's time is when it is taken from the queue, not when it was sent.
+// run handles events until the loop's context ends, and returns when no attempt is being carried
+// out any more.
 func (l *loop) run() {
-	defer l.sends.Wait()
+	defer l.host.sends.Wait()
 	for {
 		select {
-		case <-l.ctx.Done():
+		case <-l.queue.done:
 			return
-		case next := <-l.events:
-			next.handle(l, l.clock())
-			l.handleDeferred()
+		case next := <-l.queue.posted:
+			l.handle(next)
 		}
 	}
 }
 
-// handleDeferred handles the events that host calls have deferred, in their order, and those
-// that are deferred meanwhile.
-func (l *loop) handleDeferred() {
-	for len(l.deferred) > 0 {
-		next := l.deferred[0]
-		l.deferred = l.deferred[1:]
-		next.handle(l, l.clock())
-	}
-}
-
-// deferEvent has an event handled right after the present one.
-func (l *loop) deferEvent(e event) { l.deferred = append(l.deferred, e) }
-
-// post sends the loop an event; it reports false if the loop has ended.
-func (l *loop) post(e event) bool {
-	select {
-	case l.events <- e:
-		return true
-	case <-l.ctx.Done():
-		return false
+// handle handles an event and those that host calls defer meanwhile. An event's time is when it is
+// taken from the queue, not when it was sent.
+func (l *loop) handle(next event) {
+	for ; next != nil; next = l.queue.takeDeferred() {
+		next.handle(l, l.clock.now())
 	}
 }
 
@@ -116,22 +95,22 @@
 // the request is rejected if it was never forwarded, and has failed otherwise.
 func (l *loop) submit(ctx context.Context, req *request) (response, error) {
 	req.completion = make(chan completion, 1)
-	if !l.post(requestArrived{req}) {
-		return response{status: http.StatusServiceUnavailable, retryAfter: l.retryAfter}, nil
+	if !l.queue.post(requestArrived{req}) {
+		return l.terminationResponse(), nil
 	}
 	select {
 	case final := <-req.completion:
 		return final.response, final.err
 	case <-ctx.Done():
-		l.post(clientDisconnected{req})
+		l.queue.post(clientDisconnected{req})
 		return response{}, errClientDisconnected
-	case <-l.ctx.Done():
-		return l.lastResponse(req)
+	case <-l.queue.done:
+		return lastResponse(req)
 	}
 }
 
 // lastResponse returns the final response to a request that was active as the loop ended.
-func (l *loop) lastResponse(req *request) (response, error) {
+func lastResponse(req *request) (response, error) {
 	select {
 	case final := <-req.completion:
 		return final.response, final.err
@@ -140,41 +119,36 @@
 	}
 }
 
-// terminateAll has every active request answered and later ones, which were never
+// terminationResponse is the response to a request that arrives after termination.
+func (l *loop) terminationResponse() response {
+	return response{status: http.StatusServiceUnavailable, retryAfter: l.retryAfter}
+}
+
+// terminateAll has every active request completed and later ones, which were never
 // forwarded, rejected at once.
-func (l *loop) terminateAll() { l.post(terminated{}) }
+func (l *loop) terminateAll() { l.queue.post(terminated{}) }
 
-// start hands a new request to the balancer.
-func (l *loop) start(now time.Duration, req *request) {
-	req.id = l.nextID()
+// arrive hands a new request to the balancer.
+func (l *loop) arrive(now time.Duration, req *request) {
+	req.arrive(l.requests.newID())
 	if l.terminated {
-		l.complete(req, completion{response: response{status: http.StatusServiceUnavailable, retryAfter: l.retryAfter}})
+		req.complete(completion{response: l.terminationResponse()})
 		return
 	}
-	l.requests[req.id] = req
+	l.requests.add(req)
 	timeout := max(0, req.deadline-now)
-	req.deadlineTimer = time.AfterFunc(timeout, func() { l.post(deadlineExpired{req}) })
+	req.deadlineTimer = time.AfterFunc(timeout, func() { l.queue.post(deadlineExpired{req}) })
 	l.balancer.Request(now, policy.Request{
 		ID: req.id, Class: req.class, Tenant: req.tenant, Timeout: timeout, CostHint: req.costHint,
 	})
 	l.release(req)
 }
 
-// nextID returns an ID that no active request has: IDs wrap around after 2^32 requests.
-func (l *loop) nextID() policy.RequestID {
-	l.lastID++
-	for l.requests[l.lastID] != nil {
-		l.lastID++
-	}
-	return l.lastID
-}
-
-// disconnect ends a request whose client has disconnected: no final response is due any more.
+// disconnect completes a request whose client has disconnected: no final response is due any more.
 func (l *loop) disconnect(now time.Duration, req *request) {
-	if req.completed {
+	if !req.complete(completion{err: errClientDisconnected}) {
 		return
 	}
-	l.complete(req, completion{err: errClientDisconnected})
 	l.balancer.ClientDisconnected(now, req.id)
 	l.release(req)
 }
@@ -187,43 +161,64 @@
 	}
 }
 
+// endAttempt reports an attempt that has ended. If it was not sent since its client had
+// disconnected, the event of that has still to come.
+func (l *loop) endAttempt(now time.Duration, req *request, index int, result upstream.Result) {
+	if result.ClientDisconnected {
+		l.disconnect(now, req)
+	}
+	l.reportOutcome(now, req, index, result)
+}
+
+// endKeyRetention revokes an attempt that is still waiting for its connection.
+func (l *loop) endKeyRetention(now time.Duration, req *request, index int) {
+	if req.attempts[index].revoke() {
+		l.reportOutcome(now, req, index, upstream.Result{Status: policy.NotSent})
+	}
+}
+
 // reportOutcome reports the end of an attempt to the balancer, once; later ends are dropped.
 func (l *loop) reportOutcome(now time.Duration, req *request, index int, result upstream.Result) {
-	ended := req.attempts[index]
-	if ended.reported {
+	if !req.report(index, result.Status) {
 		return
 	}
-	ended.reported = true
-	ended.notExecuted = result.Status.NotExecuted()
-	req.inFlight--
-	ended.call.Cancel()
-	if ended.timer != nil {
-		ended.timer.Stop()
-	}
-	if result.Status == policy.OK && !req.completed {
-		l.complete(req, completion{response: response{status: http.StatusOK, header: result.Header, body: result.Body}})
+	if result.Status == policy.OK {
+		req.complete(completion{response: response{status: http.StatusOK, header: result.Header, body: result.Body}})
 	}
+	reported := req.attempts[index]
 	l.balancer.Outcome(now, policy.Outcome{
-		ID: req.id, Attempt: index, Server: ended.server, Status: result.Status,
-		RequestCompleted: req.completed, Latency: now - ended.sentAt,
+		ID: req.id, Attempt: index, Server: reported.server, Status: result.Status,
+		RequestCompleted: req.state != requestActive, Latency: now - reported.sentAt,
 	})
 	l.release(req)
 }
 
-// complete ends a request for its client. Attempts that still wait for a connection are
-// revoked: nothing may be sent once the client has its final response.
-func (l *loop) complete(req *request, final completion) {
-	req.completed = true
-	for _, a := range req.attempts {
-		a.call.Revoke()
+// release forgets a request that is completed and has no attempt in flight.
+func (l *loop) release(req *request) {
+	if req.release() {
+		l.requests.remove(req)
 	}
-	req.completion <- final
 }
 
-// release forgets a request that is completed and has no attempt in flight.
-func (l *loop) release(req *request) {
-	if req.completed && req.inFlight == 0 {
-		req.deadlineTimer.Stop()
-		delete(l.requests, req.id)
+// fireTimer hands a timer that the balancer requested back to it.
+func (l *loop) fireTimer(now time.Duration, token uint64) { l.balancer.Timer(now, token) }
+
+// updateEndpoints applies an update of the endpoint list. Attempts at servers that must not get them any
+// more are revoked before the balancer, which knows the new list, decides where their requests go.
+func (l *loop) updateEndpoints(now time.Duration, update endpointsUpdated) {
+	complete := update.kind != policy.UpdateDelta
+	revoked := l.requests.revokeAttemptsAt(l.pool.UpdateEndpoints(complete, update.forPool))
+	l.balancer.UpdateEndpoints(now, update.kind, update.forBalancer)
+	for _, a := range revoked {
+		l.reportOutcome(now, a.request, a.index, upstream.Result{Status: policy.NotSent})
 	}
 }
+
+// failWatch has the balancer start a new watch before the changes that were missed count as notified.
+func (l *loop) failWatch(now, notifiedAt time.Duration) { l.balancer.WatchFailed(now, notifiedAt) }
+
+// terminate has the balancer complete every active request.
+func (l *loop) terminate(now time.Duration) {
+	l.terminated = true
+	l.balancer.TerminateAll(now)
+}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -135,7 +135,7 @@
 func (s *service) start(ctx context.Context) {
 	s.parts.Go(s.loop.run)
 	s.parts.Go(func() { s.pool.RetireIdle(ctx) })
-	s.parts.Go(func() { s.discovery.Run(ctx, s.loop) })
+	s.parts.Go(func() { s.discovery.Run(ctx, s.loop.endpoints) })
 	go func() { s.serveResult <- s.server.Serve(s.listener) }()
 }
 
--- a/internal/node/parse.go
+++ b/internal/node/parse.go
@@ -88,7 +88,7 @@
 		class:    classIndex,
 		tenant:   tenant,
 		costHint: parseCostHint(r),
-		deadline: h.loop.clock() + min(timeout, class.Deadline) - responseMargin - timeInQueue(r),
+		deadline: h.loop.clock.now() + min(timeout, class.Deadline) - responseMargin - timeInQueue(r),
 	}, nil
 }
 
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -19,30 +19,29 @@
 	upstream.Request
 	class, tenant int           // indexes into policy.Settings
 	costHint      time.Duration // 0: unknown
-	deadline      time.Duration // on the loop's clock: when the response must be on its way
+	deadline      time.Duration // on the node's clock: when the response must be on its way
 	client        clientConn
 	completion    chan completion // has capacity for the only one
 
-	// Only the goroutine of loop.run uses the fields below.
+	// Only the loop's goroutine uses the fields below.
 	id            policy.RequestID
+	state         requestState
 	attempts      []*attempt
-	inFlight      int  // attempts with no outcome yet
-	completed     bool // it has its final response, or its client has disconnected
+	inFlight      int // attempts in state attemptInFlight
 	deadlineTimer *time.Timer
 }
 
-// completion is how a request ended for its client: with a response, or an error if there is none.
+// completion is how a request completed for its client: with a response, or an error if there is none.
 type completion struct {
 	response response
 	err      error
 }
 
-// attempt is one send of a request. Only the goroutine of loop.run uses it.
+// attempt is one send of a request. Only the loop's goroutine uses it.
 type attempt struct {
-	call        *upstream.Call
-	server      policy.ServerID
-	sentAt      time.Duration // on the loop's clock
-	reported    bool          // the balancer has its outcome
-	notExecuted bool          // by that outcome
-	timer       *time.Timer   // ends the attempt; nil: only the request's deadline does
+	call   *upstream.Call
+	server policy.ServerID
+	sentAt time.Duration // on the node's clock
+	state  attemptState
+	timer  *time.Timer // ends the attempt; nil: only the request's deadline does
 }
--- /dev/null
+++ b/internal/node/request_table.go
@@ -0,0 +1,55 @@
+package node
+
+import (
+	"calicohinge/internal/upstream"
+	"calicohinge/policy"
+)
+
+// requestTable holds the active requests by ID. Only the loop's goroutine uses it.
+type requestTable struct {
+	active map[policy.RequestID]*request
+	lastID policy.RequestID
+}
+
+func newRequestTable() *requestTable {
+	return &requestTable{active: map[policy.RequestID]*request{}}
+}
+
+// newID returns an ID that no active request has: IDs wrap around after 2^32 requests.
+func (t *requestTable) newID() policy.RequestID {
+	t.lastID++
+	for t.active[t.lastID] != nil {
+		t.lastID++
+	}
+	return t.lastID
+}
+
+// add adds a request under its ID.
+func (t *requestTable) add(req *request) { t.active[req.id] = req }
+
+// get returns the active request with an ID, nil if there is none.
+func (t *requestTable) get(id policy.RequestID) *request { return t.active[id] }
+
+// remove removes a request.
+func (t *requestTable) remove(req *request) { delete(t.active, req.id) }
+
+// attemptRef identifies an attempt.
+type attemptRef struct {
+	request *request
+	index   int // of the attempt in the request
+}
+
+// revokeAttemptsAt revokes the attempts at the given servers of which no byte has been written, and
+// returns them. One that waits for its connection could be sent after the grace that a drain allows,
+// or reach another process at the same address.
+func (t *requestTable) revokeAttemptsAt(servers upstream.RevokedServers) []attemptRef {
+	var revoked []attemptRef
+	for _, req := range t.active {
+		for index, a := range req.attempts {
+			if a.state == attemptInFlight && servers.Contains(a.server) && a.revoke() {
+				revoked = append(revoked, attemptRef{req, index})
+			}
+		}
+	}
+	return revoked
+}
--- a/internal/node/retry_test.go
+++ b/internal/node/retry_test.go
@@ -250,24 +250,25 @@
 			servers := []policy.ServerID{endpoint.IDOf("quiet"), endpoint.IDOf("quiet")}
 			servers[c.late] = endpoint.IDOf("late")
 			l.inLoop(t, func() {
-				r.id, r.completion = 1000, make(chan completion, 1)
+				r.completion = make(chan completion, 1)
 				r.deadlineTimer = time.NewTimer(time.Hour)
-				l.requests[r.id] = r
-				l.Send(r.id, servers[0], 0)
+				r.arrive(1000)
+				l.requests.add(r)
+				l.host.Send(r.id, servers[0], 0)
 				if c.first != policy.Cancelled {
-					l.reportOutcome(l.clock(), r, 0, upstream.Result{Status: c.first})
+					l.reportOutcome(l.clock.now(), r, 0, upstream.Result{Status: c.first})
 				}
 				if c.over { // by the time that the connection comes up
-					r.attempts[0].sentAt += 20*time.Millisecond - l.classes[keyed].KeyRetention
+					r.attempts[0].sentAt += 20*time.Millisecond - l.host.classes[keyed].KeyRetention
 				}
-				l.Send(r.id, servers[1], 0)
+				l.host.Send(r.id, servers[1], 0)
 			})
 			testkit.Until(t, "the window's end", func() bool { // which is under test
-				return !c.over || l.clock() >= r.attempts[0].sentAt+l.classes[keyed].KeyRetention
+				return !c.over || l.clock.now() >= r.attempts[0].sentAt+l.host.classes[keyed].KeyRetention
 			})
 			received := far.Admit()
 			testkit.Until(t, "the outcome", func() (reported bool) {
-				l.inLoop(t, func() { reported = r.attempts[c.late].reported })
+				l.inLoop(t, func() { reported = r.attempts[c.late].state != attemptInFlight })
 				return reported
 			})
 			if len(received) != map[bool]int{true: 1}[c.sent] {
@@ -295,7 +296,7 @@
 	}
 	testkit.Until(t, "the connection to be pooled", func() bool { return l.pool.Stats().Idle() == 1 })
 	answered := l.submitAsync(t.Context(), l.newRequest(2, staysConnected))
-	l.UpdateEndpoints(policy.UpdateDelta, endpointjson.TranslateAll([]endpointjson.Endpoint{b.Endpoint("s-1")})) // another one could take it
+	l.endpoints.UpdateEndpoints(policy.UpdateDelta, endpointjson.TranslateAll([]endpointjson.Endpoint{b.Endpoint("s-1")})) // another one could take it
 	if x := testkit.Wait(t, answered, "an answer"); x.status != http.StatusBadGateway {
 		t.Errorf("status %d", x.status)
 	}
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -54,7 +54,7 @@
 // the rest is closed. It returns an error if accepting connections failed.
 func (s *service) shutdown(ctx context.Context) error {
 	gracePeriod := shutdownGracePeriod(s.cfg)
-	began, beganOnClock := time.Now(), s.loop.clock()
+	began, beganOnClock := time.Now(), s.loop.clock.now()
 	slog.Info("shutting down", "grace_period", gracePeriod)
 	s.handler.shuttingDown.Store(true)
 	s.serveUntilQuiet(beganOnClock, gracePeriod-drainPeriod)
@@ -67,7 +67,7 @@
 // serveUntilQuiet goes on serving until no requests come any more, for the given time at
 // most: clients may have no other node to go to.
 func (s *service) serveUntilQuiet(began, limit time.Duration) {
-	for s.loop.clock()-began < limit && s.handler.activeSince(began) {
+	for s.loop.clock.now()-began < limit && s.handler.activeSince(began) {
 		time.Sleep(quietPollInterval)
 	}
 }
