--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -37,7 +37,9 @@
 	result  upstream.Result
 }
 
-func (e attemptEnded) handle(l *loop, now time.Duration) { l.endAttempt(now, e.request, e.index, e.result) }
+func (e attemptEnded) handle(l *loop, now time.Duration) {
+	l.endAttempt(now, e.request, e.index, e.result)
+}
 
 // keyRetentionEnded is sent by a timer when servers may have forgotten a request's
 // idempotency key.
@@ -46,7 +48,9 @@
 	index   int // of the attempt that must not be sent any more
 }
 
-func (e keyRetentionEnded) handle(l *loop, now time.Duration) { l.endKeyRetention(now, e.request, e.index) }
+func (e keyRetentionEnded) handle(l *loop, now time.Duration) {
+	l.endKeyRetention(now, e.request, e.index)
+}
 
 // requestCompletedByHost is deferred by the host calls that complete a request.
 type requestCompletedByHost struct{ request *request }
--- a/internal/node/handler.go
+++ b/internal/node/handler.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"net"
 	"net/http"
 	"sync/atomic"
@@ -20,14 +21,17 @@
 	// idleTimeout is how long a client's connection may wait for its next request.
 	idleTimeout = 10 * time.Second
 	// writeTimeout is how long after its deadline a client may still take its response.
-	// One that reads nothing would otherwise keep its connection for good.
+	// One that reads nothing would otherwise keep its connection open.
 	writeTimeout = 500 * time.Millisecond
+	// readinessPath is the path of the health check.
+	readinessPath = "/health/ready"
 )
 
 // handler serves the clients' HTTP requests: it validates them, submits them to the loop
 // and writes the final responses.
 type handler struct {
 	cfg          *config.Config
+	parser       requestParser
 	loop         *loop
 	conns        *downstream.Conns
 	shuttingDown atomic.Bool  // the node is not ready any more
@@ -38,7 +42,7 @@
 }
 
 func newHandler(cfg *config.Config, loop *loop, conns *downstream.Conns) *handler {
-	return &handler{cfg: cfg, loop: loop, conns: conns}
+	return &handler{cfg: cfg, parser: requestParser{cfg, loop.clock}, loop: loop, conns: conns}
 }
 
 // server returns an HTTP server for the connections of h.conns.
@@ -60,7 +64,9 @@
 	if h.draining.Load() {
 		w.Header().Set("Connection", "close") // clients move to other nodes
 	}
-	h.respond(w, r)
+	if err := h.serve(w, r); err != nil {
+		panic(http.ErrAbortHandler) // nobody waits for a response: net/http closes the connection
+	}
 	if conn := clientConnection(r); conn != nil && w.Header().Get("Connection") != "" {
 		if err := http.NewResponseController(w).Flush(); err == nil {
 			conn.LingeringClose(r.Context())
@@ -74,20 +80,35 @@
 	return conn
 }
 
-// respond writes the response to whatever a client asks for.
-func (h *handler) respond(w http.ResponseWriter, r *http.Request) {
+// serve writes the response to any request, and counts it. The error is errClientDisconnected: there is
+// no response to write.
+func (h *handler) serve(w http.ResponseWriter, r *http.Request) error {
+	err := h.route(w, r)
+	if errors.Is(err, errClientDisconnected) {
+		h.stats.disconnected.Add(1)
+		return errClientDisconnected
+	}
+	if err != nil {
+		h.stats.invalid.Add(1)
+		writeRejection(w, r, err)
+	}
+	return nil
+}
+
+// route serves a health check or a request to be forwarded. The error is that of checkFraming or
+// forward.
+func (h *handler) route(w http.ResponseWriter, r *http.Request) error {
 	if err := checkFraming(r); err != nil {
-		h.reject(w, r, err)
-		return
+		return err
 	}
-	if r.URL.Path == "/health/ready" {
+	if r.URL.Path == readinessPath {
 		h.serveReadiness(w)
-		return
+		return nil
 	}
-	h.serveRequest(w, r)
+	return h.forward(w, r)
 }
 
-// serveReadiness answers the health check of whoever assigns clients to nodes.
+// serveReadiness responds to the health check of whoever assigns clients to nodes.
 func (h *handler) serveReadiness(w http.ResponseWriter) {
 	if !h.loop.endpoints.synced.Load() || h.shuttingDown.Load() {
 		writeText(w, http.StatusServiceUnavailable, "not ready")
@@ -96,51 +117,41 @@
 	writeText(w, http.StatusOK, "ready")
 }
 
-// serveRequest validates a request, forwards it and writes its final response.
-func (h *handler) serveRequest(w http.ResponseWriter, r *http.Request) {
-	parsed, err := h.parse(r)
+// forward validates a request, forwards it and writes its final response. The error is that of
+// requestParser.parse or submit.
+func (h *handler) forward(w http.ResponseWriter, r *http.Request) error {
+	parsed, err := h.parser.parse(r)
 	if err != nil {
-		h.reject(w, r, err)
-		return
+		return err
 	}
-	parsed.client = contextConn{r.Context()}
-	if conn := clientConnection(r); conn != nil {
-		parsed.client = conn
-		conn.RequestComplete()
-		if conn.OverLimit() {
-			w.Header().Set("Connection", "close")
-			h.finish(w, response{
-				status: http.StatusServiceUnavailable, retryAfter: h.cfg.Policy.Limits.MaxRetryAfter,
-			})
-			return
-		}
+	conn := clientConnection(r)
+	if conn == nil {
+		parsed.client = contextConn{r.Context().Done()}
+		return h.submit(w, r, parsed)
 	}
-	final, err := h.submit(w, r, parsed)
-	if err != nil {
-		h.reject(w, r, err)
-		return
+	parsed.client = conn
+	conn.RequestComplete()
+	if conn.OverLimit() {
+		h.rejectOverLimit(w)
+		return nil
 	}
-	h.finish(w, final)
-}
-
-// reject answers a request that breaks a rule, and counts it.
-func (h *handler) reject(w http.ResponseWriter, r *http.Request, err error) {
-	h.stats.invalid.Add(1)
-	writeRejection(w, r, err)
+	return h.submit(w, r, parsed)
 }
 
-// finish writes a final response and counts it.
-func (h *handler) finish(w http.ResponseWriter, final response) {
-	h.stats.countFinal(final.status)
-	writeResponse(w, final)
+// rejectOverLimit rejects a request on a connection beyond the limit of clients.
+func (h *handler) rejectOverLimit(w http.ResponseWriter) {
+	w.Header().Set("Connection", "close")
+	h.writeFinal(w, response{
+		status: http.StatusServiceUnavailable, retryAfter: h.cfg.Policy.Limits.MaxRetryAfter,
+	})
 }
 
-// submit waits for a request's final response, and prepares the connection for writing it. The
-// error is a rejection. It panics with http.ErrAbortHandler if there is nobody to respond to.
-func (h *handler) submit(w http.ResponseWriter, r *http.Request, parsed *request) (response, error) {
+// submit waits for a request's final response and writes it. The error is a *rejectionError, or
+// errClientDisconnected if nobody waits for the response.
+func (h *handler) submit(w http.ResponseWriter, r *http.Request, parsed *request) error {
 	id := parsed.Header.Get("X-Request-Id")
 	if !h.activeIDs.reserve(id) {
-		return response{}, &rejectionError{status: http.StatusConflict, reason: "a request with this X-Request-ID is open"}
+		return &rejectionError{status: http.StatusConflict, reason: "a request with this X-Request-ID is open"}
 	}
 	h.lastRequest.Store(int64(h.loop.clock.now()))
 	control := http.NewResponseController(w)
@@ -150,12 +161,18 @@
 	final, err := h.loop.submit(r.Context(), parsed)
 	h.activeIDs.release(id)
 	if err != nil {
-		h.stats.disconnected.Add(1)
-		panic(http.ErrAbortHandler)
+		return err
 	}
 	// If the connection is broken, so is the write.
 	_ = control.SetWriteDeadline(time.Now().Add(parsed.deadline - h.loop.clock.now() + writeTimeout))
-	return final, nil
+	h.writeFinal(w, final)
+	return nil
+}
+
+// writeFinal writes a final response and counts it.
+func (h *handler) writeFinal(w http.ResponseWriter, final response) {
+	h.stats.countFinal(final.status)
+	writeResponse(w, final)
 }
 
 // activeSince reports whether the given time on the node's clock or the last request is
@@ -165,8 +182,16 @@
 	return h.loop.clock.now()-max(at, last) < quietPeriod
 }
 
-// contextConn is the client connection of a request that came over none of downstream.
-type contextConn struct{ ctx context.Context }
+// contextConn is the client connection of a request that came over none of downstream. It shows the
+// end of the request's context.
+type contextConn struct{ done <-chan struct{} }
 
 // ClientDisconnected implements clientConn.
-func (c contextConn) ClientDisconnected() bool { return c.ctx.Err() != nil }
+func (c contextConn) ClientDisconnected() bool {
+	select {
+	case <-c.done:
+		return true
+	default:
+		return false
+	}
+}
--- /dev/null
+++ b/internal/node/request_parser.go
@@ -0,0 +1,160 @@
+package node
+
+import (
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"calicohinge/internal/config"
+	"calicohinge/policy"
+)
+
+const (
+	maxIDLength  = 128 // bytes of an X-Request-ID
+	maxValueBits = 31  // of numbers in headers
+	// responseMargin is kept between a final response and the client's deadline: the request travels to
+	// this node first, and the response's last byte back to the client.
+	responseMargin = 10 * time.Millisecond
+)
+
+// requestParser validates the HTTP requests of clients and converts them into requests for the loop.
+type requestParser struct {
+	cfg   *config.Config
+	clock *clock
+}
+
+// parse validates a request whose framing is checked, and reads its body. The error is a
+// *rejectionError, or that of the body's reader.
+func (p *requestParser) parse(r *http.Request) (*request, error) {
+	classIndex, err := p.parseClass(r)
+	if err != nil {
+		return nil, err
+	}
+	if !validID(r.Header["X-Request-Id"]) {
+		return nil, badRequest("X-Request-ID is missing or malformed")
+	}
+	tenant, err := p.parseTenant(r)
+	if err != nil {
+		return nil, err
+	}
+	timeout, err := parseTimeout(r)
+	if err != nil {
+		return nil, err
+	}
+	class := &p.cfg.Policy.Classes[classIndex]
+	if err := checkClassRules(r, class.Idempotency); err != nil {
+		return nil, err
+	}
+	body, err := readBody(r)
+	if err != nil {
+		return nil, err
+	}
+	return &request{
+		Request:  forwardedRequest(r, body, class),
+		class:    classIndex,
+		tenant:   tenant,
+		costHint: parseCostHint(r),
+		deadline: p.clock.now() + min(timeout, class.Deadline) - responseMargin - timeInQueue(r),
+	}, nil
+}
+
+// timeInQueue returns how long a request may have waited for its connection to be accepted. The
+// client's time has been running meanwhile, and no server may get more than is left of it.
+func timeInQueue(r *http.Request) time.Duration {
+	if conn := clientConnection(r); conn != nil {
+		return conn.QueueTime()
+	}
+	return 0
+}
+
+// parseClass returns the index of the class that the path's first segment names.
+func (p *requestParser) parseClass(r *http.Request) (int, error) {
+	name, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
+	class, known := p.cfg.Classes[name]
+	if !known {
+		return 0, &rejectionError{status: http.StatusNotFound, reason: "unknown class"}
+	}
+	return class, nil
+}
+
+// parseTenant returns the tenant's index, 0 where none are configured.
+func (p *requestParser) parseTenant(r *http.Request) (int, error) {
+	if len(p.cfg.Tenants) == 0 {
+		return 0, nil
+	}
+	tenant, known := p.cfg.Tenants[singleValue(r.Header["X-Tenant-Id"])]
+	if !known {
+		return 0, badRequest("X-Tenant-Id is missing or unknown")
+	}
+	return tenant, nil
+}
+
+// parseTimeout returns how long the client waits for its response.
+func parseTimeout(r *http.Request) (time.Duration, error) {
+	timeout, err := strconv.ParseUint(singleValue(r.Header["X-Timeout-Ms"]), 10, maxValueBits)
+	if err != nil || timeout == 0 {
+		return 0, badRequest("X-Timeout-Ms is missing or no whole number of milliseconds")
+	}
+	return time.Duration(timeout) * time.Millisecond, nil
+}
+
+// parseCostHint returns the client's estimate of the work, which is in microseconds. It is
+// optional, and one that can't be read counts as none.
+func parseCostHint(r *http.Request) time.Duration {
+	hint, _ := strconv.ParseUint(singleValue(r.Header["X-Cost"]), 10, maxValueBits)
+	return time.Duration(hint) * time.Microsecond
+}
+
+// checkClassRules checks the method, idempotency key and body that a class of this
+// idempotency takes.
+func checkClassRules(r *http.Request, idempotency policy.Idempotency) error {
+	method := http.MethodPost
+	if idempotency == policy.Idempotent {
+		method = http.MethodGet
+	}
+	keys := r.Header["Idempotency-Key"]
+	switch {
+	case r.Method != method:
+		return &rejectionError{
+			status: http.StatusMethodNotAllowed, reason: "the class wants " + method, allow: method,
+		}
+	case idempotency == policy.IdempotentWithKey && singleValue(keys) == "":
+		return badRequest("Idempotency-Key is missing")
+	case idempotency == policy.NotIdempotent && len(keys) > 0:
+		return badRequest("the class takes no Idempotency-Key")
+	case idempotency == policy.Idempotent && r.ContentLength != 0:
+		return badRequest("the class takes no body")
+	}
+	return nil
+}
+
+// singleValue returns the value of a header field that must occur once, otherwise "".
+func singleValue(values []string) string {
+	if len(values) != 1 {
+		return ""
+	}
+	return values[0]
+}
+
+// validID reports whether values is one request ID of the permitted characters and length.
+func validID(values []string) bool {
+	id := singleValue(values)
+	if id == "" || len(id) > maxIDLength {
+		return false
+	}
+	for _, c := range []byte(id) {
+		if !isIDCharacter(c) {
+			return false
+		}
+	}
+	return true
+}
+
+func isIDCharacter(c byte) bool {
+	switch {
+	case 'a' <= c && c <= 'z', 'A' <= c && c <= 'Z', '0' <= c && c <= '9':
+		return true
+	}
+	return c == '-' || c == '_' || c == '.'
+}
--- a/internal/node/response.go
+++ b/internal/node/response.go
@@ -1,7 +1,7 @@
 package node
 
 import (
-	"errors"
+	"maps"
 	"net/http"
 	"strconv"
 	"time"
@@ -18,9 +18,7 @@
 // writeResponse writes a final response.
 func writeResponse(w http.ResponseWriter, final response) {
 	header := w.Header()
-	for name, values := range final.header {
-		header[name] = values
-	}
+	maps.Copy(header, final.header)
 	if final.retryAfter > 0 {
 		header.Set("Retry-After", strconv.FormatFloat(final.retryAfter.Seconds(), 'f', 3, 64))
 	}
@@ -35,19 +33,3 @@
 	header := http.Header{"Content-Type": {"text/plain; charset=utf-8"}, "X-Content-Type-Options": {"nosniff"}}
 	writeResponse(w, response{status: status, header: header, body: []byte(text + "\n")})
 }
-
-// writeRejection answers a request that is not forwarded. The rest of its body is not
-// waited for: the connection closes.
-func writeRejection(w http.ResponseWriter, r *http.Request, err error) {
-	var rejection *rejectionError
-	if !errors.As(err, &rejection) {
-		rejection = badRequest("the body can't be read") // err is from its reader
-	}
-	if rejection.allow != "" {
-		w.Header().Set("Allow", rejection.allow)
-	}
-	if r.ContentLength != 0 || !r.ProtoAtLeast(1, 1) {
-		w.Header().Set("Connection", "close")
-	}
-	writeText(w, rejection.status, rejection.reason)
-}
--- a/internal/node/stats.go
+++ b/internal/node/stats.go
@@ -6,13 +6,13 @@
 	"sync/atomic"
 )
 
-// requestStats counts the requests that a node has answered since its start, by result.
+// requestStats counts the requests that a node has completed since its start, by result.
 type requestStats struct {
 	served       atomic.Int64 // with a server's response
 	rejected     atomic.Int64 // with 503
 	failed       atomic.Int64 // with 502
 	invalid      atomic.Int64 // with 4xx: they break a rule and were not forwarded
-	disconnected atomic.Int64 // without a response, as their clients had disconnected
+	disconnected atomic.Int64 // without a response: their clients had disconnected
 }
 
 // countFinal counts a final response by its status.
--- a/internal/node/validation_test.go
+++ b/internal/node/validation_test.go
@@ -152,7 +152,7 @@
 		cfg := testConfig(t, testkit.NewRegistry(t), withDeadlines(objective*4/3))
 		f := newHandler(cfg, startLoop(t), nil)
 		n := &testNode{t: t, addr: "x"}
-		q, err := f.parse(n.request("read"))
+		q, err := f.parser.parse(n.request("read"))
 		if err != nil {
 			t.Fatal(err)
 		}
