--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,7 +1,7 @@
 // Package node is the load balancer on real sockets. It owns a node's parts from start to
 // graceful shutdown: the HTTP handler for clients, and the event loop that drives package
 // policy and carries out its actions over packages upstream and discovery. It makes no
-// balancing decision of its own, and only the loop's goroutine may touch the policy.Balancer.
+// balancing decision of its own, and only the loop's goroutine calls the policy.Balancer.
 // The balancer program is its caller.
 package node
 
@@ -23,10 +23,10 @@
 const (
 	ownDescriptors = 24 // standard streams, runtime, listener, discovery
 	// upstreamShare is the servers' share of the other descriptors. The clients get more:
-	// their connections may be silent or idle.
+	// their connections may be unused or idle.
 	upstreamShare = 0.45
 	// reserveDivisor gives the part of the descriptors for clients over the limit, which
-	// are answered with a rejection.
+	// are rejected.
 	reserveDivisor = 20
 )
 
@@ -40,7 +40,8 @@
 // Listen opens the node's listener. Clients that connect wait until Run.
 func Listen(cfg *config.Config) (*Node, error) {
 	var listener net.Listener
-	err := syserror.Retry(func() (err error) {
+	err := syserror.Retry(func() error {
+		var err error
 		listener, err = net.Listen("tcp", cfg.Listen)
 		return err
 	})
@@ -94,7 +95,7 @@
 	}
 }
 
-// service is the parts of a node that runs, and the owner of their goroutines.
+// service owns the parts of a running node and their goroutines.
 type service struct {
 	cfg         *config.Config
 	listener    *downstream.Listener // admits clients within the limits
@@ -106,7 +107,6 @@
 	server      *http.Server
 	serveResult chan error     // gets what server.Serve returned
 	parts       sync.WaitGroup // goroutines that end with the context of the parts
-	terminated  bool           // by shutdown, the only user
 }
 
 func newService(ctx context.Context, n *Node) (*service, error) {
@@ -139,10 +139,9 @@
 	go func() { s.serveResult <- s.server.Serve(s.listener) }()
 }
 
-// stop closes the remaining connections, ends the parts and waits for their goroutines.
-// That of Serve has ended by then; those of handlers end with their connections and the loop.
-// After a shutdown no request is without its final response, unless its client does not
-// take it.
+// stop closes the remaining connections, cancels the parts and waits for their goroutines.
+// Serve has returned by then; the goroutines of handlers return with their connections and the
+// loop. After a shutdown each request has its final response, unless its client does not read it.
 func (s *service) stop(cancelParts context.CancelFunc) {
 	_ = s.server.Close() // the listener may be closed before
 	cancelParts()
