--- a/internal/node/connection_limits_test.go
+++ b/internal/node/connection_limits_test.go
@@ -1,7 +1,6 @@
 package node
 
 import (
-	"bufio"
 	"fmt"
 	"io"
 	"net"
@@ -17,13 +16,13 @@
 
 // Hundreds of connections on which nothing comes, or a part of a request, must not keep usual
 // clients from being served, and are closed themselves before long.
-func TestSilentConnectionsAreEvicted(t *testing.T) {
-	n := startWithFewSockets(t, testkit.NewBackend(t, testkit.OK))
+func TestConnectionsWithoutARequestAreEvicted(t *testing.T) {
+	n := startWithFewSockets(t, testkit.NewBackend(t, testkit.OK).Endpoint("s-0"))
 	var flood []net.Conn
 	for i := range 150 {
 		nc := n.dial()
 		if i%3 == 0 {
-			send(nc, "GET /read HTTP/1.1\r\nHost: x\r\nX-Req")
+			send(nc, partialRequest)
 		}
 		flood = append(flood, nc)
 		if i%15 == 0 {
@@ -34,16 +33,16 @@
 	}
 	for _, nc := range flood {
 		if _, err := io.Copy(io.Discard, nc); testkit.IsTimeout(err) {
-			t.Fatal("a silent connection stays open")
+			t.Fatal("a connection without a request stays open")
 		}
 	}
 }
 
 // Clients that make one request and keep their connection are evicted at once. If new clients
-// waited until a connection has been idle for seconds, a crowd of them would wait behind one
+// waited until a connection has been idle for seconds, many of them would wait behind one
 // another until all have disconnected.
 func TestIdleConnectionsAreEvictedAtOnce(t *testing.T) {
-	n := startWithFewSockets(t, testkit.NewBackend(t, testkit.OK))
+	n := startWithFewSockets(t, testkit.NewBackend(t, testkit.OK).Endpoint("s-0"))
 	began := time.Now()
 	for range 200 {
 		if resp := n.roundTrip(n.dial()); resp.StatusCode != http.StatusOK {
@@ -58,12 +57,8 @@
 // Where every connection has a request in flight a further client is rejected with
 // Retry-After, and past the reserve it is closed.
 func TestClientsOverTheConnectionLimitAreRejected(t *testing.T) {
-	release := make(chan struct{})
-	b := testkit.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
-		<-release
-		testkit.OK(w, r)
-	})
-	n := startWithFewSockets(t, b)
+	server := newGatedBackend(t)
+	n := startWithFewSockets(t, server.Endpoint("s-0"))
 	var busy []net.Conn
 	for range 20 { // some of the requests may be queued: their connections are in use all the same
 		nc := n.dial()
@@ -72,42 +67,39 @@
 		}
 		busy = append(busy, nc)
 	}
-	rejected := n.askUntilRejected()
+
+	rejected := n.requestUntilRejected()
+
 	if !rejected.Close || rejected.Header.Get("Retry-After") == "" {
 		t.Errorf("close %v, headers %v", rejected.Close, rejected.Header)
 	}
-	close(release)
+	server.open()
 	for _, nc := range busy {
-		resp, err := http.ReadResponse(bufio.NewReader(nc), nil)
-		if err != nil || resp.StatusCode != http.StatusOK {
-			t.Fatalf("one in flight ended with %v, %v", resp, err)
+		if resp := n.readResponse(nc); resp.StatusCode != http.StatusOK {
+			t.Fatalf("one in flight got status %d", resp.StatusCode)
 		}
 	}
 }
 
-// askUntilRejected makes requests on new connections until one is rejected, and returns that
+// requestUntilRejected makes requests on new connections until one is rejected, and returns that
 // response.
-func (n *testNode) askUntilRejected() (rejected *http.Response) {
+func (n *testNode) requestUntilRejected() *http.Response {
 	n.t.Helper()
+	var last *http.Response
 	testkit.Until(n.t, "a rejection over the limit", func() bool {
-		rejected = n.roundTrip(n.dial())
-		return rejected.StatusCode == http.StatusServiceUnavailable
+		last = n.roundTrip(n.dial())
+		return last.StatusCode == http.StatusServiceUnavailable
 	})
-	return rejected
+	return last
 }
 
 // A client that sends requests but reads nothing must not keep its connection past its
 // deadline: the node closes it.
 func TestClientThatReadsNothingIsDisconnected(t *testing.T) {
 	text := strings.Repeat("x", maxBody)
-	b := testkit.NewBackend(t, func(w http.ResponseWriter, _ *http.Request) { send(w, text) })
-	n, _ := startReady(t, b)
-	nc, err := net.Dial("tcp", n.addr)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer closeConn(nc)
-	limitToPatience(nc)
+	n, _ := startReady(t, testkit.NewBackend(t, func(w http.ResponseWriter, _ *http.Request) { send(w, text) }))
+	nc := n.dial()
+	var err error
 	for err == nil {
 		r := n.request("read")
 		r.Header.Set("X-Timeout-Ms", "1000")
@@ -122,94 +114,98 @@
 // served between them, and no connection or request stays behind.
 func TestAbusiveClientsLeaveNoConnectionsBehind(t *testing.T) {
 	s := startHandler(t, testkit.NewBackend(t, testkit.OK).Endpoint("s-0"))
-	n, f := s.testNode, s.handler
-	var one strings.Builder
-	sendRequest(&one, n.request("read"))
+	abuses := []func(nc net.Conn){
+		func(nc net.Conn) { send(nc, "\x00\xff noise\r\n\r\n") },
+		func(nc net.Conn) { send(nc, wireText(s.request("read"))[:40]) },
+		s.sendHundreds,
+		func(nc net.Conn) { s.sendHundreds(nc); closeConn(nc) },
+		func(nc net.Conn) { send(nc, strings.Repeat("x", 2*(maxHeader+maxBody))); closeConn(nc) },
+		func(nc net.Conn) { s.wantServed(nc) }, // no abuse
+	}
 	var open []net.Conn
 	for i := range 60 {
-		nc := n.dial()
-		switch open = append(open, nc); i % 6 {
-		case 0:
-			send(nc, "\x00\xff noise\r\n\r\n")
-		case 1:
-			send(nc, one.String()[:40])
-		case 2, 3:
-			for range 300 {
-				sendRequest(nc, n.request("read"))
-			}
-			if i%6 == 3 {
-				closeConn(nc)
-			}
-		case 4:
-			send(nc, strings.Repeat("x", 2*(maxHeader+maxBody)))
-			closeConn(nc)
-		default:
-			if resp := n.roundTrip(nc); resp.StatusCode != http.StatusOK {
-				t.Errorf("a good one got status %d", resp.StatusCode)
-			}
-		}
+		nc := s.dial()
+		open = append(open, nc)
+		abuses[i%len(abuses)](nc)
 	}
 	for _, nc := range open {
 		closeConn(nc)
 	}
-	f.awaitNoConns(t)
+	s.awaitNoConns()
+}
+
+// sendHundreds sends hundreds of requests without reading the responses.
+func (s *handlerServer) sendHundreds(nc net.Conn) {
+	for range 300 {
+		sendRequest(nc, s.request("read"))
+	}
 }
 
 // Requests in flight use every connection to servers that a small node may have: each further
-// one is answered, served where a connection becomes free in time, and rejected otherwise.
+// one gets a response, from a server where a connection becomes free in time, and a rejection otherwise.
 func TestRequestsAtTheServerConnectionLimit(t *testing.T) {
-	for _, freed := range []bool{true, false} {
-		for class, name := range []string{"read", "push", "pay"} {
-			t.Run(fmt.Sprintf("%s, freed %v", name, freed), func(t *testing.T) {
-				t.Parallel()
-				testRequestAtTheServerConnectionLimit(t, class, freed)
-			})
-		}
+	t.Parallel()
+	for class, name := range classNames() {
+		t.Run(name+", freed", func(t *testing.T) {
+			t.Parallel()
+			l := startAtServerConnectionLimit(t)
+			further := l.newFurtherRequest(class)
+			done := l.submitAsync(t.Context(), further)
+			l.untilInLoop("an attempt", func() bool { return len(further.attempts) > 0 })
+			l.server.open()
+			l.wantStatus(done, http.StatusOK)
+			l.wantServedAfterwards(class)
+		})
+		t.Run(name+", not freed", func(t *testing.T) {
+			t.Parallel()
+			l := startAtServerConnectionLimit(t)
+			l.wantStatus(l.submitAsync(t.Context(), l.newFurtherRequest(class)), http.StatusServiceUnavailable)
+			if len(l.server.Requests) > 0 {
+				t.Error("it was sent")
+			}
+			l.server.open()
+			l.wantServedAfterwards(class)
+		})
 	}
 }
 
-func testRequestAtTheServerConnectionLimit(t *testing.T, class int, freed bool) {
+// limitedLoop is a loop whose requests in flight use all connections to servers.
+type limitedLoop struct {
+	*testLoop
+	server   *gatedBackend
+	inFlight []<-chan response
+}
+
+func startAtServerConnectionLimit(t *testing.T) *limitedLoop {
 	t.Helper()
-	release := make(chan struct{})
-	server := testkit.NewBackend(t, func(w http.ResponseWriter, r *http.Request) { <-release; testkit.OK(w, r) })
+	const connections, servers = 2, 40 // none of the servers is at its own limit
+	server := newGatedBackend(t)
 	var list []endpointjson.Endpoint
-	for i := range 40 { // more than the limit, so that none is at its own limit
+	for i := range servers {
 		list = append(list, server.Endpoint(fmt.Sprintf("s-%d", i)))
 	}
-	l := startLoopWith(t, func(pool *upstream.Config) { pool.MaxOpen = 2 }, list...)
-	var inFlight []<-chan response
-	for range 2 {
-		inFlight = append(inFlight, l.submitAsync(t.Context(), l.newRequest(0, staysConnected)))
+	l := &limitedLoop{server: server}
+	l.testLoop = startLoopWith(t, func(pool *upstream.Config) { pool.MaxOpen = connections }, list...)
+	for range connections {
+		l.inFlight = append(l.inFlight, l.submitAsync(t.Context(), l.newRequest(classRead, staysConnected)))
 		testkit.Wait(t, server.Requests, "a request in flight")
 	}
-	last := l.newRequest(class, staysConnected)
-	last.deadline = l.clock.now() + 4*time.Second
-	further := l.submitAsync(t.Context(), last)
-	want := http.StatusServiceUnavailable
-	if freed {
-		want = http.StatusOK
-		testkit.Until(t, "an attempt", func() (attempted bool) {
-			l.inLoop(t, func() { attempted = len(last.attempts) > 0 })
-			return attempted
-		})
-		close(release)
-	}
-	if x := testkit.Wait(t, further, "the further request's response"); x.status != want {
-		t.Errorf("status %d, want %d", x.status, want)
-	}
-	if !freed {
-		if len(server.Requests) > 0 {
-			t.Error("it was sent")
-		}
-		close(release)
-	}
-	for _, done := range inFlight {
-		if x := testkit.Wait(t, done, "the response of one in flight"); x.status != http.StatusOK {
-			t.Errorf("one in flight gets status %d", x.status)
-		}
-	}
-	l.awaitRequests(t, 0, 0)
-	if x := testkit.Wait(t, l.submitAsync(t.Context(), l.newRequest(class, staysConnected)), "a response"); x.status != http.StatusOK {
-		t.Errorf("status %d once connections are free", x.status)
-	}
+	return l
+}
+
+// newFurtherRequest makes a request that may wait for a connection for 4 s.
+func (l *limitedLoop) newFurtherRequest(class int) *request {
+	further := l.newRequest(class, staysConnected)
+	further.deadline = l.clock.now() + 4*time.Second
+	return further
+}
+
+// wantServedAfterwards fails the test unless the requests in flight are served, and one after them.
+func (l *limitedLoop) wantServedAfterwards(class int) {
+	l.t.Helper()
+	for _, done := range l.inFlight {
+		l.wantStatus(done, http.StatusOK)
+	}
+	l.awaitRequests(0, 0)
+	l.wantStatus(l.submitAsync(l.t.Context(), l.newRequest(class, staysConnected)), http.StatusOK)
 }
--- /dev/null
+++ b/internal/node/disconnect_concurrency_test.go
@@ -0,0 +1,174 @@
+package node
+
+import (
+	"fmt"
+	"net"
+	"testing"
+	"time"
+
+	"calicohinge/internal/endpointjson"
+	"calicohinge/internal/testkit"
+)
+
+// concurrentClients is how many clients disconnect together: more than the free capacity of the loop's
+// event queue in these tests.
+const concurrentClients = 300
+
+// sendOnNewConns has all clients send a request, of one class after another.
+func (s *handlerServer) sendOnNewConns(classes ...string) []*net.TCPConn {
+	s.t.Helper()
+	var clients []*net.TCPConn
+	for i := range concurrentClients {
+		clients = append(clients, s.sendOnNewConn(classes[i%len(classes)], ""))
+	}
+	return clients
+}
+
+// disconnectAll disconnects the clients, in one way after another, and waits until the node's sockets show it.
+func (s *handlerServer) disconnectAll(clients []*net.TCPConn, disconnects ...func(*net.TCPConn)) {
+	s.t.Helper()
+	for i, client := range clients {
+		disconnects[i%len(disconnects)](client)
+	}
+	for _, client := range clients {
+		s.awaitDisconnect(client)
+	}
+}
+
+// Hundreds send requests to a node whose loop is paused and disconnect, until its queue is full
+// and further events wait outside: no request is forwarded, all are released.
+func TestManyDisconnectsBehindAFullEventQueue(t *testing.T) {
+	b := testkit.NewBackend(t, testkit.OK)
+	s := startHandler(t, b.Endpoint("s-0"), b.Endpoint("s-1"), b.Endpoint("s-2"), b.Endpoint("s-3"))
+	l := s.loop
+	l.awaitRequests(0, 0) // the list is known
+	resume := l.pause()
+	clients := s.sendOnNewConns(classNames()...)
+	testkit.Until(t, "the requests", func() bool { return len(l.queue.posted) == concurrentClients })
+	var all []*request
+	l.queue.post(eventFunc(func(time.Duration) {
+		for _, r := range l.requests.active {
+			all = append(all, r)
+		}
+	}))
+	for len(l.queue.posted) < cap(l.queue.posted)-concurrentClients/3 {
+		l.queue.post(eventFunc(func(time.Duration) {}))
+	}
+
+	s.disconnectAll(clients, closeTCP, resetConn)
+	testkit.Until(t, "a full queue", func() bool { return len(l.queue.posted) == cap(l.queue.posted) })
+	resume()
+
+	s.awaitNoRequests()
+	if n := startedAttempts(all...); len(all) != concurrentClients || n > 0 || len(b.Requests) > 0 {
+		t.Errorf("%d of %d attempts began, %d arrived", n, len(all), len(b.Requests))
+	}
+}
+
+// Hundreds disconnect at once, from requests that are queued, in flight, waiting for a retry or
+// for a connection, which then comes up, while all retries fall due and capacity becomes free,
+// before the loop learns of the first disconnect: none of their attempts starts.
+func TestManyDisconnectsInMixedRequestStates(t *testing.T) {
+	t.Parallel()
+	servers := mixedServers{
+		stuck:        testkit.NewStuckServer(t),
+		failing:      testkit.NewBackend(t, testkit.ServerError),
+		unresponsive: testkit.NewBackend(t, testkit.Unresponsive(nil)),
+	}
+	s := startHandler(t, servers.endpoints(90)...)
+	l := s.loop
+	clients := s.sendOnNewConns("read", "push")
+	paused := s.pauseAtRest(servers)
+	l.queue.post(eventFunc(l.advanceClock))
+
+	s.disconnectAll(clients, closeTCP)
+	startedBefore, attemptsBefore := startedAttempts(paused.requests...), countAttempts(paused.requests)
+	servers.stuck.Admit()
+	s.awaitIdleConns(paused.states[stateConnecting], servers.stuck.Addr())
+	paused.resume()
+	s.awaitNoRequests()
+
+	l.inLoop(func() {
+		late := startedAttempts(paused.requests...) - startedBefore
+		t.Logf("%v; %d attempts started before the disconnects; then %d were decided, %d started",
+			paused.states, startedBefore, countAttempts(paused.requests)-attemptsBefore, late)
+		if late > 0 || len(paused.states) != 4 {
+			t.Error("late attempts, or not all states were reached")
+		}
+	})
+}
+
+// mixedServers accept no connection, respond with errors, and do not respond.
+type mixedServers struct {
+	stuck                 *testkit.StuckServer
+	failing, unresponsive *testkit.Backend
+}
+
+func (m mixedServers) endpoints(count int) []endpointjson.Endpoint {
+	kinds := []func(string) endpointjson.Endpoint{m.stuck.Endpoint, m.failing.Endpoint, m.unresponsive.Endpoint}
+	var list []endpointjson.Endpoint
+	for i := range count {
+		list = append(list, kinds[i%len(kinds)](fmt.Sprintf("s-%d", i)))
+	}
+	return list
+}
+
+// The states of a request, by its last attempt.
+const (
+	stateQueued     = "queued"     // none yet
+	stateBackoff    = "backoff"    // it has ended
+	stateConnecting = "connecting" // its connection is being opened
+	stateInFlight   = "in flight"  // it is at a server that does not respond
+	stateMoving     = "moving"     // none of these for long
+)
+
+func (m mixedServers) state(l *testLoop, r *request) string {
+	state := stateQueued
+	for _, a := range r.attempts {
+		switch addr := l.pool.Stats().Servers[a.server].Address; {
+		case a.state != attemptInFlight:
+			state = stateBackoff
+		case addr == m.stuck.Addr().String():
+			state = stateConnecting
+		case addr == m.unresponsive.Address() && a.call.Started():
+			state = stateInFlight
+		default:
+			state = stateMoving
+		}
+	}
+	return state
+}
+
+// requestsAtRest are the requests of a loop that is paused.
+type requestsAtRest struct {
+	requests []*request
+	states   map[string]int // how many requests are in a state
+	resume   func()         // of the loop
+}
+
+// pauseAtRest pauses the loop once all requests have arrived and none is moving.
+func (s *handlerServer) pauseAtRest(servers mixedServers) requestsAtRest {
+	s.t.Helper()
+	var paused requestsAtRest
+	testkit.Until(s.t, "all requests at rest", func() bool {
+		paused = requestsAtRest{states: map[string]int{}, resume: s.loop.pause()}
+		for _, r := range s.loop.requests.active {
+			paused.requests = append(paused.requests, r)
+			paused.states[servers.state(s.loop, r)]++
+		}
+		if len(paused.requests) == concurrentClients && paused.states[stateMoving] == 0 {
+			return true
+		}
+		paused.resume()
+		return false
+	})
+	return paused
+}
+
+func countAttempts(requests []*request) int {
+	count := 0
+	for _, r := range requests {
+		count += len(r.attempts)
+	}
+	return count
+}
--- a/internal/node/disconnect_race_test.go
+++ b/internal/node/disconnect_race_test.go
@@ -1,7 +1,6 @@
 package node
 
 import (
-	"fmt"
 	"io"
 	"net"
 	"net/http"
@@ -14,38 +13,44 @@
 	"calicohinge/policy"
 )
 
-// requestPoint is a point of a request's life at which its client disconnects.
+// requestPoint is a point of a request's lifecycle at which its client disconnects.
 type requestPoint struct {
 	class    string
 	serves   http.HandlerFunc
 	others   int // requests that use all capacity before
-	due      func(s *handlerServer) func(time.Duration)
+	due      func(s *handlerServer, now time.Duration)
 	started  int // its attempts before the client disconnects
 	inFlight int // and those that are in flight then
 }
 
 func requestPoints() map[string]requestPoint {
-	clockAdvanced := func(s *handlerServer) func(time.Duration) { return s.loop.advanceClock }
 	return map[string]requestPoint{
-		"queued":            {"pay", testkit.Unresponsive(nil), 2, capacityFreed, 0, 0},
-		"waits for a retry": {"read", testkit.ServerError, 0, clockAdvanced, 1, 0},
-		"a hedged request":  {"read", testkit.Unresponsive(nil), 0, clockAdvanced, 1, 1},
+		"queued": {
+			class: "pay", serves: testkit.Unresponsive(nil), others: 2, due: freeCapacity,
+		},
+		"waits for a retry": {
+			class: "read", serves: testkit.ServerError, due: advanceClock, started: 1,
+		},
+		"a hedged request": {
+			class: "read", serves: testkit.Unresponsive(nil), due: advanceClock, started: 1, inFlight: 1,
+		},
 	}
 }
 
-// capacityFreed ends one of the attempts in flight, so that a queued request could be sent.
-func capacityFreed(s *handlerServer) func(time.Duration) {
-	return func(now time.Duration) {
-		for _, r := range s.loop.requests.active {
-			if r.inFlight > 0 {
-				s.loop.reportOutcome(now, r, 0, upstream.Result{Status: policy.OK})
-				return
-			}
+// advanceClock has retries and hedged requests fall due.
+func advanceClock(s *handlerServer, now time.Duration) { s.loop.advanceClock(now) }
+
+// freeCapacity ends one of the attempts in flight, so that a queued request could be sent.
+func freeCapacity(s *handlerServer, now time.Duration) {
+	for _, r := range s.loop.requests.active {
+		if r.inFlight > 0 {
+			s.loop.reportOutcome(now, r, 0, upstream.Result{Status: policy.OK})
+			return
 		}
 	}
 }
 
-// disconnection is a way for a client to disconnect.
+// disconnection is how a client disconnects.
 type disconnection struct {
 	behind     string // sent behind the request
 	disconnect func(nc *net.TCPConn)
@@ -54,13 +59,12 @@
 func disconnections() map[string]disconnection {
 	const pipelined = "GET /read HTTP/1.1\r\nHost: x\r\nX-Request-ID: 2\r\nX-Tenant-Id: acme\r\nX-Timeout-Ms: 9\r\n\r\n"
 	readAhead := strings.Repeat("x", 9000)
-	closes := func(nc *net.TCPConn) { closeConn(nc) }
 	return map[string]disconnection{
-		"closes":              {"", closes},
+		"closes":              {"", closeTCP},
 		"resets":              {"", resetConn},
 		"ends its sending":    {"", closeWrite},
-		"asks twice, closes":  {pipelined, closes},
-		"sends much, closes":  {readAhead, closes},
+		"pipelines, closes":   {pipelined, closeTCP},
+		"sends much, closes":  {readAhead, closeTCP},
 		"sends on, closes":    {"", func(nc *net.TCPConn) { send(nc, "GET /read HTTP/1.1\r\nHost: x"); closeConn(nc) }},
 		"sends on and resets": {"", func(nc *net.TCPConn) { send(nc, readAhead); resetConn(nc) }},
 	}
@@ -71,56 +75,64 @@
 // One that ends its sending only looks like one that closes, until something is written to
 // it. It counts as disconnected, so its connection ends with no response.
 func TestNoAttemptStartsAfterADisconnect(t *testing.T) {
+	t.Parallel()
 	for pointName, point := range requestPoints() {
-		for wayName, way := range disconnections() {
-			t.Run(fmt.Sprintf("%s/%s/event=true", pointName, wayName), func(t *testing.T) {
+		for disconnectionName, disconnection := range disconnections() {
+			name := pointName + "/" + disconnectionName
+			t.Run(name+"/before the decision", func(t *testing.T) {
 				t.Parallel()
-				s := startAtPoint(t, point, way)
-				s.disconnectBeforeDecision(point, way)
-				s.noAttemptStarted(point)
+				s := startAtPoint(t, point, disconnection)
+				s.disconnectBeforeDecision()
+				s.noAttemptStarted()
 			})
-			t.Run(fmt.Sprintf("%s/%s/event=false", pointName, wayName), func(t *testing.T) {
+			t.Run(name+"/behind the decision", func(t *testing.T) {
 				t.Parallel()
-				s := startAtPoint(t, point, way)
-				s.disconnectBehindDecision(point, way)
-				s.noAttemptStarted(point)
+				s := startAtPoint(t, point, disconnection)
+				s.disconnectBehindDecision()
+				s.noAttemptStarted()
 			})
 		}
 	}
 }
 
-// servedRequest is a request at a point of its life, in a loop that is paused there.
+// servedRequest is a request at a point of its lifecycle, in a loop that is paused there.
 type servedRequest struct {
 	*handlerServer
-	client  *net.TCPConn
-	request *request
-	lastID  policy.RequestID
-	checked chan bool // gets each result of the check before an attempt is written
-	resume  func()    // of the loop
+	point         requestPoint
+	disconnection disconnection
+	client        *net.TCPConn
+	request       *request
+	lastID        policy.RequestID
+	checked       chan bool // gets each result of the check before an attempt is written
+	resume        func()    // of the loop
 }
 
 // startAtPoint brings a request to a point, and pauses the loop.
-func startAtPoint(t *testing.T, point requestPoint, way disconnection) *servedRequest {
+func startAtPoint(t *testing.T, point requestPoint, disconnection disconnection) *servedRequest {
 	t.Helper()
 	a, b := testkit.NewBackend(t, point.serves), testkit.NewBackend(t, point.serves)
-	s := &servedRequest{handlerServer: startHandler(t, a.Endpoint("s-0"), b.Endpoint("s-1")), checked: make(chan bool, 10)}
+	s := &servedRequest{
+		handlerServer: startHandler(t, a.Endpoint("s-0"), b.Endpoint("s-1")),
+		point:         point,
+		disconnection: disconnection,
+		checked:       make(chan bool, 10),
+	}
 	l := s.loop
-	l.inLoop(t, func() { // a request took half a minute here
+	l.inLoop(func() { // a request took half a minute here
 		l.balancer.Request(l.clock.now(), policy.Request{ID: 1 << 31, Timeout: time.Hour})
 		l.balancer.Outcome(l.clock.now(), policy.Outcome{ID: 1 << 31, RequestCompleted: true, Latency: 30 * time.Second})
 	})
 	for i := range point.others {
 		s.sendOnNewConn("pay", "")
-		l.awaitRequests(t, i+1, i+1)
+		l.awaitRequests(i+1, i+1)
 	}
-	s.client = s.sendOnNewConn(point.class, way.behind)
-	l.awaitRequests(t, point.others+1, point.others+point.inFlight)
+	s.client = s.sendOnNewConn(point.class, disconnection.behind)
+	l.awaitRequests(point.others+1, point.others+point.inFlight)
 	testkit.Until(t, "the attempts before", func() bool {
 		return len(a.Requests)+len(b.Requests) == point.others+point.started
 	})
-	reached, resume := l.pause(t)
-	testkit.Wait(t, reached, "the loop")
-	s.request, s.lastID, s.resume = l.requests.get(l.requests.lastID), l.requests.lastID, resume
+	s.resume = l.pause()
+	s.request, s.lastID = l.lastRequest(), l.requests.lastID
 	conn := s.request.client
 	s.request.client = clientFunc(func() bool {
 		disconnected := conn.ClientDisconnected()
@@ -130,43 +142,46 @@
 	return s
 }
 
+// decide has the balancer decide the next attempt.
+func (s *servedRequest) decide(now time.Duration) { s.point.due(s.handlerServer, now) }
+
 // disconnectBeforeDecision has the loop learn of the disconnect before the next decision.
-func (s *servedRequest) disconnectBeforeDecision(point requestPoint, way disconnection) {
+func (s *servedRequest) disconnectBeforeDecision() {
 	s.t.Helper()
 	s.resume()
-	way.disconnect(s.client)
-	s.loop.awaitRequests(s.t, point.others, point.others)
-	s.loop.queue.post(eventFunc(point.due(s.handlerServer)))
+	s.disconnection.disconnect(s.client)
+	s.loop.awaitRequests(s.point.others, s.point.others)
+	s.loop.queue.post(eventFunc(s.decide))
 }
 
 // disconnectBehindDecision has the client disconnect while the decision waits in the loop's
 // queue, so that only the socket shows it.
-func (s *servedRequest) disconnectBehindDecision(point requestPoint, way disconnection) {
+func (s *servedRequest) disconnectBehindDecision() {
 	s.t.Helper()
-	s.loop.queue.post(eventFunc(point.due(s.handlerServer)))
-	behind, resumeAgain := s.loop.pause(s.t)
-	way.disconnect(s.client)
+	s.loop.queue.post(eventFunc(s.decide))
+	behind := s.loop.queuePause()
+	s.disconnection.disconnect(s.client)
 	s.awaitDisconnect(s.client)
 	s.resume()
 	if !testkit.Wait(s.t, s.checked, "the check before the write") {
 		s.t.Error("the check before the write misses that the client disconnected")
 	}
-	testkit.Wait(s.t, behind, "the loop")
-	resumeAgain()
+	testkit.Wait(s.t, behind.reached, "the loop")
+	behind.resume()
 }
 
-// noAttemptStarted checks that the request has ended with no further attempt and no response.
-func (s *servedRequest) noAttemptStarted(point requestPoint) {
+// noAttemptStarted checks that the request has completed with no further attempt and no response.
+func (s *servedRequest) noAttemptStarted() {
 	s.t.Helper()
-	l := s.loop
-	if point.others > 0 {
-		l.awaitRequests(s.t, point.others-1, point.others-1)
+	l, others := s.loop, s.point.others
+	if others > 0 {
+		l.awaitRequests(others-1, others-1)
 	} else {
 		s.awaitNoRequests()
 	}
-	l.inLoop(s.t, func() {
-		if n := startedAttempts(s.request); n != point.started || l.requests.lastID != s.lastID {
-			s.t.Errorf("%d attempts started, want %d; requests %d, want %d", n, point.started, l.requests.lastID, s.lastID)
+	l.inLoop(func() {
+		if n := startedAttempts(s.request); n != s.point.started || l.requests.lastID != s.lastID {
+			s.t.Errorf("%d attempts started, want %d; requests %d, want %d", n, s.point.started, l.requests.lastID, s.lastID)
 		}
 	})
 	if text, err := io.ReadAll(s.client); len(text) > 0 || testkit.IsTimeout(err) {
--- a/internal/node/disconnect_test.go
+++ b/internal/node/disconnect_test.go
@@ -3,13 +3,10 @@
 import (
 	"context"
 	"net"
-	"net/http"
 	"strings"
 	"testing"
-	"time"
 
 	"calicohinge/internal/downstream"
-	"calicohinge/internal/endpointjson"
 	"calicohinge/internal/sockstate"
 	"calicohinge/internal/testkit"
 	"calicohinge/policy"
@@ -19,10 +16,7 @@
 	cancelled := make(chan struct{}, 1)
 	b := testkit.NewBackend(t, testkit.Unresponsive(cancelled))
 	n, _ := startReady(t, b)
-	nc, err := net.Dial("tcp", n.addr)
-	if err != nil {
-		t.Fatal(err)
-	}
+	nc := n.dial()
 	if err := n.request("read").Write(nc); err != nil {
 		t.Fatal(err)
 	}
@@ -31,21 +25,29 @@
 	testkit.Wait(t, cancelled, "the cancelled attempt")
 }
 
+// startWithBusyServer starts a loop before a server whose capacity one request uses.
+func startWithBusyServer(t *testing.T) (*testLoop, *gatedBackend) {
+	t.Helper()
+	server := newGatedBackend(t)
+	l := startLoop(t, server.Endpoint("s-0"))
+	l.submitAsync(t.Context(), l.newRequest(classPay, staysConnected))
+	testkit.Wait(t, server.Requests, "the first request")
+	return l, server
+}
+
 // A client disconnects while its request is queued for want of capacity: it is never sent.
 func TestQueuedRequestIsNotSentAfterADisconnect(t *testing.T) {
-	release := make(chan struct{})
-	b := testkit.NewBackend(t, func(w http.ResponseWriter, r *http.Request) { <-release; testkit.OK(w, r) })
-	l := startLoop(t, b.Endpoint("s-0"))
-	l.submitAsync(t.Context(), l.newRequest(2, staysConnected))
-	testkit.Wait(t, b.Requests, "the first one")
-	leaves, leave := context.WithCancel(t.Context())
-	l.submitAsync(leaves, l.newRequest(2, staysConnected))
-	l.awaitRequests(t, 2, 1)
-	leave()
-	l.awaitRequests(t, 1, 1)
-	close(release)
-	l.awaitRequests(t, 0, 0)
-	if len(b.Requests) > 0 {
+	l, server := startWithBusyServer(t)
+	ctx, disconnect := context.WithCancel(t.Context())
+	l.submitAsync(ctx, l.newRequest(classPay, staysConnected))
+	l.awaitRequests(2, 1)
+
+	disconnect()
+	l.awaitRequests(1, 1)
+	server.open()
+	l.awaitRequests(0, 0)
+
+	if len(server.Requests) > 0 {
 		t.Error("the request of a client that disconnected was sent")
 	}
 }
@@ -53,29 +55,26 @@
 // The same while the disconnect event waits behind others: the state of the socket just before
 // the write counts.
 func TestSocketStateStopsARequestBeforeTheDisconnectEvent(t *testing.T) {
-	release := make(chan struct{})
-	b := testkit.NewBackend(t, func(w http.ResponseWriter, r *http.Request) { <-release; testkit.OK(w, r) })
-	l := startLoop(t, b.Endpoint("s-0"))
-	l.submitAsync(t.Context(), l.newRequest(2, staysConnected))
-	testkit.Wait(t, b.Requests, "the first one")
-	cs := downstream.NewConns(downstreamConfig(5, 0))
-	client, c := acceptedConn(t, cs)
+	l, server := startWithBusyServer(t)
+	client, c := acceptedConn(t, downstream.NewConns(downstreamConfig(5, 0)))
 	c.RequestComplete()
-	over := make(chan bool)
+	hasResponse := make(chan bool)
 	go func() {
-		_, err := l.submit(t.Context(), l.newRequest(2, c.ClientDisconnected)) // its context never ends
-		over <- err == nil
+		_, err := l.submit(t.Context(), l.newRequest(classPay, c.ClientDisconnected)) // its context never ends
+		hasResponse <- err == nil
 	}()
-	l.awaitRequests(t, 2, 1)
+	l.awaitRequests(2, 1)
+
 	send(client, strings.Repeat("more ", 1000)) // bytes ahead hide the end
 	closeConn(client)
 	awaitSocketState(t, c.Conn, sockstate.Readable)
-	close(release)
-	if testkit.Wait(t, over, "the end of the request") {
+	server.open()
+
+	if testkit.Wait(t, hasResponse, "the end of the request") {
 		t.Error("a client that disconnected got a response")
 	}
-	l.awaitRequests(t, 0, 0)
-	if len(b.Requests) > 0 {
+	l.awaitRequests(0, 0)
+	if len(server.Requests) > 0 {
 		t.Error("the request of a client that disconnected was sent")
 	}
 }
@@ -83,32 +82,35 @@
 // A client disconnects while a connection for its request is opened, which then comes up late.
 func TestAttemptWaitingForAConnectionIsNotSentAfterADisconnect(t *testing.T) {
 	t.Parallel()
-	far := testkit.NewStuckServer(t)
-	l := startLoop(t, far.Endpoint("s-0"))
-	leaves, leave := context.WithCancel(t.Context())
-	closed := func() bool { return leaves.Err() != nil }
-	l.submitAsync(context.Background(), l.newRequest(2, closed)) // net/http has not seen it
-	l.awaitRequests(t, 1, 1)
-	leave()
-	received := far.Admit()
-	l.awaitRequests(t, 0, 0)
-	if len(received) > 0 {
-		t.Errorf("%q was sent", <-received)
+	stuck := testkit.NewStuckServer(t)
+	l := startLoop(t, stuck.Endpoint("s-0"))
+	ctx, disconnect := context.WithCancel(t.Context())
+	disconnected := func() bool { return ctx.Err() != nil }
+	l.submitAsync(context.Background(), l.newRequest(classPay, disconnected)) // net/http has not seen it
+	l.awaitRequests(1, 1)
+
+	disconnect()
+	sent := stuck.Admit()
+	l.awaitRequests(0, 0)
+
+	if len(sent) > 0 {
+		t.Errorf("%q was sent", <-sent)
 	}
 }
 
 // A client disconnects between two attempts: the second is not made.
 func TestNoRetryAfterADisconnect(t *testing.T) {
-	bs := firstRequestFails(t, testkit.ServerError)
-	l := startLoop(t, bs[0].Endpoint("s-0"), bs[1].Endpoint("s-1"))
-	leaves, leave := context.WithCancel(t.Context())
-	l.submitAsync(leaves, l.newRequest(0, staysConnected))
-	sends := func() int { return len(bs[0].Requests) + len(bs[1].Requests) }
-	for end := time.Now().Add(testkit.WaitTimeout); sends() == 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
-	}
-	l.awaitRequests(t, 1, 0)
-	leave()
-	l.awaitRequests(t, 0, 0)
+	servers := firstRequestFails(t, testkit.ServerError)
+	l := startLoop(t, servers[0].Endpoint("s-0"), servers[1].Endpoint("s-1"))
+	ctx, disconnect := context.WithCancel(t.Context())
+	l.submitAsync(ctx, l.newRequest(classRead, staysConnected))
+	sends := func() int { return len(servers[0].Requests) + len(servers[1].Requests) }
+	testkit.Until(t, "the first attempt", func() bool { return sends() > 0 })
+	l.awaitRequests(1, 0)
+
+	disconnect()
+	l.awaitRequests(0, 0)
+
 	if n := sends(); n != 1 {
 		t.Errorf("%d sends, want 1", n)
 	}
@@ -118,8 +120,7 @@
 func TestDisconnectBehindReadAheadCancelsTheAttempt(t *testing.T) {
 	cancelled := make(chan struct{}, 1)
 	b := testkit.NewBackend(t, testkit.Unresponsive(cancelled))
-	n := start(t, testConfig(t, testkit.NewRegistry(t, b.Endpoint("s-0")), withDeadlines(600000)))
-	n.waitReady(http.StatusOK)
+	n := startReadyWith(t, b.Endpoint("s-0"), withDeadlines(600000))
 	nc := n.dial()
 	r := n.request("pay")
 	r.Header.Set("X-Timeout-Ms", "600000")
@@ -133,33 +134,43 @@
 // A client disconnects while a connection for its first or its second attempt is being opened,
 // which comes up before the disconnect event: nothing is written on it.
 func TestLateConnectionIsNotUsedAfterADisconnect(t *testing.T) {
-	for name, attempt := range map[string]int{"first attempt": 0, "second attempt": 1} {
-		t.Run(name, func(t *testing.T) {
-			t.Parallel()
-			far, bad := testkit.NewStuckServer(t), testkit.NewBackend(t, testkit.ServerError)
-			s := startHandler(t, []endpointjson.Endpoint{far.Endpoint("s-0"), bad.Endpoint("s-1")}[attempt])
-			l := s.loop
-			client := s.sendOnNewConn("read", "")
-			if attempt > 0 {
-				testkit.Wait(t, bad.Requests, "the first attempt")
-				l.awaitRequests(t, 1, 0)
-				l.endpoints.UpdateEndpoints(policy.UpdateDelta, endpointjson.TranslateAll([]endpointjson.Endpoint{far.Endpoint("s-0")}))
-				l.queue.post(eventFunc(l.advanceClock))
-			}
-			l.awaitRequests(t, 1, 1)
-			reached, release := l.pause(t)
-			testkit.Wait(t, reached, "the loop")
-			r := l.requests.get(l.requests.lastID)
-			closeConn(client)
-			s.awaitDisconnect(client)
-			received := far.Admit()
-			s.awaitIdleConns(1, far.Addr())
-			release()
-			s.awaitNoRequests()
-			if n := startedAttempts(r); len(r.attempts) != attempt+1 || n != attempt || len(received) > 0 {
-				t.Errorf("%d of %d attempts began, want %d", n, len(r.attempts), attempt)
-			}
-		})
+	t.Parallel()
+	t.Run("first attempt", func(t *testing.T) {
+		t.Parallel()
+		stuck := testkit.NewStuckServer(t)
+		s := startHandler(t, stuck.Endpoint("s-0"))
+		client := s.sendOnNewConn("read", "")
+		s.wantNoAttemptAfterDisconnect(client, stuck, 0)
+	})
+	t.Run("second attempt", func(t *testing.T) {
+		t.Parallel()
+		stuck, failing := testkit.NewStuckServer(t), testkit.NewBackend(t, testkit.ServerError)
+		s := startHandler(t, failing.Endpoint("s-1"))
+		client := s.sendOnNewConn("read", "")
+		testkit.Wait(t, failing.Requests, "the first attempt")
+		s.loop.awaitRequests(1, 0)
+		s.loop.notifyEndpoints(policy.UpdateDelta, stuck.Endpoint("s-0"))
+		s.loop.queue.post(eventFunc(s.loop.advanceClock))
+		s.wantNoAttemptAfterDisconnect(client, stuck, 1)
+	})
+}
+
+// wantNoAttemptAfterDisconnect disconnects a client while the attempt with an index waits for its
+// connection to a stuck server, and fails the test if the attempt is sent.
+func (s *handlerServer) wantNoAttemptAfterDisconnect(client *net.TCPConn, stuck *testkit.StuckServer, index int) {
+	s.t.Helper()
+	l := s.loop
+	l.awaitRequests(1, 1)
+	resume := l.pause()
+	r := l.lastRequest()
+	closeConn(client)
+	s.awaitDisconnect(client)
+	sent := stuck.Admit()
+	s.awaitIdleConns(1, stuck.Addr())
+	resume()
+	s.awaitNoRequests()
+	if n := startedAttempts(r); len(r.attempts) != index+1 || n != index || len(sent) > 0 {
+		s.t.Errorf("%d of %d attempts began, want %d", n, len(r.attempts), index)
 	}
 }
 
@@ -168,23 +179,24 @@
 	b := testkit.NewBackend(t, testkit.OK)
 	s := startHandler(t, b.Endpoint("s-0"))
 	complete := s.requestText("pay")
-	for name, part := range map[string]string{
-		"nothing": "", "half of the head": complete[:len(complete)/2], "the head": complete[:strings.Index(complete, "{")],
+	for partName, part := range map[string]string{
+		"nothing":          "",
+		"half of the head": complete[:len(complete)/2],
+		"the head":         complete[:strings.Index(complete, "{")],
 		"half of the body": complete[:len(complete)-3],
 	} {
-		for way, leave := range map[string]func(nc *net.TCPConn){
-			"closes": func(nc *net.TCPConn) { closeConn(nc) }, "resets": func(nc *net.TCPConn) { resetConn(nc) },
-			"ends its sending": func(nc *net.TCPConn) { closeWrite(nc) },
+		for disconnectName, disconnect := range map[string]func(*net.TCPConn){
+			"closes": closeTCP, "resets": resetConn, "ends its sending": closeWrite,
 		} {
 			client := s.dial().(*net.TCPConn)
 			send(client, part)
-			leave(client)
+			disconnect(client)
 			testkit.Until(t, "the end of the connection", func() bool {
 				c := s.nodeConn(client)
 				return c != nil && c.Closed()
 			})
 			if len(b.Requests) > 0 || s.loop.requests.lastID > 0 {
-				t.Errorf("%s, %s: treated as a request", name, way)
+				t.Errorf("%s, %s: treated as a request", partName, disconnectName)
 			}
 		}
 	}
--- a/internal/node/discovery_failure_test.go
+++ b/internal/node/discovery_failure_test.go
@@ -11,20 +11,19 @@
 
 	"calicohinge/internal/discovery"
 	"calicohinge/internal/endpointjson"
-	"calicohinge/internal/sockstate"
 	"calicohinge/internal/testkit"
 	"calicohinge/internal/upstream"
 	"calicohinge/policy"
 )
 
-// A watch that becomes silent is reopened before what it misses counts as notified, and so
+// A watch that becomes unresponsive is reopened before what it misses counts as notified, and so
 // is one that is reset; what has changed meanwhile arrives, indented or not.
-func TestSilentOrResetWatchIsReopened(t *testing.T) {
+func TestUnresponsiveOrResetWatchIsReopened(t *testing.T) {
 	t.Parallel()
 	for _, mode := range discoveryModes() {
 		for name, fail := range map[string]func(*testkit.ScriptedDiscovery){
-			"silent": func(*testkit.ScriptedDiscovery) {},
-			"reset":  func(scripted *testkit.ScriptedDiscovery) { scripted.Responses <- testkit.ResponseReset },
+			"unresponsive": func(*testkit.ScriptedDiscovery) {},
+			"reset":        func(scripted *testkit.ScriptedDiscovery) { scripted.Responses <- testkit.ResponseReset },
 		} {
 			t.Run(mode+" "+name, func(t *testing.T) {
 				t.Parallel()
@@ -41,6 +40,7 @@
 	scripted.Responses <- `{"generation":3,"reset":true,"instances":[]}`
 	n.waitReady(http.StatusOK)
 	testkit.Wait(t, scripted.Calls, "the watch")
+
 	began := time.Now()
 	fail(scripted)
 	again := testkit.Wait(t, scripted.Calls, "the reopened watch")
@@ -48,6 +48,7 @@
 		t.Errorf("reopened after %v", took)
 	}
 	queryStarts(t, again, "after=3&")
+
 	b := testkit.NewBackend(t, testkit.OK)
 	text, err := json.MarshalIndent(endpointjson.List{Generation: 4, Endpoints: []endpointjson.Endpoint{b.Endpoint("s-0")}}, "", "  ")
 	if err != nil {
@@ -55,20 +56,19 @@
 	}
 	scripted.Responses <- string(text)
 	testkit.Wait(t, scripted.Calls, "the next watch")
-	if a := n.do(n.request("read")); a.status != http.StatusOK {
-		t.Errorf("status %d", a.status)
-	}
+	n.wantStatus("read", http.StatusOK)
 }
 
-// Discovery moves during a call, at any point of it: the new address is asked for the full list,
+// Discovery moves during a call, at any point of it: the new address is queried for the full list,
 // and the old call is cancelled once that has arrived, whatever it would still bring. Until then
-// its answer may be on its way, and counts.
+// its response may be under way, and counts.
 func TestDiscoveryMoveCancelsCallsInFlight(t *testing.T) {
 	for _, mode := range discoveryModes() {
 		t.Run(mode, func(t *testing.T) {
 			n, old := startScripted(t, mode, nil)
 			first := testkit.Wait(t, old.Calls, "the first call")
 			next := testkit.NewScriptedDiscovery(t)
+
 			n.node.SetDiscoveryAddress(next.Address) // before any list is known
 			queryStarts(t, testkit.Wait(t, next.Calls, "a call to the new address"), "")
 			stillOpen(t, first)
@@ -76,6 +76,7 @@
 			n.waitReady(http.StatusOK)
 			testkit.Wait(t, first.Context().Done(), "the end of the old call")
 			watch := testkit.Wait(t, next.Calls, "the watch")
+
 			n.node.SetDiscoveryAddress(old.Address) // and back, during the watch
 			queryStarts(t, testkit.Wait(t, old.Calls, "a call to the old address"), "")
 			stillOpen(t, watch)
@@ -90,7 +91,7 @@
 func stillOpen(t *testing.T, call *http.Request) {
 	t.Helper()
 	if err := call.Context().Err(); err != nil {
-		t.Errorf("the call to the former address has ended: %v", err)
+		t.Errorf("the call to the previous address has ended: %v", err)
 	}
 }
 
@@ -108,6 +109,7 @@
 			})
 			next := testkit.NewScriptedDiscovery(t)
 			n.waitReady(http.StatusOK)
+
 			began := time.Now()
 			n.node.SetDiscoveryAddress(next.Address)
 			for range 3 {
@@ -127,6 +129,7 @@
 // Discovery goes down, which ends the watch, and comes back with a change: the node calls
 // again by itself, from the generation that it has, and follows.
 func TestBrokenWatchResumesAtItsGeneration(t *testing.T) {
+	t.Parallel()
 	for _, mode := range discoveryModes() {
 		t.Run(mode, func(t *testing.T) {
 			t.Parallel()
@@ -135,6 +138,7 @@
 			testkit.Wait(t, scripted.Calls, "the first call")
 			scripted.Responses <- listText(t, endpointjson.List{Generation: 5, Endpoints: []endpointjson.Endpoint{a.Endpoint("s-0")}})
 			testkit.Wait(t, scripted.Calls, "the watch")
+
 			scripted.Responses <- testkit.ResponseUnavailable
 			testkit.Wait(t, scripted.Calls, "a call while it is down")
 			scripted.Responses <- testkit.ResponseUnavailable
@@ -143,36 +147,45 @@
 				Generation: 6, Endpoints: []endpointjson.Endpoint{draining(a.Endpoint("s-0")), b.Endpoint("s-1")},
 			})
 			queryStarts(t, testkit.Wait(t, scripted.Calls, "the next watch"), "after=6&")
-			if x := n.do(n.request("read")); x.status != http.StatusOK || len(a.Requests) > 0 {
-				t.Errorf("status %d, %d sends to the server that drains", x.status, len(a.Requests))
+
+			n.wantStatus("read", http.StatusOK)
+			if sends := len(a.Requests); sends > 0 {
+				t.Errorf("%d sends to the server that drains", sends)
 			}
 		})
 	}
 }
 
-// Calls to discovery fail twice, in each way in which they can, at a node of a large fleet
-// where little is polled: changes count as notified 6 s after discovery could be reached again.
-func TestFailedCallsAreRetriedBeforeTheNotificationDeadline(t *testing.T) {
-	answer := func(text string) func(*testNode, *testkit.ScriptedDiscovery) {
+// failCall fails the present call of a node to discovery.
+type failCall func(*testNode, *testkit.ScriptedDiscovery)
+
+// failedCalls are the ways in which a call can fail.
+func failedCalls() map[string]failCall {
+	respond := func(text string) failCall {
 		return func(_ *testNode, scripted *testkit.ScriptedDiscovery) { scripted.Responses <- text }
 	}
-	for name, fail := range map[string]func(*testNode, *testkit.ScriptedDiscovery){
-		"status 503": answer(testkit.ResponseUnavailable),
-		"reset":      answer(testkit.ResponseReset),
-		"no list":    answer("<html>"),
-		"silent":     func(*testNode, *testkit.ScriptedDiscovery) {},
+	return map[string]failCall{
+		"status 503":   respond(testkit.ResponseUnavailable),
+		"reset":        respond(testkit.ResponseReset),
+		"no list":      respond("<html>"),
+		"unresponsive": func(*testNode, *testkit.ScriptedDiscovery) {},
 		"cancelled at SIGHUP": func(n *testNode, _ *testkit.ScriptedDiscovery) { // with the same address
 			n.node.SetDiscoveryAddress(n.node.cfg.Discovery)
 		},
-	} {
+	}
+}
+
+// Calls to discovery fail twice, in each way in which they can, at a node of a large fleet
+// where little is polled: changes count as notified 6 s after discovery could be reached again.
+func TestFailedCallsAreRetriedBeforeTheNotificationDeadline(t *testing.T) {
+	for name, fail := range failedCalls() {
 		t.Run(name, func(t *testing.T) {
-			t.Parallel()
 			testFailedCallsAreRetried(t, fail)
 		})
 	}
 }
 
-func testFailedCallsAreRetried(t *testing.T, fail func(*testNode, *testkit.ScriptedDiscovery)) {
+func testFailedCallsAreRetried(t *testing.T, fail failCall) {
 	t.Helper()
 	scripted := testkit.NewScriptedDiscovery(t)
 	n := start(t, testConfig(t, testkit.NewRegistry(t), largeFleetConfig(scripted.Address)))
@@ -195,14 +208,12 @@
 	reserved := testkit.ReserveAddr(t)
 	cfg := testConfig(t, testkit.NewRegistry(t), largeFleetConfig(reserved.Address))
 	client := discovery.New(discovery.Config{Address: reserved.Address, Poll: true})
-	l, err := newLoop(t.Context(), cfg, upstream.NewPool(upstreamConfig(cfg, 20)), client)
-	if err != nil {
-		t.Fatal(err)
-	}
+	l := newTestLoop(t, cfg, upstream.NewPool(upstreamConfig(cfg, 20)), client)
 	go client.Run(t.Context(), l.endpoints)
 	for range 5 { // no list, a refused call, a timer, the same again
-		testkit.Wait(t, l.queue.posted, "an event").handle(l, l.clock.now())
+		testkit.Wait(t, l.queue.posted, "an event").handle(l.loop, l.clock.now())
 	}
+
 	back, err := reserved.Listen()
 	if err != nil {
 		t.Fatal(err)
@@ -220,15 +231,37 @@
 	}
 }
 
+// outage fails a node's calls to discovery, from the first one on, and runs a function meanwhile.
+type outage func(t *testing.T, scripted *testkit.ScriptedDiscovery, meanwhile func())
+
+// failTwice returns an outage in which two calls get a response that is a failure.
+func failTwice(response string) outage {
+	return func(t *testing.T, scripted *testkit.ScriptedDiscovery, meanwhile func()) {
+		t.Helper()
+		testkit.Wait(t, scripted.Calls, "a first call")
+		scripted.Responses <- response
+		meanwhile()
+		testkit.Wait(t, scripted.Calls, "a call while it is down")
+		scripted.Responses <- response
+	}
+}
+
+// staysUnresponsive is an outage in which a call gets no response.
+func staysUnresponsive(t *testing.T, scripted *testkit.ScriptedDiscovery, meanwhile func()) {
+	t.Helper()
+	testkit.Wait(t, scripted.Calls, "a first call")
+	meanwhile()
+}
+
 // Idle clients use every connection while discovery is down, in each way, and as many connect
-// when it is back: the node follows it in time and answers all requests.
+// when it is back: the node follows it in time and responds to all requests.
 func TestDiscoveryRecoversDuringAConnectionFlood(t *testing.T) {
 	t.Parallel()
 	for _, mode := range discoveryModes() {
 		for name, fail := range map[string]outage{
-			"down":   {answer: testkit.ResponseUnavailable},
-			"reset":  {answer: testkit.ResponseReset},
-			"silent": {silent: true},
+			"down":         failTwice(testkit.ResponseUnavailable),
+			"reset":        failTwice(testkit.ResponseReset),
+			"unresponsive": staysUnresponsive,
 		} {
 			t.Run(mode+" "+name, func(t *testing.T) {
 				t.Parallel()
@@ -238,48 +271,30 @@
 	}
 }
 
-// outage is how discovery fails.
-type outage struct {
-	answer string
-	silent bool // no answer at all
-}
-
-// fail fails the present call, and the one that follows.
-func (o outage) fail(t *testing.T, scripted *testkit.ScriptedDiscovery, meanwhile func()) {
-	t.Helper()
-	testkit.Wait(t, scripted.Calls, "a first call")
-	if o.silent {
-		meanwhile()
-		return
-	}
-	scripted.Responses <- o.answer
-	meanwhile()
-	testkit.Wait(t, scripted.Calls, "a call while it is down")
-	scripted.Responses <- o.answer
-}
-
 func testRecoveryDuringAFlood(t *testing.T, mode string, fail outage) {
 	t.Helper()
 	a, b := testkit.NewBackend(t, testkit.OK), testkit.NewBackend(t, testkit.OK)
 	n, scripted := startScripted(t, mode, func(file map[string]any) {
-		file["limits"] = map[string]any{"sockets": 64}
+		file["limits"] = map[string]any{"sockets": fewSockets}
 		file["known"] = endpointjson.List{Generation: 1, Reset: true, Endpoints: []endpointjson.Endpoint{a.Endpoint("s-0")}}
 	})
 	n.waitReady(http.StatusOK)
+
 	var idle []net.Conn
-	fail.fail(t, scripted, func() { idle = n.openFlood(90) })
+	fail(t, scripted, func() { idle = n.openFlood(90) })
 	n.mustServe(1, "while discovery is down")
 	n.waitReady(http.StatusOK)
 	if open := countOpen(idle); open > 22 {
 		t.Errorf("%d idle connections are open, want 22 at most", open)
 	}
+
 	testkit.Wait(t, scripted.Calls, "the call as it is back")
 	text := listText(t, endpointjson.List{Generation: 2, Endpoints: []endpointjson.Endpoint{draining(a.Endpoint("s-0")), b.Endpoint("s-1")}})
 	back := make(chan struct{})
-	var crowd sync.WaitGroup
+	var clients sync.WaitGroup
 	for range 5 {
-		crowd.Go(func() { <-back; n.openFlood(30) })
-		crowd.Go(func() { <-back; n.mustServe(4, "as discovery is back") })
+		clients.Go(func() { <-back; n.openFlood(30) })
+		clients.Go(func() { <-back; n.mustServe(4, "as discovery is back") })
 	}
 	began := time.Now()
 	close(back)
@@ -288,30 +303,12 @@
 	if took := time.Since(began); took > policy.NotificationDeadline {
 		t.Errorf("follows after %v", took)
 	}
-	crowd.Wait()
-	received([]*testkit.Backend{a})
+	clients.Wait()
+
+	received(a)
 	n.openFlood(60)
 	n.mustServe(20, "afterwards")
 	if len(a.Requests) > 0 {
 		t.Errorf("%d sends to the server that drains", len(a.Requests))
 	}
 }
-
-// mustServe makes requests one after another and fails the test for each that is not served.
-func (n *testNode) mustServe(requests int, when string) {
-	n.t.Helper()
-	for range requests {
-		if status, err := n.requestStatus(); err != nil || status != http.StatusOK {
-			n.t.Errorf("%s: status %d, %v", when, status, err)
-		}
-	}
-}
-
-func countOpen(conns []net.Conn) (open int) {
-	for _, nc := range conns {
-		if sockstate.Peek(nc) != sockstate.Closed {
-			open++
-		}
-	}
-	return open
-}
--- a/internal/node/forwarding_test.go
+++ b/internal/node/forwarding_test.go
@@ -26,7 +26,7 @@
 	r.Header.Set("User-Agent", "") // none: the node must not put its own
 	a := n.do(r)
 	if a.status != http.StatusOK || a.body != "rooms" || a.header.Get("X-Kept") != "yes" || a.header.Get("Keep-Alive") != "" {
-		t.Errorf("answer %+v", a)
+		t.Errorf("response %+v", a)
 	}
 	got := testkit.Wait(t, b.Requests, "the request")
 	body, _ := io.ReadAll(got.Body)
@@ -80,18 +80,15 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := startHandlerLingering(t, time.Hour, b.Endpoint("s-0"))
-			n, f := s.testNode, s.handler
-			f.draining.Store(true)
-			nc := n.slowDial()
-			var request strings.Builder
-			sendRequest(&request, n.request("read"))
-			send(nc, request.String()+c.ahead)
+			s.handler.draining.Store(true)
+			nc := s.slowDial()
+			send(nc, wireText(s.request("read"))+c.ahead)
 			in := bufio.NewReader(nc)
 			if _, err := in.Peek(1); err != nil {
 				t.Fatal(err)
 			}
 			node := s.nodeConn(nc)
-			testkit.Until(t, "the answer's end", func() bool {
+			testkit.Until(t, "the response's end", func() bool {
 				return node.Lingering() || node.Closed()
 			})
 			send(nc, c.behind)
@@ -103,7 +100,7 @@
 				t.Errorf("%d bytes, %v", len(body), err)
 			}
 			if closeConn(nc); c.behind == "" {
-				f.awaitNoConns(t)
+				s.awaitNoConns()
 			}
 		})
 	}
@@ -115,18 +112,13 @@
 	text := strings.Repeat("x", maxBody)
 	b := testkit.NewBackend(t, func(w http.ResponseWriter, _ *http.Request) { send(w, text) })
 	s := startHandler(t, b.Endpoint("s-0"))
-	n, f := s.testNode, s.handler
-	slow, other := n.slowDial(), n.dial()
-	var request strings.Builder
-	sendRequest(&request, n.request("pay"))
-	sendByteByByte(slow, request.String(), func() { n.roundTrip(other) })
+	slow, other := s.slowDial(), s.dial()
+	sendByteByByte(slow, wireText(s.request("pay")), func() { s.roundTrip(other) })
 	in := iotest.OneByteReader(slow)
 	if _, err := io.ReadFull(in, make([]byte, 5)); err != nil {
 		t.Fatal(err)
 	}
-	if resp := n.roundTrip(other); resp.StatusCode != http.StatusOK {
-		t.Errorf("another one got status %d", resp.StatusCode)
-	}
+	s.wantServed(other)
 	resp, err := http.ReadResponse(bufio.NewReader(io.MultiReader(strings.NewReader("HTTP/"), in)), nil)
 	if err != nil || resp.StatusCode != http.StatusOK {
 		t.Fatalf("%+v, %v", resp, err)
@@ -136,20 +128,21 @@
 	}
 	closeConn(slow)
 	closeConn(other)
-	f.awaitNoConns(t)
+	s.awaitNoConns()
 }
 
-// A pipelined request is answered too, and its connection does not count as idle meanwhile.
-func TestPipelinedRequestsAreAnswered(t *testing.T) {
+// A pipelined request gets its response too, and its connection does not count as idle meanwhile.
+func TestPipelinedRequestsGetResponses(t *testing.T) {
 	n, _ := startReady(t, testkit.NewBackend(t, testkit.OK))
 	nc := n.dial()
-	var both strings.Builder
-	for range 3 {
-		sendRequest(&both, n.request("read"))
+	const pipelined = 3
+	var text strings.Builder
+	for range pipelined {
+		sendRequest(&text, n.request("read"))
 	}
-	send(nc, both.String())
+	send(nc, text.String())
 	in := bufio.NewReader(nc)
-	for range 3 {
+	for range pipelined {
 		resp, err := http.ReadResponse(in, nil)
 		if err != nil || resp.StatusCode != http.StatusOK {
 			t.Fatalf("%v, %v", resp, err)
@@ -165,7 +158,5 @@
 		testkit.OK(w, r)
 	})
 	n, _ := startReady(t, b)
-	if a := n.do(n.request("pay")); a.status != http.StatusOK {
-		t.Errorf("status %d", a.status)
-	}
+	n.wantStatus("pay", http.StatusOK)
 }
--- a/internal/node/harness_client_test.go
+++ b/internal/node/harness_client_test.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"errors"
+	"fmt"
 	"io"
 	"net"
 	"net/http"
@@ -14,56 +15,80 @@
 	"calicohinge/internal/testkit"
 )
 
+// slowReceiveBuffer is the size of the receive buffer of a client that reads slowly.
+const slowReceiveBuffer = 4096
+
+// partialRequest is the beginning of a request of which nothing more comes.
+const partialRequest = "GET /read HTTP/1.1\r\nHost: x\r\nX-Req"
+
 func (n *testNode) dial() net.Conn {
 	n.t.Helper()
-	nc, err := net.Dial("tcp", n.addr)
-	if err != nil {
-		n.t.Fatal(err)
-	}
-	closeAtEnd(n.t, nc)
-	limitToPatience(nc)
-	return nc
+	return n.dialWith(&net.Dialer{})
 }
 
 // slowDial returns a connection with a small receive buffer.
 func (n *testNode) slowDial() net.Conn {
 	n.t.Helper()
-	d := net.Dialer{Control: func(_, _ string, c syscall.RawConn) (err error) {
-		return errors.Join(c.Control(func(fd uintptr) {
-			err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096)
-		}), err)
-	}}
-	nc, err := d.Dial("tcp", n.addr)
+	return n.dialWith(&net.Dialer{Control: shrinkReceiveBuffer})
+}
+
+func (n *testNode) dialWith(dialer *net.Dialer) net.Conn {
+	n.t.Helper()
+	nc, err := dialer.Dial("tcp", n.addr)
 	if err != nil {
 		n.t.Fatal(err)
 	}
 	closeAtEnd(n.t, nc)
-	limitToPatience(nc)
+	limitToTestTimeout(nc)
 	return nc
 }
 
+// shrinkReceiveBuffer is a net.Dialer.Control.
+func shrinkReceiveBuffer(_, _ string, conn syscall.RawConn) error {
+	var setErr error
+	err := conn.Control(func(fd uintptr) {
+		setErr = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, slowReceiveBuffer)
+	})
+	return errors.Join(err, setErr)
+}
+
 // roundTrip makes a request on a connection and reads the response.
 func (n *testNode) roundTrip(nc net.Conn) *http.Response {
 	n.t.Helper()
-	r := n.request("read")
-	if err := r.Write(nc); err != nil {
+	if err := n.request("read").Write(nc); err != nil {
 		n.t.Fatal(err)
 	}
-	resp, err := http.ReadResponse(bufio.NewReader(nc), r)
+	resp := n.readResponse(nc)
+	discard(resp.Body)
+	return resp
+}
+
+// wantServed fails the test unless a request on the connection is served.
+func (n *testNode) wantServed(nc net.Conn) {
+	n.t.Helper()
+	if resp := n.roundTrip(nc); resp.StatusCode != http.StatusOK {
+		n.t.Errorf("status %d, want 200", resp.StatusCode)
+	}
+}
+
+// readResponse reads the header of the only response on a connection.
+func (n *testNode) readResponse(nc net.Conn) *http.Response {
+	n.t.Helper()
+	resp, err := http.ReadResponse(bufio.NewReader(nc), nil)
 	if err != nil {
-		n.t.Fatalf("no answer: %v", err)
+		n.t.Fatalf("no response: %v", err)
 	}
-	discard(resp.Body)
 	return resp
 }
 
 // rawStatuses sends a text and returns the statuses of the responses until the node
 // closes the connection; a node that doesn't close it fails the test.
-func (n *testNode) rawStatuses(text string) (statuses []int) {
+func (n *testNode) rawStatuses(text string) []int {
 	n.t.Helper()
 	nc := n.dial()
 	go send(nc, text)
 	in := bufio.NewReader(nc)
+	var statuses []int
 	for {
 		resp, err := http.ReadResponse(in, nil)
 		if testkit.IsTimeout(err) {
@@ -73,38 +98,55 @@
 			return statuses
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); testkit.IsTimeout(err) {
-			n.t.Fatal("the answer doesn't end")
+			n.t.Fatal("the response doesn't end")
 		}
 		statuses = append(statuses, resp.StatusCode)
 	}
 }
 
 // requestStatus makes a request as clients do: again on a new connection if the first is closed.
-func (n *testNode) requestStatus() (status int, err error) {
-	for range 2 {
-		var nc net.Conn
-		if nc, err = net.Dial("tcp", n.addr); err != nil {
-			continue
-		}
-		limitToPatience(nc)
-		r := n.request("read")
-		var resp *http.Response
-		if err = r.Write(nc); err == nil {
-			if resp, err = http.ReadResponse(bufio.NewReader(nc), r); err == nil {
-				_, err = io.Copy(io.Discard, resp.Body)
-			}
-		}
-		closeConn(nc)
-		if err == nil {
-			return resp.StatusCode, nil
+func (n *testNode) requestStatus() (int, error) {
+	status, err := n.requestStatusOnce()
+	if err != nil {
+		return n.requestStatusOnce()
+	}
+	return status, nil
+}
+
+// requestStatusOnce makes a request on a new connection.
+func (n *testNode) requestStatusOnce() (int, error) {
+	nc, err := net.Dial("tcp", n.addr)
+	if err != nil {
+		return 0, err
+	}
+	defer closeConn(nc)
+	limitToTestTimeout(nc)
+	r := n.request("read")
+	if err := r.Write(nc); err != nil {
+		return 0, err
+	}
+	resp, err := http.ReadResponse(bufio.NewReader(nc), r)
+	if err != nil {
+		return 0, err
+	}
+	_, err = io.Copy(io.Discard, resp.Body)
+	return resp.StatusCode, err
+}
+
+// mustServe makes requests one after another and fails the test for each that is not served.
+func (n *testNode) mustServe(requests int, when string) {
+	n.t.Helper()
+	for range requests {
+		if status, err := n.requestStatus(); err != nil || status != http.StatusOK {
+			n.t.Errorf("%s: status %d, %v", when, status, err)
 		}
 	}
-	return 0, err
 }
 
 // openFlood opens connections that stay: on one in three nothing is sent, on one half a request,
 // and one is idle after its response, if there is one.
-func (n *testNode) openFlood(count int) (conns []net.Conn) {
+func (n *testNode) openFlood(count int) []net.Conn {
+	var conns []net.Conn
 	for i := range count {
 		nc, err := net.Dial("tcp", n.addr)
 		if err != nil {
@@ -115,7 +157,7 @@
 		conns = append(conns, nc)
 		switch i % 3 {
 		case 1:
-			send(nc, "GET /read HTTP/1.1\r\nHost: x\r\nX-Req")
+			send(nc, partialRequest)
 		case 2:
 			r := n.request("read")
 			sendRequest(nc, r)
@@ -140,11 +182,18 @@
 // awaitSocketState waits until a connection's socket has a state.
 func awaitSocketState(t *testing.T, nc net.Conn, want sockstate.State) {
 	t.Helper()
-	for end := time.Now().Add(testkit.WaitTimeout); sockstate.Peek(nc) != want; time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("the connection shows %v, want %v", sockstate.Peek(nc), want)
+	testkit.Until(t, fmt.Sprintf("a connection in state %v", want), func() bool { return sockstate.Peek(nc) == want })
+}
+
+// countOpen counts the connections that the node has not closed.
+func countOpen(conns []net.Conn) int {
+	open := 0
+	for _, nc := range conns {
+		if sockstate.Peek(nc) != sockstate.Closed {
+			open++
 		}
 	}
+	return open
 }
 
 // What a client sends, and its close, may meet a connection that the node has closed. The
@@ -158,7 +207,13 @@
 
 func closeConn(c io.Closer) { _ = c.Close() }
 
-func closeAtEnd(t *testing.T, c io.Closer) { t.Cleanup(func() { closeConn(c) }) }
+func closeAtEnd(t *testing.T, c io.Closer) {
+	t.Helper()
+	t.Cleanup(func() { closeConn(c) })
+}
+
+// closeTCP closes a connection with a FIN.
+func closeTCP(conn *net.TCPConn) { _ = conn.Close() }
 
 // resetConn closes a connection with a TCP reset.
 func resetConn(conn *net.TCPConn) {
@@ -169,5 +224,5 @@
 // closeWrite ends the sending of a client that goes on reading.
 func closeWrite(conn *net.TCPConn) { _ = conn.CloseWrite() }
 
-// limitToPatience bounds what a test does on a connection.
-func limitToPatience(conn net.Conn) { _ = conn.SetDeadline(time.Now().Add(testkit.WaitTimeout)) }
+// limitToTestTimeout bounds what a test does on a connection.
+func limitToTestTimeout(conn net.Conn) { _ = conn.SetDeadline(time.Now().Add(testkit.WaitTimeout)) }
--- /dev/null
+++ b/internal/node/harness_discovery_test.go
@@ -0,0 +1,78 @@
+package node
+
+import (
+	"encoding/json"
+	"net/http"
+	"strings"
+	"testing"
+
+	"calicohinge/internal/endpointjson"
+	"calicohinge/internal/testkit"
+)
+
+// discoveryModes are the ways to follow the endpoint list, as the settings name them.
+func discoveryModes() []string { return []string{"pushed", "on_request"} }
+
+// settingsWith returns the settings with a discovery mode.
+func settingsWith(mode string) testkit.JSON {
+	return testkit.JSON(strings.Replace(settingsText, "pushed", mode, 1))
+}
+
+// startScripted starts a node before a discovery service whose responses the test gives. change
+// may alter its configuration.
+func startScripted(t *testing.T, mode string, change func(file map[string]any)) (*testNode, *testkit.ScriptedDiscovery) {
+	t.Helper()
+	scripted := testkit.NewScriptedDiscovery(t)
+	n := start(t, testConfig(t, testkit.NewRegistry(t), func(file map[string]any) {
+		file["discovery"] = scripted.Address
+		file["settings"] = settingsWith(mode)
+		if change != nil {
+			change(file)
+		}
+	}))
+	return n, scripted
+}
+
+// largeFleetConfig is the configuration of a node among many with a discovery that is polled seldom.
+func largeFleetConfig(discovery string) func(file map[string]any) {
+	return func(file map[string]any) {
+		file["discovery"] = discovery
+		text := strings.Replace(settingsText, "pushed", "on_request", 1)
+		file["settings"] = testkit.JSON(strings.Replace(text, `"Limits"`,
+			`"Balancers": 650, "Me": 649, "Contract": {"MustAskInMs": 30000}, "Limits"`, 1))
+	}
+}
+
+// listText returns an endpoint list as discovery sends it.
+func listText(t *testing.T, list endpointjson.List) string {
+	t.Helper()
+	text, err := json.Marshal(list)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(text)
+}
+
+// draining returns an endpoint as one that drains.
+func draining(e endpointjson.Endpoint) endpointjson.Endpoint {
+	e.Lifecycle = "Terminating"
+	return e
+}
+
+// queryStarts fails the test if a call's query does not start as wanted; "" wants an empty one.
+func queryStarts(t *testing.T, call *http.Request, want string) {
+	t.Helper()
+	query := call.URL.RawQuery
+	if !strings.HasPrefix(query, want) || want == "" && query != "" {
+		t.Errorf("query %q, want one that starts with %q", query, want)
+	}
+}
+
+// awaitWatch waits until a registry gets a call whose query contains a text, and fails the test if its
+// next call is another one.
+func awaitWatch(t *testing.T, registry *testkit.Registry, want string) {
+	t.Helper()
+	if query := testkit.Wait(t, registry.Queries, "the watch"); !strings.Contains(query, want) {
+		t.Errorf("the watch has the query %q", query)
+	}
+}
--- a/internal/node/harness_handler_test.go
+++ b/internal/node/harness_handler_test.go
@@ -9,6 +9,7 @@
 	"testing"
 	"time"
 
+	"calicohinge/internal/config"
 	"calicohinge/internal/downstream"
 	"calicohinge/internal/endpointjson"
 	"calicohinge/internal/sockstate"
@@ -22,7 +23,7 @@
 type handlerServer struct {
 	*testNode
 	handler *handler
-	loop    *loop
+	loop    *testLoop
 	conns   sync.Map // *downstream.Conn by its client's address
 }
 
@@ -36,17 +37,14 @@
 func startHandlerLingering(t *testing.T, linger time.Duration, list ...endpointjson.Endpoint) *handlerServer {
 	t.Helper()
 	cfg := testConfig(t, testkit.NewRegistry(t), withDeadlines(600000))
-	cfg.Policy.Classes[1].KeyRetention = 10 * time.Minute
+	cfg.Policy.Classes[classPush].KeyRetention = 10 * time.Minute
 	cfg.ConnectTimeout = testkit.WaitTimeout
-	l, err := newLoop(t.Context(), cfg, upstream.NewPool(upstreamConfig(cfg, 400)), noWatcher{})
-	if err != nil {
-		t.Fatal(err)
-	}
+	l := newTestLoop(t, cfg, upstream.NewPool(upstreamConfig(cfg, 400)), noWatcher{})
 	go l.run()
-	l.endpoints.UpdateEndpoints(policy.UpdateSnapshot, endpointjson.TranslateAll(list))
+	l.notifyEndpoints(policy.UpdateSnapshot, list...)
 	conns := downstreamConfig(400, 0)
 	conns.LingerTimeout = linger
-	s := &handlerServer{loop: l, handler: newHandler(cfg, l, downstream.NewConns(conns))}
+	s := &handlerServer{loop: l, handler: newHandler(cfg, l.loop, downstream.NewConns(conns))}
 	listener := testkit.Listen(t)
 	s.testNode = &testNode{t: t, addr: listener.Addr().String()}
 	srv := s.handler.server()
@@ -59,6 +57,16 @@
 	return s
 }
 
+// newTestLoop returns a loop that does not run yet.
+func newTestLoop(t *testing.T, cfg *config.Config, pool *upstream.Pool, watcher watcher) *testLoop {
+	t.Helper()
+	l, err := newLoop(t.Context(), cfg, pool, watcher)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return &testLoop{loop: l, t: t}
+}
+
 // sendOnNewConn sends a request on a new connection, with further bytes in the same write.
 func (s *handlerServer) sendOnNewConn(class, behind string) *net.TCPConn {
 	s.t.Helper()
@@ -69,13 +77,11 @@
 	return nc
 }
 
-// requestText returns a valid request as it goes over the wire.
+// requestText returns a valid request, with a long timeout, as it is on the wire.
 func (s *handlerServer) requestText(class string) string {
 	r := s.request(class)
 	r.Header.Set("X-Timeout-Ms", "600000")
-	var b strings.Builder
-	sendRequest(&b, r)
-	return b.String()
+	return wireText(r)
 }
 
 // nodeConn returns the node's end of a client's connection; nil before it is accepted.
@@ -94,8 +100,8 @@
 // awaitNoRequests waits until no part of the node has an active request.
 func (s *handlerServer) awaitNoRequests() {
 	s.t.Helper()
-	s.loop.awaitRequests(s.t, 0, 0)
-	testkit.Until(s.t, "the ids to be free", func() bool {
+	s.loop.awaitRequests(0, 0)
+	testkit.Until(s.t, "the IDs to be free", func() bool {
 		return s.handler.activeIDs.count() == 0
 	})
 }
@@ -115,17 +121,17 @@
 }
 
 // awaitNoConns waits until nothing is open but idle connections to servers.
-func (f *handler) awaitNoConns(t *testing.T) {
-	t.Helper()
-	f.loop.awaitRequests(t, 0, 0)
-	testkit.Until(t, "the connections' end", func() bool {
-		pool := f.loop.pool.Stats()
-		return f.conns.Open() == 0 && pool.Open == pool.Idle()
+func (s *handlerServer) awaitNoConns() {
+	s.t.Helper()
+	s.loop.awaitRequests(0, 0)
+	testkit.Until(s.t, "the connections' end", func() bool {
+		pool := s.loop.pool.Stats()
+		return s.handler.conns.Open() == 0 && pool.Open == pool.Idle()
 	})
 }
 
-// acceptedConn returns both ends of an admitted connection.
-func acceptedConn(t *testing.T, conns *downstream.Conns) (client net.Conn, node *downstream.Conn) {
+// acceptedConn returns both ends of an admitted connection, the client's first.
+func acceptedConn(t *testing.T, conns *downstream.Conns) (net.Conn, *downstream.Conn) {
 	t.Helper()
 	listener := testkit.Listen(t)
 	limited := conns.Listener(listener)
@@ -142,3 +148,10 @@
 	closeAtEnd(t, nc)
 	return client, nc.(*downstream.Conn)
 }
+
+// wireText returns a request as it is on the wire.
+func wireText(r *http.Request) string {
+	var text strings.Builder
+	sendRequest(&text, r)
+	return text.String()
+}
--- a/internal/node/harness_loop_test.go
+++ b/internal/node/harness_loop_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"fmt"
 	"net/http"
 	"net/url"
 	"sync"
@@ -14,24 +15,27 @@
 	"calicohinge/policy"
 )
 
-// startLoop starts a node's loop and pool without handler and discovery, with an endpoint list.
-func startLoop(t *testing.T, list ...endpointjson.Endpoint) *loop {
+// testLoop is a node's loop and pool without handler and discovery.
+type testLoop struct {
+	*loop
+	t *testing.T
+}
+
+// startLoop starts one with an endpoint list.
+func startLoop(t *testing.T, list ...endpointjson.Endpoint) *testLoop {
 	t.Helper()
 	return startLoopWith(t, func(*upstream.Config) {}, list...)
 }
 
 // startLoopWith does the same with another configuration of the pool.
-func startLoopWith(t *testing.T, change func(*upstream.Config), list ...endpointjson.Endpoint) *loop {
+func startLoopWith(t *testing.T, change func(*upstream.Config), list ...endpointjson.Endpoint) *testLoop {
 	t.Helper()
 	cfg := testConfig(t, testkit.NewRegistry(t), nil)
 	pool := upstreamConfig(cfg, 20)
 	change(&pool)
-	l, err := newLoop(t.Context(), cfg, upstream.NewPool(pool), noWatcher{})
-	if err != nil {
-		t.Fatal(err)
-	}
+	l := newTestLoop(t, cfg, upstream.NewPool(pool), noWatcher{})
 	go l.run()
-	l.endpoints.UpdateEndpoints(policy.UpdateSnapshot, endpointjson.TranslateAll(list))
+	l.notifyEndpoints(policy.UpdateSnapshot, list...)
 	return l
 }
 
@@ -45,7 +49,7 @@
 
 func (f eventFunc) handle(_ *loop, now time.Duration) { f(now) }
 
-// clientFunc is a client connection whose state a function tells.
+// clientFunc is a client connection whose state a function returns.
 type clientFunc func() bool
 
 // ClientDisconnected implements clientConn.
@@ -61,71 +65,110 @@
 	}
 }
 
+// notifyEndpoints reports an endpoint update as the discovery client would.
+func (l *testLoop) notifyEndpoints(kind policy.UpdateKind, list ...endpointjson.Endpoint) {
+	l.endpoints.UpdateEndpoints(kind, endpointjson.TranslateAll(list))
+}
+
 // newRequest makes a request as the handler would.
-func (l *loop) newRequest(class int, disconnected func() bool) *request {
-	return &request{Request: *forwardedTestRequest(), class: class, deadline: l.clock.now() + time.Minute, client: clientFunc(disconnected)}
+func (l *testLoop) newRequest(class int, disconnected func() bool) *request {
+	return &request{
+		Request: *forwardedTestRequest(), class: class, deadline: l.clock.now() + time.Minute,
+		client: clientFunc(disconnected),
+	}
+}
+
+// submitAsync submits a request; the channel gets its response, an empty one if there is none.
+func (l *testLoop) submitAsync(ctx context.Context, r *request) <-chan response {
+	done := make(chan response, 1)
+	go func() {
+		final, _ := l.submit(ctx, r) // the status shows it
+		done <- final
+	}()
+	return done
+}
+
+// wantStatus fails the test unless a request that was submitted gets a response with this status.
+func (l *testLoop) wantStatus(done <-chan response, want int) {
+	l.t.Helper()
+	if final := testkit.Wait(l.t, done, "a response"); final.status != want {
+		l.t.Errorf("status %d, want %d", final.status, want)
+	}
 }
 
 // inLoop runs a function in the loop, after all events that were posted before.
-func (l *loop) inLoop(t *testing.T, what func()) {
-	t.Helper()
+func (l *testLoop) inLoop(run func()) {
+	l.t.Helper()
 	done := make(chan struct{})
-	l.queue.post(eventFunc(func(time.Duration) { what(); close(done) }))
-	testkit.Wait(t, done, "the loop")
+	l.queue.post(eventFunc(func(time.Duration) { run(); close(done) }))
+	testkit.Wait(l.t, done, "the loop")
+}
+
+// untilInLoop waits until a condition holds, which is checked in the loop.
+func (l *testLoop) untilInLoop(description string, holds func() bool) {
+	l.t.Helper()
+	testkit.Until(l.t, description, func() bool {
+		held := false
+		l.inLoop(func() { held = holds() })
+		return held
+	})
 }
 
 // awaitRequests waits until the loop has so many requests with so many attempts in flight.
-func (l *loop) awaitRequests(t *testing.T, requests, inFlight int) {
-	t.Helper()
-	for end := time.Now().Add(testkit.WaitTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
-		n, m := 0, 0
-		l.inLoop(t, func() {
-			for _, r := range l.requests.active {
-				n++
-				m += r.inFlight
-			}
-		})
-		if n == requests && m == inFlight {
-			return
+func (l *testLoop) awaitRequests(requests, inFlight int) {
+	l.t.Helper()
+	description := fmt.Sprintf("%d requests with %d attempts in flight", requests, inFlight)
+	l.untilInLoop(description, func() bool {
+		sum := 0
+		for _, r := range l.requests.active {
+			sum += r.inFlight
 		}
-	}
-	t.Fatalf("never %d requests with %d attempts in flight", requests, inFlight)
+		return len(l.requests.active) == requests && sum == inFlight
+	})
 }
 
-// pause queues an event that blocks the loop once it is reached, until it is resumed.
-func (l *loop) pause(t *testing.T) (reached <-chan struct{}, resume func()) {
+// pausePoint is an event that blocks the loop, once it is reached, until it is resumed.
+type pausePoint struct {
+	reached <-chan struct{}
+	resume  func()
+}
+
+// queuePause queues a pause behind the events that were posted before.
+func (l *testLoop) queuePause() pausePoint {
 	blocked, unblock := make(chan struct{}), make(chan struct{})
-	resume = sync.OnceFunc(func() { close(unblock) })
-	t.Cleanup(resume)
+	resume := sync.OnceFunc(func() { close(unblock) })
+	l.t.Cleanup(resume)
 	l.queue.post(eventFunc(func(time.Duration) { close(blocked); <-unblock }))
-	return blocked, resume
+	return pausePoint{blocked, resume}
 }
 
+// pause blocks the loop and returns the function that resumes it.
+func (l *testLoop) pause() func() {
+	l.t.Helper()
+	point := l.queuePause()
+	testkit.Wait(l.t, point.reached, "the loop")
+	return point.resume
+}
+
+// lastRequest returns the request that arrived last. The loop is paused.
+func (l *testLoop) lastRequest() *request { return l.requests.get(l.requests.lastID) }
+
 // advanceClock moves the clock past every backoff and the delay of a hedged request, and has the
 // balancer act on it.
-func (l *loop) advanceClock(time.Duration) {
+func (l *testLoop) advanceClock(time.Duration) {
 	l.clock.origin = l.clock.origin.Add(-200 * time.Second)
 	l.balancer.Timer(l.clock.now(), 0)
 }
 
 // startedAttempts counts the attempts whose first byte was released for writing.
-func startedAttempts(requests ...*request) (n int) {
+func startedAttempts(requests ...*request) int {
+	started := 0
 	for _, r := range requests {
 		for _, a := range r.attempts {
 			if a.call.Started() {
-				n++
+				started++
 			}
 		}
 	}
-	return n
-}
-
-// submitAsync submits a request; the channel gets its response, an empty one if there is none.
-func (l *loop) submitAsync(ctx context.Context, r *request) <-chan response {
-	done := make(chan response, 1)
-	go func() {
-		final, _ := l.submit(ctx, r) // the status shows it
-		done <- final
-	}()
-	return done
+	return started
 }
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -10,6 +10,7 @@
 	"os"
 	"path/filepath"
 	"strings"
+	"sync"
 	"sync/atomic"
 	"testing"
 	"time"
@@ -29,6 +30,16 @@
 		"MaxRetryAfterMs": 600, "RetryAfter": true, "SecondCopies": true},
 	"RegistryMode": "pushed", "TickMs": 5, "Zones": ["a"], "Novel": {"x": 1}}`
 
+// The indexes of the classes of settingsText.
+const (
+	classRead = iota // idempotent
+	classPush        // idempotent with a key
+	classPay         // not idempotent
+)
+
+// classNames returns the names of the classes by index.
+func classNames() []string { return []string{classRead: "read", classPush: "push", classPay: "pay"} }
+
 // testConfig returns a configuration as read from a file, which change may alter.
 func testConfig(t *testing.T, d *testkit.Registry, change func(file map[string]any)) *config.Config {
 	t.Helper()
@@ -57,22 +68,22 @@
 	return cfg
 }
 
-// withDeadlines replaces the deadlines of all classes.
-func withDeadlines(ms int) func(file map[string]any) {
+// withDeadlines sets the deadline of all classes, and their objective to three quarters of it.
+func withDeadlines(ms int) func(file map[string]any) { return withTimes(ms, ms*3/4) }
+
+// withTimes sets the deadline and the objective of all classes.
+func withTimes(deadlineMs, objectiveMs int) func(file map[string]any) {
 	return func(file map[string]any) {
 		text := strings.ReplaceAll(settingsText, `"DeadlineMs": 8000, "PromiseMs": 6000`,
-			fmt.Sprintf(`"DeadlineMs": %d, "PromiseMs": %d`, ms, ms*3/4))
+			fmt.Sprintf(`"DeadlineMs": %d, "PromiseMs": %d`, deadlineMs, objectiveMs))
 		file["settings"] = json.RawMessage(text)
 	}
 }
 
-// largeFleetConfig is the configuration of a node among many with a discovery that is polled seldom.
-func largeFleetConfig(discovery string) func(file map[string]any) {
+// withSockets sets the number of file descriptors that a node may use.
+func withSockets(sockets int) func(file map[string]any) {
 	return func(file map[string]any) {
-		file["discovery"] = discovery
-		text := strings.Replace(settingsText, "pushed", "on_request", 1)
-		file["settings"] = testkit.JSON(strings.Replace(text, `"Limits"`,
-			`"Balancers": 650, "Me": 649, "Contract": {"MustAskInMs": 30000}, "Limits"`, 1))
+		file["limits"] = map[string]any{"cores": 1, "memory_mb": 192, "sockets": sockets}
 	}
 }
 
@@ -121,17 +132,26 @@
 	return n, d
 }
 
-// startWithFewSockets starts a node with 20 client connections and a reserve of 2.
-func startWithFewSockets(t *testing.T, b *testkit.Backend) *testNode {
-	d := testkit.NewRegistry(t, b.Endpoint("s-0"))
-	n := start(t, testConfig(t, d, func(file map[string]any) {
-		file["limits"] = map[string]any{"cores": 1, "memory_mb": 192, "sockets": 64}
-	}))
+// startReadyWith does the same with one server and a changed configuration.
+func startReadyWith(t *testing.T, server endpointjson.Endpoint, change func(file map[string]any)) *testNode {
+	t.Helper()
+	n := start(t, testConfig(t, testkit.NewRegistry(t, server), change))
 	n.waitReady(http.StatusOK)
+	return n
+}
+
+// fewSockets makes for 20 client connections and a reserve of 2.
+const fewSockets = 64
+
+// startWithFewSockets starts a node with few client connections, of which none is in use.
+func startWithFewSockets(t *testing.T, server endpointjson.Endpoint) *testNode {
+	t.Helper()
+	n := startReadyWith(t, server, withSockets(fewSockets))
 	http.DefaultClient.CloseIdleConnections()
 	return n
 }
 
+// waitReady waits until the readiness check gets a status.
 func (n *testNode) waitReady(status int) {
 	n.t.Helper()
 	for end := time.Now().Add(testkit.WaitTimeout); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
@@ -147,6 +167,14 @@
 	n.t.Fatalf("readiness never became %d", status)
 }
 
+// awaitExit waits until Run returns, and fails the test if that is with an error.
+func (n *testNode) awaitExit() {
+	n.t.Helper()
+	if err := testkit.Wait(n.t, n.done, "the node's exit"); err != nil {
+		n.t.Errorf("Run returned %v", err)
+	}
+}
+
 // request makes a valid request of a class.
 func (n *testNode) request(class string) *http.Request {
 	id := fmt.Sprintf("%016x", n.lastID.Add(1))
@@ -175,6 +203,7 @@
 	took   time.Duration
 }
 
+// do makes a request and reads its response.
 func (n *testNode) do(r *http.Request) clientResponse {
 	n.t.Helper()
 	began := time.Now()
@@ -190,59 +219,38 @@
 	return clientResponse{resp.StatusCode, resp.Header, string(body), time.Since(began)}
 }
 
-// discoveryModes are the ways to follow the endpoint list, as the settings name them.
-func discoveryModes() []string { return []string{"pushed", "on_request"} }
-
-// settingsWith returns the settings with a discovery mode.
-func settingsWith(mode string) testkit.JSON {
-	return testkit.JSON(strings.Replace(settingsText, "pushed", mode, 1))
-}
-
-// startScripted starts a node before a discovery service whose calls the test answers. change
-// may alter its configuration.
-func startScripted(t *testing.T, mode string, change func(file map[string]any)) (*testNode, *testkit.ScriptedDiscovery) {
-	t.Helper()
-	scripted := testkit.NewScriptedDiscovery(t)
-	n := start(t, testConfig(t, testkit.NewRegistry(t), func(file map[string]any) {
-		file["discovery"] = scripted.Address
-		file["settings"] = settingsWith(mode)
-		if change != nil {
-			change(file)
-		}
-	}))
-	return n, scripted
-}
-
-// listText returns an endpoint list as discovery sends it.
-func listText(t *testing.T, list endpointjson.List) string {
-	t.Helper()
-	text, err := json.Marshal(list)
-	if err != nil {
-		t.Fatal(err)
+// wantStatus makes a request of a class and fails the test unless it gets this status.
+func (n *testNode) wantStatus(class string, want int) {
+	n.t.Helper()
+	if got := n.do(n.request(class)).status; got != want {
+		n.t.Errorf("%s: status %d, want %d", class, got, want)
 	}
-	return string(text)
 }
 
-// draining returns an endpoint as one that drains.
-func draining(e endpointjson.Endpoint) endpointjson.Endpoint {
-	e.Lifecycle = "Terminating"
-	return e
+// gatedBackend is a server whose responses wait until it is opened.
+type gatedBackend struct {
+	*testkit.Backend
+	open func()
 }
 
-// queryStarts fails the test if a call's query does not start as wanted; "" wants an empty one.
-func queryStarts(t *testing.T, call *http.Request, want string) {
+func newGatedBackend(t *testing.T) *gatedBackend {
 	t.Helper()
-	query := call.URL.RawQuery
-	if !strings.HasPrefix(query, want) || want == "" && query != "" {
-		t.Errorf("query %q, want one that starts with %q", query, want)
-	}
+	gate := make(chan struct{})
+	backend := testkit.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
+		<-gate
+		testkit.OK(w, r)
+	})
+	open := sync.OnceFunc(func() { close(gate) })
+	t.Cleanup(open)
+	return &gatedBackend{backend, open}
 }
 
 // firstRequestFails returns two servers of which the first to get a request runs fail.
 func firstRequestFails(t *testing.T, fail http.HandlerFunc) []*testkit.Backend {
-	var met atomic.Bool
+	t.Helper()
+	var failed atomic.Bool
 	handle := func(w http.ResponseWriter, r *http.Request) {
-		if met.CompareAndSwap(false, true) {
+		if failed.CompareAndSwap(false, true) {
 			fail(w, r)
 			return
 		}
@@ -250,3 +258,24 @@
 	}
 	return []*testkit.Backend{testkit.NewBackend(t, handle), testkit.NewBackend(t, handle)}
 }
+
+// received returns the requests that the servers got, and forgets them.
+func received(servers ...*testkit.Backend) []*http.Request {
+	var requests []*http.Request
+	for _, server := range servers {
+		for len(server.Requests) > 0 {
+			requests = append(requests, <-server.Requests)
+		}
+	}
+	return requests
+}
+
+// sameHeader fails the test if a field differs between a request sent and the one received.
+func sameHeader(t *testing.T, sent, got *http.Request, names ...string) {
+	t.Helper()
+	for _, name := range names {
+		if got.Header.Get(name) != sent.Header.Get(name) {
+			t.Errorf("%s: %q became %q", name, sent.Header.Get(name), got.Header.Get(name))
+		}
+	}
+}
--- /dev/null
+++ b/internal/node/key_retention_test.go
@@ -0,0 +1,74 @@
+package node
+
+import (
+	"testing"
+	"time"
+
+	"calicohinge/internal/endpoint"
+	"calicohinge/internal/testkit"
+	"calicohinge/internal/upstream"
+	"calicohinge/policy"
+)
+
+// retentionCase is a request with two attempts, of which one gets its connection late.
+type retentionCase struct {
+	class     int
+	first     policy.Status // of the first attempt, Cancelled for one that is still in flight
+	expires   bool          // the retention ends before the connection comes up
+	late      int           // the index of the attempt whose connection comes up late
+	wantSends int           // of that attempt
+}
+
+// Connections come up after the retention of a request's idempotency key, or before. After it
+// none of its attempts is written, the first one included, if another may have been executed.
+func TestRepeatsStayWithinTheKeyRetention(t *testing.T) {
+	t.Parallel()
+	for name, c := range map[string]retentionCase{
+		"a repeat in time":                    {classPush, policy.ServerError, false, 1, 1},
+		"a repeat too late":                   {classPush, policy.ServerError, true, 1, 0},
+		"a hedged request too late":           {classPush, policy.Cancelled, true, 1, 0},
+		"the first one, too late for a hedge": {classPush, policy.Cancelled, true, 0, 0},
+		"behind one that was not executed":    {classPush, policy.Rejected, true, 1, 1},
+		"of an idempotent class":              {classRead, policy.ServerError, true, 1, 1},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			testKeyRetention(t, c)
+		})
+	}
+}
+
+func testKeyRetention(t *testing.T, c retentionCase) {
+	t.Helper()
+	stuck, unresponsive := testkit.NewStuckServer(t), testkit.NewBackend(t, testkit.Unresponsive(make(chan struct{}, 1)))
+	l := startLoopWith(t, func(pool *upstream.Config) { pool.ConnectTimeout = testkit.WaitTimeout },
+		stuck.Endpoint("late"), unresponsive.Endpoint("unresponsive"))
+	retention := l.host.classes[classPush].KeyRetention
+	servers := []policy.ServerID{endpoint.IDOf("unresponsive"), endpoint.IDOf("unresponsive")}
+	servers[c.late] = endpoint.IDOf("late")
+	r := l.newRequest(c.class, staysConnected)
+	r.completion = make(chan completion, 1)
+	r.deadlineTimer = time.NewTimer(time.Hour)
+
+	l.inLoop(func() {
+		r.arrive(1000)
+		l.requests.add(r)
+		l.host.Send(r.id, servers[0], 0)
+		if c.first != policy.Cancelled {
+			l.reportOutcome(l.clock.now(), r, 0, upstream.Result{Status: c.first})
+		}
+		if c.expires {
+			r.attempts[0].sentAt += 20*time.Millisecond - retention
+		}
+		l.host.Send(r.id, servers[1], 0)
+	})
+	testkit.Until(t, "the retention's end", func() bool { // which is under test
+		return !c.expires || l.clock.now() >= r.attempts[0].sentAt+retention
+	})
+	sent := stuck.Admit()
+
+	l.untilInLoop("the outcome", func() bool { return r.attempts[c.late].state != attemptInFlight })
+	if len(sent) != c.wantSends {
+		t.Errorf("%d sends, want %d", len(sent), c.wantSends)
+	}
+}
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -1,12 +1,9 @@
 package node
 
 import (
-	"bufio"
-	"encoding/json"
 	"errors"
 	"net"
 	"net/http"
-	"strings"
 	"testing"
 	"time"
 
@@ -26,51 +23,33 @@
 	}
 }
 
-// Requests that were accepted before a shutdown are answered, and new connections are still
+// Requests that were accepted before a shutdown are served, and new connections are still
 // accepted while clients are assigned to the node.
 func TestShutdownCompletesAcceptedRequests(t *testing.T) {
-	release := make(chan struct{})
-	b := testkit.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
-		<-release
-		testkit.OK(w, r)
-	})
-	n, _ := startReady(t, b)
+	server := newGatedBackend(t)
+	n, _ := startReady(t, server.Backend)
 	accepted := make(chan clientResponse, 1)
 	go func() { accepted <- n.do(n.request("pay")) }()
-	testkit.Wait(t, b.Requests, "the request")
+	testkit.Wait(t, server.Requests, "the request")
+
 	n.stop()
 	n.waitReady(http.StatusServiceUnavailable)
-	late := make(chan clientResponse, 1)
-	nc, err := net.Dial("tcp", n.addr)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer closeConn(nc)
-	go func() {
-		r := n.request("pay")
-		sendRequest(nc, r)
-		resp, err := http.ReadResponse(bufio.NewReader(nc), r)
-		if err != nil {
-			t.Error(err)
-			late <- clientResponse{}
-			return
-		}
-		late <- clientResponse{status: resp.StatusCode, header: resp.Header}
-	}()
-	close(release)
-	for _, c := range []chan clientResponse{accepted, late} {
-		if a := testkit.Wait(t, c, "an answer"); a.status != http.StatusOK {
-			t.Errorf("status %d", a.status)
-		}
+	late := n.dial()
+	sendRequest(late, n.request("pay"))
+	server.open()
+
+	if a := testkit.Wait(t, accepted, "a response"); a.status != http.StatusOK {
+		t.Errorf("status %d", a.status)
 	}
-	if err := testkit.Wait(t, n.done, "the end"); err != nil {
-		t.Errorf("ended with %v", err)
+	if resp := n.readResponse(late); resp.StatusCode != http.StatusOK {
+		t.Errorf("status %d on a new connection", resp.StatusCode)
 	}
+	n.awaitExit()
 }
 
 // The clients of a node that shuts down may have no other one: they are served on
-// their connections until shortly before the node has to end, and what is open
-// then is answered rather than cut off.
+// their connections until shortly before the node has to exit, and what is open
+// then gets a response rather than being cut off.
 func TestShutdownServesItsClientsBeforeItTerminates(t *testing.T) {
 	b := testkit.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/pay" {
@@ -79,14 +58,11 @@
 		}
 		testkit.OK(w, r)
 	})
-	d := testkit.NewRegistry(t, b.Endpoint("s-0"))
-	n := start(t, testConfig(t, d, func(file map[string]any) {
-		file["settings"] = json.RawMessage(strings.ReplaceAll(settingsText, `"DeadlineMs": 8000, "PromiseMs": 6000`, `"DeadlineMs": 1000, "PromiseMs": 900`))
-	}))
-	n.waitReady(http.StatusOK)
+	n := startReadyWith(t, b.Endpoint("s-0"), withTimes(1000, 900))
 	steady, late := n.dial(), n.dial()
 	n.roundTrip(steady)
 	n.roundTrip(late)
+
 	began := time.Now()
 	n.stop()
 	n.waitReady(http.StatusServiceUnavailable)
@@ -96,45 +72,37 @@
 			t.Fatalf("status %d, close %v after %v", resp.StatusCode, resp.Close, time.Since(began))
 		}
 	}
-	r := n.request("pay")
-	if err := r.Write(late); err != nil {
+	if err := n.request("pay").Write(late); err != nil {
 		t.Fatal(err)
 	}
-	resp, err := http.ReadResponse(bufio.NewReader(late), r)
-	if err != nil || resp.StatusCode != http.StatusBadGateway {
-		t.Errorf("the last one is answered with %v, %v", resp, err)
-	}
-	if err := testkit.Wait(t, n.done, "the end"); err != nil {
-		t.Errorf("ended with %v", err)
+
+	if resp := n.readResponse(late); resp.StatusCode != http.StatusBadGateway {
+		t.Errorf("the last one got status %d", resp.StatusCode)
 	}
+	n.awaitExit()
 }
 
-// A request whose deadline is long after the kill is answered before it all the same.
+// A request whose deadline is long after the kill gets its response before it all the same.
 func TestShutdownFailsLongRequestsBeforeTheKill(t *testing.T) {
 	t.Parallel()
 	b := testkit.NewBackend(t, testkit.Unresponsive(make(chan struct{}, 1)))
-	d := testkit.NewRegistry(t, b.Endpoint("s-0"))
-	n := start(t, testConfig(t, d, withDeadlines(60000)))
-	n.waitReady(http.StatusOK)
-	nc := n.sendLongRequest()
+	n := startReadyWith(t, b.Endpoint("s-0"), withDeadlines(60000))
+	client := n.sendLongRequest()
 	testkit.Wait(t, b.Requests, "the request")
+
 	began := time.Now()
 	n.stop()
-	resp, err := http.ReadResponse(bufio.NewReader(nc), nil)
-	if err != nil || resp.StatusCode != http.StatusBadGateway {
-		t.Fatalf("answered with %v, %v", resp, err)
-	}
-	if took := time.Since(began); took >= killDeadlineCap+killDeadlineExtra {
-		t.Errorf("answered after %v: the node was killed before", took)
-	}
-	if err := testkit.Wait(t, n.done, "the end"); err != nil {
-		t.Error(err)
+
+	if resp := n.readResponse(client); resp.StatusCode != http.StatusBadGateway {
+		t.Fatalf("status %d", resp.StatusCode)
 	}
+	wantBeforeKill(t, began)
+	n.awaitExit()
 }
 
 // A shutdown finds requests queued, waiting for a connection and in flight: each gets its final
 // response before the kill.
-func TestShutdownAnswersRequestsInEveryState(t *testing.T) {
+func TestShutdownCompletesRequestsInEveryState(t *testing.T) {
 	t.Parallel()
 	stuck := testkit.NewStuckServer(t)
 	b := testkit.NewBackend(t, testkit.Unresponsive(make(chan struct{}, 10)))
@@ -148,27 +116,34 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			n := start(t, testConfig(t, testkit.NewRegistry(t, c.server), withDeadlines(60000)))
-			n.waitReady(http.StatusOK)
-			var clients []net.Conn
-			for range c.first + 1 {
-				clients = append(clients, n.sendLongRequest())
-			}
+			n := startReadyWith(t, c.server, withDeadlines(60000))
+			clients := n.sendLongRequests(c.first + 1)
 			began := time.Now()
 			n.stop()
-			for _, client := range clients {
-				resp, err := http.ReadResponse(bufio.NewReader(client), nil)
-				if err != nil || resp.StatusCode < 500 {
-					t.Fatalf("answered with %v, %v", resp, err)
-				}
-			}
-			if took := time.Since(began); took >= killDeadlineCap+killDeadlineExtra {
-				t.Errorf("answered after %v", took)
-			}
+			n.wantServerErrors(clients)
+			wantBeforeKill(t, began)
 		})
 	}
 }
 
+// wantServerErrors fails the test unless each client gets a response that is a server error.
+func (n *testNode) wantServerErrors(clients []net.Conn) {
+	n.t.Helper()
+	for i, client := range clients {
+		if resp := n.readResponse(client); resp.StatusCode < http.StatusInternalServerError {
+			n.t.Fatalf("request %d got status %d", i, resp.StatusCode)
+		}
+	}
+}
+
+// wantBeforeKill fails the test if a node whose shutdown began at the given time has been killed by now.
+func wantBeforeKill(t *testing.T, began time.Time) {
+	t.Helper()
+	if took := time.Since(began); took >= killDeadlineCap+killDeadlineExtra {
+		t.Errorf("the last response came after %v: the node was killed before", took)
+	}
+}
+
 // sendLongRequest sends a request that must not be repeated, with a timeout of a minute.
 func (n *testNode) sendLongRequest() net.Conn {
 	n.t.Helper()
@@ -181,68 +156,69 @@
 	return nc
 }
 
-// A shutdown finds a request half read: it is answered once it is complete.
+// sendLongRequests sends so many of them, each on a connection of its own.
+func (n *testNode) sendLongRequests(count int) []net.Conn {
+	n.t.Helper()
+	var clients []net.Conn
+	for range count {
+		clients = append(clients, n.sendLongRequest())
+	}
+	return clients
+}
+
+// A shutdown finds a request half read: it is served once it is complete.
 func TestShutdownServesARequestThatIsBeingRead(t *testing.T) {
 	t.Parallel()
-	b := testkit.NewBackend(t, testkit.OK)
-	n, _ := startReady(t, b)
+	n, _ := startReady(t, testkit.NewBackend(t, testkit.OK))
 	nc := n.dial()
-	var text strings.Builder
-	sendRequest(&text, n.request("pay"))
-	half := text.Len() - 3
-	send(nc, text.String()[:half])
+	text := wireText(n.request("pay"))
+	half := len(text) - 3
+	send(nc, text[:half])
 	n.stop()
 	n.waitReady(http.StatusServiceUnavailable)
-	send(nc, text.String()[half:])
-	resp, err := http.ReadResponse(bufio.NewReader(nc), nil)
-	if err != nil || resp.StatusCode != http.StatusOK {
-		t.Fatalf("answered with %v, %v", resp, err)
+	send(nc, text[half:])
+	if resp := n.readResponse(nc); resp.StatusCode != http.StatusOK {
+		t.Fatalf("status %d", resp.StatusCode)
 	}
 }
 
-// The listener fails for good while a request is in flight: it gets its response, others are
+// The listener fails while a request is in flight: it gets its response, others are
 // served on connections that are open, and Run returns the failure.
 func TestListenerFailureBeginsAGracefulShutdown(t *testing.T) {
 	t.Parallel()
-	release := make(chan struct{})
-	b := testkit.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
-		<-release
-		testkit.OK(w, r)
-	})
-	n, _ := startReady(t, b)
+	server := newGatedBackend(t)
+	n, _ := startReady(t, server.Backend)
 	client, other := n.sendLongRequest(), n.dial()
-	testkit.Wait(t, b.Requests, "the request")
+	testkit.Wait(t, server.Requests, "the request")
+
 	if err := n.node.listener.Close(); err != nil {
 		t.Fatal(err)
 	}
-	close(release)
-	if resp := n.roundTrip(other); resp.StatusCode != http.StatusOK {
-		t.Errorf("status %d on a connection that is open", resp.StatusCode)
-	}
-	resp, err := http.ReadResponse(bufio.NewReader(client), nil)
-	if err != nil || resp.StatusCode != http.StatusOK {
-		t.Errorf("the request in flight ended with %v, %v", resp, err)
+	server.open()
+
+	n.wantServed(other)
+	if resp := n.readResponse(client); resp.StatusCode != http.StatusOK {
+		t.Errorf("the request in flight got status %d", resp.StatusCode)
 	}
-	if err := testkit.Wait(t, n.done, "the end"); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("ended with %v", err)
+	if err := testkit.Wait(t, n.done, "the node's exit"); !errors.Is(err, net.ErrClosed) {
+		t.Errorf("Run returned %v", err)
 	}
 }
 
 // Requests come on connections that are open, but without one, as a shutdown terminates: they
 // are rejected and not dropped.
-func TestTerminationAnswersRequestsOnSilentConnections(t *testing.T) {
+func TestTerminationRejectsRequestsOnUnusedConnections(t *testing.T) {
 	t.Parallel()
 	b := testkit.NewBackend(t, testkit.Unresponsive(make(chan struct{}, 1)))
-	d := testkit.NewRegistry(t, b.Endpoint("s-0"))
-	n := start(t, testConfig(t, d, withDeadlines(300)))
-	n.waitReady(http.StatusOK)
+	n := startReadyWith(t, b.Endpoint("s-0"), withDeadlines(300))
 	n.sendLongRequest() // keeps the shutdown waiting
 	testkit.Wait(t, b.Requests, "the request")
-	const silent = 10
+	const unused = 10
 	var clients []net.Conn
-	for range silent {
+	for range unused {
 		clients = append(clients, n.dial())
 	}
+
 	n.stop()
 	testkit.Until(t, "the end of the listening", func() bool {
 		conn, err := net.Dial("tcp", n.addr)
@@ -251,6 +227,7 @@
 		}
 		return err != nil
 	})
+
 	for _, client := range clients {
 		if resp := n.roundTrip(client); resp.StatusCode != http.StatusServiceUnavailable || !resp.Close {
 			t.Errorf("status %d, close %v", resp.StatusCode, resp.Close)
@@ -260,41 +237,28 @@
 
 // A shutdown finds every connection in use, those of the reserve too, and a further one that
 // waits for its admission with a request: each request gets its response before the kill.
-func TestShutdownAnswersAConnectionThatWaitsForAdmission(t *testing.T) {
+func TestShutdownRespondsToAConnectionThatWaitsForAdmission(t *testing.T) {
 	t.Parallel()
 	b := testkit.NewBackend(t, testkit.Unresponsive(make(chan struct{}, 100)))
-	d := testkit.NewRegistry(t, b.Endpoint("s-0"))
-	const sockets, connections = 64, 40 // more than divideDescriptors grants to clients
-	n := start(t, testConfig(t, d, func(file map[string]any) {
-		file["limits"] = map[string]any{"cores": 1, "memory_mb": 192, "sockets": sockets}
-	}))
-	n.waitReady(http.StatusOK)
-	http.DefaultClient.CloseIdleConnections()
-	var clients []net.Conn
-	for range connections {
-		clients = append(clients, n.sendLongRequest())
-	}
+	n := startWithFewSockets(t, b.Endpoint("s-0"))
+	const connections = 40 // more than divideDescriptors grants to clients
+	clients := n.sendLongRequests(connections)
 	began := time.Now()
 	n.stop()
-	for i, client := range clients {
-		resp, err := http.ReadResponse(bufio.NewReader(client), nil)
-		if err != nil || resp.StatusCode < 500 {
-			t.Fatalf("request %d ended with %v, %v", i, resp, err)
-		}
-		closeConn(client)
-	}
-	if took := time.Since(began); took >= killDeadlineCap+killDeadlineExtra {
-		t.Errorf("answered after %v", took)
+	for _, client := range clients {
+		n.wantServerErrors([]net.Conn{client})
+		closeConn(client) // makes room for the next
 	}
+	wantBeforeKill(t, began)
 }
 
-// A request that comes after termination is rejected at once: nobody would answer it later.
+// A request that arrives after termination is rejected at once: nothing would respond to it later.
 func TestRequestAfterTerminationIsRejected(t *testing.T) {
 	b := testkit.NewBackend(t, testkit.OK)
 	l := startLoop(t, b.Endpoint("s-0"))
 	l.terminateAll()
-	a, err := l.submit(t.Context(), l.newRequest(2, staysConnected))
-	if err != nil || a.status != http.StatusServiceUnavailable || len(b.Requests) > 0 {
-		t.Errorf("answer %+v, %v; %d sends", a, err, len(b.Requests))
+	final, err := l.submit(t.Context(), l.newRequest(classPay, staysConnected))
+	if err != nil || final.status != http.StatusServiceUnavailable || len(b.Requests) > 0 {
+		t.Errorf("response %+v, %v; %d sends", final, err, len(b.Requests))
 	}
 }
--- a/internal/node/validation_test.go
+++ b/internal/node/validation_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"io"
 	"net/http"
+	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -46,41 +47,42 @@
 			}
 		})
 	}
-	if len(b.Requests) != 0 {
-		t.Errorf("%d of them reached a server", len(b.Requests))
-	}
-	if a := n.do(n.request("read")); a.status != http.StatusOK {
-		t.Errorf("a good one gets status %d afterwards", a.status)
+	n.wantNoneForwarded(b)
+}
+
+// wantNoneForwarded fails the test if a request has reached the server, or if a valid one is not served.
+func (n *testNode) wantNoneForwarded(server *testkit.Backend) {
+	n.t.Helper()
+	if len(server.Requests) != 0 {
+		n.t.Errorf("%d of them reached a server", len(server.Requests))
 	}
+	n.wantStatus("read", http.StatusOK)
 }
 
 // The ID of an active request names that one alone: a second request with it is rejected and
 // the first goes on.
 func TestDuplicateRequestIDIsRejected(t *testing.T) {
-	release := make(chan struct{})
-	b := testkit.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
-		<-release
-		testkit.OK(w, r)
-	})
-	n, _ := startReady(t, b)
+	server := newGatedBackend(t)
+	n, _ := startReady(t, server.Backend)
 	first := n.request("push")
-	answered := make(chan clientResponse, 1)
-	go func() { answered <- n.do(first) }()
-	testkit.Wait(t, b.Requests, "the first one")
+	done := make(chan clientResponse, 1)
+	go func() { done <- n.do(first) }()
+	testkit.Wait(t, server.Requests, "the first one")
 	second := n.request("read")
 	second.Header.Set("X-Request-ID", first.Header.Get("X-Request-ID"))
+
 	if a := n.do(second); a.status != http.StatusConflict {
 		t.Errorf("status %d", a.status)
 	}
-	close(release)
-	if a := testkit.Wait(t, answered, "the first answer"); a.status != http.StatusOK {
+	server.open()
+	if a := testkit.Wait(t, done, "the first response"); a.status != http.StatusOK {
 		t.Errorf("the first one got status %d", a.status)
 	}
-	if len(b.Requests) != 0 {
+	if len(server.Requests) != 0 {
 		t.Error("the second one reached a server")
 	}
 	if a := n.do(second); a.status != http.StatusOK {
-		t.Errorf("status %d once the id is free", a.status)
+		t.Errorf("status %d once the ID is free", a.status)
 	}
 }
 
@@ -88,6 +90,7 @@
 // can't be read must not keep its connection. Neither may reach a server, nor keep the node from
 // serving others.
 func TestMalformedMessagesAreRejected(t *testing.T) {
+	t.Parallel()
 	b := testkit.NewBackend(t, testkit.OK)
 	n, _ := startReady(t, b)
 	head := func(class, more string) string {
@@ -97,52 +100,42 @@
 	hidden := "GET /read HTTP/1.1\r\nHost: x\r\nX-Request-ID: hidden\r\nX-Tenant-Id: acme\r\nX-Timeout-Ms: 5000\r\n\r\n"
 	chunks := fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(hidden), hidden)
 	for name, c := range map[string]struct {
-		text   string
-		status int // 0: just closed
+		text string
+		want []int // the statuses; the connection is closed then
 	}{
-		"both framing headers": {head("pay", "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n") + chunks + hidden, 411},
-		"hidden by length 0":   {head("pay", "Transfer-Encoding: chunked\r\nContent-Length: 0\r\n") + chunks + hidden, 411},
-		"both, before others":  {head("pay", "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n") + "0\r\n\r\n" + hidden, 411},
-		"chunked":              {head("pay", "Transfer-Encoding: chunked\r\n") + chunks, 411},
-		"coding in HTTP/1.0":   {strings.Replace(head("pay", "Transfer-Encoding: chunked\r\nContent-Length: 0\r\nConnection: keep-alive\r\n"), "1.1", "1.0", 1) + hidden, 505},
-		"unknown coding":       {head("pay", "Transfer-Encoding: gzip, chunked\r\n") + chunks, 501},
-		"two codings":          {head("pay", "Transfer-Encoding: chunked\r\nTransfer-Encoding: identity\r\n") + hidden, 501},
-		"health, both":         {"GET /health/ready HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\n" + chunks, 411},
-		"two lengths":          {head("pay", "Content-Length: 1\r\nContent-Length: 2\r\n") + "ab", 400},
-		"length no number":     {head("pay", "Content-Length: two\r\n") + "ab", 400},
-		"negative length":      {head("pay", "Content-Length: -2\r\n") + "ab", 400},
-		"endless length":       {head("pay", "Content-Length: 99999999999999999999\r\n") + "ab", 400},
-		"huge length":          {head("pay", "Content-Length: 3000000000\r\n") + "ab", 413},
-		"length over the body": {head("pay", "Content-Length: 20\r\n") + "ab", 400},
-		"body not wanted":      {strings.Replace(head("read", "Content-Length: 20\r\n"), "POST", "GET", 1) + "ab", 400},
-		"noise":                {"\x00\x01\x02\xff\r\n\r\n", 400},
-		"head without end":     {"GET /read HTTP/1.1\r\nHost: x\r\nX-Filler: 1\r\n", 0},
-		"endless line":         {"GET /read HTTP/1.1\r\nX: " + strings.Repeat("x", 1<<20), 431},
-		"large body":           {head("pay", "Content-Length: 8000000\r\n") + strings.Repeat("x", 8000000), 413},
-		"nothing":              {"", 0},
+		"both framing headers": {head("pay", "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n") + chunks + hidden, []int{411}},
+		"hidden by length 0":   {head("pay", "Transfer-Encoding: chunked\r\nContent-Length: 0\r\n") + chunks + hidden, []int{411}},
+		"both, before others":  {head("pay", "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n") + "0\r\n\r\n" + hidden, []int{411}},
+		"chunked":              {head("pay", "Transfer-Encoding: chunked\r\n") + chunks, []int{411}},
+		"coding in HTTP/1.0":   {strings.Replace(head("pay", "Transfer-Encoding: chunked\r\nContent-Length: 0\r\nConnection: keep-alive\r\n"), "1.1", "1.0", 1) + hidden, []int{505}},
+		"unknown coding":       {head("pay", "Transfer-Encoding: gzip, chunked\r\n") + chunks, []int{501}},
+		"two codings":          {head("pay", "Transfer-Encoding: chunked\r\nTransfer-Encoding: identity\r\n") + hidden, []int{501}},
+		"health, both":         {"GET /health/ready HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\n" + chunks, []int{411}},
+		"two lengths":          {head("pay", "Content-Length: 1\r\nContent-Length: 2\r\n") + "ab", []int{400}},
+		"length no number":     {head("pay", "Content-Length: two\r\n") + "ab", []int{400}},
+		"negative length":      {head("pay", "Content-Length: -2\r\n") + "ab", []int{400}},
+		"endless length":       {head("pay", "Content-Length: 99999999999999999999\r\n") + "ab", []int{400}},
+		"huge length":          {head("pay", "Content-Length: 3000000000\r\n") + "ab", []int{413}},
+		"length over the body": {head("pay", "Content-Length: 20\r\n") + "ab", []int{400}},
+		"body not wanted":      {strings.Replace(head("read", "Content-Length: 20\r\n"), "POST", "GET", 1) + "ab", []int{400}},
+		"noise":                {"\x00\x01\x02\xff\r\n\r\n", []int{400}},
+		"head without end":     {"GET /read HTTP/1.1\r\nHost: x\r\nX-Filler: 1\r\n", nil},
+		"endless line":         {"GET /read HTTP/1.1\r\nX: " + strings.Repeat("x", 1<<20), []int{431}},
+		"large body":           {head("pay", "Content-Length: 8000000\r\n") + strings.Repeat("x", 8000000), []int{413}},
+		"nothing":              {"", nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			n := &testNode{t: t, addr: n.addr}
 			began := time.Now()
 			got := n.rawStatuses(c.text)
-			switch {
-			case c.status == 0 && len(got) == 0:
-			case len(got) == 1 && got[0] == c.status:
-			default:
-				t.Errorf("answers %v, want %d", got, c.status)
+			if !slices.Equal(got, c.want) {
+				t.Errorf("statuses %v, want %v", got, c.want)
 			}
 			t.Logf("took %v", time.Since(began))
 		})
 	}
-	t.Cleanup(func() {
-		if len(b.Requests) != 0 {
-			t.Errorf("%d of them reached a server", len(b.Requests))
-		}
-		if a := n.do(n.request("read")); a.status != http.StatusOK {
-			t.Errorf("a good one gets status %d afterwards", a.status)
-		}
-	})
+	t.Cleanup(func() { n.wantNoneForwarded(b) })
 }
 
 // The read of a response takes half of its class's latency objective at most: one that breaks off
@@ -150,14 +143,14 @@
 func TestResponseReadTimeoutLeavesTimeForARetry(t *testing.T) {
 	for objective, want := range map[int]time.Duration{60: 30 * time.Millisecond, 2000: maxResponseRead} {
 		cfg := testConfig(t, testkit.NewRegistry(t), withDeadlines(objective*4/3))
-		f := newHandler(cfg, startLoop(t), nil)
+		parser := requestParser{cfg, newClock()}
 		n := &testNode{t: t, addr: "x"}
-		q, err := f.parser.parse(n.request("read"))
+		parsed, err := parser.parse(n.request("read"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if q.ResponseReadTimeout != want {
-			t.Errorf("objective %d ms: %v, want %v", objective, q.ResponseReadTimeout, want)
+		if parsed.ResponseReadTimeout != want {
+			t.Errorf("objective %d ms: %v, want %v", objective, parsed.ResponseReadTimeout, want)
 		}
 	}
 }
