--- a/internal/processstart/registry_test.go
+++ b/internal/processstart/registry_test.go
@@ -102,6 +102,20 @@
 	}
 }
 
+// The wall clock of the node's machine is stepped before the node follows discovery. Whether the time of day
+// was right before or is now, a process counts as no older than it is by either.
+func TestStartAfterAClockStepIsTheLaterOfBothPossible(t *testing.T) {
+	for step, want := range map[time.Duration]time.Duration{
+		-30 * time.Second: clockNow - 30*time.Second,
+		30 * time.Second:  clockNow - time.Minute,
+	} {
+		registry, list := newTestRegistry(0), endpointStarted(wallNow().Add(-time.Minute))
+		if start := registry.Update(policy.UpdateCached, list, nowWithWallClockAhead(step))[0]; start != want {
+			t.Errorf("stepped by %v: a process 1m old counts as %v old, want %v", step, clockNow-start, clockNow-want)
+		}
+	}
+}
+
 // A server that was restarted while the node did not follow discovery, or that only the
 // configuration listed, is as old as discovery says.
 func TestRestartBeforeTheFirstListKeepsItsAge(t *testing.T) {
