--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -80,13 +80,6 @@
 	}
 }
 
-// withSockets sets the number of file descriptors that a node may use.
-func withSockets(sockets int) func(file map[string]any) {
-	return func(file map[string]any) {
-		file["limits"] = map[string]any{"cores": 1, "memory_mb": 192, "sockets": sockets}
-	}
-}
-
 // testNode is a node that serves.
 type testNode struct {
 	t    *testing.T
@@ -146,7 +139,9 @@
 // startWithFewSockets starts a node with few client connections, of which none is in use.
 func startWithFewSockets(t *testing.T, server endpointjson.Endpoint) *testNode {
 	t.Helper()
-	n := startReadyWith(t, server, withSockets(fewSockets))
+	n := startReadyWith(t, server, func(file map[string]any) {
+		file["limits"] = map[string]any{"cores": 1, "memory_mb": 192, "sockets": fewSockets}
+	})
 	http.DefaultClient.CloseIdleConnections()
 	return n
 }
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -19,7 +19,7 @@
 	upstream.Request
 	class, tenant int           // indexes into policy.Settings
 	costHint      time.Duration // 0: unknown
-	deadline      time.Duration // on the node's clock: when the response must be on its way
+	deadline      time.Duration // on the node's clock: by when the response must be written
 	client        clientConn
 	completion    chan completion // has capacity for the only one
 
--- a/internal/node/response.go
+++ b/internal/node/response.go
@@ -24,7 +24,7 @@
 	}
 	header.Set("Content-Length", strconv.Itoa(len(final.body)))
 	w.WriteHeader(final.status)
-	_, _ = w.Write(final.body) // a client that has disconnected is none to respond to
+	_, _ = w.Write(final.body) // the client may have disconnected
 }
 
 // writeText writes a response of one line of plain text. It states its length: without one
