--- a/policy/admission.go
+++ b/policy/admission.go
@@ -9,7 +9,6 @@
 )
 
 const (
-	sheddingMargin   = 2.5 // of the expected latency before the objective, if others' queues are not seen
 	maxWeightSamples = 100 // arrivals over which the priority weight is averaged
 )
 
@@ -85,30 +84,33 @@
 func (b *Balancer) mustShed(now time.Duration, request *request) bool {
 	return b.attemptsExhausted(request, now) ||
 		now >= request.queueingDeadline && !request.mayHaveRun() ||
-		now+b.requiredServiceTime(request) > b.sheddingDeadline(request)
+		b.lateIfQueued(now, request)
+}
+
+// lateIfQueued reports whether a queued request cannot be served by its shedding deadline any more.
+func (b *Balancer) lateIfQueued(now time.Duration, request *request) bool {
+	deadline, required := b.sheddingDeadline(request), b.expectedLatency(request)
+	if deadline == request.objectiveDeadline {
+		required = time.Duration(b.subset.regime.sheddingMargin * float64(required))
+	}
+	return now+required > deadline
 }
 
 // sheddingDeadline returns the time by which a queued request must be served. On an undersampled node, which
 // has capacity rarely, a late response of high weight may still earn more than another in time.
 func (b *Balancer) sheddingDeadline(request *request) time.Duration {
 	lateWeight := request.weight * request.class.LateFraction
-	if b.subset.undersampled() && lateWeight >= b.arrivalWeight.Value()*request.class.workEstimate.Value() {
+	meanWeight := b.arrivalWeight.Value() * request.class.workEstimate.Value()
+	if b.subset.regime.queuesPastObjective && lateWeight >= meanWeight {
 		return request.deadline
 	}
 	return request.objectiveDeadline
 }
 
-func (b *Balancer) requiredServiceTime(request *request) time.Duration {
-	if b.subset.undersampled() && b.sheddingDeadline(request) == request.objectiveDeadline {
-		return time.Duration(sheddingMargin * float64(b.expectedLatency(request)))
-	}
-	return b.expectedLatency(request)
-}
-
 // terminateUnserved rejects a request, or fails it if it may have been executed and must not be again.
 func (b *Balancer) terminateUnserved(request *request) {
 	// Its client asks again. Unserved requests would use up an undersampled node's small part of a quota.
-	if b.subset.undersampled() && request.quota != nil {
+	if b.subset.regime.returnsQuotaToken && request.quota != nil {
 		request.quota.Return()
 	}
 	if request.safeToReject() {
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -57,13 +57,13 @@
 
 		requests:  requestTable{byID: map[RequestID]*request{}, maxAttempts: settings.Limits.MaxAttempts},
 		endpoints: endpointSet{byID: map[ServerID]*server{}, watchBackoff: initialWatchBackoff},
-		subset:    subset{nodesPerServer: float64(settings.Nodes)},
 		means:     outcomeMeans{successRate: 1, relativeLatency: 1},
 		slowStart: slowStartStats{sentWork: decayrate.New(rateTimeConstant)},
 
 		arrivalRate: decayrate.New(rateTimeConstant), arrivalWeight: runningmean.New(maxWeightSamples),
 		nextCheckAt: maxTime, outdated: true,
 	}
+	balancer.subset.setNodesPerServer(float64(settings.Nodes))
 	for _, class := range settings.Classes {
 		balancer.classes = append(balancer.classes, newRequestClass(class, settings.WeightByWork))
 	}
--- a/policy/circuit_breaker.go
+++ b/policy/circuit_breaker.go
@@ -12,13 +12,11 @@
 
 const (
 	failureThreshold     = 5                // consecutive failures that open a breaker
-	noResponseThreshold  = 2                // the same for missing responses, on undersampled nodes
 	maxFailureThreshold  = 12               // the same however often the server is expected to fail
 	maxChanceProbability = 1e-5             // of a run of failures: up to it, the run is taken for an outage
 	failureWindow        = 60 * time.Second // that consecutive failures must fall into
 	initialOpenDuration  = 2 * time.Second  // of an open breaker; doubles with each failed trial
 	maxOpenDuration      = 30 * time.Second
-	slowResponseMultiple = 5.0 // of the baseline latency: a response counts as a failure if undersampled
 )
 
 type breakerState uint8
@@ -83,14 +81,14 @@
 	server.breaker.halfOpenAt = now + jitter.Proportional(b.random, server.breaker.openDuration, jitterShare)
 }
 
-// reachedFailureThreshold reports whether the consecutive failures open the breaker. An undersampled node
-// meets a server so rarely that failureThreshold failures would take seconds, while all nodes fill the
-// server's queue; and a missing response or connection is stronger evidence than a quick error.
+// reachedFailureThreshold reports whether the consecutive failures open the breaker. A missing response or
+// connection is stronger evidence than a quick error.
 func (b *Balancer) reachedFailureThreshold(server *server, status Status) bool {
-	if b.subset.undersampled() && (status == Timeout || status == ConnectFailed) {
-		return len(server.breaker.failures) >= noResponseThreshold
+	failures := len(server.breaker.failures)
+	if (status == Timeout || status == ConnectFailed) && failures >= b.subset.regime.noResponseThreshold {
+		return true
 	}
-	return len(server.breaker.failures) >= failureThreshold && !b.failuresExpected(server)
+	return failures >= failureThreshold && !b.failuresExpected(server)
 }
 
 // failuresExpected reports whether the consecutive failures are likely at the failure rate before them. The
--- a/policy/circuit_breaker_test.go
+++ b/policy/circuit_breaker_test.go
@@ -156,7 +156,7 @@
 	record := &request{class: &h.balancer.classes[0]}
 	for range failureThreshold {
 		a := &attempt{server: s, request: record, sentAt: h.now}
-		slow := time.Duration(2 * slowResponseMultiple * record.baselineLatency() * float64(time.Second))
+		slow := time.Duration(2 * undersampled().slowResponseMultiple * record.baselineLatency() * float64(time.Second))
 		h.balancer.recordOutcome(h.now, record, a, Outcome{Status: OK, Latency: slow})
 	}
 	if s.breaker.state != breakerOpen {
@@ -168,13 +168,13 @@
 // in their queues: each node sees few time-outs, and each is shorter than four times the mean latency,
 // which the congestion itself has raised.
 func TestTimeoutsOpenTheBreakerThoughTheFleetIsSlow(t *testing.T) {
-	for _, tc := range []struct{ nodes, opens int }{{1, failureThreshold}, {80, noResponseThreshold}} {
+	for _, tc := range []struct{ nodes, opens int }{{1, failureThreshold}, {80, undersampled().noResponseThreshold}} {
 		settings := testSettings()
 		settings.Nodes = tc.nodes
 		h := newHarness(t, settings, 12)
 		h.balancer.refresh(h.now)
-		if want := tc.nodes == 80; h.balancer.subset.undersampled() != want {
-			t.Fatalf("%d nodes: undersampled %v, want %v", tc.nodes, h.balancer.subset.undersampled(), want)
+		if want := tc.nodes == 80; (h.balancer.subset.regime == undersampled()) != want {
+			t.Fatalf("%d nodes: undersampled %v, want %v", tc.nodes, !want, want)
 		}
 		h.balancer.means.relativeLatency = 3
 		s := h.balancer.subset.servers[0]
--- a/policy/concurrency_limit.go
+++ b/policy/concurrency_limit.go
@@ -8,22 +8,17 @@
 )
 
 const (
-	initialLimit           = 3     // for each server, until congestion shows
-	targetCongestion       = 0.3   // logarithm of latency over baseline that the limit steers to
-	limitIncrease          = 0.025 // in one smoothed latency, while requests wait for the limit
-	initialIncreaseFactor  = 6.0   // on the increase until congestion shows for the first time
-	overshootFactor        = 0.6   // on the limit then, on an undersampled node: it sees congestion late
-	limitDecrease          = 0.1   // in one smoothed latency, for each unit of congestion above the target
-	maxExcess              = 0.2   // congestion above the target that counts in one adjustment
-	maxExcessUndersampled  = 1.0   // the same on an undersampled node, which adjusts rarely
-	knownGoodFloor         = 0.9   // of the last good limit: a fleet that is slow as a whole looks congested
-	undersampledLimitFloor = 0.5   // for each server: below one request, congested servers recover
-	knownGoodDecaySeconds  = 60.0  // time constant of forgetting the good limit under congestion
-	meanInFlightSeconds    = 1.0   // time constant of the mean number of attempts in flight
-	highPriorityMultiple   = 2.0   // of the mean weight: from it a request does not wait for that number
-	maxAdjustSeconds       = 0.1   // that one adjustment covers after a pause
-	latencySmoothing       = 64    // responses
-	congestionSmoothing    = 32    // responses
+	initialLimit          = 3     // for each server, until congestion shows
+	targetCongestion      = 0.3   // logarithm of latency over baseline that the limit steers to
+	limitIncrease         = 0.025 // in one smoothed latency, while requests wait for the limit
+	initialIncreaseFactor = 6.0   // on the increase until congestion shows for the first time
+	limitDecrease         = 0.1   // in one smoothed latency, for each unit of congestion above the target
+	knownGoodDecaySeconds = 60.0  // time constant of forgetting the good limit under congestion
+	meanInFlightSeconds   = 1.0   // time constant of the mean number of attempts in flight
+	highPriorityMultiple  = 2.0   // of the mean weight: from it a request does not wait for that number
+	maxAdjustSeconds      = 0.1   // that one adjustment covers after a pause
+	latencySmoothing      = 64    // responses
+	congestionSmoothing   = 32    // responses
 )
 
 // concurrencyLimiter holds the limit and the measurements that it follows.
@@ -38,7 +33,7 @@
 	adjustedAt      time.Duration
 }
 
-func (l *concurrencyLimiter) adjustOnResponse(now time.Duration, undersampled, requestsWait bool) {
+func (l *concurrencyLimiter) adjustOnResponse(now time.Duration, regime *samplingRegime, waiting int) {
 	seconds := min((now - l.adjustedAt).Seconds(), maxAdjustSeconds)
 	rounds := seconds / l.smoothedLatency // a change shows after one; faster steps would oscillate
 	l.adjustedAt = now
@@ -46,32 +41,27 @@
 	switch {
 	case excess > 0 && !l.congestionSeen:
 		l.congestionSeen = true
-		if undersampled {
-			l.limit *= overshootFactor
-		}
+		l.limit *= regime.firstCongestionFactor
 		l.knownGood = l.limit
 	case excess > 0:
-		l.decrease(excess, rounds, undersampled)
+		l.decrease(excess, rounds, regime)
 		l.knownGood *= 1 - seconds/knownGoodDecaySeconds
-	case requestsWait:
-		l.increase(rounds, undersampled)
+	case waiting > 0:
+		l.increase(rounds, regime)
 	}
 }
 
-func (l *concurrencyLimiter) decrease(excess, rounds float64, undersampled bool) {
-	floor, largest := max(1, knownGoodFloor*l.knownGood), maxExcess
-	if undersampled {
-		floor, largest = undersampledLimitFloor, maxExcessUndersampled
-	}
-	l.limit = max(floor, l.limit*(1-limitDecrease*min(excess, largest)*rounds))
+func (l *concurrencyLimiter) decrease(excess, rounds float64, regime *samplingRegime) {
+	floor := max(regime.minLimit, regime.knownGoodLimitFraction*l.knownGood)
+	l.limit = max(floor, l.limit*(1-limitDecrease*min(excess, regime.maxExcess)*rounds))
 }
 
-// increase is additive on undersampled nodes, which leads nodes that share servers to equal limits.
-func (l *concurrencyLimiter) increase(rounds float64, undersampled bool) {
+// increase raises the limit. An additive increase leads nodes that share servers to equal limits.
+func (l *concurrencyLimiter) increase(rounds float64, regime *samplingRegime) {
 	if !l.congestionSeen {
 		rounds *= initialIncreaseFactor
 	}
-	if undersampled {
+	if regime.additiveIncrease {
 		l.limit += limitIncrease * rounds
 	} else {
 		l.limit *= 1 + limitIncrease*rounds
@@ -108,7 +98,7 @@
 func (b *Balancer) nodeLimitAdmits(request *request) bool {
 	limit := b.limiter.limit / b.subset.nodesPerServer * float64(b.subset.closed)
 	next := float64(b.limiter.inFlight + 1)
-	if !b.subset.undersampled() {
+	if !b.subset.regime.limitAppliesToMean {
 		return next <= max(1, limit)
 	}
 	highPriority := request.weight >
--- a/policy/concurrency_limit_test.go
+++ b/policy/concurrency_limit_test.go
@@ -9,7 +9,7 @@
 func adjustLimitFor(balancer *Balancer, from, d time.Duration, congestion float64) {
 	for t := from; t < from+d; t += 10 * ms {
 		balancer.limiter.congestion = congestion
-		balancer.limiter.adjustOnResponse(t, balancer.subset.undersampled(), len(balancer.queue.waiting) > 0)
+		balancer.limiter.adjustOnResponse(t, &balancer.subset.regime, len(balancer.queue.waiting))
 	}
 }
 
@@ -57,7 +57,7 @@
 func TestUndersampledNodeLimitFallsBelowOneRequestPerServer(t *testing.T) {
 	h, balancer := newLimiterHarness(t)
 	balancer.limiter.congestionSeen, balancer.limiter.limit, balancer.limiter.knownGood = true, 8, 8
-	balancer.subset.nodesPerServer = 2 * undersampledFrom
+	balancer.subset.setNodesPerServer(2 * undersampledAbove)
 	adjustLimitFor(balancer, h.now, 10*time.Second, 1)
 	if balancer.limiter.limit > 1 {
 		t.Fatalf("limit %v after 10 s of congestion, want below one request for each server", balancer.limiter.limit)
@@ -67,7 +67,8 @@
 // Guards against the overshoot of the fast initial growth, which responses show late.
 func TestFirstCongestionCutsTheInitialGrowth(t *testing.T) {
 	h, balancer := newLimiterHarness(t)
-	balancer.limiter.limit, balancer.subset.nodesPerServer = 10, 2*undersampledFrom
+	balancer.limiter.limit = 10
+	balancer.subset.setNodesPerServer(2 * undersampledAbove)
 	adjustLimitFor(balancer, h.now, 10*ms, 1)
 	if balancer.limiter.limit > 7 {
 		t.Fatalf("limit %v after the first sign of congestion, want well below 10", balancer.limiter.limit)
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -215,7 +215,7 @@
 	settings.Classes = []Class{class, highPriority}
 	h := newHarness(t, settings, 60)
 	h.serve(40, 30*ms)
-	if !h.balancer.subset.undersampled() {
+	if h.balancer.subset.regime != undersampled() {
 		t.Fatal("80 nodes at 60 servers are not undersampled")
 	}
 	return h
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -5,13 +5,11 @@
 import "time"
 
 const (
-	outcomesPerServer         = 100              // latest outcomes that a server is judged by
-	maxOutcomeAge             = 10 * time.Second // so that an avoided server is tried again
-	maxOutcomeAgeUndersampled = 4 * time.Second  // where many nodes move a server's load within seconds
-	priorOutcomes             = 3.0              // weight of the means beside a server's own outcomes
-	successWeight             = 0.7              // of the success rate in the score
-	latencyWeight             = 0.3              // of the latency in the score
-	scoreTieMargin            = 0.1              // scores this close go by the attempts in flight
+	outcomesPerServer = 100 // latest outcomes that a server is judged by
+	priorOutcomes     = 3.0 // weight of the means beside a server's own outcomes
+	successWeight     = 0.7 // of the success rate in the score
+	latencyWeight     = 0.3 // of the latency in the score
+	scoreTieMargin    = 0.1 // scores this close go by the attempts in flight
 )
 
 // outcomeMeans are taken over all servers of the subset, and stay as they are while there are no outcomes.
@@ -27,13 +25,13 @@
 	switch outcome.Status {
 	case OK:
 		server.outcomes.Add(now, true, relativeLatency)
-		if relativeLatency > slowResponseMultiple && b.subset.undersampled() {
+		if relativeLatency > b.subset.regime.slowResponseMultiple {
 			b.recordFailure(now, attempt, Timeout) // congested: it needs time to recover
 		} else {
 			server.recordSuccess(now, attempt)
 		}
 		b.recordLatency(attempt, request, outcome.Latency.Seconds())
-		b.limiter.adjustOnResponse(now, b.subset.undersampled(), len(b.queue.waiting) > 0)
+		b.limiter.adjustOnResponse(now, &b.subset.regime, len(b.queue.waiting))
 	case ServerError, Reset, ConnectFailed:
 		server.outcomes.Add(now, false, relativeLatency)
 		b.recordFailure(now, attempt, outcome.Status)
@@ -53,13 +51,9 @@
 }
 
 func (b *Balancer) updateMeans(now time.Duration) {
-	maxAge := maxOutcomeAge
-	if b.subset.undersampled() {
-		maxAge = maxOutcomeAgeUndersampled
-	}
 	outcomes, successes, latencySum := 0, 0, 0.0
 	for _, s := range b.subset.servers {
-		s.outcomes.Expire(now, maxAge)
+		s.outcomes.Expire(now, b.subset.regime.maxOutcomeAge)
 		outcomes += s.outcomes.Len()
 		successes += s.outcomes.Successes()
 		latencySum += s.outcomes.LatencySum()
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -64,7 +64,7 @@
 	if !descending(s[0].score, s[2].score, s[1].score) {
 		t.Fatalf("scores %.2f %.2f, unmeasured %.2f: not between", s[0].score, s[1].score, s[2].score)
 	}
-	h.balancer.refresh(h.now + 2*maxOutcomeAge)
+	h.balancer.refresh(h.now + 2*wellSampled().maxOutcomeAge)
 	if s[0].score != s[1].score {
 		t.Fatal("old outcomes still count: a server that was bad once is never tried again")
 	}
@@ -94,7 +94,7 @@
 		h.balancer.refresh(h.now)
 		s := h.balancer.subset.servers[0]
 		s.outcomes.Add(h.now, true, 1)
-		h.now += (maxOutcomeAgeUndersampled + maxOutcomeAge) / 2
+		h.now += (undersampled().maxOutcomeAge + wellSampled().maxOutcomeAge) / 2
 		h.balancer.refresh(h.now)
 		if kept := s.outcomes.Len() == 1; kept != tc.keeps {
 			t.Errorf("%d nodes: an outcome of 7 s ago counts: %v, want %v", tc.nodes, kept, tc.keeps)
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -11,6 +11,8 @@
 const (
 	slowStartSafety = 0.8  // part of the work that a warming server is estimated to bear which is sent
 	burstWindows    = 0.25 // overload windows whose budget may be saved up
+
+	warmServerRateTimeConstant = 10 * time.Second // of the smoothed rate of a warm server
 )
 
 // slowStartStats tell what a warm server gets, which limits what a warming one bears.
@@ -48,7 +50,7 @@
 		return
 	}
 	rate := b.slowStart.sentWork.PerSecond(now) * float64(b.settings.Nodes) / float64(ready)
-	weight := min(1, elapsed.Seconds()/maxOutcomeAge.Seconds())
+	weight := min(1, elapsed.Seconds()/warmServerRateTimeConstant.Seconds())
 	b.slowStart.warmServerRate += (rate - b.slowStart.warmServerRate) * weight
 }
 
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -5,7 +5,6 @@
 import "time"
 
 const (
-	undersampledFrom      = 5.0             // nodes per server above which their own requests tell little
 	minSubsetSize         = 4               // warm servers whose breaker is not open
 	subsetRequestInterval = time.Second / 4 // in which each server of the subset gets one request
 )
@@ -13,8 +12,9 @@
 // subset is a contiguous part of the ring of ready servers.
 type subset struct {
 	servers        []*server
-	nodesPerServer float64 // mean number of nodes that use a server, at least 1
-	wanted         int     // number of warm servers, not counting open breakers, when it was renewed
+	nodesPerServer float64        // mean number of nodes that use a server, at least 1
+	regime         samplingRegime // by nodesPerServer
+	wanted         int            // number of warm servers, not counting open breakers, when it was renewed
 	renewedAt      time.Duration
 	stale          bool // the ready servers or their breakers have changed since
 
@@ -31,7 +31,7 @@
 	node, nodes, ready := b.settings.Node%b.settings.Nodes, float64(b.settings.Nodes), len(b.endpoints.ready)
 	start := int((float64(node) + 0.5) / nodes * float64(ready))
 	b.subset.fill(now, b.endpoints.ready, start, &b.settings.Rules)
-	b.subset.nodesPerServer = max(1, nodes*float64(len(b.subset.servers))/float64(max(1, ready)))
+	b.subset.setNodesPerServer(max(1, nodes*float64(len(b.subset.servers))/float64(max(1, ready))))
 }
 
 // fill takes servers along the ring until the wanted number is reached; a warming one counts in part.
@@ -47,9 +47,10 @@
 	}
 }
 
-// undersampled reports whether so many nodes use each server that this node's own requests are too
-// small a sample of the server's load: it cannot see the congestion that the others cause.
-func (u *subset) undersampled() bool { return u.nodesPerServer > undersampledFrom }
+func (u *subset) setNodesPerServer(nodesPerServer float64) {
+	u.nodesPerServer = nodesPerServer
+	u.regime = regimeFor(nodesPerServer)
+}
 
 func (u *subset) countNotClosed() (count int) {
 	for _, s := range u.servers {
