--- a/policy/circuit_breaker.go
+++ b/policy/circuit_breaker.go
@@ -4,6 +4,7 @@
 
 import (
 	"math"
+	"math/rand/v2"
 	"slices"
 	"time"
 
@@ -38,64 +39,81 @@
 	trial        *attempt        // in flight; nil while a half-open one awaits it
 }
 
-func (c *circuitBreaker) becomeHalfOpenIfDue(now time.Duration) {
+func newCircuitBreaker() circuitBreaker {
+	return circuitBreaker{openDuration: initialOpenDuration}
+}
+
+func (c *circuitBreaker) awaitsTrial() bool { return c.state == breakerHalfOpen && c.trial == nil }
+
+func (c *circuitBreaker) isTrial(a *attempt) bool { return c.state == breakerHalfOpen && c.trial == a }
+
+// trialOverdue reports whether no request has become the trial for as long as the breaker was open.
+func (c *circuitBreaker) trialOverdue(now time.Duration) bool {
+	return now > c.halfOpenAt+c.openDuration
+}
+
+// advance turns an open breaker half-open once that is due.
+func (c *circuitBreaker) advance(now time.Duration) {
 	if c.state == breakerOpen && now >= c.halfOpenAt {
 		c.state, c.trial = breakerHalfOpen, nil
 	}
 }
 
-func (c *circuitBreaker) awaitsTrial() bool { return c.state == breakerHalfOpen && c.trial == nil }
+// startAttempt makes an attempt the trial of a half-open breaker.
+func (c *circuitBreaker) startAttempt(a *attempt) {
+	if c.state == breakerHalfOpen {
+		c.trial = a
+	}
+}
 
-func (c *circuitBreaker) isTrial(a *attempt) bool { return c.state == breakerHalfOpen && c.trial == a }
+// abandonTrial ends a trial without a result: the next request is the trial.
+func (c *circuitBreaker) abandonTrial(a *attempt) {
+	if c.trial == a {
+		c.trial = nil
+	}
+}
 
 // recordSuccess closes the breaker after its trial. A response to an older attempt shows that the server
 // is alive, so that the trial may follow at once.
-func (s *server) recordSuccess(now time.Duration, attempt *attempt) {
-	s.breaker.failures = s.breaker.failures[:0]
-	s.respondedAt = now
+func (c *circuitBreaker) recordSuccess(now time.Duration, a *attempt) {
+	c.failures = c.failures[:0]
 	switch {
-	case s.breaker.isTrial(attempt):
-		s.breaker.state, s.breaker.trial, s.breaker.openDuration = breakerClosed, nil, initialOpenDuration
-	case s.breaker.state == breakerOpen:
-		s.breaker.halfOpenAt = now
+	case c.isTrial(a):
+		c.state, c.trial, c.openDuration = breakerClosed, nil, initialOpenDuration
+	case c.state == breakerOpen:
+		c.halfOpenAt = now
 	}
 }
 
-// recordFailure opens the breaker if its trial failed or the threshold is reached. Time-outs may be due to a
-// slowdown of all servers: they open no breaker once half of the subset is ejected.
-func (b *Balancer) recordFailure(now time.Duration, attempt *attempt, status Status) {
-	server := attempt.server
+func (c *circuitBreaker) recordFailure(now time.Duration) {
 	expired := func(at time.Duration) bool { return now-at > failureWindow }
-	server.breaker.failures = slices.DeleteFunc(append(server.breaker.failures, now), expired)
-	switch {
-	case server.breaker.isTrial(attempt):
-		server.breaker.openDuration = min(2*server.breaker.openDuration, maxOpenDuration)
-	case server.breaker.state != breakerClosed || !b.reachedFailureThreshold(server, status):
-		return
-	case status == Timeout && 2*(b.subset.countNotClosed()+1) > len(b.subset.servers):
-		return
-	}
-	server.breaker.state, server.breaker.trial = breakerOpen, nil
-	b.limiter.markAllUnresponsive(server)
-	b.subset.stale = true
-	server.breaker.halfOpenAt = now + jitter.Proportional(b.random, server.breaker.openDuration, jitterShare)
+	c.failures = slices.DeleteFunc(append(c.failures, now), expired)
+}
+
+// extendOpenDuration doubles the time for which the breaker opens next, after a failed trial.
+func (c *circuitBreaker) extendOpenDuration() {
+	c.openDuration = min(2*c.openDuration, maxOpenDuration)
+}
+
+// open opens the breaker for about its open duration. Jitter keeps the trials of many nodes apart.
+func (c *circuitBreaker) open(now time.Duration, random *rand.Rand) {
+	c.state, c.trial = breakerOpen, nil
+	c.halfOpenAt = now + jitter.Proportional(random, c.openDuration, jitterShare)
 }
 
-// reachedFailureThreshold reports whether the consecutive failures open the breaker. A missing response or
-// connection is stronger evidence than a quick error.
-func (b *Balancer) reachedFailureThreshold(server *server, status Status) bool {
-	failures := len(server.breaker.failures)
-	if (status == Timeout || status == ConnectFailed) && failures >= b.subset.regime.noResponseThreshold {
+// reachedThreshold reports whether the consecutive failures, the last one of the given status, open a closed
+// breaker. A missing response or connection is stronger evidence than a quick error.
+func (c *circuitBreaker) reachedThreshold(status Status, regime *samplingRegime, failureRate float64) bool {
+	failures := len(c.failures)
+	if (status == Timeout || status == ConnectFailed) && failures >= regime.noResponseThreshold {
 		return true
 	}
-	return failures >= failureThreshold && !b.failuresExpected(server)
+	return failures >= failureThreshold && !c.failuresExpected(failureRate)
 }
 
 // failuresExpected reports whether the consecutive failures are likely at the failure rate before them. The
 // score steers requests away then; opening the breaker would lose what the server still serves.
-func (b *Balancer) failuresExpected(server *server) bool {
-	run := len(server.breaker.failures)
-	before := float64(max(0, server.outcomes.Failures()-run)) + priorOutcomes*(1-b.means.successRate)
-	failureRate := before / (float64(max(0, server.outcomes.Len()-run)) + priorOutcomes)
-	return run < maxFailureThreshold && math.Pow(failureRate, float64(run)) > maxChanceProbability
+func (c *circuitBreaker) failuresExpected(failureRate float64) bool {
+	failures := len(c.failures)
+	return failures < maxFailureThreshold && math.Pow(failureRate, float64(failures)) > maxChanceProbability
 }
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -41,7 +41,7 @@
 func newServer(ringPosition uint64) *server {
 	return &server{
 		ringPosition: ringPosition,
-		breaker:      circuitBreaker{openDuration: initialOpenDuration},
+		breaker:      newCircuitBreaker(),
 		outcomes:     outcomewindow.New(outcomesPerServer),
 		baseline:     runningmean.New(maxServerSamples),
 	}
--- a/policy/request.go
+++ b/policy/request.go
@@ -100,9 +100,7 @@
 // send starts an attempt that attemptPermitted has admitted.
 func (b *Balancer) send(now time.Duration, request *request, server *server) {
 	attempt := b.addAttempt(now, request, server)
-	if server.breaker.state == breakerHalfOpen {
-		server.breaker.trial = attempt
-	}
+	server.breaker.startAttempt(attempt)
 	b.slowStart.sentWork.Add(now, request.baselineLatency())
 	server.budget.work -= request.baselineLatency() // has no effect on a warm server
 	b.host.Send(request.ID, server.Server, 0)
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -15,6 +15,39 @@
 // outcomeMeans are taken over all servers of the subset, and stay as they are while there are no outcomes.
 type outcomeMeans struct{ successRate, relativeLatency float64 }
 
+// recordSuccess counts a response for the server that gave it.
+func (s *server) recordSuccess(now time.Duration, attempt *attempt) {
+	s.respondedAt = now
+	s.breaker.recordSuccess(now, attempt)
+}
+
+// recordFailure opens the breaker of an attempt's server if its trial failed or the threshold is reached.
+// Time-outs may be due to a slowdown of all servers: they open no breaker once half of the subset is ejected.
+func (b *Balancer) recordFailure(now time.Duration, attempt *attempt, status Status) {
+	server := attempt.server
+	breaker := &server.breaker
+	breaker.recordFailure(now)
+	switch {
+	case breaker.isTrial(attempt):
+		breaker.extendOpenDuration()
+	case breaker.state != breakerClosed ||
+		!breaker.reachedThreshold(status, &b.subset.regime, server.failureRateBefore(b.means)):
+		return
+	case status == Timeout && !b.subset.mayEjectAnother():
+		return
+	}
+	b.limiter.markAllUnresponsive(server)
+	b.subset.stale = true
+	breaker.open(now, b.random)
+}
+
+// failureRateBefore returns the failure rate of a server before its consecutive failures.
+func (s *server) failureRateBefore(means outcomeMeans) float64 {
+	run := len(s.breaker.failures)
+	failures := float64(max(0, s.outcomes.Failures()-run)) + priorOutcomes*(1-means.successRate)
+	return failures / (float64(max(0, s.outcomes.Len()-run)) + priorOutcomes)
+}
+
 // recordOutcome counts the outcome of an attempt for its server, unless that has restarted since.
 func (b *Balancer) recordOutcome(now time.Duration, request *request, attempt *attempt, outcome Outcome) {
 	server := attempt.server
@@ -45,9 +78,7 @@
 	case Rejected: // lowers the score, or a full server would be selected again
 		server.outcomes.Add(now, false, relativeLatency)
 	}
-	if server.breaker.trial == attempt {
-		server.breaker.trial = nil // inconclusive: the next request is the trial
-	}
+	server.breaker.abandonTrial(attempt)
 }
 
 func (b *Balancer) updateMeans(now time.Duration) {
@@ -72,7 +103,7 @@
 	highest := 0.0
 	for _, s := range b.subset.servers {
 		s.estimate(b.means)
-		s.breaker.becomeHalfOpenIfDue(now)
+		s.breaker.advance(now)
 		switch {
 		case s.breaker.state == breakerClosed:
 			highest = max(highest, s.relativeLatency)
@@ -127,9 +158,8 @@
 		}
 		if s.breaker.state == breakerClosed && b.hasCapacity(s, now) {
 			b.candidates = append(b.candidates, s)
-		} else if s.breaker.awaitsTrial() && (request.class.Idempotency != NotIdempotent ||
-			// It is the trial if no other request came for as long as the breaker was open.
-			now > s.breaker.halfOpenAt+s.breaker.openDuration) {
+		} else if s.breaker.awaitsTrial() &&
+			(request.class.Idempotency != NotIdempotent || s.breaker.trialOverdue(now)) {
 			return s
 		}
 	}
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -52,11 +52,13 @@
 	u.regime = regimeFor(nodesPerServer)
 }
 
-func (u *subset) countNotClosed() (count int) {
+// mayEjectAnother reports whether at most half of the subset has no closed breaker once another one opens.
+func (u *subset) mayEjectAnother() bool {
+	ejected := 0
 	for _, s := range u.servers {
 		if s.breaker.state != breakerClosed {
-			count++
+			ejected++
 		}
 	}
-	return count
+	return 2*(ejected+1) <= len(u.servers)
 }
