--- a/policy/admission.go
+++ b/policy/admission.go
@@ -8,10 +8,6 @@
 	"time"
 )
 
-const (
-	maxWeightSamples = 100 // arrivals over which the priority weight is averaged
-)
-
 // admissionQueue holds the requests that wait for capacity, which are marked as queued, sorted by precedes.
 type admissionQueue struct{ waiting []*request }
 
@@ -89,7 +85,7 @@
 
 // lateIfQueued reports whether a queued request cannot be served by its shedding deadline any more.
 func (b *Balancer) lateIfQueued(now time.Duration, request *request) bool {
-	deadline, required := b.sheddingDeadline(request), b.expectedLatency(request)
+	deadline, required := b.sheddingDeadline(request), request.expectedLatency(b.means.relativeLatency)
 	if deadline == request.objectiveDeadline {
 		required = time.Duration(b.subset.regime.sheddingMargin * float64(required))
 	}
@@ -100,8 +96,7 @@
 // has capacity rarely, a late response of high weight may still earn more than another in time.
 func (b *Balancer) sheddingDeadline(request *request) time.Duration {
 	lateWeight := request.weight * request.class.LateFraction
-	meanWeight := b.arrivalWeight.Value() * request.class.workEstimate.Value()
-	if b.subset.regime.queuesPastObjective && lateWeight >= meanWeight {
+	if b.subset.regime.queuesPastObjective && lateWeight >= b.arrivals.meanWeight(request.class) {
 		return request.deadline
 	}
 	return request.objectiveDeadline
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -85,7 +85,7 @@
 	heavy := &request{class: &h.balancer.classes[0]}
 	loaded := &attempt{server: h.balancer.endpoints.ready[0]}
 	for range 50 {
-		h.balancer.recordLatency(loaded, heavy, 0.9)
+		h.balancer.latency.record(loaded, heavy, 900*ms, h.balancer.subset.nodesPerServer)
 	}
 	h.request(0) // fills a server, as does the next
 	h.request(0)
@@ -110,7 +110,7 @@
 		record := h.balancer.requests.byID[id]
 		h.endAttempt(id, Rejected, ms) // not executed: a retry may follow
 		h.balancer.queue.add(record)
-		record.objectiveDeadline = h.now + 2*h.balancer.expectedLatency(record)
+		record.objectiveDeadline = h.now + 2*record.expectedLatency(h.balancer.means.relativeLatency)
 		h.balancer.shedLoad(h.now)
 		if _, shed := h.host.rejected[id]; shed != tc.shed {
 			t.Errorf("%d nodes: shed %v, want %v", tc.nodes, shed, tc.shed)
--- /dev/null
+++ b/policy/arrivals.go
@@ -0,0 +1,43 @@
+package policy
+
+// The rate and the priority weight of the requests that arrive at this node.
+
+import (
+	"time"
+
+	"calicohinge/internal/decayrate"
+	"calicohinge/internal/runningmean"
+)
+
+const (
+	rateTimeConstant     = 2 * time.Second // of the rates of arrivals and of work sent
+	maxWeightSamples     = 100             // arrivals over which the priority weight is averaged
+	highPriorityMultiple = 2.0             // of the mean weight, above which a request has high priority
+)
+
+// arrivalStats measures the requests that arrive at this node.
+type arrivalStats struct {
+	rate          decayrate.Meter
+	weightPerWork runningmean.Mean
+}
+
+func newArrivalStats() arrivalStats {
+	return arrivalStats{
+		rate:          decayrate.New(rateTimeConstant),
+		weightPerWork: runningmean.New(maxWeightSamples),
+	}
+}
+
+func (a *arrivalStats) record(now time.Duration, request *request) {
+	a.weightPerWork.Add(request.weightPerWork())
+	a.rate.Add(now, 1)
+}
+
+// meanWeight returns the priority weight of a request of the class that has the mean weight for its work.
+func (a *arrivalStats) meanWeight(class *requestClass) float64 {
+	return a.weightPerWork.Value() * class.workEstimate.Value()
+}
+
+func (a *arrivalStats) isHighPriority(request *request) bool {
+	return request.weight > highPriorityMultiple*a.meanWeight(request.class)
+}
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -8,13 +8,11 @@
 	"time"
 
 	"calicohinge/internal/decayrate"
-	"calicohinge/internal/runningmean"
 	"calicohinge/internal/tokenbucket"
 )
 
 const (
 	checkInterval         = 10 * time.Millisecond // of the periodic check; the resolution of all deadlines
-	rateTimeConstant      = 2 * time.Second       // of the rates of arrivals and of work sent
 	maxAttemptsPerRequest = 16                    // caps Limits.MaxAttempts, as room for all is allocated
 	maxTime               = time.Duration(math.MaxInt64)
 
@@ -37,9 +35,8 @@
 	slowStart slowStartStats
 	limiter   concurrencyLimiter
 
-	arrivalRate   decayrate.Meter  // requests
-	arrivalWeight runningmean.Mean // priority weight per work of the requests
-
+	arrivals    arrivalStats
+	latency     latencyEstimator
 	candidates  []*server // reused by selectServer
 	refreshedAt time.Duration
 	outdated    bool          // refresh is due even at refreshedAt
@@ -60,18 +57,19 @@
 		means:     outcomeMeans{successRate: 1, relativeLatency: 1},
 		slowStart: slowStartStats{sentWork: decayrate.New(rateTimeConstant)},
 
-		arrivalRate: decayrate.New(rateTimeConstant), arrivalWeight: runningmean.New(maxWeightSamples),
+		limiter:  newConcurrencyLimiter(settings.Nodes),
+		arrivals: newArrivalStats(),
+
 		nextCheckAt: maxTime, outdated: true,
 	}
 	balancer.subset.setNodesPerServer(float64(settings.Nodes))
 	for _, class := range settings.Classes {
-		balancer.classes = append(balancer.classes, newRequestClass(class, settings.WeightByWork))
+		balancer.classes = append(balancer.classes, newRequestClass(class, &settings))
 	}
 	for _, tenant := range settings.Tenants {
 		balancer.quotas = append(balancer.quotas, tokenbucket.New(tenant.QuotaPerS/float64(settings.Nodes)))
 	}
-	balancer.limiter.limit = float64(min(initialLimit, settings.Nodes))
-	balancer.limiter.smoothedLatency = balancer.classes[0].baseline.Value()
+	balancer.latency.smoothed = balancer.classes[0].baseline.Value()
 	return balancer, nil
 }
 
@@ -85,14 +83,11 @@
 		return
 	}
 	class := &b.classes[arrival.Class]
-	if arrival.CostHint > 0 {
-		class.costHint.Add(arrival.CostHint.Seconds())
-	}
+	class.recordCostHint(arrival.CostHint)
 	request := b.requests.add(arrival, class)
 	request.setDeadlines(now, &b.settings)
 	b.applyQuota(now, request)
-	b.arrivalWeight.Add(request.weightPerWork())
-	b.arrivalRate.Add(now, 1)
+	b.arrivals.record(now, request)
 	b.queue.add(request)
 	b.dispatch(now)
 	b.scheduleCheckBy(min(now+checkInterval, request.deadline))
--- a/policy/circuit_breaker_test.go
+++ b/policy/circuit_breaker_test.go
@@ -66,7 +66,7 @@
 // Guards against a fleet-wide slowdown that opens every breaker and so has everything rejected.
 func TestTimeoutsEverywhereOpenHalfOfTheBreakersAtMost(t *testing.T) {
 	h := newHarness(t, testSettings(), 6)
-	h.balancer.arrivalRate.Add(h.now, 100) // enough for all servers to be in the subset
+	h.balancer.arrivals.rate.Add(h.now, 100) // enough for all servers to be in the subset
 	h.balancer.refresh(h.now)
 	for _, s := range h.balancer.endpoints.ready {
 		for range 2 * failureThreshold {
--- a/policy/concurrency_limit.go
+++ b/policy/concurrency_limit.go
@@ -1,6 +1,6 @@
 package policy
 
-// The adaptive concurrency limit: no server tells its capacity, but its latency shows congestion.
+// The adaptive concurrency limit. The capacity of the servers is not known; their latency shows congestion.
 
 import (
 	"math"
@@ -13,31 +13,65 @@
 	limitIncrease         = 0.025 // in one smoothed latency, while requests wait for the limit
 	initialIncreaseFactor = 6.0   // on the increase until congestion shows for the first time
 	limitDecrease         = 0.1   // in one smoothed latency, for each unit of congestion above the target
-	knownGoodDecaySeconds = 60.0  // time constant of forgetting the good limit under congestion
-	meanInFlightSeconds   = 1.0   // time constant of the mean number of attempts in flight
-	highPriorityMultiple  = 2.0   // of the mean weight: from it a request does not wait for that number
-	maxAdjustSeconds      = 0.1   // that one adjustment covers after a pause
-	latencySmoothing      = 64    // responses
-	congestionSmoothing   = 32    // responses
+	peakDeviations        = 2     // standard deviations that a peak may exceed the mean in flight by
+	unloadedPerServer     = 3     // attempts per server over all nodes, up to which an idle one is unloaded
+
+	knownGoodTimeConstant    = time.Minute            // of forgetting the good limit under congestion
+	meanInFlightTimeConstant = time.Second            // of the mean number of attempts in flight
+	maxAdjustInterval        = 100 * time.Millisecond // that one adjustment covers after a pause
 )
 
-// concurrencyLimiter holds the limit and the measurements that it follows.
+// concurrencyLimiter limits the attempts in flight of this node.
 type concurrencyLimiter struct {
-	inFlight        int     // attempts of this node, not counting unresponsive ones
-	meanInFlight    float64 // its exponential moving average
-	limit           float64 // on all nodes' attempts for each server; may be below 1
-	knownGood       float64 // highest recent limit without congestion
-	congestionSeen  bool    // the limit has left its fast initial growth
-	congestion      float64 // smoothed logarithm of latency over the baseline at the same server
-	smoothedLatency float64 // seconds
-	adjustedAt      time.Duration
+	inFlight       int     // attempts of this node, not counting unresponsive ones
+	meanInFlight   float64 // its exponential moving average
+	limit          float64 // on all nodes' attempts for each server; may be below 1
+	knownGood      float64 // highest recent limit without congestion
+	congestionSeen bool    // the limit has left its fast initial growth
+	adjustedAt     time.Duration
+}
+
+func newConcurrencyLimiter(nodes int) concurrencyLimiter {
+	return concurrencyLimiter{limit: float64(min(initialLimit, nodes))}
+}
+
+// startAttempt counts an attempt that is sent.
+func (l *concurrencyLimiter) startAttempt() { l.inFlight++ }
+
+// endAttempt takes an attempt that has ended out of the count.
+func (l *concurrencyLimiter) endAttempt(a *attempt) {
+	if !a.unresponsive {
+		l.inFlight--
+	}
+}
+
+// markUnresponsive takes an attempt out of the count, or servers that hang would use up the limit.
+func (l *concurrencyLimiter) markUnresponsive(a *attempt) {
+	if !a.unresponsive {
+		a.unresponsive = true
+		l.inFlight--
+	}
+}
+
+func (l *concurrencyLimiter) markAllUnresponsive(attempts []*attempt) {
+	for _, a := range attempts {
+		l.markUnresponsive(a)
+	}
 }
 
-func (l *concurrencyLimiter) adjustOnResponse(now time.Duration, regime *samplingRegime, waiting int) {
-	seconds := min((now - l.adjustedAt).Seconds(), maxAdjustSeconds)
-	rounds := seconds / l.smoothedLatency // a change shows after one; faster steps would oscillate
+func (l *concurrencyLimiter) updateMeanInFlight(elapsed time.Duration) {
+	weight := min(elapsed.Seconds()/meanInFlightTimeConstant.Seconds(), 1)
+	l.meanInFlight += (float64(l.inFlight) - l.meanInFlight) * weight
+}
+
+// adjust adapts the limit on a response, while a number of requests waits for it.
+func (l *concurrencyLimiter) adjust(
+	now time.Duration, latency *latencyEstimator, regime *samplingRegime, waiting int,
+) {
+	interval := min((now - l.adjustedAt).Seconds(), maxAdjustInterval.Seconds())
+	rounds := interval / latency.smoothed // a change shows after one; faster steps would oscillate
 	l.adjustedAt = now
-	excess := l.congestion - targetCongestion
+	excess := latency.congestion - targetCongestion
 	switch {
 	case excess > 0 && !l.congestionSeen:
 		l.congestionSeen = true
@@ -45,7 +79,7 @@
 		l.knownGood = l.limit
 	case excess > 0:
 		l.decrease(excess, rounds, regime)
-		l.knownGood *= 1 - seconds/knownGoodDecaySeconds
+		l.knownGood *= 1 - interval/knownGoodTimeConstant.Seconds()
 	case waiting > 0:
 		l.increase(rounds, regime)
 	}
@@ -69,39 +103,28 @@
 	l.knownGood = max(l.knownGood, l.limit)
 }
 
-func (l *concurrencyLimiter) updateMeanInFlight(elapsed time.Duration) {
-	l.meanInFlight += (float64(l.inFlight) - l.meanInFlight) * min(elapsed.Seconds()/meanInFlightSeconds, 1)
-}
-
-// markUnresponsive takes an attempt out of the count, or servers that hang would use up the limit.
-func (l *concurrencyLimiter) markUnresponsive(attempt *attempt) {
-	if !attempt.unresponsive {
-		attempt.unresponsive = true
-		l.inFlight--
-	}
+// hasCapacity reports whether a server that has a share of its full capacity may get one more attempt.
+func (l *concurrencyLimiter) hasCapacity(server *server, capacityShare, nodesPerServer float64) bool {
+	limit := math.Round(l.limit / nodesPerServer)
+	return float64(len(server.inFlight)+1) <= max(1, limit*capacityShare)
 }
 
-func (l *concurrencyLimiter) markAllUnresponsive(server *server) {
-	for _, a := range server.inFlight {
-		l.markUnresponsive(a)
-	}
-}
-
-func (b *Balancer) hasCapacity(server *server, now time.Duration) bool {
-	limit := math.Round(b.limiter.limit / b.subset.nodesPerServer)
-	return float64(len(server.inFlight)+1) <= max(1, limit*server.capacityShare(&b.settings.Rules, now))
-}
-
-// nodeLimitAdmits reports whether the node may have one more attempt in flight. The limit of an undersampled
+// nodeHasCapacity reports whether the node may have one more attempt in flight. The limit of an undersampled
 // node is a few attempts, which its arrivals exceed by chance: it applies to the mean, as chances even out
 // over many nodes, with a bound on the peaks. A request of high priority does not wait for the mean.
-func (b *Balancer) nodeLimitAdmits(request *request) bool {
-	limit := b.limiter.limit / b.subset.nodesPerServer * float64(b.subset.closed)
-	next := float64(b.limiter.inFlight + 1)
-	if !b.subset.regime.limitAppliesToMean {
+func (l *concurrencyLimiter) nodeHasCapacity(request *request, subset *subset, arrivals *arrivalStats) bool {
+	limit := l.limit / subset.nodesPerServer * float64(subset.closed)
+	next := float64(l.inFlight + 1)
+	if !subset.regime.limitAppliesToMean {
 		return next <= max(1, limit)
 	}
-	highPriority := request.weight >
-		highPriorityMultiple*b.arrivalWeight.Value()*request.class.workEstimate.Value()
-	return (b.limiter.meanInFlight < limit || highPriority) && next <= limit+2*math.Sqrt(limit+1)
+	return (l.meanInFlight < limit || arrivals.isHighPriority(request)) &&
+		next <= limit+peakDeviations*math.Sqrt(limit+1)
+}
+
+// serverUnloaded reports whether a server is idle and the fleet lightly loaded, judging by this node's
+// attempts.
+func (l *concurrencyLimiter) serverUnloaded(server *server, subset *subset) bool {
+	return len(server.inFlight) == 0 &&
+		float64(l.inFlight)*subset.nodesPerServer <= unloadedPerServer*float64(len(subset.servers))
 }
--- a/policy/concurrency_limit_test.go
+++ b/policy/concurrency_limit_test.go
@@ -8,15 +8,15 @@
 // adjustLimitFor adjusts the limit for some time at a steady congestion.
 func adjustLimitFor(balancer *Balancer, from, d time.Duration, congestion float64) {
 	for t := from; t < from+d; t += 10 * ms {
-		balancer.limiter.congestion = congestion
-		balancer.limiter.adjustOnResponse(t, &balancer.subset.regime, len(balancer.queue.waiting))
+		balancer.latency.congestion = congestion
+		balancer.limiter.adjust(t, &balancer.latency, &balancer.subset.regime, len(balancer.queue.waiting))
 	}
 }
 
 // newLimiterHarness has a request that waits for the limit.
 func newLimiterHarness(t *testing.T) (*harness, *Balancer) {
 	h := newHarness(t, testSettings(), 4)
-	h.balancer.limiter.smoothedLatency, h.balancer.limiter.adjustedAt = 0.1, h.now
+	h.balancer.latency.smoothed, h.balancer.limiter.adjustedAt = 0.1, h.now
 	h.balancer.queue.waiting = append(h.balancer.queue.waiting, &request{completed: true})
 	return h, h.balancer
 }
@@ -171,7 +171,7 @@
 	settings.Nodes = 7
 	h := newHarness(t, settings, 7)
 	h.balancer.limiter.limit = 2 * h.balancer.subset.nodesPerServer
-	h.balancer.arrivalRate.Add(h.now, 100)
+	h.balancer.arrivals.rate.Add(h.now, 100)
 	unloaded, sends := 0, 0
 	for range 7 {
 		for _, a := range h.balancer.requests.byID[h.request(0)].attempts {
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -105,7 +105,7 @@
 		server = newServer(hashring.Position(uint64(endpoint.Cell), uint64(endpoint.Server)))
 		b.endpoints.byID[endpoint.Server] = server
 	} else if endpoint.StartedAt != server.StartedAt {
-		b.limiter.markAllUnresponsive(server) // the former process does not respond any more
+		b.limiter.markAllUnresponsive(server.inFlight) // the former process does not respond any more
 		former := server.Endpoint
 		*server = *newServer(server.ringPosition)
 		server.Endpoint = former
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -1,6 +1,6 @@
 package policy
 
-// The expected latency, from the baseline: the latency of requests that had a server to themselves.
+// Latency estimates, from the baseline: the latency of requests that had a server to themselves.
 
 import (
 	"math"
@@ -10,61 +10,71 @@
 )
 
 const (
-	maxLatencySamples  = 400   // over which a class's latencies are averaged
-	startupSamples     = 12    // taken into a class's baseline whatever the congestion, to correct its guess
-	maxServerSamples   = 16    // over which a server's baseline is averaged
-	maxCostHintSamples = 64    // over which a class's cost hints are averaged
-	minRelativeWork    = 0.25  // by a cost hint, which is a rough estimate
-	maxRelativeWork    = 4     // by a cost hint
-	unloadedPerServer  = 3     // attempts per server over all nodes, up to which an idle one is unloaded
-	minBaseline        = 0.001 // seconds, so that multiples of the baseline stay finite
-	minLatency         = 1e-4  // seconds, so that logarithms stay finite
+	maxLatencySamples   = 400 // over which a class's latencies are averaged
+	startupSamples      = 12  // taken into a class's baseline whatever the congestion, to correct its guess
+	maxServerSamples    = 16  // over which a server's baseline is averaged
+	maxCostHintSamples  = 64  // over which a class's cost hints are averaged
+	latencySmoothing    = 64  // responses
+	congestionSmoothing = 32  // responses
+
+	minRelativeWork = 0.25 // by a cost hint, which is a rough estimate
+	maxRelativeWork = 4    // by a cost hint
+
+	initialBaselineFraction   = 1.0 / 4              // of a class's latency objective
+	maxBaselineCongestion     = targetCongestion / 2 // up to which a sample counts for a class's baseline
+	objectivePerBaselineLimit = 3                    // the objective is this multiple of the largest sample
+
+	minBaseline = time.Millisecond       // so that multiples of the baseline stay finite
+	minLatency  = 100 * time.Microsecond // so that logarithms stay finite
 )
 
-// requestClass is a class with what was measured of its requests, in seconds.
+// requestClass is a class with the measurements of its requests, in seconds.
 type requestClass struct {
 	Class                         // with Objective set
 	baseline     runningmean.Mean // latency of an unloaded request of mean work
 	workEstimate runningmean.Mean // latency of all served requests; 1 with Settings.WeightByWork
 	costHint     runningmean.Mean
+	weightByWork bool // Settings.WeightByWork
 }
 
-func newRequestClass(class Class, weightByWork bool) requestClass {
+func newRequestClass(class Class, settings *Settings) requestClass {
 	if class.Objective == 0 {
 		class.Objective = class.Deadline
 	}
-	measured := requestClass{Class: class, costHint: runningmean.New(maxCostHintSamples)}
-	measured.baseline = runningmean.NewWithGuess(class.Objective.Seconds()/4, maxLatencySamples)
-	measured.workEstimate = measured.baseline
-	if weightByWork {
-		measured.workEstimate = runningmean.NewWithGuess(1, maxLatencySamples)
+	baseline := runningmean.NewWithGuess(class.Objective.Seconds()*initialBaselineFraction, maxLatencySamples)
+	workEstimate := baseline
+	if settings.WeightByWork {
+		workEstimate = runningmean.NewWithGuess(1, maxLatencySamples)
+	}
+	return requestClass{
+		Class:        class,
+		baseline:     baseline,
+		workEstimate: workEstimate,
+		costHint:     runningmean.New(maxCostHintSamples),
+		weightByWork: settings.WeightByWork,
 	}
-	return measured
 }
 
-// recordLatency takes the latency of a served request, in seconds.
-func (b *Balancer) recordLatency(attempt *attempt, request *request, latency float64) {
-	b.limiter.smoothedLatency += (latency - b.limiter.smoothedLatency) / latencySmoothing
-	if !b.settings.WeightByWork {
-		request.class.workEstimate.Add(latency) // by all responses: unloaded ones are rare in a busy fleet
-	}
-	class, congestion := request.class, b.limiter.congestion
-	if attempt.unloaded && (class.baseline.Samples() < startupSamples || congestion < targetCongestion/2) {
-		// More than a third of the objective is an outlier, which would hide congestion.
-		class.baseline.Add(min(latency/request.relativeWork(), class.Objective.Seconds()/3))
+// recordCostHint takes the cost hint of an arrival; 0 is none.
+func (c *requestClass) recordCostHint(hint time.Duration) {
+	if hint > 0 {
+		c.costHint.Add(hint.Seconds())
 	}
-	offset := math.Log(max(latency, minLatency) / (class.baseline.Value() * request.relativeWork()))
-	if attempt.unloaded && congestion < targetCongestion {
-		// The more nodes use the server, the more a sample may be due to their load.
-		attempt.server.baseline.AddWithPrior(offset, b.subset.nodesPerServer)
+}
+
+// recordWork takes the latency of any response, in seconds: unloaded ones are rare in a busy fleet.
+func (c *requestClass) recordWork(latency float64) {
+	if !c.weightByWork {
+		c.workEstimate.Add(latency)
 	}
-	b.limiter.congestion += (offset - attempt.server.baseline.Value() - congestion) / congestionSmoothing
 }
 
-// isUnloaded reports whether a server is idle and the fleet lightly loaded, judging by this node's attempts.
-func (b *Balancer) isUnloaded(server *server) bool {
-	return len(server.inFlight) == 0 && float64(b.limiter.inFlight)*b.subset.nodesPerServer <=
-		unloadedPerServer*float64(len(b.subset.servers))
+// recordUnloaded takes the latency of an unloaded request, in seconds at mean work. Latencies close to the
+// objective are outliers, which would hide congestion.
+func (c *requestClass) recordUnloaded(latency, congestion float64) {
+	if c.baseline.Samples() < startupSamples || congestion < maxBaselineCongestion {
+		c.baseline.Add(min(latency, c.Objective.Seconds()/objectivePerBaselineLimit))
+	}
 }
 
 // relativeWork returns the request's work as a multiple of its class's mean, 1 without a cost hint.
@@ -78,10 +88,36 @@
 
 // baselineLatency returns the latency of the request without load, in seconds.
 func (r *request) baselineLatency() float64 {
-	return r.class.baseline.Value()*r.relativeWork() + minBaseline
+	return r.class.baseline.Value()*r.relativeWork() + minBaseline.Seconds()
+}
+
+// expectedLatency returns the latency of the request at the given multiple of its baseline.
+func (r *request) expectedLatency(relativeLatency float64) time.Duration {
+	return time.Duration(r.baselineLatency() * relativeLatency * float64(time.Second))
+}
+
+// latencyEstimator measures the latency and the congestion over all requests that this node sends.
+type latencyEstimator struct {
+	smoothed   float64 // seconds
+	congestion float64 // smoothed logarithm of latency over the baseline at the same server
 }
 
-// expectedLatency returns the latency of the request under the current load.
-func (b *Balancer) expectedLatency(request *request) time.Duration {
-	return time.Duration(request.baselineLatency() * b.means.relativeLatency * float64(time.Second))
+// record takes the latency of a served request.
+func (e *latencyEstimator) record(
+	attempt *attempt, request *request, latency time.Duration, nodesPerServer float64,
+) {
+	seconds, congestion := latency.Seconds(), e.congestion
+	e.smoothed += (seconds - e.smoothed) / latencySmoothing
+	class := request.class
+	class.recordWork(seconds)
+	if attempt.unloaded {
+		class.recordUnloaded(seconds/request.relativeWork(), congestion)
+	}
+	offset := math.Log(max(seconds, minLatency.Seconds()) / (class.baseline.Value() * request.relativeWork()))
+	baseline := &attempt.server.baseline
+	if attempt.unloaded && congestion < targetCongestion {
+		// The more nodes use the server, the more a sample may be due to their load.
+		baseline.AddWithPrior(offset, nodesPerServer)
+	}
+	e.congestion += (offset - baseline.Value() - congestion) / congestionSmoothing
 }
--- a/policy/request.go
+++ b/policy/request.go
@@ -110,9 +110,9 @@
 	request.attempts = append(request.attempts, attempt{server: server, request: request, sentAt: now})
 	added := &request.attempts[len(request.attempts)-1]
 	added.zone, added.cell = server.Zone, server.Cell
-	added.inFlight, added.unloaded = true, b.isUnloaded(server)
+	added.inFlight, added.unloaded = true, b.limiter.serverUnloaded(server, &b.subset)
 	request.inFlight++
-	b.limiter.inFlight++
+	b.limiter.startAttempt()
 	server.inFlight = append(server.inFlight, added)
 	return added
 }
@@ -120,9 +120,7 @@
 func (b *Balancer) attemptEnded(request *request, attempt *attempt) {
 	attempt.inFlight = false
 	request.inFlight--
-	if !attempt.unresponsive {
-		b.limiter.inFlight--
-	}
+	b.limiter.endAttempt(attempt)
 	// A server that has restarted since does not list the attempt.
 	if i := slices.Index(attempt.server.inFlight, attempt); i >= 0 {
 		attempt.server.inFlight = slices.Delete(attempt.server.inFlight, i, i+1)
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -21,7 +21,8 @@
 	first := time.Duration(float64(request.class.Objective) * initialBackoffShare)
 	backoff := min(first<<(len(request.attempts)-1), maxBackoff)
 	retryAt := now + jitter.Proportional(b.random, backoff, jitterShare)
-	if b.attemptsExhausted(request, retryAt) || retryAt+b.expectedLatency(request) > request.retryDeadline() {
+	responseAt := retryAt + request.expectedLatency(b.means.relativeLatency)
+	if b.attemptsExhausted(request, retryAt) || responseAt > request.retryDeadline() {
 		b.terminateUnserved(request)
 		return
 	}
@@ -74,7 +75,7 @@
 
 // detectUnresponsive counts attempts without a response as failures and, where allowed, hedges the request.
 func (b *Balancer) detectUnresponsive(now time.Duration, request *request) {
-	expected := b.expectedLatency(request)
+	expected := request.expectedLatency(b.means.relativeLatency)
 	for i := range request.attempts {
 		attempt := &request.attempts[i]
 		if !attempt.becameUnresponsive(now, expected) {
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -36,7 +36,7 @@
 	case status == Timeout && !b.subset.mayEjectAnother():
 		return
 	}
-	b.limiter.markAllUnresponsive(server)
+	b.limiter.markAllUnresponsive(server.inFlight)
 	b.subset.stale = true
 	breaker.open(now, b.random)
 }
@@ -63,8 +63,8 @@
 		} else {
 			server.recordSuccess(now, attempt)
 		}
-		b.recordLatency(attempt, request, outcome.Latency.Seconds())
-		b.limiter.adjustOnResponse(now, &b.subset.regime, len(b.queue.waiting))
+		b.latency.record(attempt, request, outcome.Latency, b.subset.nodesPerServer)
+		b.limiter.adjust(now, &b.latency, &b.subset.regime, len(b.queue.waiting))
 	case ServerError, Reset, ConnectFailed:
 		server.outcomes.Add(now, false, relativeLatency)
 		b.recordFailure(now, attempt, outcome.Status)
@@ -134,7 +134,7 @@
 		return trial
 	}
 	n := len(b.candidates)
-	if n == 0 || !b.nodeLimitAdmits(request) {
+	if n == 0 || !b.limiter.nodeHasCapacity(request, &b.subset, &b.arrivals) {
 		return nil
 	}
 	if len(request.attempts) == 0 && n > 2 {
@@ -156,7 +156,8 @@
 		if s.breaker.state == breakerOpen || request.hasTried(s) || !b.attemptPermitted(now, request, s) {
 			continue
 		}
-		if s.breaker.state == breakerClosed && b.hasCapacity(s, now) {
+		share := s.capacityShare(&b.settings.Rules, now)
+		if s.breaker.state == breakerClosed && b.limiter.hasCapacity(s, share, b.subset.nodesPerServer) {
 			b.candidates = append(b.candidates, s)
 		} else if s.breaker.awaitsTrial() &&
 			(request.class.Idempotency != NotIdempotent || s.breaker.trialOverdue(now)) {
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -68,7 +68,7 @@
 	}
 	rate := b.slowStart.warmServerRate / b.subset.nodesPerServer * rules.OverloadMultiple
 	if b.slowStart.warmServerRate == 0 { // a new node among warming servers knows its own arrivals only
-		rate = b.arrivalRate.PerSecond(now) * work / float64(len(b.subset.servers))
+		rate = b.arrivals.rate.PerSecond(now) * work / float64(len(b.subset.servers))
 	}
 	rate *= share * slowStartSafety
 	burst := rate * rules.OverloadWindow.Seconds() * burstWindows
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -23,7 +23,7 @@
 
 // renewSubset adapts the subset to servers and traffic. The subsets of all nodes cover the ring evenly.
 func (b *Balancer) renewSubset(now time.Duration) {
-	wanted := max(minSubsetSize, int(b.arrivalRate.PerSecond(now)*subsetRequestInterval.Seconds()+0.5))
+	wanted := max(minSubsetSize, int(b.arrivals.rate.PerSecond(now)*subsetRequestInterval.Seconds()+0.5))
 	if !b.subset.stale && wanted <= b.subset.wanted && now-b.subset.renewedAt < subsetRequestInterval {
 		return
 	}
--- a/policy/subset_test.go
+++ b/policy/subset_test.go
@@ -20,7 +20,7 @@
 	if n := len(h.balancer.subset.servers); n != minSubsetSize+2 {
 		t.Fatalf("%d servers with one open breaker and one warming up, want %d", n, minSubsetSize+2)
 	}
-	h.balancer.arrivalRate.Add(h.now, 240)
+	h.balancer.arrivals.rate.Add(h.now, 240)
 	h.now += ms
 	h.balancer.refresh(h.now)
 	if n := len(h.balancer.subset.servers); n < 25 {
