--- a/policy/admission.go
+++ b/policy/admission.go
@@ -53,7 +53,7 @@
 		case selected != nil:
 			request.queued = false
 			b.send(now, request, selected)
-		case b.subset.closed+b.subset.awaitingTrial == 0:
+		case b.subset.allEjected():
 			request.queued = false
 			b.terminateUnserved(request)
 		default:
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -7,7 +7,6 @@
 	"math/rand/v2"
 	"time"
 
-	"calicohinge/internal/decayrate"
 	"calicohinge/internal/tokenbucket"
 )
 
@@ -32,7 +31,7 @@
 	endpoints endpointSet
 	subset    subset
 	means     outcomeMeans
-	slowStart slowStartStats
+	slowStart slowStart
 	limiter   concurrencyLimiter
 
 	arrivals    arrivalStats
@@ -49,20 +48,21 @@
 		return nil, err
 	}
 	settings.Limits.MaxAttempts = min(settings.Limits.MaxAttempts, maxAttemptsPerRequest)
+	random := rand.New(rand.NewPCG(seed, 0))
 	balancer := &Balancer{
-		settings: settings, host: host, random: rand.New(rand.NewPCG(seed, 0)),
+		settings: settings, host: host, random: random,
 
 		requests:  requestTable{byID: map[RequestID]*request{}, maxAttempts: settings.Limits.MaxAttempts},
 		endpoints: endpointSet{byID: map[ServerID]*server{}, watchBackoff: initialWatchBackoff},
+		subset:    newSubset(&settings),
 		means:     outcomeMeans{successRate: 1, relativeLatency: 1},
-		slowStart: slowStartStats{sentWork: decayrate.New(rateTimeConstant)},
 
-		limiter:  newConcurrencyLimiter(settings.Nodes),
-		arrivals: newArrivalStats(),
+		slowStart: newSlowStart(&settings, random),
+		limiter:   newConcurrencyLimiter(settings.Nodes),
+		arrivals:  newArrivalStats(),
 
 		nextCheckAt: maxTime, outdated: true,
 	}
-	balancer.subset.setNodesPerServer(float64(settings.Nodes))
 	for _, class := range settings.Classes {
 		balancer.classes = append(balancer.classes, newRequestClass(class, &settings))
 	}
@@ -199,9 +199,9 @@
 	}
 	elapsed := now - b.refreshedAt
 	b.outdated, b.refreshedAt = false, now
-	b.renewSubset(now)
+	b.subset.renewIfDue(now, b.endpoints.ready, b.arrivals.rate.PerSecond(now))
 	b.updateMeans(now)
-	b.updateWarmServerRate(now, elapsed)
+	b.slowStart.updateWarmServerRate(now, elapsed, &b.subset, len(b.endpoints.ready))
 	b.limiter.updateMeanInFlight(elapsed)
 	b.updateScores(now)
 }
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -67,7 +67,8 @@
 		b.updateEndpoint(e)
 	}
 	b.endpoints.removeGone()
-	b.subset.stale, b.outdated = true, true
+	b.subset.invalidate()
+	b.outdated = true
 	b.dispatch(now)
 }
 
--- a/policy/request.go
+++ b/policy/request.go
@@ -101,8 +101,7 @@
 func (b *Balancer) send(now time.Duration, request *request, server *server) {
 	attempt := b.addAttempt(now, request, server)
 	server.breaker.startAttempt(attempt)
-	b.slowStart.sentWork.Add(now, request.baselineLatency())
-	server.budget.work -= request.baselineLatency() // has no effect on a warm server
+	b.slowStart.recordSend(now, server, request.baselineLatency())
 	b.host.Send(request.ID, server.Server, 0)
 }
 
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -48,7 +48,7 @@
 	return c.Idempotency == Idempotent || c.Idempotency == IdempotentWithKey && age < c.KeyRetention
 }
 
-// attemptPermitted is the gate for every attempt: it enforces deadlines, limits, idempotency and slow start.
+// attemptPermitted is the gate for every attempt: it enforces deadlines, limits and idempotency.
 func (b *Balancer) attemptPermitted(now time.Duration, request *request, server *server) bool {
 	if request.completed || request.streaming || now >= request.deadline || server.State != Ready ||
 		b.attemptsExhausted(request, now) {
@@ -59,7 +59,7 @@
 			return false
 		}
 	}
-	return b.slowStartAdmits(server, now, request.baselineLatency())
+	return true
 }
 
 func (b *Balancer) mayFollowExecuted(request *request, earlier *attempt, server *server) bool {
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -37,7 +37,7 @@
 		return
 	}
 	b.limiter.markAllUnresponsive(server.inFlight)
-	b.subset.stale = true
+	b.subset.invalidate()
 	breaker.open(now, b.random)
 }
 
@@ -99,17 +99,12 @@
 
 // updateScores computes the scores: 0.7 x success rate + 0.3 x (1 - latency / the highest latency).
 func (b *Balancer) updateScores(now time.Duration) {
-	b.subset.closed, b.subset.awaitingTrial = 0, 0
+	b.subset.advanceBreakers(now)
 	highest := 0.0
 	for _, s := range b.subset.servers {
 		s.estimate(b.means)
-		s.breaker.advance(now)
-		switch {
-		case s.breaker.state == breakerClosed:
+		if s.breaker.state == breakerClosed {
 			highest = max(highest, s.relativeLatency)
-			b.subset.closed++
-		case s.breaker.awaitsTrial():
-			b.subset.awaitingTrial++
 		}
 	}
 	for _, s := range b.subset.servers {
@@ -156,6 +151,10 @@
 		if s.breaker.state == breakerOpen || request.hasTried(s) || !b.attemptPermitted(now, request, s) {
 			continue
 		}
+		b.slowStart.refillBudget(now, s, request.baselineLatency(), &b.subset, &b.arrivals)
+		if !b.slowStart.admits(now, s) {
+			continue
+		}
 		share := s.capacityShare(&b.settings.Rules, now)
 		if s.breaker.state == breakerClosed && b.limiter.hasCapacity(s, share, b.subset.nodesPerServer) {
 			b.candidates = append(b.candidates, s)
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -3,6 +3,7 @@
 // Slow start: a server that has just started has less capacity and fails when overloaded.
 
 import (
+	"math/rand/v2"
 	"time"
 
 	"calicohinge/internal/decayrate"
@@ -11,12 +12,16 @@
 const (
 	slowStartSafety = 0.8  // part of the work that a warming server is estimated to bear which is sent
 	burstWindows    = 0.25 // overload windows whose budget may be saved up
+	minWarmFraction = 0.75 // of the subset, for an estimate of what a warm server gets
 
 	warmServerRateTimeConstant = 10 * time.Second // of the smoothed rate of a warm server
 )
 
-// slowStartStats tell what a warm server gets, which limits what a warming one bears.
-type slowStartStats struct {
+// slowStart limits the work that this node sends to servers that are warming up.
+type slowStart struct {
+	nodes          int
+	rules          Rules
+	random         *rand.Rand
 	sentWork       decayrate.Meter // baseline latencies of this node's attempts
 	warmServerRate float64         // work per second from all nodes, when most servers were warm; 0: unknown
 }
@@ -27,6 +32,15 @@
 	updatedAt time.Duration
 }
 
+func newSlowStart(settings *Settings, random *rand.Rand) slowStart {
+	return slowStart{
+		nodes:    settings.Nodes,
+		rules:    settings.Rules,
+		random:   random,
+		sentWork: decayrate.New(rateTimeConstant),
+	}
+}
+
 // capacityShare returns the share of its capacity that a server has at least, 1 once it is warm.
 func (s *server) capacityShare(rules *Rules, now time.Duration) float64 {
 	age := now - s.StartedAt
@@ -37,42 +51,54 @@
 	return rules.SlowStartShare + gained/rules.SlowStartDuration.Seconds()
 }
 
-// updateWarmServerRate leaves the rate as it was unless three quarters of the subset are warm.
-func (b *Balancer) updateWarmServerRate(now, elapsed time.Duration) {
+// admits reports whether a server is warm or has a budget for more work.
+func (s *slowStart) admits(now time.Duration, server *server) bool {
+	return server.capacityShare(&s.rules, now) >= 1 || server.budget.work > 0
+}
+
+// recordSend takes the work of an attempt, in seconds. The budget of a warm server has no effect.
+func (s *slowStart) recordSend(now time.Duration, server *server, work float64) {
+	s.sentWork.Add(now, work)
+	server.budget.work -= work
+}
+
+// updateWarmServerRate leaves the rate as it was while less than minWarmFraction of the subset is warm.
+func (s *slowStart) updateWarmServerRate(now, elapsed time.Duration, subset *subset, ready int) {
 	warm := 0
-	for _, s := range b.subset.servers {
-		if s.breaker.state == breakerClosed && s.capacityShare(&b.settings.Rules, now) >= 1 {
+	for _, server := range subset.servers {
+		if server.breaker.state == breakerClosed && server.capacityShare(&s.rules, now) >= 1 {
 			warm++
 		}
 	}
-	ready := len(b.endpoints.ready)
-	if 4*warm < 3*len(b.subset.servers) || ready == 0 {
+	if float64(warm) < minWarmFraction*float64(len(subset.servers)) || ready == 0 {
 		return
 	}
-	rate := b.slowStart.sentWork.PerSecond(now) * float64(b.settings.Nodes) / float64(ready)
+	rate := s.sentWork.PerSecond(now) * float64(s.nodes) / float64(ready)
 	weight := min(1, elapsed.Seconds()/warmServerRateTimeConstant.Seconds())
-	b.slowStart.warmServerRate += (rate - b.slowStart.warmServerRate) * weight
+	s.warmServerRate += (rate - s.warmServerRate) * weight
 }
 
-// slowStartAdmits reports whether a server may get more work. A node does not see the other nodes' sends: its
-// budget grows at its own part of the rate that would overload the server. It starts with a random debt
-// of up to one request, since a send from each node at once could overload the server.
-func (b *Balancer) slowStartAdmits(server *server, now time.Duration, work float64) bool {
-	rules := &b.settings.Rules
-	share := server.capacityShare(rules, now)
+// refillBudget adds to the budget of a warming server, before a request of the given work in seconds. A node
+// does not see the other nodes' sends: the budget grows at this node's part of the rate that would overload
+// the server. It starts with a random debt of up to one request, since a send from each node at once could
+// overload the server.
+func (s *slowStart) refillBudget(
+	now time.Duration, server *server, work float64, subset *subset, arrivals *arrivalStats,
+) {
+	share := server.capacityShare(&s.rules, now)
 	if share >= 1 {
-		return true
+		return
 	}
-	if server.budget.updatedAt == 0 {
-		server.budget = slowStartBudget{work: -work * b.random.Float64(), updatedAt: now}
+	budget := &server.budget
+	if budget.updatedAt == 0 {
+		*budget = slowStartBudget{work: -work * s.random.Float64(), updatedAt: now}
 	}
-	rate := b.slowStart.warmServerRate / b.subset.nodesPerServer * rules.OverloadMultiple
-	if b.slowStart.warmServerRate == 0 { // a new node among warming servers knows its own arrivals only
-		rate = b.arrivals.rate.PerSecond(now) * work / float64(len(b.subset.servers))
+	rate := s.warmServerRate / subset.nodesPerServer * s.rules.OverloadMultiple
+	if s.warmServerRate == 0 { // a new node among warming servers knows its own arrivals only
+		rate = arrivals.rate.PerSecond(now) * work / float64(len(subset.servers))
 	}
 	rate *= share * slowStartSafety
-	burst := rate * rules.OverloadWindow.Seconds() * burstWindows
-	server.budget.work = min(server.budget.work+rate*(now-server.budget.updatedAt).Seconds(), burst)
-	server.budget.updatedAt = now
-	return server.budget.work > 0
+	burst := rate * s.rules.OverloadWindow.Seconds() * burstWindows
+	budget.work = min(budget.work+rate*(now-budget.updatedAt).Seconds(), burst)
+	budget.updatedAt = now
 }
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -21,7 +21,8 @@
 			if h.sendThroughSlowStart(s) == 0 {
 				t.Error("a warming server must get something, or it never shows that it is warm")
 			}
-			if record := h.balancer.requests.byID[h.request(0)]; !h.balancer.attemptPermitted(h.now, record, s) {
+			record := h.balancer.requests.byID[h.request(0)]
+			if !h.balancer.attemptPermitted(h.now, record, s) || !h.balancer.slowStart.admits(h.now, s) {
 				t.Error("the budget still limits a warm server")
 			}
 		})
@@ -45,7 +46,9 @@
 	warmServerRate := h.balancer.slowStart.warmServerRate
 	var sends []time.Duration
 	for start := h.now; h.now < start+rules.SlowStartDuration; h.now += ms {
-		if work := baseline + 0.001; h.balancer.slowStartAdmits(s, h.now, work) {
+		work := baseline + 0.001
+		h.balancer.slowStart.refillBudget(h.now, s, work, &h.balancer.subset, &h.balancer.arrivals)
+		if h.balancer.slowStart.admits(h.now, s) {
 			s.budget.work -= work
 			sends = append(sends, h.now)
 		}
@@ -81,7 +84,9 @@
 		balancer.slowStart.warmServerRate = work // one unloaded request per second
 		wait := time.Duration(0)
 		for ; wait < 10*time.Second; wait += 10 * ms {
-			if balancer.slowStartAdmits(balancer.endpoints.byID[1], time.Hour+wait, work) {
+			now, warming := time.Hour+wait, balancer.endpoints.byID[1]
+			balancer.slowStart.refillBudget(now, warming, work, &balancer.subset, &balancer.arrivals)
+			if balancer.slowStart.admits(now, warming) {
 				break
 			}
 		}
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -9,8 +9,10 @@
 	subsetRequestInterval = time.Second / 4 // in which each server of the subset gets one request
 )
 
-// subset is a contiguous part of the ring of ready servers.
+// subset is a contiguous part of the ring of ready servers. The subsets of all nodes cover the ring evenly.
 type subset struct {
+	node, nodes    int
+	rules          Rules
 	servers        []*server
 	nodesPerServer float64        // mean number of nodes that use a server, at least 1
 	regime         samplingRegime // by nodesPerServer
@@ -21,37 +23,64 @@
 	closed, awaitingTrial int // servers by the state of their breaker, as of the last refresh
 }
 
-// renewSubset adapts the subset to servers and traffic. The subsets of all nodes cover the ring evenly.
-func (b *Balancer) renewSubset(now time.Duration) {
-	wanted := max(minSubsetSize, int(b.arrivals.rate.PerSecond(now)*subsetRequestInterval.Seconds()+0.5))
-	if !b.subset.stale && wanted <= b.subset.wanted && now-b.subset.renewedAt < subsetRequestInterval {
+func newSubset(settings *Settings) subset {
+	created := subset{node: settings.Node % settings.Nodes, nodes: settings.Nodes, rules: settings.Rules}
+	created.setNodesPerServer(float64(settings.Nodes))
+	return created
+}
+
+func (u *subset) setNodesPerServer(nodesPerServer float64) {
+	u.nodesPerServer = nodesPerServer
+	u.regime = regimeFor(nodesPerServer)
+}
+
+// invalidate has the next renewal take place, because the ready servers or their breakers have changed.
+func (u *subset) invalidate() { u.stale = true }
+
+// renewIfDue adapts the subset to the ready servers, the ring, and to the rate of arrivals.
+func (u *subset) renewIfDue(now time.Duration, ring []*server, arrivalsPerSecond float64) {
+	rounded := int(arrivalsPerSecond*subsetRequestInterval.Seconds() + 0.5)
+	wanted := max(minSubsetSize, rounded)
+	if !u.stale && wanted <= u.wanted && now-u.renewedAt < subsetRequestInterval {
 		return
 	}
-	b.subset.stale, b.subset.wanted, b.subset.renewedAt = false, wanted, now
-	node, nodes, ready := b.settings.Node%b.settings.Nodes, float64(b.settings.Nodes), len(b.endpoints.ready)
-	start := int((float64(node) + 0.5) / nodes * float64(ready))
-	b.subset.fill(now, b.endpoints.ready, start, &b.settings.Rules)
-	b.subset.setNodesPerServer(max(1, nodes*float64(len(b.subset.servers))/float64(max(1, ready))))
+	u.stale, u.wanted, u.renewedAt = false, wanted, now
+	nodes, ready := float64(u.nodes), len(ring)
+	middle := float64(u.node) + 0.5 // of the node's part of the ring
+	u.fill(now, ring, int(middle/nodes*float64(ready)))
+	u.setNodesPerServer(max(1, nodes*float64(len(u.servers))/float64(max(1, ready))))
 }
 
 // fill takes servers along the ring until the wanted number is reached; a warming one counts in part.
-func (u *subset) fill(now time.Duration, ring []*server, start int, rules *Rules) {
+func (u *subset) fill(now time.Duration, ring []*server, start int) {
 	u.servers = u.servers[:0]
 	missing := float64(u.wanted)
 	for i := 0; i < len(ring) && missing > 0; i++ {
 		s := ring[(start+i)%len(ring)]
 		u.servers = append(u.servers, s)
 		if s.breaker.state != breakerOpen {
-			missing -= s.capacityShare(rules, now)
+			missing -= s.capacityShare(&u.rules, now)
 		}
 	}
 }
 
-func (u *subset) setNodesPerServer(nodesPerServer float64) {
-	u.nodesPerServer = nodesPerServer
-	u.regime = regimeFor(nodesPerServer)
+// advanceBreakers turns the breakers half-open that are due, and counts the servers by their state.
+func (u *subset) advanceBreakers(now time.Duration) {
+	u.closed, u.awaitingTrial = 0, 0
+	for _, s := range u.servers {
+		s.breaker.advance(now)
+		switch {
+		case s.breaker.state == breakerClosed:
+			u.closed++
+		case s.breaker.awaitsTrial():
+			u.awaitingTrial++
+		}
+	}
 }
 
+// allEjected reports whether no server may get a request, as of the last refresh.
+func (u *subset) allEjected() bool { return u.closed+u.awaitingTrial == 0 }
+
 // mayEjectAnother reports whether at most half of the subset has no closed breaker once another one opens.
 func (u *subset) mayEjectAnother() bool {
 	ejected := 0
