--- a/internal/outcomewindow/outcomewindow.go
+++ b/internal/outcomewindow/outcomewindow.go
@@ -25,19 +25,24 @@
 // at least 1.
 func New(capacity int) Window { return Window{ring: make([]outcome, capacity)} }
 
-// Add records an outcome; a full window forgets its oldest one. The latency counts for a
-// success only, in a unit of the caller's choice.
-func (w *Window) Add(now time.Duration, success bool, latency float64) {
+// AddSuccess records a success and its latency, in a unit of the caller's choice. A full window forgets its
+// oldest outcome.
+func (w *Window) AddSuccess(now time.Duration, latency float64) {
+	w.add(outcome{at: now, success: true, latency: latency})
+	w.successes++
+	w.latencySum += latency
+}
+
+// AddFailure records a failure. A full window forgets its oldest outcome.
+func (w *Window) AddFailure(now time.Duration) { w.add(outcome{at: now}) }
+
+func (w *Window) add(added outcome) {
 	if w.length == len(w.ring) {
 		w.dropOldest()
 	}
-	w.ring[w.next] = outcome{now, success, latency}
+	w.ring[w.next] = added
 	w.next = (w.next + 1) % len(w.ring)
 	w.length++
-	if success {
-		w.successes++
-		w.latencySum += latency
-	}
 }
 
 // Expire forgets the outcomes that are as old as maxAge or older.
--- a/internal/outcomewindow/outcomewindow_test.go
+++ b/internal/outcomewindow/outcomewindow_test.go
@@ -23,28 +23,32 @@
 
 func TestFailureAddsNoLatency(t *testing.T) {
 	w := New(3)
-	w.Add(1, true, 2)
-	w.Add(2, false, 100)
+	w.AddSuccess(1, 2)
+	w.AddFailure(2)
 	check(t, &w, 2, 1, 2)
 }
 
 func TestFullWindowForgetsTheOldest(t *testing.T) {
 	w := New(3)
 	for i := range 7 {
-		w.Add(time.Duration(i), i%2 == 0, float64(i))
+		if now := time.Duration(i); i%2 == 0 {
+			w.AddSuccess(now, float64(i))
+		} else {
+			w.AddFailure(now)
+		}
 	}
 	check(t, &w, 3, 2, 4+6)
 }
 
 func TestExpireForgetsOutcomesOfTheMaximumAge(t *testing.T) {
 	w := New(3)
-	w.Add(1*time.Second, true, 1)
-	w.Add(2*time.Second, true, 2)
-	w.Add(3*time.Second, false, 0)
+	w.AddSuccess(1*time.Second, 1)
+	w.AddSuccess(2*time.Second, 2)
+	w.AddFailure(3*time.Second)
 	w.Expire(7*time.Second, 5*time.Second)
 	check(t, &w, 1, 0, 0)
 	w.Expire(time.Minute, 5*time.Second)
 	check(t, &w, 0, 0, 0)
-	w.Add(time.Minute, true, 8)
+	w.AddSuccess(time.Minute, 8)
 	check(t, &w, 1, 1, 8)
 }
--- a/policy/circuit_breaker_test.go
+++ b/policy/circuit_breaker_test.go
@@ -120,10 +120,10 @@
 		for _, c := range pattern {
 			a := &attempt{server: s}
 			if c == '+' {
-				s.outcomes.Add(now, true, 1)
+				s.outcomes.AddSuccess(now, 1)
 				s.recordSuccess(now, a)
 			} else {
-				s.outcomes.Add(now, false, 1)
+				s.outcomes.AddFailure(now)
 				balancer.recordFailure(now, a, ServerError)
 			}
 		}
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -82,7 +82,7 @@
 			continue
 		}
 		b.limiter.markUnresponsive(attempt)
-		attempt.server.outcomes.Add(now, false, 0)
+		attempt.server.outcomes.AddFailure(now)
 		b.recordFailure(now, attempt, Timeout)
 		if request.inFlight == 1 && b.settings.Limits.Hedging && now+expected <= request.objectiveDeadline {
 			if server := b.selectServer(now, request); server != nil {
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -57,7 +57,7 @@
 	relativeLatency := outcome.Latency.Seconds() / request.baselineLatency()
 	switch outcome.Status {
 	case OK:
-		server.outcomes.Add(now, true, relativeLatency)
+		server.outcomes.AddSuccess(now, relativeLatency)
 		if relativeLatency > b.subset.regime.slowResponseMultiple {
 			b.recordFailure(now, attempt, Timeout) // congested: it needs time to recover
 		} else {
@@ -66,17 +66,17 @@
 		b.latency.record(attempt, request, outcome.Latency, b.subset.nodesPerServer)
 		b.limiter.adjust(now, &b.latency, &b.subset.regime, len(b.queue.waiting))
 	case ServerError, Reset, ConnectFailed:
-		server.outcomes.Add(now, false, relativeLatency)
+		server.outcomes.AddFailure(now)
 		b.recordFailure(now, attempt, outcome.Status)
 	case Timeout:
 		// A shorter one is due to its client. The measure is the baseline: the mean rises with congestion
 		// until no client waits long enough to count.
 		if !attempt.unresponsive && relativeLatency > unresponsiveMultiple {
-			server.outcomes.Add(now, false, relativeLatency)
+			server.outcomes.AddFailure(now)
 			b.recordFailure(now, attempt, Timeout)
 		}
 	case Rejected: // lowers the score, or a full server would be selected again
-		server.outcomes.Add(now, false, relativeLatency)
+		server.outcomes.AddFailure(now)
 	}
 	server.breaker.abandonTrial(attempt)
 }
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -24,10 +24,10 @@
 	servers := h.balancer.endpoints.ready
 	good, slow, failing := servers[0], servers[1], servers[2]
 	for range 50 {
-		good.outcomes.Add(h.now, true, 1)
-		slow.outcomes.Add(h.now, true, 5)
-		failing.outcomes.Add(h.now, true, 1)
-		failing.outcomes.Add(h.now, false, 0)
+		good.outcomes.AddSuccess(h.now, 1)
+		slow.outcomes.AddSuccess(h.now, 5)
+		failing.outcomes.AddSuccess(h.now, 1)
+		failing.outcomes.AddFailure(h.now)
 	}
 	h.balancer.refresh(h.now)
 	if !descending(good.score, slow.score) || !descending(good.score, failing.score) {
@@ -56,8 +56,8 @@
 func TestServerWithoutOutcomesScoresTheMean(t *testing.T) {
 	h := newHarness(t, testSettings(), 3)
 	for range 20 {
-		h.balancer.endpoints.ready[0].outcomes.Add(h.now, true, 1)
-		h.balancer.endpoints.ready[1].outcomes.Add(h.now, true, 3)
+		h.balancer.endpoints.ready[0].outcomes.AddSuccess(h.now, 1)
+		h.balancer.endpoints.ready[1].outcomes.AddSuccess(h.now, 3)
 	}
 	h.balancer.refresh(h.now)
 	s := h.balancer.endpoints.ready
@@ -93,7 +93,7 @@
 		h := newHarness(t, settings, 20)
 		h.balancer.refresh(h.now)
 		s := h.balancer.subset.servers[0]
-		s.outcomes.Add(h.now, true, 1)
+		s.outcomes.AddSuccess(h.now, 1)
 		h.now += (undersampled().maxOutcomeAge + wellSampled().maxOutcomeAge) / 2
 		h.balancer.refresh(h.now)
 		if kept := s.outcomes.Len() == 1; kept != tc.keeps {
