--- a/internal/outcomewindow/outcomewindow_test.go
+++ b/internal/outcomewindow/outcomewindow_test.go
@@ -44,7 +44,7 @@
 	w := New(3)
 	w.AddSuccess(1*time.Second, 1)
 	w.AddSuccess(2*time.Second, 2)
-	w.AddFailure(3*time.Second)
+	w.AddFailure(3 * time.Second)
 	w.Expire(7*time.Second, 5*time.Second)
 	check(t, &w, 1, 0, 0)
 	w.Expire(time.Minute, 5*time.Second)
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -66,7 +66,7 @@
 				h.endAttempt(id, OK, 0)
 			}
 		}
-		if within := h.balancer.quotas[0].Take(h.now); within != rejected {
+		if within := h.balancer.quotas.buckets[0].Take(h.now); within != rejected {
 			t.Errorf("after 30 requests, rejected %v: within the quota %v", rejected, within)
 		}
 	}
@@ -138,7 +138,7 @@
 	h.balancer.refresh(h.now)
 	for _, s := range h.balancer.subset.servers {
 		other := h.balancer.requests.add(Request{ID: 1000 + RequestID(s.Server)}, &h.balancer.classes[0])
-		h.balancer.addAttempt(h.now, other, s)
+		h.balancer.startAttempt(h.now, other, s)
 	}
 	began := h.now
 	h.lastID++
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -1,42 +1,39 @@
 package policy
 
-// The Balancer, its events and its timers.
+// The Balancer and the events that drive it.
 
 import (
-	"math"
 	"math/rand/v2"
 	"time"
-
-	"calicohinge/internal/tokenbucket"
 )
 
-const (
-	checkInterval         = 10 * time.Millisecond // of the periodic check; the resolution of all deadlines
-	maxAttemptsPerRequest = 16                    // caps Limits.MaxAttempts, as room for all is allocated
-	maxTime               = time.Duration(math.MaxInt64)
-
-	timerCheck, timerWatch = uint64(0), uint64(1) // tokens of the timers
-)
+// maxAttemptsPerRequest caps Limits.MaxAttempts, as room for all attempts is allocated.
+const maxAttemptsPerRequest = 16
 
-// Balancer makes the decisions of one node. Create it with New.
+// Balancer makes the decisions of one node. Create it with New. Each concern keeps its own state; the
+// Balancer is the order in which they are called.
 type Balancer struct {
 	settings Settings
 	host     Host
 	random   *rand.Rand
 
-	classes   []requestClass
-	quotas    []tokenbucket.Bucket // by tenant, this node's part of each quota
+	endpoints endpointSet
+	watch     watchSchedule
 	requests  requestTable
+	classes   []requestClass
+	quotas    tenantQuotas
+	arrivals  arrivalStats
 	queue     admissionQueue
-	endpoints endpointSet
-	subset    subset
-	means     outcomeMeans
-	slowStart slowStart
-	limiter   concurrencyLimiter
-
-	arrivals    arrivalStats
-	latency     latencyEstimator
-	candidates  []*server // reused by selectServer
+	shedder   loadShedder
+	retry     retryPolicy
+
+	subset     subset
+	means      outcomeMeans
+	latency    latencyEstimator
+	limiter    concurrencyLimiter
+	slowStart  slowStart
+	candidates candidates // reused by selectServer
+
 	refreshedAt time.Duration
 	outdated    bool          // refresh is due even at refreshedAt
 	nextCheckAt time.Duration // of the periodic check; maxTime if none is scheduled
@@ -50,26 +47,35 @@
 	settings.Limits.MaxAttempts = min(settings.Limits.MaxAttempts, maxAttemptsPerRequest)
 	random := rand.New(rand.NewPCG(seed, 0))
 	balancer := &Balancer{
-		settings: settings, host: host, random: random,
+		settings: settings,
+		host:     host,
+		random:   random,
+
+		endpoints: newEndpointSet(settings.Zone),
+		watch:     newWatchSchedule(&settings, random),
+		requests:  newRequestTable(settings.Limits.MaxAttempts),
+		quotas:    newTenantQuotas(&settings),
+		arrivals:  newArrivalStats(),
+		retry:     retryPolicy{limits: settings.Limits, random: random},
 
-		requests:  requestTable{byID: map[RequestID]*request{}, maxAttempts: settings.Limits.MaxAttempts},
-		endpoints: endpointSet{byID: map[ServerID]*server{}, watchBackoff: initialWatchBackoff},
 		subset:    newSubset(&settings),
-		means:     outcomeMeans{successRate: 1, relativeLatency: 1},
-
-		slowStart: newSlowStart(&settings, random),
+		means:     newOutcomeMeans(),
 		limiter:   newConcurrencyLimiter(settings.Nodes),
-		arrivals:  newArrivalStats(),
+		slowStart: newSlowStart(&settings, random),
 
-		nextCheckAt: maxTime, outdated: true,
+		outdated:    true,
+		nextCheckAt: maxTime,
 	}
 	for _, class := range settings.Classes {
 		balancer.classes = append(balancer.classes, newRequestClass(class, &settings))
 	}
-	for _, tenant := range settings.Tenants {
-		balancer.quotas = append(balancer.quotas, tokenbucket.New(tenant.QuotaPerS/float64(settings.Nodes)))
-	}
 	balancer.latency.smoothed = balancer.classes[0].baseline.Value()
+	balancer.shedder = loadShedder{
+		retry:    &balancer.retry,
+		arrivals: &balancer.arrivals,
+		regime:   &balancer.subset.regime,
+		means:    &balancer.means,
+	}
 	return balancer, nil
 }
 
@@ -86,7 +92,7 @@
 	class.recordCostHint(arrival.CostHint)
 	request := b.requests.add(arrival, class)
 	request.setDeadlines(now, &b.settings)
-	b.applyQuota(now, request)
+	b.quotas.charge(now, request)
 	b.arrivals.record(now, request)
 	b.queue.add(request)
 	b.dispatch(now)
@@ -104,10 +110,10 @@
 	b.cancelAttempts(request, attempt)
 }
 
-// ClientDisconnected reports that the client of a request is gone: it gets no final answer.
+// ClientDisconnected reports that the client of a request has disconnected: it gets no final response.
 func (b *Balancer) ClientDisconnected(_ time.Duration, id RequestID) {
-	if r := b.requests.byID[id]; r != nil {
-		b.complete(r)
+	if request := b.requests.byID[id]; request != nil {
+		b.complete(request)
 	}
 }
 
@@ -117,8 +123,9 @@
 	if request == nil {
 		return
 	}
-	b.attemptEnded(request, attempt)
-	attempt.notExecuted = outcome.Status.NotExecuted()
+	request.endAttempt(attempt, outcome.Status)
+	attempt.server.endAttempt(attempt)
+	b.limiter.endAttempt(attempt)
 	b.recordOutcome(now, request, attempt, outcome)
 	if outcome.RequestCompleted || outcome.Status == OK {
 		b.complete(request)
@@ -131,6 +138,25 @@
 	b.dispatch(now)
 }
 
+// UpdateEndpoints handles an update of the endpoint list. A cached one starts the watch, if there is one.
+func (b *Balancer) UpdateEndpoints(now time.Duration, kind UpdateKind, endpoints []Endpoint) {
+	b.watch.reset()
+	if kind == UpdateCached && b.settings.PollEndpoints {
+		b.startWatch(now, len(endpoints))
+	}
+	lost := b.endpoints.update(kind, endpoints)
+	b.limiter.markAllUnresponsive(lost)
+	b.subset.invalidate()
+	b.outdated = true
+	b.dispatch(now)
+}
+
+// WatchFailed reports that a call for the endpoint list failed or its watch broke; the known list stays in
+// force. Changes missed since count as notified at the deadline, so a response has to fit before it.
+func (b *Balancer) WatchFailed(now, deadline time.Duration) {
+	b.host.SetTimer(now+b.watch.backOff(deadline-now), timerWatch)
+}
+
 // TerminateAll rejects or fails every active request, for a node that shuts down.
 func (b *Balancer) TerminateAll(now time.Duration) {
 	for len(b.requests.active) > 0 {
@@ -151,57 +177,3 @@
 		b.host.WatchEndpoints()
 	}
 }
-
-func (b *Balancer) scheduleCheckBy(at time.Duration) {
-	if at < b.nextCheckAt {
-		b.nextCheckAt = at
-		b.host.SetTimer(at, timerCheck)
-	}
-}
-
-// periodicCheck sheds load and checks every active request. The next one runs by the earliest deadline,
-// since ResponseGrace may be shorter than checkInterval.
-func (b *Balancer) periodicCheck(now time.Duration) {
-	b.refresh(now)
-	b.shedLoad(now)
-	next := now + checkInterval
-	// Backwards, since completing a request moves the last one, already checked, to its index.
-	for i := len(b.requests.active) - 1; i >= 0; i-- {
-		r := b.requests.active[i]
-		b.checkRequest(now, r)
-		if !r.completed && r.inFlight == 0 {
-			next = min(next, r.deadline)
-		}
-	}
-	b.dispatch(now)
-	if len(b.requests.active) > 0 {
-		b.scheduleCheckBy(next)
-	}
-}
-
-func (b *Balancer) checkRequest(now time.Duration, request *request) {
-	switch {
-	case request.streaming:
-	case request.inFlight > 0:
-		b.detectUnresponsive(now, request)
-	case now >= request.deadline:
-		b.terminateUnserved(request)
-	case request.retryAt > 0 && now >= request.retryAt:
-		request.retryAt = 0
-		b.queue.add(request)
-	}
-}
-
-// refresh brings the subset, the scores and all other estimates up to date, once for each time.
-func (b *Balancer) refresh(now time.Duration) {
-	if !b.outdated && b.refreshedAt == now {
-		return
-	}
-	elapsed := now - b.refreshedAt
-	b.outdated, b.refreshedAt = false, now
-	b.subset.renewIfDue(now, b.endpoints.ready, b.arrivals.rate.PerSecond(now))
-	b.updateMeans(now)
-	b.slowStart.updateWarmServerRate(now, elapsed, &b.subset, len(b.endpoints.ready))
-	b.limiter.updateMeanInFlight(elapsed)
-	b.updateScores(now)
-}
--- a/policy/circuit_breaker.go
+++ b/policy/circuit_breaker.go
@@ -47,6 +47,12 @@
 
 func (c *circuitBreaker) isTrial(a *attempt) bool { return c.state == breakerHalfOpen && c.trial == a }
 
+// acceptsTrial reports whether the next attempt of a request may be the trial. One that is not idempotent is
+// the trial only if no other request came.
+func (c *circuitBreaker) acceptsTrial(now time.Duration, idempotency Idempotency) bool {
+	return c.awaitsTrial() && (idempotency != NotIdempotent || c.trialOverdue(now))
+}
+
 // trialOverdue reports whether no request has become the trial for as long as the breaker was open.
 func (c *circuitBreaker) trialOverdue(now time.Duration) bool {
 	return now > c.halfOpenAt+c.openDuration
--- a/policy/circuit_breaker_test.go
+++ b/policy/circuit_breaker_test.go
@@ -120,14 +120,14 @@
 		for _, c := range pattern {
 			a := &attempt{server: s}
 			if c == '+' {
-				s.outcomes.AddSuccess(now, 1)
+				s.score.outcomes.AddSuccess(now, 1)
 				s.recordSuccess(now, a)
 			} else {
-				s.outcomes.AddFailure(now)
+				s.score.outcomes.AddFailure(now)
 				balancer.recordFailure(now, a, ServerError)
 			}
 		}
-		balancer.updateMeans(now)
+		balancer.means.update(now, balancer.subset.servers, balancer.subset.regime.maxOutcomeAge)
 	}
 	h := newHarness(t, testSettings(), 4)
 	h.balancer.refresh(h.now)
--- /dev/null
+++ b/policy/dispatch.go
@@ -0,0 +1,164 @@
+package policy
+
+// The path of a request through the concerns: from the queue to a server, or to its termination.
+
+import "time"
+
+// refresh brings the subset, the scores and all other estimates up to date, once for each time.
+func (b *Balancer) refresh(now time.Duration) {
+	if !b.outdated && b.refreshedAt == now {
+		return
+	}
+	elapsed := now - b.refreshedAt
+	b.outdated, b.refreshedAt = false, now
+	b.subset.renewIfDue(now, b.endpoints.ready, b.arrivals.rate.PerSecond(now))
+	b.means.update(now, b.subset.servers, b.subset.regime.maxOutcomeAge)
+	b.slowStart.updateWarmServerRate(now, elapsed, &b.subset, len(b.endpoints.ready))
+	b.limiter.updateMeanInFlight(elapsed)
+	b.subset.advanceBreakers(now)
+	b.means.updateScores(b.subset.servers)
+}
+
+// dispatch sends queued requests while servers have capacity, or terminates them if every breaker is open.
+func (b *Balancer) dispatch(now time.Duration) {
+	if len(b.queue.waiting) == 0 {
+		return
+	}
+	b.refresh(now)
+	full := false // for any request that is not bound to the scope of its key
+	b.queue.removeFunc(func(request *request) bool {
+		if request.completed {
+			return true
+		}
+		if !full && b.sendIfCapacity(now, request) {
+			return true
+		}
+		if b.subset.allEjected() {
+			request.queued = false
+			b.terminateUnserved(request)
+			return true
+		}
+		full = full || len(request.attempts) == 0
+		return false
+	})
+}
+
+// sendIfCapacity sends a queued request if a server has capacity, and reports whether it did.
+func (b *Balancer) sendIfCapacity(now time.Duration, request *request) bool {
+	server := b.selectServer(now, request)
+	if server == nil {
+		return false
+	}
+	request.queued = false
+	b.send(now, request, server)
+	return true
+}
+
+// shedLoad terminates queued requests that cannot be served in time; dispatch drops the completed ones.
+func (b *Balancer) shedLoad(now time.Duration) {
+	b.queue.removeFunc(func(request *request) bool {
+		if request.completed || !b.shedder.mustShed(now, request) {
+			return false
+		}
+		request.queued = false
+		b.terminateUnserved(request)
+		return true
+	})
+}
+
+// selectServer returns a server for the next attempt, or nil: a half-open server that awaits its trial, else
+// the better of two random candidates for a first attempt and the best of all for a retry.
+func (b *Balancer) selectServer(now time.Duration, request *request) *server {
+	b.refresh(now)
+	b.collectCandidates(now, request)
+	switch {
+	case b.candidates.trial != nil:
+		return b.candidates.trial
+	case len(b.candidates.closed) == 0 || !b.limiter.nodeHasCapacity(request, &b.subset, &b.arrivals):
+		return nil
+	case len(request.attempts) == 0:
+		return b.candidates.drawTwo(b.random)
+	}
+	return b.candidates.best()
+}
+
+// collectCandidates collects the servers that may get the next attempt, up to the first that gets it as a
+// trial. It refills the slow start budgets of the permitted ones.
+func (b *Balancer) collectCandidates(now time.Duration, request *request) {
+	b.candidates.reset()
+	work := request.baselineLatency()
+	for _, s := range b.subset.servers {
+		if s.breaker.state == breakerOpen || request.hasTried(s) || !b.retry.permits(now, request, s) {
+			continue
+		}
+		b.slowStart.refillBudget(now, s, work, &b.subset, &b.arrivals)
+		if !b.slowStart.admits(now, s) {
+			continue
+		}
+		share := s.capacityShare(&b.settings.Rules, now)
+		if s.breaker.state == breakerClosed && b.limiter.hasCapacity(s, share, b.subset.nodesPerServer) {
+			b.candidates.closed = append(b.candidates.closed, s)
+		} else if s.breaker.acceptsTrial(now, request.class.Idempotency) {
+			b.candidates.trial = s
+			return
+		}
+	}
+}
+
+// send starts an attempt that retryPolicy and slowStart permit.
+func (b *Balancer) send(now time.Duration, request *request, server *server) {
+	b.startAttempt(now, request, server)
+	b.slowStart.recordSend(now, server, request.baselineLatency())
+	b.host.Send(request.ID, server.Server, 0)
+}
+
+// startAttempt counts a new attempt for its request, its server and the limit.
+func (b *Balancer) startAttempt(now time.Duration, request *request, server *server) {
+	attempt := request.startAttempt(now, server)
+	attempt.unloaded = b.limiter.serverUnloaded(server, &b.subset)
+	b.limiter.startAttempt()
+	server.startAttempt(attempt)
+}
+
+// scheduleRetry starts the backoff before a retry, or terminates the request if no retry fits.
+func (b *Balancer) scheduleRetry(now time.Duration, request *request) {
+	retryAt := now + b.retry.drawBackoff(request)
+	if !b.retry.permitsRetryAt(retryAt, request, request.expectedLatency(b.means.relativeLatency)) {
+		b.terminateUnserved(request)
+		return
+	}
+	request.retryAt = retryAt
+	b.scheduleCheckBy(now + checkInterval)
+}
+
+// terminateUnserved rejects a request, or fails it if it may have been executed and must not be again.
+func (b *Balancer) terminateUnserved(request *request) {
+	if b.subset.regime.returnsQuotaToken {
+		b.quotas.refund(request)
+	}
+	if request.safeToReject() {
+		b.host.Reject(request.ID, retryAfter(request.class, &b.settings.Limits))
+	} else {
+		b.host.Fail(request.ID)
+	}
+	b.complete(request)
+}
+
+// complete releases a request and cancels its attempts in flight.
+func (b *Balancer) complete(request *request) {
+	if !request.completed {
+		b.cancelAttempts(request, nil)
+	}
+	b.requests.release(request)
+}
+
+func (b *Balancer) cancelAttempts(request *request, except *attempt) {
+	if !b.settings.Limits.Cancel {
+		return
+	}
+	for i := range request.attempts {
+		if a := &request.attempts[i]; a.inFlight && a != except {
+			b.host.Cancel(request.ID, i)
+		}
+	}
+}
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -91,6 +91,11 @@
 	return r.class.baseline.Value()*r.relativeWork() + minBaseline.Seconds()
 }
 
+// relativeLatency returns a latency as a multiple of the request's baseline latency.
+func (r *request) relativeLatency(latency time.Duration) float64 {
+	return latency.Seconds() / r.baselineLatency()
+}
+
 // expectedLatency returns the latency of the request at the given multiple of its baseline.
 func (r *request) expectedLatency(relativeLatency float64) time.Duration {
 	return time.Duration(r.baselineLatency() * relativeLatency * float64(time.Second))
--- /dev/null
+++ b/policy/quota.go
@@ -0,0 +1,43 @@
+package policy
+
+// The quotas of the tenants.
+
+import (
+	"time"
+
+	"calicohinge/internal/tokenbucket"
+)
+
+// tenantQuotas holds this node's part of each tenant's quota.
+type tenantQuotas struct {
+	buckets           []tokenbucket.Bucket // by tenant
+	overQuotaFraction float64
+}
+
+func newTenantQuotas(settings *Settings) tenantQuotas {
+	quotas := tenantQuotas{overQuotaFraction: settings.OverQuotaFraction}
+	for _, tenant := range settings.Tenants {
+		quotas.buckets = append(quotas.buckets, tokenbucket.New(tenant.QuotaPerS/float64(settings.Nodes)))
+	}
+	return quotas
+}
+
+// charge takes a token of the tenant's quota, or lowers the weight of a request beyond it.
+func (q *tenantQuotas) charge(now time.Duration, request *request) {
+	if request.Tenant < 0 || request.Tenant >= len(q.buckets) {
+		return
+	}
+	if bucket := &q.buckets[request.Tenant]; bucket.Take(now) {
+		request.quota = bucket
+	} else {
+		request.weight *= q.overQuotaFraction
+	}
+}
+
+// refund returns the token of a request that was rejected, since its client retries. Unserved requests would
+// use up an undersampled node's small part of a quota.
+func (q *tenantQuotas) refund(request *request) {
+	if request.quota != nil {
+		request.quota.Return()
+	}
+}
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -3,7 +3,7 @@
 // Retries and hedged requests.
 
 import (
-	"slices"
+	"math/rand/v2"
 	"time"
 
 	"calicohinge/internal/jitter"
@@ -16,99 +16,80 @@
 	unresponsiveMultiple = 4.0 // of the expected latency without a response: counts as a failure
 )
 
-// scheduleRetry starts the backoff before a retry, or terminates the request if no retry fits.
-func (b *Balancer) scheduleRetry(now time.Duration, request *request) {
-	first := time.Duration(float64(request.class.Objective) * initialBackoffShare)
-	backoff := min(first<<(len(request.attempts)-1), maxBackoff)
-	retryAt := now + jitter.Proportional(b.random, backoff, jitterShare)
-	responseAt := retryAt + request.expectedLatency(b.means.relativeLatency)
-	if b.attemptsExhausted(request, retryAt) || responseAt > request.retryDeadline() {
-		b.terminateUnserved(request)
-		return
-	}
-	request.retryAt = retryAt
-	b.scheduleCheckBy(now + checkInterval)
+// retryPolicy says which attempts a request may have, and when.
+type retryPolicy struct {
+	limits Limits
+	random *rand.Rand
 }
 
-// retryDeadline returns when a response stops earning any weight.
-func (r *request) retryDeadline() time.Duration {
-	if r.class.LateFraction > 0 {
-		return r.deadline
-	}
-	return r.objectiveDeadline
+// drawBackoff returns the backoff before the next attempt.
+func (p *retryPolicy) drawBackoff(request *request) time.Duration {
+	first := time.Duration(float64(request.class.Objective) * initialBackoffShare)
+	backoff := min(first<<(len(request.attempts)-1), maxBackoff)
+	return jitter.Proportional(p.random, backoff, jitterShare)
 }
 
-func (b *Balancer) attemptsExhausted(request *request, at time.Duration) bool {
+// attemptsExhausted reports whether a request may have no attempt at a time or later.
+func (p *retryPolicy) attemptsExhausted(request *request, at time.Duration) bool {
 	executed := request.firstExecuted()
-	return len(request.attempts) >= b.settings.Limits.MaxAttempts ||
+	return len(request.attempts) >= p.limits.MaxAttempts ||
 		executed != nil && !request.class.mayRepeatAfter(at-executed.sentAt)
 }
 
-func (c *requestClass) mayRepeatAfter(age time.Duration) bool {
-	return c.Idempotency == Idempotent || c.Idempotency == IdempotentWithKey && age < c.KeyRetention
+// permitsRetryAt reports whether a retry at a time is permitted, and its response with the expected latency
+// still has weight.
+func (p *retryPolicy) permitsRetryAt(at time.Duration, request *request, latency time.Duration) bool {
+	return !p.attemptsExhausted(request, at) && at+latency <= request.retryDeadline()
 }
 
-// attemptPermitted is the gate for every attempt: it enforces deadlines, limits and idempotency.
-func (b *Balancer) attemptPermitted(now time.Duration, request *request, server *server) bool {
+// permits is the check of every attempt: it enforces deadlines, limits and idempotency.
+func (p *retryPolicy) permits(now time.Duration, request *request, server *server) bool {
 	if request.completed || request.streaming || now >= request.deadline || server.State != Ready ||
-		b.attemptsExhausted(request, now) {
+		p.attemptsExhausted(request, now) {
 		return false
 	}
 	for i := range request.attempts {
-		if a := &request.attempts[i]; !a.notExecuted && !b.mayFollowExecuted(request, a, server) {
+		if a := &request.attempts[i]; !a.notExecuted && !p.mayFollowExecuted(request, a, server) {
 			return false
 		}
 	}
 	return true
 }
 
-func (b *Balancer) mayFollowExecuted(request *request, earlier *attempt, server *server) bool {
-	return (!earlier.inFlight || b.settings.Limits.Hedging) &&
+// mayFollowExecuted reports whether an attempt at a server may follow one that may have been executed.
+func (p *retryPolicy) mayFollowExecuted(request *request, earlier *attempt, server *server) bool {
+	return (!earlier.inFlight || p.limits.Hedging) &&
 		(request.class.Idempotency != IdempotentWithKey || request.class.sharesKeyScope(earlier, server))
 }
 
-// sharesKeyScope reports whether a server recognizes the idempotency keys of an earlier attempt.
-func (c *requestClass) sharesKeyScope(earlier *attempt, server *server) bool {
-	return c.KeyScope == KeyScopeAll || c.KeyScope == KeyScopeZone && earlier.zone == server.Zone ||
-		c.KeyScope == KeyScopeCell && earlier.cell == server.Cell
+// permitsHedging reports whether a request with one attempt in flight may have a second one, whose response
+// with the expected latency meets the objective.
+func (p *retryPolicy) permitsHedging(now time.Duration, request *request, latency time.Duration) bool {
+	return request.inFlight == 1 && p.limits.Hedging && now+latency <= request.objectiveDeadline
 }
 
-// detectUnresponsive counts attempts without a response as failures and, where allowed, hedges the request.
-func (b *Balancer) detectUnresponsive(now time.Duration, request *request) {
-	expected := request.expectedLatency(b.means.relativeLatency)
-	for i := range request.attempts {
-		attempt := &request.attempts[i]
-		if !attempt.becameUnresponsive(now, expected) {
-			continue
-		}
-		b.limiter.markUnresponsive(attempt)
-		attempt.server.outcomes.AddFailure(now)
-		b.recordFailure(now, attempt, Timeout)
-		if request.inFlight == 1 && b.settings.Limits.Hedging && now+expected <= request.objectiveDeadline {
-			if server := b.selectServer(now, request); server != nil {
-				b.send(now, request, server)
-			}
-		}
+// retryDeadline returns when a response stops earning any weight.
+func (r *request) retryDeadline() time.Duration {
+	if r.class.LateFraction > 0 {
+		return r.deadline
 	}
+	return r.objectiveDeadline
 }
 
-func (a *attempt) becameUnresponsive(now, expected time.Duration) bool {
-	return a.inFlight && !a.unresponsive && a.server.respondedAt < a.sentAt &&
-		float64(now-a.sentAt) > unresponsiveMultiple*float64(expected)
+// mayRepeatAfter reports whether a request may be executed again at an age of its first attempt.
+func (c *requestClass) mayRepeatAfter(age time.Duration) bool {
+	return c.Idempotency == Idempotent || c.Idempotency == IdempotentWithKey && age < c.KeyRetention
 }
 
-// firstExecuted returns the first attempt that may have been executed, or nil.
-func (r *request) firstExecuted() *attempt {
-	for i := range r.attempts {
-		if a := &r.attempts[i]; !a.notExecuted {
-			return a
-		}
+// sharesKeyScope reports whether a server recognizes the idempotency keys of an earlier attempt.
+func (c *requestClass) sharesKeyScope(earlier *attempt, server *server) bool {
+	switch c.KeyScope {
+	case KeyScopeAll:
+		return true
+	case KeyScopeZone:
+		return earlier.zone == server.Zone
+	case KeyScopeCell:
+		return earlier.cell == server.Cell
 	}
-	return nil
-}
-
-func (r *request) mayHaveRun() bool { return r.firstExecuted() != nil }
-
-func (r *request) hasTried(server *server) bool {
-	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.server == server })
+	return false
 }
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -99,7 +99,7 @@
 	if _, ok := h.host.rejected[late]; !ok {
 		t.Fatal("a retry that cannot be in time must be rejected at once")
 	}
-	h.balancer.settings.Limits.MaxAttempts = 1
+	h.balancer.retry.limits.MaxAttempts = 1
 	last := h.request(0)
 	h.endAttempt(last, ServerError, ms)
 	if _, ok := h.host.rejected[last]; !ok {
@@ -139,12 +139,12 @@
 	record := h.balancer.requests.add(Request{ID: 9, Timeout: time.Second}, &h.balancer.classes[0])
 	record.deadline = h.now + time.Second
 	s := h.balancer.endpoints.ready[0]
-	if !h.balancer.attemptPermitted(h.now, record, s) {
+	if !h.balancer.retry.permits(h.now, record, s) {
 		t.Fatal("an attempt at a ready server must be permitted")
 	}
 	for _, state := range []EndpointState{Draining, Removed} {
 		s.State = state
-		if h.balancer.attemptPermitted(h.now, record, s) {
+		if h.balancer.retry.permits(h.now, record, s) {
 			t.Errorf("an attempt at a server in state %v is permitted", state)
 		}
 	}
--- /dev/null
+++ b/policy/score.go
@@ -0,0 +1,91 @@
+package policy
+
+// The score of each server, from its latest outcomes.
+
+import (
+	"time"
+
+	"calicohinge/internal/outcomewindow"
+)
+
+const (
+	outcomesPerServer  = 100  // latest outcomes that a server is judged by
+	priorOutcomes      = 3.0  // weight of the means beside a server's own outcomes
+	successWeight      = 0.7  // of the success rate in the score
+	latencyWeight      = 0.3  // of the latency in the score
+	minHighestLatency  = 1e-9 // multiple of the baseline, so that the score stays finite
+	scoreTieMargin     = 0.1  // scores this close go by the attempts in flight
+	initialSuccessRate = 1.0  // without any outcome
+	initialLatency     = 1.0  // multiple of the baseline, without any outcome
+)
+
+// serverScore judges a server by its latest outcomes.
+type serverScore struct {
+	outcomes        outcomewindow.Window // latencies as multiples of the baseline latency
+	successRate     float64
+	relativeLatency float64 // multiple of the baseline latency
+	value           float64 // of successRate and relativeLatency, as of the last refresh
+}
+
+func newServerScore() serverScore {
+	return serverScore{outcomes: outcomewindow.New(outcomesPerServer)}
+}
+
+// estimate counts the means as priorOutcomes outcomes, so that a server without outcomes stands at them.
+func (s *serverScore) estimate(means outcomeMeans) {
+	outcomes, successes := float64(s.outcomes.Len()), float64(s.outcomes.Successes())
+	s.successRate = (successes + priorOutcomes*means.successRate) / (outcomes + priorOutcomes)
+	latencySum := s.outcomes.LatencySum() + priorOutcomes*means.relativeLatency
+	s.relativeLatency = latencySum / (successes + priorOutcomes)
+}
+
+// updateValue computes the score: 0.7 x success rate + 0.3 x (1 - latency / the highest latency).
+func (s *serverScore) updateValue(highestLatency float64) {
+	highest := max(highestLatency, s.relativeLatency, minHighestLatency)
+	s.value = successWeight*s.successRate + latencyWeight*(1-s.relativeLatency/highest)
+}
+
+// failureRateBefore returns the failure rate before the latest outcomes, which are consecutive failures.
+func (s *serverScore) failureRateBefore(latest int, means outcomeMeans) float64 {
+	failures := float64(max(0, s.outcomes.Failures()-latest)) + priorOutcomes*(1-means.successRate)
+	return failures / (float64(max(0, s.outcomes.Len()-latest)) + priorOutcomes)
+}
+
+// outcomeMeans are taken over all servers of the subset, and stay as they are while there are no outcomes.
+type outcomeMeans struct{ successRate, relativeLatency float64 }
+
+func newOutcomeMeans() outcomeMeans {
+	return outcomeMeans{successRate: initialSuccessRate, relativeLatency: initialLatency}
+}
+
+// update drops the expired outcomes of the servers and takes the means over the others.
+func (m *outcomeMeans) update(now time.Duration, servers []*server, maxAge time.Duration) {
+	outcomes, successes, latencySum := 0, 0, 0.0
+	for _, s := range servers {
+		s.score.outcomes.Expire(now, maxAge)
+		outcomes += s.score.outcomes.Len()
+		successes += s.score.outcomes.Successes()
+		latencySum += s.score.outcomes.LatencySum()
+	}
+	if outcomes > 0 {
+		m.successRate = float64(successes) / float64(outcomes)
+	}
+	if successes > 0 {
+		m.relativeLatency = latencySum / float64(successes)
+	}
+}
+
+// updateScores computes the scores of the servers. Latencies are compared with the highest one among the
+// servers with closed breakers.
+func (m *outcomeMeans) updateScores(servers []*server) {
+	highest := 0.0
+	for _, s := range servers {
+		s.score.estimate(*m)
+		if s.breaker.state == breakerClosed {
+			highest = max(highest, s.score.relativeLatency)
+		}
+	}
+	for _, s := range servers {
+		s.score.updateValue(highest)
+	}
+}
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -13,8 +13,8 @@
 	h.advance(ms)
 	h.balancer.refresh(h.now)
 	for _, s := range h.balancer.subset.servers {
-		if s.Server != full && s.score <= h.balancer.endpoints.byID[full].score {
-			t.Fatalf("the rejecting server scores %.2f, another %.2f", h.balancer.endpoints.byID[full].score, s.score)
+		if s.Server != full && s.score.value <= h.balancer.endpoints.byID[full].score.value {
+			t.Fatalf("the rejecting server scores %.2f, another %.2f", h.balancer.endpoints.byID[full].score.value, s.score.value)
 		}
 	}
 }
@@ -24,19 +24,19 @@
 	servers := h.balancer.endpoints.ready
 	good, slow, failing := servers[0], servers[1], servers[2]
 	for range 50 {
-		good.outcomes.AddSuccess(h.now, 1)
-		slow.outcomes.AddSuccess(h.now, 5)
-		failing.outcomes.AddSuccess(h.now, 1)
-		failing.outcomes.AddFailure(h.now)
+		good.score.outcomes.AddSuccess(h.now, 1)
+		slow.score.outcomes.AddSuccess(h.now, 5)
+		failing.score.outcomes.AddSuccess(h.now, 1)
+		failing.score.outcomes.AddFailure(h.now)
 	}
 	h.balancer.refresh(h.now)
-	if !descending(good.score, slow.score) || !descending(good.score, failing.score) {
-		t.Fatalf("scores: good %.2f slow %.2f failing %.2f", good.score, slow.score, failing.score)
+	if !descending(good.score.value, slow.score.value) || !descending(good.score.value, failing.score.value) {
+		t.Fatalf("scores: good %.2f slow %.2f failing %.2f", good.score.value, slow.score.value, failing.score.value)
 	}
 	if betterServer(good, slow) != good || betterServer(failing, good) != good {
 		t.Fatal("the better score lost")
 	}
-	twin := &server{score: good.score - scoreTieMargin/2}
+	twin := &server{score: serverScore{value: good.score.value - scoreTieMargin/2}}
 	good.inFlight = append(good.inFlight, &attempt{})
 	if betterServer(good, twin) != twin {
 		t.Fatal("a near-tie must go to fewer requests in flight")
@@ -56,16 +56,16 @@
 func TestServerWithoutOutcomesScoresTheMean(t *testing.T) {
 	h := newHarness(t, testSettings(), 3)
 	for range 20 {
-		h.balancer.endpoints.ready[0].outcomes.AddSuccess(h.now, 1)
-		h.balancer.endpoints.ready[1].outcomes.AddSuccess(h.now, 3)
+		h.balancer.endpoints.ready[0].score.outcomes.AddSuccess(h.now, 1)
+		h.balancer.endpoints.ready[1].score.outcomes.AddSuccess(h.now, 3)
 	}
 	h.balancer.refresh(h.now)
 	s := h.balancer.endpoints.ready
-	if !descending(s[0].score, s[2].score, s[1].score) {
-		t.Fatalf("scores %.2f %.2f, unmeasured %.2f: not between", s[0].score, s[1].score, s[2].score)
+	if !descending(s[0].score.value, s[2].score.value, s[1].score.value) {
+		t.Fatalf("scores %.2f %.2f, unmeasured %.2f: not between", s[0].score.value, s[1].score.value, s[2].score.value)
 	}
 	h.balancer.refresh(h.now + 2*wellSampled().maxOutcomeAge)
-	if s[0].score != s[1].score {
+	if s[0].score.value != s[1].score.value {
 		t.Fatal("old outcomes still count: a server that was bad once is never tried again")
 	}
 }
@@ -93,10 +93,10 @@
 		h := newHarness(t, settings, 20)
 		h.balancer.refresh(h.now)
 		s := h.balancer.subset.servers[0]
-		s.outcomes.AddSuccess(h.now, 1)
+		s.score.outcomes.AddSuccess(h.now, 1)
 		h.now += (undersampled().maxOutcomeAge + wellSampled().maxOutcomeAge) / 2
 		h.balancer.refresh(h.now)
-		if kept := s.outcomes.Len() == 1; kept != tc.keeps {
+		if kept := s.score.outcomes.Len() == 1; kept != tc.keeps {
 			t.Errorf("%d nodes: an outcome of 7 s ago counts: %v, want %v", tc.nodes, kept, tc.keeps)
 		}
 	}
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -22,7 +22,7 @@
 				t.Error("a warming server must get something, or it never shows that it is warm")
 			}
 			record := h.balancer.requests.byID[h.request(0)]
-			if !h.balancer.attemptPermitted(h.now, record, s) || !h.balancer.slowStart.admits(h.now, s) {
+			if !h.balancer.retry.permits(h.now, record, s) || !h.balancer.slowStart.admits(h.now, s) {
 				t.Error("the budget still limits a warm server")
 			}
 		})
--- /dev/null
+++ b/policy/watch_schedule.go
@@ -0,0 +1,70 @@
+package policy
+
+// When the endpoint list is watched or polled.
+
+import (
+	"math/rand/v2"
+	"time"
+
+	"calicohinge/internal/jitter"
+)
+
+const (
+	initialWatchBackoff = 500 * time.Millisecond  // before another call for the endpoint list; doubles
+	watchSpreadPerNode  = 60 * time.Millisecond   // each node's part of the time over which calls spread
+	watchResponseTime   = 1500 * time.Millisecond // for a response, before the notification deadline
+
+	spreadsPerPollInterval  = 2 // the first calls spread over half of MaxPollInterval at most
+	backoffsPerPollInterval = 4 // the backoff grows to about a quarter of MaxPollInterval
+	minWaitsPerTimeLeft     = 2 // a wait may take half of the time left, even if no response fits then
+)
+
+// watchSchedule says when a node calls for the endpoint list.
+type watchSchedule struct {
+	spread          time.Duration // over which the calls of all nodes spread
+	maxPollInterval time.Duration
+	backoff         time.Duration // before the next call after a failed one
+	random          *rand.Rand
+}
+
+func newWatchSchedule(settings *Settings, random *rand.Rand) watchSchedule {
+	return watchSchedule{
+		spread:          time.Duration(settings.Nodes) * watchSpreadPerNode,
+		maxPollInterval: settings.Rules.MaxPollInterval,
+		backoff:         initialWatchBackoff,
+		random:          random,
+	}
+}
+
+// reset starts the backoff anew after a call has succeeded.
+func (w *watchSchedule) reset() { w.backoff = initialWatchBackoff }
+
+// initialSpan returns the time over which the first calls of nodes that start together spread. 0 means to
+// call at once, as few nodes do, and all without a cached list. A discovery service that serves its calls one
+// after another, even abandoned ones, times out on 80 calls at once and on their repetitions.
+func (w *watchSchedule) initialSpan(cachedEndpoints int) time.Duration {
+	span := min(w.spread, w.maxPollInterval/spreadsPerPollInterval, NotificationDeadline-watchResponseTime)
+	if span <= initialWatchBackoff || cachedEndpoints == 0 {
+		return 0
+	}
+	return span
+}
+
+// drawInitialDelay draws the delay of the first call within a span.
+func (w *watchSchedule) drawInitialDelay(span time.Duration) time.Duration {
+	return jitter.Full(w.random, span)
+}
+
+// backOff returns the delay of the next call after a failed one, and doubles the backoff. A response has to
+// fit into the time left until the notification deadline. Full jitter and then equal backoffs spread nodes
+// that lost the discovery service together.
+func (w *watchSchedule) backOff(left time.Duration) time.Duration {
+	longest := min(max(left-watchResponseTime, left/minWaitsPerTimeLeft, 0),
+		max(w.maxPollInterval, initialWatchBackoff))
+	delay := min(max(w.backoff, w.spread), longest)
+	if w.backoff == initialWatchBackoff {
+		delay = jitter.Full(w.random, delay)
+	}
+	w.backoff = min(2*w.backoff, w.maxPollInterval/backoffsPerPollInterval+initialWatchBackoff)
+	return delay
+}
