--- a/policy/api.go
+++ b/policy/api.go
@@ -1,13 +1,54 @@
-// Package policy makes the decisions of an HTTP load balancer that runs as several
-// nodes: which server gets a request, when a retry or a hedged request follows, which
-// requests are rejected, and when the endpoint list is polled or watched.
+// Package policy makes the decisions of an HTTP load balancer that runs as several nodes: which server
+// gets a request, when a retry or a hedged request follows, which requests are rejected, and when the
+// endpoint list is polled or watched.
 //
-// A Balancer is driven by events, one method each, and acts by calling its Host. It has
-// no clock, goroutine or global state: events carry the time, and the same events with the
-// same seed give the same actions in the same order. A Balancer is not safe for concurrent
-// use.
+// A Balancer is driven by events, one method each, and acts by calling its Host. It has no clock,
+// goroutine or global state: events carry the time, and the same events with the same seed give the same
+// actions in the same order. A Balancer is not safe for concurrent use. All times are durations since one
+// fixed moment of the caller's monotonic clock.
 //
-// All times are durations since one fixed moment of the caller's monotonic clock.
+// # Files
+//
+// The interface is in api.go, settings.go and validate.go. The Balancer owns one value of each concern and
+// calls them in order: balancer.go holds the events, timers.go the periodic check and the first watch,
+// dispatch.go the path of a request, and outcome.go what the outcome of an attempt says about its server.
+// Each concern has a type that alone changes its state:
+//
+//	endpoint_set.go       endpointSet         the known servers, by the endpoint list
+//	watch_schedule.go     watchSchedule       when the endpoint list is watched or polled
+//	server.go             server              a server with the measurements of its current process
+//	subset.go             subset              the servers that this node uses
+//	sampling_regime.go    samplingRegime      the rules that differ between few and many nodes per server
+//	request.go            request             a request and its attempts
+//	request_table.go      requestTable        the active requests
+//	quota.go              tenantQuotas        the tenants' quotas
+//	arrivals.go           arrivalStats        the rate and the priority weight of arrivals
+//	admission.go          admissionQueue      the requests that wait for capacity
+//	                      loadShedder         which of them are terminated
+//	selection.go          candidates          the choice between servers
+//	score.go              serverScore         the score of a server from its outcomes
+//	circuit_breaker.go    circuitBreaker      the ejection of a server after consecutive failures
+//	slow_start.go         slowStart           the work that a server gets while it is warming up
+//	concurrency_limit.go  concurrencyLimiter  the attempts in flight
+//	latency.go            latencyEstimator    latency, congestion and the baseline latencies
+//	retry.go              retryPolicy         which attempts a request may have, and when
+//
+// # Flow of an event
+//
+// A request takes a token of its tenant's quota, counts as an arrival and enters the admission queue.
+// Dispatch first refreshes the subset, the scores, the breakers and the limit, once for each time. For
+// each queued request it then collects the candidates: servers of the subset whose breaker, retry policy,
+// slow start budget and concurrency limit permit an attempt. It sends the request to one of them, or
+// leaves it in the queue.
+//
+// An outcome first counts for the server: its score, its breaker, the latency estimates and the limit.
+// Then it completes the request, or starts the backoff before a retry. Dispatch follows, as capacity may
+// be free.
+//
+// The periodic check sheds queued requests that would be late, detects unresponsive attempts and hedges
+// them, queues the retries whose backoff is over, and terminates requests at their deadline.
+//
+// An update of the endpoint list changes the endpoint set, and dispatch uses the new subset at once.
 package policy
 
 import (
@@ -88,7 +129,7 @@
 	OverloadMultiple  float64       // a server that is warming up fails when it gets more than this
 	OverloadWindow    time.Duration // multiple of its current capacity for this long
 	MaxPollInterval   time.Duration // with Settings.PollEndpoints: longest time between two polls
-	ResponseGrace     time.Duration // time after a client's deadline at which a final answer still counts
+	ResponseGrace     time.Duration // time after a client's deadline at which a final response still counts
 }
 
 // Settings configures a Balancer. Validate names the impossible ones.
@@ -182,7 +223,7 @@
 	Attempt          int // index among the sends of this request, from 0
 	Server           ServerID
 	Status           Status
-	RequestCompleted bool          // the client has its final answer, by this outcome or before
+	RequestCompleted bool          // the client has its final response, by this outcome or before
 	Latency          time.Duration // time since the send
 }
 
--- a/policy/score.go
+++ b/policy/score.go
@@ -31,7 +31,7 @@
 	return serverScore{outcomes: outcomewindow.New(outcomesPerServer)}
 }
 
-// estimate counts the means as priorOutcomes outcomes, so that a server without outcomes stands at them.
+// estimate counts the means as priorOutcomes outcomes, so that a server without outcomes has the means.
 func (s *serverScore) estimate(means outcomeMeans) {
 	outcomes, successes := float64(s.outcomes.Len()), float64(s.outcomes.Successes())
 	s.successRate = (successes + priorOutcomes*means.successRate) / (outcomes + priorOutcomes)
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	slowStartSafety = 0.8  // part of the work that a warming server is estimated to bear which is sent
+	slowStartSafety = 0.8  // part of the estimated capacity of a warming server that is used
 	burstWindows    = 0.25 // overload windows whose budget may be saved up
 	minWarmFraction = 0.75 // of the subset, for an estimate of what a warm server gets
 
