--- a/policy/admission.go
+++ b/policy/admission.go
@@ -20,6 +20,10 @@
 	request.queued = true
 }
 
+// markRemoved is called for a request right before it is sent or terminated and removeFunc removes it: its
+// record may be reused from then on.
+func (q *admissionQueue) markRemoved(request *request) { request.queued = false }
+
 // removeFunc calls a function on each request in order and removes those for which it returns true.
 func (q *admissionQueue) removeFunc(remove func(*request) bool) {
 	q.waiting = slices.DeleteFunc(q.waiting, remove)
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -69,7 +69,7 @@
 	for _, class := range settings.Classes {
 		balancer.classes = append(balancer.classes, newRequestClass(class, &settings))
 	}
-	balancer.latency.smoothed = balancer.classes[0].baseline.Value()
+	balancer.latency = newLatencyEstimator(&balancer.classes[0])
 	balancer.shedder = loadShedder{
 		retry:    &balancer.retry,
 		arrivals: &balancer.arrivals,
@@ -105,7 +105,7 @@
 	if request == nil {
 		return
 	}
-	request.streaming = true
+	request.startStream()
 	attempt.server.recordSuccess(now, attempt)
 	b.cancelAttempts(request, attempt)
 }
--- a/policy/concurrency_limit.go
+++ b/policy/concurrency_limit.go
@@ -35,8 +35,11 @@
 	return concurrencyLimiter{limit: float64(min(initialLimit, nodes))}
 }
 
-// startAttempt counts an attempt that is sent.
-func (l *concurrencyLimiter) startAttempt() { l.inFlight++ }
+// startAttempt counts an attempt before its server does, and notes whether it has the server to itself.
+func (l *concurrencyLimiter) startAttempt(a *attempt, subset *subset) {
+	a.unloaded = l.serverUnloaded(a.server, subset)
+	l.inFlight++
+}
 
 // endAttempt takes an attempt that has ended out of the count.
 func (l *concurrencyLimiter) endAttempt(a *attempt) {
--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -34,7 +34,7 @@
 			return true
 		}
 		if b.subset.allEjected() {
-			request.queued = false
+			b.queue.markRemoved(request)
 			b.terminateUnserved(request)
 			return true
 		}
@@ -49,7 +49,7 @@
 	if server == nil {
 		return false
 	}
-	request.queued = false
+	b.queue.markRemoved(request)
 	b.send(now, request, server)
 	return true
 }
@@ -60,7 +60,7 @@
 		if request.completed || !b.shedder.mustShed(now, request) {
 			return false
 		}
-		request.queued = false
+		b.queue.markRemoved(request)
 		b.terminateUnserved(request)
 		return true
 	})
@@ -115,8 +115,7 @@
 // startAttempt counts a new attempt for its request, its server and the limit.
 func (b *Balancer) startAttempt(now time.Duration, request *request, server *server) {
 	attempt := request.startAttempt(now, server)
-	attempt.unloaded = b.limiter.serverUnloaded(server, &b.subset)
-	b.limiter.startAttempt()
+	b.limiter.startAttempt(attempt, &b.subset)
 	server.startAttempt(attempt)
 }
 
@@ -127,7 +126,7 @@
 		b.terminateUnserved(request)
 		return
 	}
-	request.retryAt = retryAt
+	request.startBackoff(retryAt)
 	b.scheduleCheckBy(now + checkInterval)
 }
 
--- a/policy/endpoint_set.go
+++ b/policy/endpoint_set.go
@@ -47,8 +47,7 @@
 	if endpoint.State == Ready && server.State != Ready {
 		e.ready = append(e.ready, server)
 	}
-	server.Endpoint = endpoint
-	server.sameZone = endpoint.Zone == e.zone
+	server.update(endpoint, e.zone)
 	return lost
 }
 
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -107,6 +107,11 @@
 	congestion float64 // smoothed logarithm of latency over the baseline at the same server
 }
 
+// newLatencyEstimator starts from the guessed baseline of a class.
+func newLatencyEstimator(class *requestClass) latencyEstimator {
+	return latencyEstimator{smoothed: class.baseline.Value()}
+}
+
 // record takes the latency of a served request.
 func (e *latencyEstimator) record(
 	attempt *attempt, request *request, latency time.Duration, nodesPerServer float64,
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -14,17 +14,17 @@
 	case OK:
 		b.recordResponse(now, request, attempt, outcome.Latency)
 	case ServerError, Reset, ConnectFailed:
-		server.score.outcomes.AddFailure(now)
+		server.score.recordFailure(now)
 		b.recordFailure(now, attempt, outcome.Status)
 	case Timeout:
 		// A shorter one is due to its client. The measure is the baseline: the mean rises with congestion
 		// until no client waits long enough to count.
 		if !attempt.unresponsive && request.relativeLatency(outcome.Latency) > unresponsiveMultiple {
-			server.score.outcomes.AddFailure(now)
+			server.score.recordFailure(now)
 			b.recordFailure(now, attempt, Timeout)
 		}
 	case Rejected: // lowers the score, or a full server would be selected again
-		server.score.outcomes.AddFailure(now)
+		server.score.recordFailure(now)
 	case Cancelled, NotSent: // say nothing about the server
 	}
 	server.breaker.abandonTrial(attempt)
@@ -35,7 +35,7 @@
 	now time.Duration, request *request, attempt *attempt, latency time.Duration,
 ) {
 	relativeLatency := request.relativeLatency(latency)
-	attempt.server.score.outcomes.AddSuccess(now, relativeLatency)
+	attempt.server.score.recordSuccess(now, relativeLatency)
 	if relativeLatency > b.subset.regime.slowResponseMultiple {
 		b.recordFailure(now, attempt, Timeout) // congested: it needs time to recover
 	} else {
@@ -74,7 +74,7 @@
 			continue
 		}
 		b.limiter.markUnresponsive(attempt)
-		attempt.server.score.outcomes.AddFailure(now)
+		attempt.server.score.recordFailure(now)
 		b.recordFailure(now, attempt, Timeout)
 		if !b.retry.permitsHedging(now, request, expected) {
 			continue
--- a/policy/request.go
+++ b/policy/request.go
@@ -80,6 +80,18 @@
 	r.inFlight--
 }
 
+// startStream records that the client gets the response of an attempt.
+func (r *request) startStream() { r.streaming = true }
+
+// startBackoff has a retry wait until a time.
+func (r *request) startBackoff(until time.Duration) { r.retryAt = until }
+
+// backoffOver reports whether the backoff of a retry has ended.
+func (r *request) backoffOver(now time.Duration) bool { return r.retryAt > 0 && now >= r.retryAt }
+
+// endBackoff ends the backoff of a retry, which is due.
+func (r *request) endBackoff() { r.retryAt = 0 }
+
 // firstExecuted returns the first attempt that may have been executed, or nil.
 func (r *request) firstExecuted() *attempt {
 	for i := range r.attempts {
--- a/policy/score.go
+++ b/policy/score.go
@@ -31,6 +31,12 @@
 	return serverScore{outcomes: outcomewindow.New(outcomesPerServer)}
 }
 
+func (s *serverScore) recordSuccess(now time.Duration, relativeLatency float64) {
+	s.outcomes.AddSuccess(now, relativeLatency)
+}
+
+func (s *serverScore) recordFailure(now time.Duration) { s.outcomes.AddFailure(now) }
+
 // estimate counts the means as priorOutcomes outcomes, so that a server without outcomes has the means.
 func (s *serverScore) estimate(means outcomeMeans) {
 	outcomes, successes := float64(s.outcomes.Len()), float64(s.outcomes.Successes())
--- a/policy/server.go
+++ b/policy/server.go
@@ -41,6 +41,12 @@
 	return previous.inFlight
 }
 
+// update applies an entry of the endpoint list.
+func (s *server) update(endpoint Endpoint, zone int) {
+	s.Endpoint = endpoint
+	s.sameZone = endpoint.Zone == zone
+}
+
 func (s *server) startAttempt(a *attempt) {
 	s.inFlight = append(s.inFlight, a)
 	s.breaker.startAttempt(a)
--- a/policy/timers.go
+++ b/policy/timers.go
@@ -54,8 +54,8 @@
 		b.detectUnresponsive(now, request)
 	case now >= request.deadline:
 		b.terminateUnserved(request)
-	case request.retryAt > 0 && now >= request.retryAt:
-		request.retryAt = 0
+	case request.backoffOver(now):
+		request.endBackoff()
 		b.queue.add(request)
 	}
 }
