--- a/policy/concurrency_limit_test.go
+++ b/policy/concurrency_limit_test.go
@@ -131,19 +131,6 @@
 	}
 }
 
-// succeedOlderThan ends all attempts of the requests that were first sent so long ago.
-func (h *harness) succeedOlderThan(age time.Duration) {
-	for id := range h.lastID {
-		record := h.balancer.requests.byID[id]
-		if record == nil || len(record.attempts) == 0 || h.now-record.attempts[0].sentAt < age {
-			continue
-		}
-		for i := range record.attempts {
-			h.balancer.Outcome(h.now, Outcome{ID: id, Attempt: i, Status: OK, RequestCompleted: true, Latency: age})
-		}
-	}
-}
-
 // Guards against a stop of all sends when servers with attempts in flight vanish.
 func TestAttemptsAtOpenBreakersDoNotUseUpTheLimit(t *testing.T) {
 	h := newHarness(t, testSettings(), 4)
@@ -164,24 +151,3 @@
 		t.Fatal("a server with capacity is left idle because ejected ones have attempts in flight")
 	}
 }
-
-// Guards against a baseline that grows with congestion: no other attempt of this node does not mean no load.
-func TestOnlyAttemptsInAQuietFleetCountAsUnloaded(t *testing.T) {
-	settings := testSettings()
-	settings.Nodes = 7
-	h := newHarness(t, settings, 7)
-	h.balancer.limiter.limit = 2 * h.balancer.subset.nodesPerServer
-	h.balancer.arrivals.rate.Add(h.now, 100)
-	unloaded, sends := 0, 0
-	for range 7 {
-		for _, a := range h.balancer.requests.byID[h.request(0)].attempts {
-			sends++
-			if a.unloaded {
-				unloaded++
-			}
-		}
-	}
-	if unloaded == 0 || sends < 5 || unloaded > 4 {
-		t.Fatalf("%d of %d attempts count as unloaded, want the first few", unloaded, sends)
-	}
-}
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -228,3 +228,23 @@
 	limiter.limit, limiter.knownGood, limiter.congestionSeen = 1, 1, true
 	limiter.meanInFlight = 2 * limiter.limit / subset.nodesPerServer * float64(subset.closed)
 }
+
+// openAllBreakers ejects every server for good.
+func (h *harness) openAllBreakers() {
+	for _, s := range h.balancer.endpoints.ready {
+		s.breaker.state, s.breaker.halfOpenAt = breakerOpen, maxTime
+	}
+}
+
+// succeedOlderThan ends all attempts of the requests that were first sent so long ago.
+func (h *harness) succeedOlderThan(age time.Duration) {
+	for id := range h.lastID {
+		record := h.balancer.requests.byID[id]
+		if record == nil || len(record.attempts) == 0 || h.now-record.attempts[0].sentAt < age {
+			continue
+		}
+		for i := range record.attempts {
+			h.balancer.Outcome(h.now, Outcome{ID: id, Attempt: i, Status: OK, RequestCompleted: true, Latency: age})
+		}
+	}
+}
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -107,32 +107,6 @@
 	}
 }
 
-// Guards against relying on an unresponsive server until its attempts time out.
-func TestUnresponsiveServerIsAvoidedBeforeAnyTimeout(t *testing.T) {
-	h := newHarness(t, testSettings(), 6)
-	h.serve(100, 20*ms)
-	unresponsive := h.balancer.endpoints.ready[2]
-	for range 60 {
-		id := h.request(0)
-		h.advance(20 * ms)
-		for _, s := range h.sendsOf(id)[h.outcomesGiven[id]:] {
-			if s != unresponsive.Server {
-				h.outcomesGiven[id] = len(h.sendsOf(id)) - 1
-				h.endAttempt(id, OK, 20*ms)
-				break
-			}
-		}
-	}
-	if n := len(unresponsive.inFlight); n > 3 {
-		t.Fatalf("%d requests wait at an unresponsive server", n)
-	}
-	for _, a := range unresponsive.inFlight {
-		if len(a.request.attempts) != 2 {
-			t.Fatal("no hedged request was sent for a request without a response")
-		}
-	}
-}
-
 // Guards against attempts at a server that is not ready.
 func TestAttemptPermittedOnlyAtReadyServer(t *testing.T) {
 	h := newHarness(t, testSettings(), 2)
--- /dev/null
+++ b/policy/watch_schedule_test.go
@@ -0,0 +1,79 @@
+package policy
+
+import (
+	"testing"
+	"time"
+)
+
+func TestWatchIsRepeatedAfterFailuresAndListStaysInForce(t *testing.T) {
+	settings := testSettings()
+	settings.PollEndpoints = true
+	h := newHarness(t, settings, 3)
+	if h.host.watches != 1 {
+		t.Fatalf("%d calls at the start, want 1", h.host.watches)
+	}
+	for range 2 {
+		h.balancer.WatchFailed(h.now, h.now+NotificationDeadline)
+	}
+	h.advance(settings.Rules.MaxPollInterval / 2)
+	if h.host.watches < 2 {
+		t.Fatal("no new call after a failure")
+	}
+	if len(h.balancer.endpoints.ready) != 3 {
+		t.Fatal("a failed call must leave the list in force")
+	}
+}
+
+// A watch that falls silent is repeated in the time left until the notification deadline, by the nodes of a
+// fleet at different times, and the backoff does not grow beyond that.
+func TestSilentWatchIsRepeatedBeforeNotificationDeadline(t *testing.T) {
+	const left = NotificationDeadline / 4 // until the notification deadline
+	const span = NotificationDeadline / 8 // for the next call
+	settings := testSettings()
+	settings.PollEndpoints, settings.Nodes = true, 300
+	apart := map[time.Duration]bool{}
+	for node := range 100 {
+		settings.Node = node
+		host := newHost()
+		balancer, err := New(settings, uint64(node), host)
+		if err != nil {
+			t.Fatal(err)
+		}
+		for range 5 {
+			host.timers = nil
+			balancer.WatchFailed(time.Hour, time.Hour+left)
+			if len(host.timers) != 1 || host.timers[0].token != timerWatch || host.timers[0].at > time.Hour+span {
+				t.Fatalf("timers %v", host.timers)
+			}
+			apart[host.timers[0].at.Truncate(span/10)] = true
+		}
+	}
+	if len(apart) < 8 {
+		t.Errorf("the calls fall into %d tenths of the span", len(apart))
+	}
+}
+
+func TestFewNodesOrEmptyListWatchAtOnce(t *testing.T) {
+	for _, tc := range []struct {
+		nodes   int
+		entries []Endpoint
+		at      bool
+	}{{3, ready(1, 10), true}, {80, nil, true}, {80, ready(1, 10), false}} {
+		settings := testSettings()
+		settings.Nodes, settings.PollEndpoints = tc.nodes, true
+		host := newHost()
+		balancer, err := New(settings, 1, host)
+		if err != nil {
+			t.Fatal(err)
+		}
+		balancer.UpdateEndpoints(time.Hour, UpdateCached, tc.entries)
+		if at := host.watches == 1; at != tc.at {
+			t.Errorf("%d nodes, %d servers known: watches at once: %v, want %v",
+				tc.nodes, len(tc.entries), at, tc.at)
+		}
+		latest := time.Hour + settings.Rules.MaxPollInterval/2
+		if !tc.at && (len(host.timers) != 1 || host.timers[0].at > latest) {
+			t.Errorf("timers %v, want one by %v", host.timers, latest)
+		}
+	}
+}
