--- a/internal/config/settings_table.go
+++ b/internal/config/settings_table.go
@@ -7,14 +7,12 @@
 	"calicohinge/internal/milliseconds"
 )
 
-// kind is the form of a setting's value, where that matters to this package.
+// kind is the form of a setting's value. The zero kind is a value that has the same form in package policy.
 type kind int
 
 const (
-	// kindPlain is a value that has the same unit in package policy.
-	kindPlain kind = iota
 	// kindMilliseconds is a floating-point number of milliseconds, which becomes a time.Duration.
-	kindMilliseconds
+	kindMilliseconds kind = iota + 1
 	// kindWord is one of a few words, which becomes a value of an enumeration or a bool.
 	kindWord
 	// kindList is a list; its elements have settings of their own.
