--- a/internal/config/settings_table.go
+++ b/internal/config/settings_table.go
@@ -28,7 +28,7 @@
 
 // settingsTable is the one table of the operators' keys and the fields of package policy. Errors of
 // policy.Settings.Validate are translated by it. Tests hold to it the structs that the settings are
-// decoded into, the keys in errors of this package, and the README.
+// decoded into, the keys in errors of this package, and docs/CONFIGURATION.md.
 func settingsTable() []setting {
 	return []setting{
 		{key: "Balancers", field: "Nodes"},
--- a/internal/config/settings_table_test.go
+++ b/internal/config/settings_table_test.go
@@ -127,21 +127,19 @@
 	}
 }
 
-// readmeKey is a row of one of the README's tables of keys.
-type readmeKey struct{ key, unit string }
+// documentedKey is a row of one of the tables of keys in docs/CONFIGURATION.md.
+type documentedKey struct{ key, unit string }
 
-// readmeKeys returns the rows of the tables of keys in the README's section Configuration.
-func readmeKeys(t *testing.T) []readmeKey {
+// documentedKeys returns the rows of the tables of keys in docs/CONFIGURATION.md.
+func documentedKeys(t *testing.T) []documentedKey {
 	t.Helper()
-	text, err := os.ReadFile("../../README.md")
+	text, err := os.ReadFile("../../docs/CONFIGURATION.md")
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, section, _ := strings.Cut(string(text), "\n## Configuration\n")
-	section, _, _ = strings.Cut(section, "\n## ")
-	var rows []readmeKey
+	var rows []documentedKey
 	header := ""
-	for line := range strings.Lines(section) {
+	for line := range strings.Lines(string(text)) {
 		cells := strings.Split(line, "|")
 		if len(cells) < 3 { // not in a table
 			header = ""
@@ -151,18 +149,18 @@
 		if header == "" {
 			header = first
 		} else if header == "key" && strings.HasPrefix(first, "`") {
-			rows = append(rows, readmeKey{strings.Trim(first, "`"), strings.TrimSpace(cells[2])})
+			rows = append(rows, documentedKey{strings.Trim(first, "`"), strings.TrimSpace(cells[2])})
 		}
 	}
 	return rows
 }
 
 // isSetting reports whether a key is one of the settings: the keys of the file start in lower case.
-func (r readmeKey) isSetting() bool { return strings.ToLower(r.key[:1]) != r.key[:1] }
+func (r documentedKey) isSetting() bool { return strings.ToLower(r.key[:1]) != r.key[:1] }
 
-func TestReadmeHasEachSettingWithItsUnit(t *testing.T) {
+func TestPageHasEachSettingWithItsUnit(t *testing.T) {
 	var documented, want []string
-	for _, row := range readmeKeys(t) {
+	for _, row := range documentedKeys(t) {
 		if row.isSetting() {
 			documented = append(documented, row.key)
 			if (row.unit == "ms") != strings.HasSuffix(row.key, "Ms") {
@@ -178,9 +176,9 @@
 	checkSameSet(t, documented, want)
 }
 
-func TestReadmeHasEachKeyOfTheFile(t *testing.T) {
+func TestPageHasEachKeyOfTheFile(t *testing.T) {
 	var documented, want []string
-	for _, row := range readmeKeys(t) {
+	for _, row := range documentedKeys(t) {
 		if !row.isSetting() {
 			documented = append(documented, row.key)
 		}
