--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -27,29 +27,29 @@
 // deadlineExpired is sent by the timer of a request's deadline.
 type deadlineExpired struct{ request *request }
 
-func (e deadlineExpired) handle(l *loop, now time.Duration) { l.expire(now, e.request) }
+func (e deadlineExpired) handle(l *loop, now time.Duration) { l.expireDeadline(now, e.request) }
 
-// attemptEnded is sent by the goroutine that carries out an attempt and by the attempt's
-// timer, and deferred by host calls that end one.
-type attemptEnded struct {
+// outcomeReceived is sent by the goroutine that carries out an attempt and by the attempt's
+// timer, and deferred by the host calls that cancel one or do not send it.
+type outcomeReceived struct {
 	request *request
 	index   int // of the attempt in the request
 	result  upstream.Result
 }
 
-func (e attemptEnded) handle(l *loop, now time.Duration) {
-	l.endAttempt(now, e.request, e.index, e.result)
+func (e outcomeReceived) handle(l *loop, now time.Duration) {
+	l.receiveOutcome(now, e.request, e.index, e.result)
 }
 
-// keyRetentionEnded is sent by a timer when servers may have forgotten a request's
+// keyRetentionExpired is sent by a timer when servers may have forgotten a request's
 // idempotency key.
-type keyRetentionEnded struct {
+type keyRetentionExpired struct {
 	request *request
 	index   int // of the attempt that must not be sent any more
 }
 
-func (e keyRetentionEnded) handle(l *loop, now time.Duration) {
-	l.endKeyRetention(now, e.request, e.index)
+func (e keyRetentionExpired) handle(l *loop, now time.Duration) {
+	l.expireKeyRetention(now, e.request, e.index)
 }
 
 // requestCompletedByHost is deferred by the host calls that complete a request.
--- a/internal/node/host.go
+++ b/internal/node/host.go
@@ -37,19 +37,19 @@
 	started := &attempt{server: server, sentAt: now, call: h.newCall(req.client.ClientDisconnected)}
 	index := req.start(started)
 	if req.state != requestActive || index >= h.maxAttempts || now >= req.deadline {
-		h.queue.deferEvent(attemptEnded{req, index, upstream.Result{Status: policy.NotSent}})
+		h.queue.deferEvent(outcomeReceived{req, index, upstream.Result{Status: policy.NotSent}})
 		return
 	}
 	if timeout > 0 && now+timeout < req.deadline {
 		started.timer = time.AfterFunc(timeout, func() {
-			h.queue.post(attemptEnded{req, index, upstream.Result{Status: policy.Timeout}})
+			h.queue.post(outcomeReceived{req, index, upstream.Result{Status: policy.Timeout}})
 		})
 	}
 	h.limitToKeyRetention(req, index)
 	deadline := h.clock.toTime(req.deadline)
 	h.sends.Go(func() {
 		result := h.pool.Send(started.call, server, &req.Request, deadline)
-		h.queue.post(attemptEnded{req, index, result})
+		h.queue.post(outcomeReceived{req, index, result})
 	})
 }
 
@@ -67,7 +67,7 @@
 	for _, a := range req.attempts[first:] {
 		a.call.SetWriteDeadline(end)
 	}
-	req.attempts[index].timer = time.AfterFunc(time.Until(end), func() { h.queue.post(keyRetentionEnded{req, index}) })
+	req.attempts[index].timer = time.AfterFunc(time.Until(end), func() { h.queue.post(keyRetentionExpired{req, index}) })
 }
 
 // Cancel implements policy.Host.
@@ -76,7 +76,7 @@
 	if req == nil || index >= len(req.attempts) {
 		return
 	}
-	h.queue.deferEvent(attemptEnded{req, index, upstream.Result{Status: policy.Cancelled}})
+	h.queue.deferEvent(outcomeReceived{req, index, upstream.Result{Status: policy.Cancelled}})
 }
 
 // Reject implements policy.Host.
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -153,31 +153,31 @@
 	l.release(req)
 }
 
-// expire ends the attempts that are in flight at the request's deadline. The balancer
-// completes the request then.
-func (l *loop) expire(now time.Duration, req *request) {
+// expireDeadline reports the attempts that are in flight at the request's deadline as timed out. The
+// balancer completes the request then.
+func (l *loop) expireDeadline(now time.Duration, req *request) {
 	for index := range req.attempts {
 		l.reportOutcome(now, req, index, upstream.Result{Status: policy.Timeout})
 	}
 }
 
-// endAttempt reports an attempt that has ended. If it was not sent since its client had
+// receiveOutcome reports the outcome of an attempt. If it was not sent since its client had
 // disconnected, the event of that has still to come.
-func (l *loop) endAttempt(now time.Duration, req *request, index int, result upstream.Result) {
+func (l *loop) receiveOutcome(now time.Duration, req *request, index int, result upstream.Result) {
 	if result.ClientDisconnected {
 		l.disconnect(now, req)
 	}
 	l.reportOutcome(now, req, index, result)
 }
 
-// endKeyRetention revokes an attempt that is still waiting for its connection.
-func (l *loop) endKeyRetention(now time.Duration, req *request, index int) {
+// expireKeyRetention revokes an attempt that is still waiting for its connection.
+func (l *loop) expireKeyRetention(now time.Duration, req *request, index int) {
 	if req.attempts[index].revoke() {
 		l.reportOutcome(now, req, index, upstream.Result{Status: policy.NotSent})
 	}
 }
 
-// reportOutcome reports the end of an attempt to the balancer, once; later ends are dropped.
+// reportOutcome reports the first outcome of an attempt to the balancer; later ones are dropped.
 func (l *loop) reportOutcome(now time.Duration, req *request, index int, result upstream.Result) {
 	if !req.report(index, result.Status) {
 		return
@@ -203,8 +203,9 @@
 // fireTimer hands a timer that the balancer requested back to it.
 func (l *loop) fireTimer(now time.Duration, token uint64) { l.balancer.Timer(now, token) }
 
-// updateEndpoints applies an update of the endpoint list. Attempts at servers that must not get them any
-// more are revoked before the balancer, which knows the new list, decides where their requests go.
+// updateEndpoints applies an update of the endpoint list. Attempts that must not reach their servers any
+// more are revoked first. Their outcomes are reported after the update, so that the balancer sends their
+// requests to servers of the new list.
 func (l *loop) updateEndpoints(now time.Duration, update endpointsUpdated) {
 	complete := update.kind != policy.UpdateDelta
 	revoked := l.requests.revokeAttemptsAt(l.pool.UpdateEndpoints(complete, update.forPool))
--- a/internal/node/transitions.go
+++ b/internal/node/transitions.go
@@ -1,8 +1,6 @@
 package node
 
-import (
-	"calicohinge/policy"
-)
+import "calicohinge/policy"
 
 // requestState is the state of a client's request. These are its transitions; all are made in the
 // loop's goroutine.
@@ -29,17 +27,17 @@
 // state as well, since the goroutine that carries out the attempt changes that: it is unsent as long as
 // the attempt waits for its connection, then sending or revoked.
 //
-//	transition  from               to                  made by
-//	start       -                  in flight, unsent   policyHost.Send
-//	send        unsent             sending             upstream.Pool.Send, with the first byte
-//	revoke      unsent             revoked             request.complete: the client has its response
-//	                                                   loop.endKeyRetention: the server may have
-//	                                                   forgotten the idempotency key
-//	                                                   loop.updateEndpoints: the server was removed,
-//	                                                   drains, or was restarted
-//	report      in flight          reported            loop.reportOutcome, with the first outcome: of the
-//	                                                   attempt's goroutine, its timer, its revocation, the
-//	                                                   request's deadline or policyHost.Cancel
+//	transition  from       to                 made by
+//	start       -          in flight, unsent  policyHost.Send
+//	send        unsent     sending            upstream.Pool.Send, before the first byte
+//	revoke      unsent     revoked            request.complete: the client waits no more
+//	                                          loop.expireKeyRetention: the server may have forgotten
+//	                                          the idempotency key
+//	                                          loop.updateEndpoints: the server was removed, drains, or
+//	                                          was restarted
+//	report      in flight  reported, or       loop.reportOutcome, with the first outcome: of the attempt's
+//	                       not executed       goroutine, its timer, its revocation, the request's
+//	                                          deadline or policyHost.Cancel
 type attemptState uint8
 
 const (
@@ -86,7 +84,7 @@
 	return len(r.attempts) - 1
 }
 
-// report ends the attempt with an index by its outcome. It reports false if that has happened before.
+// report records the outcome of the attempt with an index. It reports false if the attempt has one already.
 func (r *request) report(index int, status policy.Status) bool {
 	a := r.attempts[index]
 	if a.state != attemptInFlight {
