--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -58,7 +58,8 @@
 		}
 		testkit.OK(w, r)
 	})
-	n := startReadyWith(t, b.Endpoint("s-0"), withTimes(1000, 900))
+	const served = 2750 * time.Millisecond // the drain period begins 400 ms later
+	n := startReadyWith(t, b.Endpoint("s-0"), withTimes(3000, 2700))
 	steady, late := n.dial(), n.dial()
 	n.roundTrip(steady)
 	n.roundTrip(late)
@@ -66,7 +67,7 @@
 	began := time.Now()
 	n.stop()
 	n.waitReady(http.StatusServiceUnavailable)
-	for time.Since(began) < time.Second {
+	for time.Since(began) < served {
 		testkit.Wait(t, b.Requests, "the request before")
 		if resp := n.roundTrip(steady); resp.StatusCode != http.StatusOK || resp.Close {
 			t.Fatalf("status %d, close %v after %v", resp.StatusCode, resp.Close, time.Since(began))
