--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -1,7 +1,9 @@
 package node
 
 import (
+	"bufio"
 	"errors"
+	"fmt"
 	"net"
 	"net/http"
 	"testing"
@@ -58,7 +60,11 @@
 		}
 		testkit.OK(w, r)
 	})
-	const served = 2750 * time.Millisecond // the drain period begins 400 ms later
+	const (
+		drainsAt  = 3150 * time.Millisecond // the grace period of 3.45 s without its last 0.3 s
+		lateAt    = drainsAt - 400*time.Millisecond
+		checkedTo = drainsAt - 150*time.Millisecond
+	)
 	n := startReadyWith(t, b.Endpoint("s-0"), withTimes(3000, 2700))
 	steady, late := n.dial(), n.dial()
 	n.roundTrip(steady)
@@ -67,15 +73,11 @@
 	began := time.Now()
 	n.stop()
 	n.waitReady(http.StatusServiceUnavailable)
-	for time.Since(began) < served {
-		testkit.Wait(t, b.Requests, "the request before")
-		if resp := n.roundTrip(steady); resp.StatusCode != http.StatusOK || resp.Close {
-			t.Fatalf("status %d, close %v after %v", resp.StatusCode, resp.Close, time.Since(began))
-		}
-	}
+	n.wantServedUntil(steady, began.Add(lateAt), began.Add(drainsAt))
 	if err := n.request("pay").Write(late); err != nil {
 		t.Fatal(err)
 	}
+	n.wantServedUntil(steady, began.Add(checkedTo), began.Add(drainsAt))
 
 	if resp := n.readResponse(late); resp.StatusCode != http.StatusBadGateway {
 		t.Errorf("the last one got status %d", resp.StatusCode)
@@ -83,6 +85,38 @@
 	n.awaitExit()
 }
 
+// wantServedUntil sends one request after the other and fails the test unless each is served on a connection
+// that stays open. A paused test may see the end of the connection only after the drain has begun.
+func (n *testNode) wantServedUntil(nc net.Conn, end, drainsAt time.Time) {
+	n.t.Helper()
+	for time.Now().Before(end) {
+		err := n.keepAliveRoundTrip(nc)
+		if err == nil {
+			continue
+		}
+		if time.Now().Before(drainsAt) {
+			n.t.Fatalf("%v, %v before the drain", err, time.Until(drainsAt))
+		}
+		return
+	}
+}
+
+// keepAliveRoundTrip sends a request. It returns an error unless it is served and the connection stays open.
+func (n *testNode) keepAliveRoundTrip(nc net.Conn) error {
+	if err := n.request("read").Write(nc); err != nil {
+		return err
+	}
+	resp, err := http.ReadResponse(bufio.NewReader(nc), nil)
+	if err != nil {
+		return err
+	}
+	discard(resp.Body)
+	if resp.StatusCode != http.StatusOK || resp.Close {
+		return fmt.Errorf("status %d, close %v", resp.StatusCode, resp.Close)
+	}
+	return nil
+}
+
 // A request whose deadline is long after the kill gets its response before it all the same.
 func TestShutdownFailsLongRequestsBeforeTheKill(t *testing.T) {
 	t.Parallel()
