--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -6,7 +6,7 @@
 )
 
 // Guards against congestion at the servers: what they cannot take waits here, and what would be late is
-// rejected while its client can still ask elsewhere.
+// rejected while its client can still retry elsewhere.
 func TestRequestsBeyondTheLimitAreQueuedAndShedInTime(t *testing.T) {
 	h := newHarness(t, testSettings(), 2)
 	for range 10 {
@@ -81,7 +81,7 @@
 		}
 	}
 	if waited := h.now - began; waited > 250*ms {
-		t.Errorf("rejected after %v of 500 ms: its client could have asked elsewhere", waited)
+		t.Errorf("rejected after %v of 500 ms: its client could have retried elsewhere", waited)
 	}
 	if after := h.host.rejected[id]; after <= 0 {
 		t.Error("the client gets no Retry-After")
--- a/policy/balancer_test.go
+++ b/policy/balancer_test.go
@@ -24,7 +24,7 @@
 	}
 	h.balancer.Request(h.now, Request{ID: 1000, Class: 9, Timeout: time.Second})
 	if _, ok := h.host.rejected[1000]; !ok {
-		t.Fatal("a request of an unknown class got no final answer")
+		t.Fatal("a request of an unknown class got no final response")
 	}
 }
 
@@ -41,8 +41,8 @@
 }
 
 // A node that shuts down rejects every active request where that is safe and fails the others. Nothing is sent
-// or answered afterwards.
-func TestTerminateAllAnswersEveryRequest(t *testing.T) {
+// or completed afterwards.
+func TestTerminateAllCompletesEveryRequest(t *testing.T) {
 	h := newHarness(t, testSettings(), 3)
 	var ids []RequestID
 	for class := range h.balancer.classes {
@@ -68,9 +68,9 @@
 	}
 }
 
-// Guards against a final answer after the grace: the periodic check runs every 10 ms, a grace may be shorter,
+// Guards against a final response after the grace: the periodic check runs every 10 ms, a grace may be shorter,
 // and a tick may be longer than either.
-func TestFinalAnswerComesWithinTheGraceForAnyTick(t *testing.T) {
+func TestFinalResponseComesWithinTheGraceForAnyTick(t *testing.T) {
 	const timeout, grace = 122*ms + ms/2, 5 * ms
 	for _, tick := range []time.Duration{ms, 5 * ms, 50 * ms} {
 		settings := testSettings()
--- a/policy/concurrency_limit_test.go
+++ b/policy/concurrency_limit_test.go
@@ -15,6 +15,7 @@
 
 // newLimiterHarness has a request that waits for the limit.
 func newLimiterHarness(t *testing.T) (*harness, *Balancer) {
+	t.Helper()
 	h := newHarness(t, testSettings(), 4)
 	h.balancer.latency.smoothed, h.balancer.limiter.adjustedAt = 0.1, h.now
 	h.balancer.queue.waiting = append(h.balancer.queue.waiting, &request{completed: true})
@@ -131,7 +132,7 @@
 	}
 }
 
-// Guards against a stop of all sends when servers with attempts in flight vanish.
+// Guards against a stop of all sends when servers with attempts in flight stop responding.
 func TestAttemptsAtOpenBreakersDoNotUseUpTheLimit(t *testing.T) {
 	h := newHarness(t, testSettings(), 4)
 	for range 4 {
--- a/policy/disconnect_test.go
+++ b/policy/disconnect_test.go
@@ -1,6 +1,7 @@
 package policy
 
 import (
+	"fmt"
 	"testing"
 	"time"
 )
@@ -49,15 +50,19 @@
 	} {
 		for _, order := range []string{staysConnected, disconnectsFirst, disconnectsAfter} {
 			for _, cancel := range []bool{true, false} {
-				t.Run(c.name+"/"+order, func(t *testing.T) { c.run(t, order, cancel) })
+				settings := testSettings()
+				settings.Limits.Cancel = cancel
+				t.Run(fmt.Sprintf("%s/%s/cancel %v", c.name, order, cancel), func(t *testing.T) {
+					c.run(t, order, settings)
+				})
 			}
 		}
 	}
 }
 
-func (c *disconnectCase) run(t *testing.T, order string, cancel bool) {
-	settings := testSettings()
-	settings.Limits.Cancel = cancel
+// run starts the next attempt of a request at the time of its client's disconnection.
+func (c *disconnectCase) run(t *testing.T, order string, settings Settings) {
+	t.Helper()
 	h := newHarness(t, settings, 3)
 	id := c.before(h)
 	sends, cancels, wantSends := len(h.sendsOf(id)), h.host.cancels, 1
@@ -79,7 +84,7 @@
 	if record := h.balancer.requests.byID[id]; record != nil {
 		inFlight = record.inFlight
 	}
-	if n := h.host.cancels - cancels; cancel && n != inFlight {
+	if n := h.host.cancels - cancels; settings.Limits.Cancel && n != inFlight {
 		t.Errorf("%d of %d attempts are cancelled", n, inFlight)
 	}
 	for i := range sends + wantSends { // the attempts end in the way that would cause a retry
--- a/policy/endpoint_set_test.go
+++ b/policy/endpoint_set_test.go
@@ -6,7 +6,7 @@
 )
 
 // Guards against sends after the update, also by retries and queued requests.
-func TestNoSendToDrainingOrGoneServer(t *testing.T) {
+func TestNoSendToDrainingOrRemovedServer(t *testing.T) {
 	settings := testSettings()
 	h := newHarness(t, settings, 2)
 	for i := range 20 { // more than there is capacity for: some are queued
@@ -42,8 +42,8 @@
 	}
 }
 
-// Guards against attempts at a server's former process that use up the capacity of the new one.
-func TestRestartFreesCapacityHeldByFormerProcess(t *testing.T) {
+// Guards against attempts at a server's previous process that use up the capacity of the new one.
+func TestRestartFreesCapacityHeldByPreviousProcess(t *testing.T) {
 	h := newHarness(t, testSettings(), 2)
 	first, second := h.request(0), h.request(0)
 	if h.balancer.limiter.inFlight != 2 {
@@ -80,7 +80,7 @@
 	h.balancer.ClientDisconnected(h.now, first) // in the batch of its outcome
 	h.balancer.ClientDisconnected(h.now, second)
 	if h.host.cancels != 1 || len(h.host.rejected)+len(h.host.failed) != 0 {
-		t.Fatalf("%d cancels, answers %v %v; want one cancel", h.host.cancels, h.host.rejected, h.host.failed)
+		t.Fatalf("%d cancels, final responses %v %v; want one cancel", h.host.cancels, h.host.rejected, h.host.failed)
 	}
 	h.endAttempt(second, Cancelled, 20*ms)
 	h.balancer.Outcome(h.now, Outcome{ID: second, Status: OK}) // repeated
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -195,7 +195,8 @@
 }
 
 // breakers counts the breakers by state.
-func (h *harness) breakers() (count [3]int) {
+func (h *harness) breakers() [3]int {
+	var count [3]int
 	for _, s := range h.balancer.endpoints.ready {
 		count[s.breaker.state]++
 	}
@@ -205,6 +206,7 @@
 // newUndersampledHarness has many nodes and warm measurements. Class 0 has a low priority weight, class 1 a
 // high one, of which late responses still earn half.
 func newUndersampledHarness(t *testing.T) *harness {
+	t.Helper()
 	settings := testSettings()
 	settings.Nodes = 80
 	settings.Limits.MaxRetryAfter = 750 * ms
--- a/policy/invariants_test.go
+++ b/policy/invariants_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// invariantChecker generates random events for one Balancer and checks each action: one final answer in time,
+// invariantChecker generates random events for one Balancer and checks each action: one final response in time,
 // no execution against the idempotency, no send to a server that is not ready, no attempt beyond the limit.
 type invariantChecker struct {
 	*fakeHost
@@ -17,7 +17,7 @@
 	balancer     *Balancer
 	now          time.Duration
 	requests     map[RequestID]*checkedRequest
-	finalAnswers map[RequestID]int
+	finalResponses map[RequestID]int
 	endpoints    map[ServerID]Endpoint
 }
 
@@ -53,7 +53,7 @@
 			continue
 		}
 		if checked.class.Idempotency == NotIdempotent {
-			w.t.Errorf("%v: request %d, not idempotent, sent again though it may have run", w.now, id)
+			w.t.Errorf("%v: request %d, not idempotent, sent again though it may have been executed", w.now, id)
 		}
 		keyKnown := a.server.Cell == s.Cell && w.now-a.sentAt < checked.class.KeyRetention
 		if checked.class.Idempotency == IdempotentWithKey && !keyKnown {
@@ -63,15 +63,15 @@
 	checked.attempts = append(checked.attempts, &checkedAttempt{server: s, sentAt: w.now, inFlight: true})
 }
 
-func (w *invariantChecker) recordAnswer(id RequestID) *checkedRequest {
-	w.finalAnswers[id]++
+func (w *invariantChecker) recordFinalResponse(id RequestID) *checkedRequest {
+	w.finalResponses[id]++
 	checked := w.requests[id]
 	if checked == nil || checked.completed {
-		w.t.Errorf("%v: request %d answered twice", w.now, id)
+		w.t.Errorf("%v: request %d completed twice", w.now, id)
 		return &checkedRequest{}
 	}
 	if w.now > checked.deadline+20*ms {
-		w.t.Errorf("%v: request %d answered after its deadline at %v", w.now, id, checked.deadline)
+		w.t.Errorf("%v: request %d completed after its deadline at %v", w.now, id, checked.deadline)
 	}
 	checked.completed = true
 	return checked
@@ -79,17 +79,17 @@
 
 func (w *invariantChecker) Reject(id RequestID, after time.Duration) {
 	w.fakeHost.Reject(id, after)
-	checked := w.recordAnswer(id)
+	checked := w.recordFinalResponse(id)
 	for _, a := range checked.attempts {
 		if !a.notExecuted && checked.class.Idempotency != Idempotent {
-			w.t.Errorf("%v: request %d rejected though it may have run", w.now, id)
+			w.t.Errorf("%v: request %d rejected though it may have been executed", w.now, id)
 		}
 	}
 }
 
 func (w *invariantChecker) Fail(id RequestID) {
 	w.fakeHost.Fail(id)
-	w.recordAnswer(id)
+	w.recordFinalResponse(id)
 }
 
 // outcome ends attempt i of a request with a random status, or by its deadline.
@@ -105,7 +105,7 @@
 	a.inFlight = false
 	a.notExecuted = status == Rejected || status == ConnectFailed
 	if status == OK {
-		w.recordAnswer(id)
+		w.recordFinalResponse(id)
 	}
 	w.balancer.Outcome(w.now, Outcome{ID: id, Attempt: i, Server: a.server.Server, Status: status,
 		Latency: w.now - a.sentAt, RequestCompleted: checked.completed})
@@ -121,7 +121,7 @@
 		}
 		if !checked.completed && w.rng.IntN(400) == 0 {
 			checked.completed = true
-			w.finalAnswers[id]++
+			w.finalResponses[id]++
 			w.balancer.ClientDisconnected(w.now, id)
 		}
 	}
@@ -141,11 +141,12 @@
 
 // runRandomEvents returns the log of the actions.
 func runRandomEvents(t *testing.T, seed uint64) []string {
+	t.Helper()
 	settings := testSettings()
 	settings.Classes[0].LateFraction = 0.5
 	settings.Tenants = []Tenant{{QuotaPerS: 50}}
 	w := &invariantChecker{fakeHost: newHost(), t: t, rng: rand.New(rand.NewPCG(seed, 1)), now: time.Hour,
-		requests: map[RequestID]*checkedRequest{}, finalAnswers: map[RequestID]int{},
+		requests: map[RequestID]*checkedRequest{}, finalResponses: map[RequestID]int{},
 		endpoints: map[ServerID]Endpoint{}}
 	balancer, err := New(settings, seed, w)
 	if err != nil {
@@ -178,8 +179,8 @@
 		w.step(ids)
 	}
 	for _, id := range ids {
-		if w.finalAnswers[id] != 1 {
-			t.Errorf("request %d got %d final answers", id, w.finalAnswers[id])
+		if w.finalResponses[id] != 1 {
+			t.Errorf("request %d got %d final responses", id, w.finalResponses[id])
 		}
 	}
 	if known, active := len(balancer.requests.byID), len(balancer.requests.active); known > 0 || active > 0 {
--- a/policy/retry_key_retention_test.go
+++ b/policy/retry_key_retention_test.go
@@ -7,7 +7,7 @@
 )
 
 // Each case ends the first attempt of a request whose idempotency key is kept for a short time, lets time
-// pass, and tells how often the request is sent and whether it is terminated.
+// pass, and says how often the request is sent and whether it is terminated.
 func TestShortKeyRetentionBoundsRetries(t *testing.T) {
 	due := func(after time.Duration) func(h *harness, id RequestID) {
 		return func(h *harness, id RequestID) {
@@ -38,7 +38,7 @@
 			h.endAttempt(id, ServerError, 0)
 			h.advance(100*ms + 2*checkInterval)
 		}, 1, true},
-		"counted from the first attempt that may have run": {100 * ms, func(h *harness, id RequestID) {
+		"counted from the first attempt that may have been executed": {100 * ms, func(h *harness, id RequestID) {
 			h.advance(90 * ms)
 			h.endAttempt(id, Rejected, 90*ms)
 			h.advance(40 * ms)
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -39,15 +39,15 @@
 			if servers[0] == servers[1] {
 				t.Fatal("retried at the server that failed")
 			}
-			mayHaveRun := tc.status == ServerError || tc.status == Timeout || tc.status == Reset
-			if tc.class == 1 && mayHaveRun && servers[0]/2 != servers[1]/2 {
+			mayHaveBeenExecuted := tc.status == ServerError || tc.status == Timeout || tc.status == Reset
+			if tc.class == 1 && mayHaveBeenExecuted && servers[0]/2 != servers[1]/2 {
 				t.Fatalf("a request with an idempotency key left its cell: %v", servers)
 			}
 		})
 	}
 }
 
-// resultOf tells what became of a request after its first attempt.
+// resultOf returns the result of the first attempt of a request.
 func (h *harness) resultOf(id RequestID) string {
 	_, rejected := h.host.rejected[id]
 	switch {
--- a/policy/simulated_fleet_test.go
+++ b/policy/simulated_fleet_test.go
@@ -165,14 +165,14 @@
 		return
 	}
 	j.ended = true
-	j.request.answered = j.request.answered || status == OK || status == Timeout
+	j.request.completed = j.request.completed || status == OK || status == Timeout
 	j.node.balancer.Outcome(f.now, Outcome{
 		ID: j.request.id, Attempt: j.index, Server: j.server.Server, Status: status,
-		RequestCompleted: j.request.answered, Latency: f.now - j.sent,
+		RequestCompleted: j.request.completed, Latency: f.now - j.sent,
 	})
 }
 
-// request has a client ask a node, and disconnect at its deadline.
+// request has a client send a request to a node, and disconnect at its deadline.
 func (f *simulatedFleet) request(class, try int, work float64) {
 	i, _ := slices.BinarySearch(f.weights, f.rng.Float64()*f.weights[len(f.weights)-1])
 	n := f.nodes[i]
@@ -278,6 +278,7 @@
 
 // simulate runs the scenario until the last server has warmed up.
 func (c scenario) simulate(t *testing.T, seed uint64) *simulatedFleet {
+	t.Helper()
 	f := &simulatedFleet{
 		scenario: c, t: t, settings: testSettings(), rng: rand.New(rand.NewPCG(seed, 0)), now: time.Hour,
 		arrivalFactor: 1,
--- a/policy/simulated_node_test.go
+++ b/policy/simulated_node_test.go
@@ -23,13 +23,13 @@
 	ended   bool
 }
 
-// clientRequest is one request of a client, which may ask again.
+// clientRequest is one request of a client, which may retry it.
 type clientRequest struct {
 	id             RequestID
 	class, attempt int
 	work           float64 // seconds
 	jobs           []*serverJob
-	answered       bool
+	completed      bool
 }
 
 func (n *simulatedNode) Send(id RequestID, server ServerID, _ time.Duration) {
@@ -77,10 +77,10 @@
 	})
 }
 
-// endUnserved ends a request; two in three clients ask again, twice at most, at any node.
+// endUnserved ends a request; two in three clients retry it, twice at most, at any node.
 func (n *simulatedNode) endUnserved(id RequestID, wait time.Duration) {
 	request := n.requests[id]
-	request.answered = true
+	request.completed = true
 	if again := *request; request.attempt < 2 && n.fleet.rng.IntN(3) > 0 {
 		n.fleet.schedule(n.fleet.now+wait, func() {
 			n.fleet.scheduleAbout(50*ms, func() { n.fleet.request(again.class, again.attempt+1, again.work) })
--- a/policy/watch_schedule_fleet_test.go
+++ b/policy/watch_schedule_fleet_test.go
@@ -7,134 +7,144 @@
 	"time"
 )
 
-// discoveryService simulates the service that many Balancers watch. It answers calls in turn, also those that
-// were given up, like the service that was measured. While it is down it rejects calls, at once or late, or
-// stays silent.
+// discoveryService simulates the service that many Balancers watch. It serves its calls one after another, also
+// abandoned ones, like the service that was measured. While it is down it rejects calls, at once or late, or
+// does not respond.
 type discoveryService struct {
 	perCall      time.Duration
 	callTimeout  time.Duration // a call that waits longer has failed
-	watchTimeout time.Duration // a call waits so long for changes; 0: it is answered at once
-	busyUntil    time.Duration // when the last call in the queue is answered
+	watchTimeout time.Duration // a call waits so long for changes; 0: it returns at once
+	busyUntil    time.Duration // when the last call in the queue returns
 
-	downAt, upAt time.Duration   // it is down between these
-	rejectAfter  time.Duration   // how long it takes to reject a call meanwhile
-	callsForNews []time.Duration // of nodes that are not notified since its return
+	downAt, upAt    time.Duration   // it is down between these
+	rejectAfter     time.Duration   // how long it takes to reject a call meanwhile
+	unnotifiedCalls []time.Duration // of nodes that are not notified since it recovered
 }
 
-// call returns when a call made now ends, and whether with an answer. The service has changes as of its return,
-// of which a node that is not informed is notified at once.
-func (d *discoveryService) call(now time.Duration, informed bool) (time.Duration, bool) {
-	if !informed {
-		d.callsForNews = append(d.callsForNews, now)
+// discoveryCall is a call of a node.
+type discoveryCall struct {
+	startedAt time.Duration
+	endsAt    time.Duration
+	succeeds  bool
+}
+
+// call starts a call. The service has changes as of its recovery, of which a node that does not know them is
+// notified at once.
+func (d *discoveryService) call(now time.Duration, node *watchingNode) discoveryCall {
+	notified := node.notifiedAt > 0
+	if !notified {
+		d.unnotifiedCalls = append(d.unnotifiedCalls, now)
 	}
 	if d.downAt <= now && now < d.upAt {
-		return now + d.rejectAfter, false
+		return discoveryCall{startedAt: now, endsAt: now + d.rejectAfter}
 	}
 	d.busyUntil = max(d.busyUntil, now) + d.perCall
-	answer := d.busyUntil
-	if now >= d.upAt && !informed || d.watchTimeout == 0 {
-		if answer-now > d.callTimeout {
-			return now + d.callTimeout, false
+	returnsAt := d.busyUntil
+	if now >= d.upAt && !notified || d.watchTimeout == 0 {
+		if returnsAt-now > d.callTimeout {
+			return discoveryCall{startedAt: now, endsAt: now + d.callTimeout}
 		}
-		return answer, true
+		return discoveryCall{startedAt: now, endsAt: returnsAt, succeeds: true}
 	}
-	answer += d.watchTimeout
-	if now < d.downAt && answer > d.downAt { // a watch ends as the service goes down
-		return d.downAt, false
+	returnsAt += d.watchTimeout
+	if now < d.downAt && returnsAt > d.downAt { // a watch ends as the service goes down
+		return discoveryCall{startedAt: now, endsAt: d.downAt}
 	}
-	return answer, true
+	return discoveryCall{startedAt: now, endsAt: returnsAt, succeeds: true}
 }
 
 // peakCalls returns the most calls within a second from a time on.
-func (d *discoveryService) peakCalls(from time.Duration) (most int) {
-	first := 0
-	for i, at := range d.callsForNews {
-		for d.callsForNews[first] < max(from, at-time.Second+1) && first < i {
+func (d *discoveryService) peakCalls(from time.Duration) int {
+	peak, first := 0, 0
+	for i, at := range d.unnotifiedCalls {
+		for d.unnotifiedCalls[first] < max(from, at-time.Second+1) && first < i {
 			first++
 		}
-		most = max(most, i-first+1)
+		peak = max(peak, i-first+1)
 	}
-	return most
+	return peak
 }
 
 // watchingNode is a node that calls a discoveryService.
 type watchingNode struct {
 	*fakeHost
-	balancer     *Balancer
-	callsSeen    int // calls that the service has got
-	calledAt     time.Duration
-	answeredAt   time.Duration
-	callSucceeds bool // the call under way
-	calling      bool
-	notifiedAt   time.Duration // of the changes since the return of the service
-	watchesOn    bool          // an answer is followed by another call
+	balancer   *Balancer
+	callsSeen  int // calls that the service has got
+	current    discoveryCall
+	calling    bool          // current is in flight
+	notifiedAt time.Duration // of the changes since the service recovered
+	watchesOn  bool          // a response is followed by another call
 }
 
 // step runs one node up to now.
-func (m *watchingNode) step(t *testing.T, now time.Duration, d *discoveryService) {
+func (n *watchingNode) step(t *testing.T, now time.Duration, d *discoveryService) {
 	t.Helper()
-	m.fire(m.balancer, now)
-	if m.calling && now >= m.answeredAt {
-		m.calling = false
-		if m.callSucceeds {
-			if m.notifiedAt == 0 && m.calledAt >= d.upAt {
-				m.notifiedAt = now
-			}
-			m.balancer.UpdateEndpoints(now, UpdateDelta, nil)
-			if m.watchesOn {
-				m.watches++
-			}
-		} else {
-			m.balancer.WatchFailed(now, m.calledAt+NotificationDeadline)
+	n.fire(n.balancer, now)
+	if n.calling && now >= n.current.endsAt {
+		n.calling = false
+		n.endCall(now, d)
+	}
+	if n.watches > n.callsSeen {
+		if n.calling {
+			t.Fatalf("%v: a node calls again while its call is in flight", now)
 		}
+		n.callsSeen = n.watches
+		n.current = d.call(now, n)
+		n.calling = true
 	}
-	if m.watches > m.callsSeen {
-		if m.calling {
-			t.Fatalf("%v: a node calls again while its call is under way", now)
-		}
-		m.callsSeen = m.watches
-		m.calledAt = now
-		m.answeredAt, m.callSucceeds = d.call(now, m.notifiedAt > 0)
-		m.calling = true
+}
+
+// endCall reports the end of the current call to the Balancer.
+func (n *watchingNode) endCall(now time.Duration, d *discoveryService) {
+	if !n.current.succeeds {
+		n.balancer.WatchFailed(now, n.current.startedAt+NotificationDeadline)
+		return
+	}
+	if n.notifiedAt == 0 && n.current.startedAt >= d.upAt {
+		n.notifiedAt = now
+	}
+	n.balancer.UpdateEndpoints(now, UpdateDelta, nil)
+	if n.watchesOn {
+		n.watches++
 	}
 }
 
 // newWatchingNodes returns nodes that start at the same time with the same cached list.
-func newWatchingNodes(t *testing.T, nodes int, change func(settings *Settings)) (fleet []*watchingNode) {
+func newWatchingNodes(t *testing.T, nodes int, change func(settings *Settings)) []*watchingNode {
 	t.Helper()
+	var fleet []*watchingNode
 	for i := range nodes {
 		settings := testSettings()
 		settings.Nodes, settings.Node, settings.PollEndpoints = nodes, i, true
 		if change != nil {
 			change(&settings)
 		}
-		m := &watchingNode{fakeHost: newHost()}
-		balancer, err := New(settings, uint64(i+1), m)
+		node := &watchingNode{fakeHost: newHost()}
+		balancer, err := New(settings, uint64(i+1), node)
 		if err != nil {
 			t.Fatal(err)
 		}
-		m.balancer = balancer
+		node.balancer = balancer
 		balancer.UpdateEndpoints(time.Hour, UpdateCached, ready(1, 60))
-		fleet = append(fleet, m)
+		fleet = append(fleet, node)
 	}
 	return fleet
 }
 
 // Guards against nodes that call at the same time: of 80 that started together 49 got no list for 20 s. Their
-// first calls timed out and were repeated before the service had answered all of those in its queue, and
-// so on.
+// first calls timed out and were repeated before the service had served all of those in its queue, and so on.
 func TestAllNodesOfAReleaseGetTheEndpointList(t *testing.T) {
 	const nodes = 80
 	d := &discoveryService{perCall: 65 * ms, callTimeout: 2 * time.Second}
 	fleet := newWatchingNodes(t, nodes, nil)
 	for now := time.Hour; now < time.Hour+12*time.Second; now += 5 * ms {
-		for _, m := range fleet {
-			m.step(t, now, d)
+		for _, node := range fleet {
+			node.step(t, now, d)
 		}
 	}
 	without := 0
-	for _, m := range fleet {
-		if m.notifiedAt == 0 {
+	for _, node := range fleet {
+		if node.notifiedAt == 0 {
 			without++
 		}
 	}
@@ -147,33 +157,36 @@
 type outage struct {
 	name        string
 	duration    time.Duration
-	rejectAfter time.Duration // of a call; 4.5 s is when a node gives a call up
+	rejectAfter time.Duration // of a call; a node abandons a call after 4.5 s
 }
 
-// watchTimeout is how long the real nodes ask the service to wait for changes.
+// watchTimeout is how long the calls of the real nodes wait for changes.
 const watchTimeout = 3 * time.Second
 
-// The discovery service is down for a while, in several ways, and returns with changes: every node must be
-// notified 6 s later, whatever its calls have met. That must not cause a rush: a service that carries the
-// watches of 650 nodes, 217 calls per second, has to carry their return with half as many again. Each node
-// makes two calls then: it is notified, and watches on.
+// The discovery service is down for a while, in several ways, and recovers with changes: every node must be
+// notified 6 s later, however its calls have failed. The calls must not peak: a service that serves the watches
+// of 650 nodes, 217 calls per second, has to serve their calls after its recovery with half as many again. Each
+// node makes two calls then: one that notifies it, and the next watch.
 func TestEveryNodeIsNotifiedAfterDiscoveryReturns(t *testing.T) {
+	t.Parallel()
 	for _, down := range []outage{
 		{"rejects", 9 * time.Second, 0},
 		{"rejects for a moment", 10 * ms, 0},
 		{"rejects late", 9 * time.Second, 3 * time.Second},
-		{"silent", 9 * time.Second, watchTimeout * 3 / 2},
+		{"unresponsive", 9 * time.Second, watchTimeout * 3 / 2},
 	} {
 		for _, nodes := range []int{1, 3, 20, 300, 650} {
 			t.Run(fmt.Sprintf("%s/%d", down.name, nodes), func(t *testing.T) {
 				t.Parallel()
-				checkReturn(t, down, nodes)
+				checkRecovery(t, down, nodes)
 			})
 		}
 	}
 }
 
-func checkReturn(t *testing.T, down outage, nodes int) {
+// checkRecovery runs nodes through an outage, and checks when they are notified and how often they call.
+func checkRecovery(t *testing.T, down outage, nodes int) {
+	t.Helper()
 	d := &discoveryService{
 		perCall: 3 * ms, callTimeout: watchTimeout * 3 / 2, watchTimeout: watchTimeout,
 		downAt: time.Hour + 8*time.Second, rejectAfter: down.rejectAfter,
@@ -183,34 +196,34 @@
 		settings.Rules.MaxPollInterval = 30 * time.Second
 	})
 	for now := time.Hour; now < d.upAt+8*time.Second; now += 5 * ms {
-		for _, m := range fleet {
-			m.watchesOn = true
-			m.step(t, now, d)
+		for _, node := range fleet {
+			node.watchesOn = true
+			node.step(t, now, d)
 		}
 	}
 	lags := notificationLags(fleet, d.upAt)
 	worst := lags[nodes-1]
 	idle := nodes * int(time.Second) / int(watchTimeout)
-	peak, most := d.peakCalls(d.upAt), 3*max(idle, int(time.Second/watchSpreadPerNode))/2
+	peak, maxPeak := d.peakCalls(d.upAt), 3*max(idle, int(time.Second/watchSpreadPerNode))/2
 	t.Logf("lag: median %v, worst %v; peak %d calls of nodes not notified per second, idle watches %d",
 		lags[nodes/2], worst, peak, idle)
 	if worst >= NotificationDeadline {
-		t.Errorf("the last node is notified %v after the return", worst)
+		t.Errorf("the last node is notified %v after the recovery", worst)
 	}
-	if peak > most {
-		t.Errorf("%d calls in a second, over %d", peak, most)
+	if peak > maxPeak {
+		t.Errorf("%d calls in a second, over %d", peak, maxPeak)
 	}
 }
 
-// notificationLags returns the sorted times from the return of the service until each node is notified; an
+// notificationLags returns the sorted times from the recovery of the service until each node is notified; an
 // hour for those that are not.
 func notificationLags(fleet []*watchingNode, upAt time.Duration) []time.Duration {
 	var lags []time.Duration
-	for _, m := range fleet {
-		if m.notifiedAt == 0 {
-			m.notifiedAt = upAt + time.Hour
+	for _, node := range fleet {
+		if node.notifiedAt == 0 {
+			node.notifiedAt = upAt + time.Hour
 		}
-		lags = append(lags, m.notifiedAt-upAt)
+		lags = append(lags, node.notifiedAt-upAt)
 	}
 	slices.Sort(lags)
 	return lags
--- a/policy/watch_schedule_test.go
+++ b/policy/watch_schedule_test.go
@@ -24,9 +24,9 @@
 	}
 }
 
-// A watch that falls silent is repeated in the time left until the notification deadline, by the nodes of a
-// fleet at different times, and the backoff does not grow beyond that.
-func TestSilentWatchIsRepeatedBeforeNotificationDeadline(t *testing.T) {
+// A watch that becomes unresponsive is repeated in the time left until the notification deadline, by the nodes
+// of a fleet at different times, and the backoff does not grow beyond that.
+func TestUnresponsiveWatchIsRepeatedBeforeNotificationDeadline(t *testing.T) {
 	const left = NotificationDeadline / 4 // until the notification deadline
 	const span = NotificationDeadline / 8 // for the next call
 	settings := testSettings()
