--- a/policy/circuit_breaker_test.go
+++ b/policy/circuit_breaker_test.go
@@ -145,3 +145,22 @@
 		t.Error("five consecutive failures of a healthy server left its breaker closed")
 	}
 }
+
+func TestInconclusiveTrialMakesWayForTheNextOne(t *testing.T) {
+	first, second := &attempt{}, &attempt{}
+	breaker := newCircuitBreaker()
+	breaker.state = breakerHalfOpen
+
+	breaker.startAttempt(first)
+	if breaker.awaitsTrial() || !breaker.isTrial(first) || breaker.isTrial(second) {
+		t.Fatal("the first attempt must be the only trial")
+	}
+	breaker.abandonTrial(second)
+	if !breaker.isTrial(first) {
+		t.Fatal("the end of another attempt must not end the trial")
+	}
+	breaker.abandonTrial(first)
+	if !breaker.acceptsTrial(time.Hour, Idempotent) {
+		t.Error("the breaker must accept another trial")
+	}
+}
--- a/policy/invariants_test.go
+++ b/policy/invariants_test.go
@@ -12,13 +12,13 @@
 // no execution against the idempotency, no send to a server that is not ready, no attempt beyond the limit.
 type invariantChecker struct {
 	*fakeHost
-	t            *testing.T
-	rng          *rand.Rand
-	balancer     *Balancer
-	now          time.Duration
-	requests     map[RequestID]*checkedRequest
+	t              *testing.T
+	rng            *rand.Rand
+	balancer       *Balancer
+	now            time.Duration
+	requests       map[RequestID]*checkedRequest
 	finalResponses map[RequestID]int
-	endpoints    map[ServerID]Endpoint
+	endpoints      map[ServerID]Endpoint
 }
 
 // checkedRequest is a request as the checker knows it.
--- /dev/null
+++ b/policy/request_test.go
@@ -0,0 +1,63 @@
+package policy
+
+import (
+	"testing"
+	"time"
+)
+
+func TestDeadlinesFollowClassClientAndTick(t *testing.T) {
+	class := &requestClass{Class: Class{Deadline: 2 * time.Second, Objective: 800 * ms, ObjectivePerWork: 2}}
+	type deadlines struct{ deadline, objective, queueing time.Duration }
+	for _, tc := range []struct {
+		name     string
+		arrival  Request
+		settings Settings
+		want     deadlines
+	}{
+		{"class", Request{Timeout: time.Minute}, Settings{}, deadlines{2 * time.Second, 800 * ms, 990 * ms}},
+		{"client", Request{Timeout: 600 * ms}, Settings{}, deadlines{600 * ms, 600 * ms, 290 * ms}},
+		{"work", Request{Timeout: time.Minute, CostHint: 100 * ms}, Settings{},
+			deadlines{2 * time.Second, time.Second, 990 * ms}},
+		{"tick beyond the grace", Request{Timeout: 600 * ms},
+			Settings{Tick: 50 * ms, Rules: Rules{ResponseGrace: 10 * ms}}, deadlines{560 * ms, 560 * ms, 270 * ms}},
+		{"no time at all", Request{Timeout: 0}, Settings{}, deadlines{0, 0, -checkInterval}},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			r := request{Request: tc.arrival, class: class}
+
+			r.setDeadlines(time.Hour, &tc.settings)
+
+			got := deadlines{r.deadline - time.Hour, r.objectiveDeadline - time.Hour, r.queueingDeadline - time.Hour}
+			if got != tc.want {
+				t.Errorf("%+v, want %+v", got, tc.want)
+			}
+		})
+	}
+}
+
+func TestRequestIsSafeToRejectUnlessExecutedWithoutARecognizedKey(t *testing.T) {
+	idempotent := Class{Idempotency: Idempotent}
+	keyForAll := Class{Idempotency: IdempotentWithKey, KeyScope: KeyScopeAll}
+	keyForCell := Class{Idempotency: IdempotentWithKey, KeyScope: KeyScopeCell}
+	notIdempotent := Class{Idempotency: NotIdempotent}
+	for _, tc := range []struct {
+		class  Class
+		status Status
+		safe   bool
+	}{
+		{idempotent, Timeout, true},
+		{keyForAll, Timeout, true},
+		{keyForCell, Timeout, false},
+		{keyForCell, Rejected, true},
+		{notIdempotent, ServerError, false},
+		{notIdempotent, ConnectFailed, true},
+		{notIdempotent, NotSent, true},
+	} {
+		r := request{class: &requestClass{Class: tc.class}}
+		r.endAttempt(r.startAttempt(0, newServer(0)), tc.status)
+		if got := r.safeToReject(); got != tc.safe {
+			t.Errorf("%v, key scope %v, attempt %v: safe %v, want %v",
+				tc.class.Idempotency, tc.class.KeyScope, tc.status, got, tc.safe)
+		}
+	}
+}
--- /dev/null
+++ b/policy/sampling_regime_test.go
@@ -0,0 +1,19 @@
+package policy
+
+import "testing"
+
+func TestRegimeFollowsTheNodesPerServer(t *testing.T) {
+	for _, tc := range []struct {
+		nodesPerServer float64
+		want           samplingRegime
+	}{
+		{1, wellSampled()},
+		{undersampledAbove, wellSampled()},
+		{undersampledAbove + 0.01, undersampled()},
+		{80, undersampled()},
+	} {
+		if got := regimeFor(tc.nodesPerServer); got != tc.want {
+			t.Errorf("%v nodes per server: %+v, want %+v", tc.nodesPerServer, got, tc.want)
+		}
+	}
+}
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -1,6 +1,9 @@
 package policy
 
-import "testing"
+import (
+	"math/rand/v2"
+	"testing"
+)
 
 func TestEqualServersGoByZone(t *testing.T) {
 	sameZone, otherZone := &server{sameZone: true}, &server{}
@@ -12,3 +15,28 @@
 		t.Fatal("fewer in flight must win over the zone")
 	}
 }
+
+func TestDrawTwoTakesTheBetterOfTwoRandomServers(t *testing.T) {
+	scored := func(value float64) *server { return &server{score: serverScore{value: value}} }
+	worst, middle, best := scored(0.1), scored(0.5), scored(0.9)
+	set := candidates{closed: []*server{worst, middle, best}}
+	random := rand.New(rand.NewPCG(1, 0))
+	drawn := map[*server]int{}
+	for range 300 {
+		drawn[set.drawTwo(random)]++
+	}
+	if drawn[worst] > 0 || drawn[middle] == 0 || drawn[best] <= drawn[middle] {
+		t.Errorf("drawn %d, %d and %d times from the worst to the best, want none, some and most",
+			drawn[worst], drawn[middle], drawn[best])
+	}
+	if set.best() != best {
+		t.Error("the best of all must have the highest score")
+	}
+}
+
+func TestDrawTwoOfTwoNeedsNoDraw(t *testing.T) {
+	set := candidates{closed: []*server{{score: serverScore{value: 0.1}}, {score: serverScore{value: 0.9}}}}
+	if set.drawTwo(nil) != set.closed[1] {
+		t.Error("the better of two servers lost")
+	}
+}
--- a/policy/watch_schedule_test.go
+++ b/policy/watch_schedule_test.go
@@ -1,6 +1,8 @@
 package policy
 
 import (
+	"math/rand/v2"
+	"slices"
 	"testing"
 	"time"
 )
@@ -77,3 +79,22 @@
 		}
 	}
 }
+
+func TestWatchBackoffDoublesUpToItsBoundAndIsReset(t *testing.T) {
+	settings := testSettings() // one node; MaxPollInterval is 10 s
+	schedule := newWatchSchedule(&settings, rand.New(rand.NewPCG(1, 0)))
+	const left = time.Hour
+
+	first := schedule.backOff(left)
+	waits := []time.Duration{schedule.backOff(left), schedule.backOff(left), schedule.backOff(left), schedule.backOff(left)}
+	schedule.reset()
+	again := schedule.backOff(left)
+
+	want := []time.Duration{time.Second, 2 * time.Second, 3 * time.Second, 3 * time.Second}
+	if !slices.Equal(waits, want) {
+		t.Errorf("waits %v after the first, want %v", waits, want)
+	}
+	if first > initialWatchBackoff || again > initialWatchBackoff {
+		t.Errorf("first waits %v and %v, want %v at most", first, again, initialWatchBackoff)
+	}
+}
