--- a/policy/api.go
+++ b/policy/api.go
@@ -10,7 +10,7 @@
 // # Files
 //
 // The interface is in api.go, settings.go and validate.go. The Balancer owns one value of each concern and
-// calls them in order: balancer.go holds the events, timers.go the periodic check and the first watch,
+// calls them in order: balancer.go holds the events, periodic_check.go the check of all active requests,
 // dispatch.go the path of a request, and outcome.go what the outcome of an attempt says about its server.
 // Each concern has a type that alone changes its state:
 //
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -10,6 +10,12 @@
 // maxAttemptsPerRequest caps Limits.MaxAttempts, as room for all attempts is allocated.
 const maxAttemptsPerRequest = 16
 
+// The tokens of the timers.
+const (
+	timerCheck uint64 = iota // the periodic check
+	timerWatch               // the next call for the endpoint list
+)
+
 // Balancer makes the decisions of one node. Create it with New. Each concern keeps its own state; the
 // Balancer is the order in which they are called.
 type Balancer struct {
@@ -35,8 +41,8 @@
 	candidates candidates // reused by selectServer
 
 	refreshedAt time.Duration
-	outdated    bool          // refresh is due even at refreshedAt
-	nextCheckAt time.Duration // of the periodic check; maxTime if none is scheduled
+	outdated    bool // refresh is due even at refreshedAt
+	checks      checkTimer
 }
 
 // New returns a Balancer, or the *SettingError of Settings.Validate. The seed fixes all random choices.
@@ -63,8 +69,8 @@
 		limiter:   newConcurrencyLimiter(settings.Nodes),
 		slowStart: newSlowStart(&settings, random),
 
-		outdated:    true,
-		nextCheckAt: maxTime,
+		outdated: true,
+		checks:   newCheckTimer(host),
 	}
 	for _, class := range settings.Classes {
 		balancer.classes = append(balancer.classes, newRequestClass(class, &settings))
@@ -96,7 +102,7 @@
 	b.arrivals.record(now, request)
 	b.queue.add(request)
 	b.dispatch(now)
-	b.scheduleCheckBy(min(now+checkInterval, request.deadline))
+	b.checks.scheduleBy(min(now+checkInterval, request.deadline))
 }
 
 // StreamStarted reports that an attempt's response streams to the client: no attempt or deadline follows.
@@ -142,7 +148,7 @@
 func (b *Balancer) UpdateEndpoints(now time.Duration, kind UpdateKind, endpoints []Endpoint) {
 	b.watch.reset()
 	if kind == UpdateCached && b.settings.PollEndpoints {
-		b.startWatch(now, len(endpoints))
+		b.watch.start(now, b.host, len(endpoints))
 	}
 	lost := b.endpoints.update(kind, endpoints)
 	b.limiter.markAllUnresponsive(lost)
@@ -169,8 +175,8 @@
 func (b *Balancer) Timer(now time.Duration, token uint64) {
 	switch token {
 	case timerCheck:
-		if now >= b.nextCheckAt {
-			b.nextCheckAt = maxTime
+		if b.checks.isDue(now) {
+			b.checks.clear()
 			b.periodicCheck(now)
 		}
 	case timerWatch:
--- a/policy/disconnect_test.go
+++ b/policy/disconnect_test.go
@@ -24,7 +24,7 @@
 // after, the attempt is cancelled. Nothing follows.
 func TestClientDisconnectsAsTheNextAttemptIsDue(t *testing.T) {
 	check := func(h *harness) {
-		h.now = max(h.now, h.balancer.nextCheckAt)
+		h.now = max(h.now, h.balancer.checks.due)
 		h.balancer.Timer(h.now, timerCheck)
 	}
 	for _, c := range []disconnectCase{
--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -127,7 +127,7 @@
 		return
 	}
 	request.startBackoff(retryAt)
-	b.scheduleCheckBy(now + checkInterval)
+	b.checks.scheduleBy(now + checkInterval)
 }
 
 // terminateUnserved rejects a request, or fails it if it may have been executed and must not be again.
--- a/policy/timers.go
+++ b/policy/periodic_check.go
@@ -1,7 +1,6 @@
 package policy
 
-// The timers of the Balancer: the periodic check of all active requests, and the first call for the endpoint
-// list.
+// The periodic check of all active requests and its timer.
 
 import (
 	"math"
@@ -14,20 +13,28 @@
 	maxTime       = time.Duration(math.MaxInt64)
 )
 
-// The tokens of the timers.
-const (
-	timerCheck uint64 = iota // the periodic check
-	timerWatch               // the next call for the endpoint list
-)
+// checkTimer is the timer of the periodic check.
+type checkTimer struct {
+	host Host
+	due  time.Duration // maxTime if no check is scheduled
+}
 
-// scheduleCheckBy has the periodic check run at a time or earlier.
-func (b *Balancer) scheduleCheckBy(at time.Duration) {
-	if at < b.nextCheckAt {
-		b.nextCheckAt = at
-		b.host.SetTimer(at, timerCheck)
+func newCheckTimer(host Host) checkTimer { return checkTimer{host: host, due: maxTime} }
+
+// scheduleBy has the next check run at a time or earlier.
+func (c *checkTimer) scheduleBy(at time.Duration) {
+	if at < c.due {
+		c.due = at
+		c.host.SetTimer(at, timerCheck)
 	}
 }
 
+// isDue reports whether a check is scheduled for now or earlier.
+func (c *checkTimer) isDue(now time.Duration) bool { return now >= c.due }
+
+// clear drops the scheduled check, which runs now.
+func (c *checkTimer) clear() { c.due = maxTime }
+
 // periodicCheck sheds load and checks every active request. The next one runs by the earliest deadline,
 // since ResponseGrace may be shorter than checkInterval.
 func (b *Balancer) periodicCheck(now time.Duration) {
@@ -43,13 +50,13 @@
 	}
 	b.dispatch(now)
 	if len(b.requests.active) > 0 {
-		b.scheduleCheckBy(next)
+		b.checks.scheduleBy(next)
 	}
 }
 
 func (b *Balancer) checkRequest(now time.Duration, request *request) {
 	switch {
-	case request.streaming:
+	case request.streaming: // has no deadline any more
 	case request.inFlight > 0:
 		b.detectUnresponsive(now, request)
 	case now >= request.deadline:
@@ -59,13 +66,3 @@
 		b.queue.add(request)
 	}
 }
-
-// startWatch makes the first call for the endpoint list, at once or within the span of the watch schedule.
-func (b *Balancer) startWatch(now time.Duration, cachedEndpoints int) {
-	span := b.watch.initialSpan(cachedEndpoints)
-	if span == 0 {
-		b.host.WatchEndpoints()
-		return
-	}
-	b.host.SetTimer(now+b.watch.drawInitialDelay(span), timerWatch)
-}
--- a/policy/watch_schedule.go
+++ b/policy/watch_schedule.go
@@ -39,6 +39,16 @@
 // reset starts the backoff anew after a call has succeeded.
 func (w *watchSchedule) reset() { w.backoff = initialWatchBackoff }
 
+// start makes the first call for the endpoint list, at once or within the initial span.
+func (w *watchSchedule) start(now time.Duration, host Host, cachedEndpoints int) {
+	span := w.initialSpan(cachedEndpoints)
+	if span == 0 {
+		host.WatchEndpoints()
+		return
+	}
+	host.SetTimer(now+jitter.Full(w.random, span), timerWatch)
+}
+
 // initialSpan returns the time over which the first calls of nodes that start together spread. 0 means to
 // call at once, as few nodes do, and all without a cached list. A discovery service that serves its calls one
 // after another, even abandoned ones, times out on 80 calls at once and on their repetitions.
@@ -50,11 +60,6 @@
 	return span
 }
 
-// drawInitialDelay draws the delay of the first call within a span.
-func (w *watchSchedule) drawInitialDelay(span time.Duration) time.Duration {
-	return jitter.Full(w.random, span)
-}
-
 // backOff returns the delay of the next call after a failed one, and doubles the backoff. A response has to
 // fit into the time left until the notification deadline. Full jitter and then equal backoffs spread nodes
 // that lost the discovery service together.
--- a/policy/watch_schedule_test.go
+++ b/policy/watch_schedule_test.go
@@ -86,7 +86,10 @@
 	const left = time.Hour
 
 	first := schedule.backOff(left)
-	waits := []time.Duration{schedule.backOff(left), schedule.backOff(left), schedule.backOff(left), schedule.backOff(left)}
+	var waits []time.Duration
+	for range 4 {
+		waits = append(waits, schedule.backOff(left))
+	}
 	schedule.reset()
 	again := schedule.backOff(left)
 
