--- a/policy/api.go
+++ b/policy/api.go
@@ -24,7 +24,7 @@
 //	quota.go              tenantQuotas        the tenants' quotas
 //	arrivals.go           arrivalStats        the rate and the priority weight of arrivals
 //	admission.go          admissionQueue      the requests that wait for capacity
-//	                      loadShedder         which of them are terminated
+//	load_shedding.go      loadShedder         which of them are terminated
 //	selection.go          candidates          the choice between servers
 //	score.go              serverScore         the score of a server from its outcomes
 //	circuit_breaker.go    circuitBreaker      the ejection of a server after consecutive failures
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -29,65 +29,65 @@
 	return created
 }
 
-func (u *subset) setNodesPerServer(nodesPerServer float64) {
-	u.nodesPerServer = nodesPerServer
-	u.regime = regimeFor(nodesPerServer)
+func (s *subset) setNodesPerServer(nodesPerServer float64) {
+	s.nodesPerServer = nodesPerServer
+	s.regime = regimeFor(nodesPerServer)
 }
 
 // invalidate has the next renewal take place, because the ready servers or their breakers have changed.
-func (u *subset) invalidate() { u.stale = true }
+func (s *subset) invalidate() { s.stale = true }
 
 // renewIfDue adapts the subset to the ready servers, the ring, and to the rate of arrivals.
-func (u *subset) renewIfDue(now time.Duration, ring []*server, arrivalsPerSecond float64) {
+func (s *subset) renewIfDue(now time.Duration, ring []*server, arrivalsPerSecond float64) {
 	rounded := int(arrivalsPerSecond*subsetRequestInterval.Seconds() + 0.5)
 	wanted := max(minSubsetSize, rounded)
-	if !u.stale && wanted <= u.wanted && now-u.renewedAt < subsetRequestInterval {
+	if !s.stale && wanted <= s.wanted && now-s.renewedAt < subsetRequestInterval {
 		return
 	}
-	u.stale, u.wanted, u.renewedAt = false, wanted, now
-	nodes, ready := float64(u.nodes), len(ring)
-	middle := float64(u.node) + 0.5 // of the node's part of the ring
-	u.fill(now, ring, int(middle/nodes*float64(ready)))
-	u.setNodesPerServer(max(1, nodes*float64(len(u.servers))/float64(max(1, ready))))
+	s.stale, s.wanted, s.renewedAt = false, wanted, now
+	nodes, ready := float64(s.nodes), len(ring)
+	middle := float64(s.node) + 0.5 // of the node's part of the ring
+	s.fill(now, ring, int(middle/nodes*float64(ready)))
+	s.setNodesPerServer(max(1, nodes*float64(len(s.servers))/float64(max(1, ready))))
 }
 
 // fill takes servers along the ring until the wanted number is reached; a warming one counts in part.
-func (u *subset) fill(now time.Duration, ring []*server, start int) {
-	u.servers = u.servers[:0]
-	missing := float64(u.wanted)
+func (s *subset) fill(now time.Duration, ring []*server, start int) {
+	s.servers = s.servers[:0]
+	missing := float64(s.wanted)
 	for i := 0; i < len(ring) && missing > 0; i++ {
-		s := ring[(start+i)%len(ring)]
-		u.servers = append(u.servers, s)
-		if s.breaker.state != breakerOpen {
-			missing -= s.capacityShare(&u.rules, now)
+		server := ring[(start+i)%len(ring)]
+		s.servers = append(s.servers, server)
+		if server.breaker.state != breakerOpen {
+			missing -= server.capacityShare(&s.rules, now)
 		}
 	}
 }
 
 // advanceBreakers turns the breakers half-open that are due, and counts the servers by their state.
-func (u *subset) advanceBreakers(now time.Duration) {
-	u.closed, u.awaitingTrial = 0, 0
-	for _, s := range u.servers {
-		s.breaker.advance(now)
+func (s *subset) advanceBreakers(now time.Duration) {
+	s.closed, s.awaitingTrial = 0, 0
+	for _, server := range s.servers {
+		server.breaker.advance(now)
 		switch {
-		case s.breaker.state == breakerClosed:
-			u.closed++
-		case s.breaker.awaitsTrial():
-			u.awaitingTrial++
+		case server.breaker.state == breakerClosed:
+			s.closed++
+		case server.breaker.awaitsTrial():
+			s.awaitingTrial++
 		}
 	}
 }
 
 // allEjected reports whether no server may get a request, as of the last refresh.
-func (u *subset) allEjected() bool { return u.closed+u.awaitingTrial == 0 }
+func (s *subset) allEjected() bool { return s.closed+s.awaitingTrial == 0 }
 
 // mayEjectAnother reports whether at most half of the subset has no closed breaker once another one opens.
-func (u *subset) mayEjectAnother() bool {
+func (s *subset) mayEjectAnother() bool {
 	ejected := 0
-	for _, s := range u.servers {
-		if s.breaker.state != breakerClosed {
+	for _, server := range s.servers {
+		if server.breaker.state != breakerClosed {
 			ejected++
 		}
 	}
-	return 2*(ejected+1) <= len(u.servers)
+	return 2*(ejected+1) <= len(s.servers)
 }
