--- a/internal/decayrate/decayrate.go
+++ b/internal/decayrate/decayrate.go
@@ -6,25 +6,25 @@
 // Meter is a rate per second in which past events fade approximately exponentially.
 // It keeps no events, only their decayed sum. It is not safe for concurrent use.
 type Meter struct {
-	timeConstant float64 // seconds
+	timeConstant time.Duration
 	updatedAt    time.Duration
 	rate         float64 // per second, as of updatedAt
 }
 
 // New returns a meter of rate 0. After one time constant an event counts for about 1/e of its weight.
 func New(timeConstant time.Duration) Meter {
-	return Meter{timeConstant: timeConstant.Seconds()}
+	return Meter{timeConstant: timeConstant}
 }
 
 // Add counts an event of a weight at a time, which must not lie before that of the last Add.
 func (m *Meter) Add(now time.Duration, weight float64) {
-	m.rate = m.PerSecond(now) + weight/m.timeConstant
+	m.rate = m.PerSecond(now) + weight/m.timeConstant.Seconds()
 	m.updatedAt = now
 }
 
 // PerSecond returns the weight per second as of now.
 func (m *Meter) PerSecond(now time.Duration) float64 {
-	elapsed := (now - m.updatedAt).Seconds() / m.timeConstant
+	elapsed := (now - m.updatedAt).Seconds() / m.timeConstant.Seconds()
 	// The second-order expansion of exp(-elapsed) in the denominator stays above zero and is cheap.
 	return m.rate / (1 + elapsed + elapsed*elapsed/2)
 }
--- a/internal/jitter/jitter.go
+++ b/internal/jitter/jitter.go
@@ -1,4 +1,4 @@
-// Package jitter randomizes delays, so that parties which act at the same time do not act in step for ever.
+// Package jitter randomizes delays, so that nodes that act at the same time do not stay synchronized.
 package jitter
 
 import (
--- a/internal/tokenbucket/tokenbucket_test.go
+++ b/internal/tokenbucket/tokenbucket_test.go
@@ -17,7 +17,7 @@
 func TestBurstIsOneSecondsWorth(t *testing.T) {
 	b := New(5)
 	if n := takeAll(&b, time.Hour, 100); n != 5 {
-		t.Errorf("%d tokens after a long rest, want 5", n)
+		t.Errorf("%d tokens after a long pause, want 5", n)
 	}
 	if n := takeAll(&b, time.Hour+400*time.Millisecond, 100); n != 2 {
 		t.Errorf("%d tokens after 0.4 s, want 2", n)
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -1,6 +1,11 @@
 package policy
 
-import "testing"
+import (
+	"slices"
+	"testing"
+
+	"calicohinge/internal/runningmean"
+)
 
 // Guards against congestion at the servers: what they cannot take waits here, and what would be late is
 // rejected while its client can still retry elsewhere.
@@ -18,17 +23,21 @@
 	}
 }
 
-// Guards against shedding the requests of the highest weight first: when a zone was lost, 1,991 of 3,092 of
-// them were rejected within 20 ms of their arrival, as they could not be served within the objective with
-// a margin to spare, while 13 times as many of low weight were served.
-func TestHighPriorityRequestIsSentWhileOthersWaitForTheMean(t *testing.T) {
-	h := newUndersampledHarness(t)
-	h.fillToLimit()
-	lowPriority, highPriority := h.request(0), h.request(1)
-	if n := len(h.sendsOf(lowPriority)); n != 0 {
-		t.Errorf("the request of low priority was sent %d times though the node is at its limit", n)
+func TestQueueIsSortedByWeightPerWorkThenObjective(t *testing.T) {
+	heavy := &requestClass{workEstimate: runningmean.NewWithGuess(2, 10)}
+	light := &requestClass{workEstimate: runningmean.NewWithGuess(1, 10)}
+	requests := []*request{
+		{class: heavy, weight: 1, objectiveDeadline: 1},
+		{class: light, weight: 1, objectiveDeadline: 3},
+		{class: light, weight: 1, objectiveDeadline: 2},
+		{class: heavy, weight: 6, objectiveDeadline: 9},
+	}
+	var queue admissionQueue
+	for _, r := range requests {
+		queue.add(r)
 	}
-	if n := len(h.sendsOf(highPriority)); n != 1 {
-		t.Errorf("the request of high priority was sent %d times, want once", n)
+	want := []*request{requests[3], requests[2], requests[1], requests[0]}
+	if !slices.Equal(queue.waiting, want) {
+		t.Errorf("queue %v, want %v", queue.waiting, want)
 	}
 }
--- a/policy/concurrency_limit_test.go
+++ b/policy/concurrency_limit_test.go
@@ -152,3 +152,17 @@
 		t.Fatal("a server with capacity is left idle because ejected ones have attempts in flight")
 	}
 }
+
+// Guards against shedding the requests of the highest weight first, because they cannot be served within the
+// objective with a margin to spare, while requests of low weight are served.
+func TestHighPriorityRequestIsSentWhileOthersWaitForTheMean(t *testing.T) {
+	h := newUndersampledHarness(t)
+	h.fillToLimit()
+	lowPriority, highPriority := h.request(0), h.request(1)
+	if n := len(h.sendsOf(lowPriority)); n != 0 {
+		t.Errorf("the request of low priority was sent %d times though the node is at its limit", n)
+	}
+	if n := len(h.sendsOf(highPriority)); n != 1 {
+		t.Errorf("the request of high priority was sent %d times, want once", n)
+	}
+}
--- a/policy/score_test.go
+++ b/policy/score_test.go
@@ -2,8 +2,7 @@
 
 import "testing"
 
-// Guards against taking a server that rejects requests for an idle one: two full servers once got 38 of 100
-// sends.
+// Guards against taking a server that rejects requests for an idle one.
 func TestRejectionLowersTheScore(t *testing.T) {
 	h := newHarness(t, testSettings(), 3)
 	h.serve(30, 20*ms)
--- a/policy/watch_schedule_fleet_test.go
+++ b/policy/watch_schedule_fleet_test.go
@@ -131,8 +131,8 @@
 	return fleet
 }
 
-// Guards against nodes that call at the same time: of 80 that started together 49 got no list for 20 s. Their
-// first calls timed out and were repeated before the service had served all of those in its queue, and so on.
+// Guards against nodes that call at the same time: their first calls time out and are repeated before the
+// service has served all of those in its queue, so that some get no list for long.
 func TestAllNodesOfAReleaseGetTheEndpointList(t *testing.T) {
 	const nodes = 80
 	d := &discoveryService{perCall: 65 * ms, callTimeout: 2 * time.Second}
