--- a/policy/api.go
+++ b/policy/api.go
@@ -99,7 +99,7 @@
 // Class is a class of requests that are treated alike.
 type Class struct {
 	Deadline         time.Duration // total time that a client waits, over all of its attempts
-	Objective        time.Duration // latency up to which a response has its full weight; 0: Deadline
+	Objective        time.Duration // latency objective, up to which a response has its full weight; 0: Deadline
 	ObjectivePerWork float64       // extends the objective by this multiple of Request.CostHint
 	LateFraction     float64       // share of the weight, 0 to 1, of a response after the objective
 	PriorityWeight   float64       // weight of one request, or with Settings.WeightByWork of its work
@@ -132,7 +132,7 @@
 	ResponseGrace     time.Duration // time after a client's deadline at which a final response still counts
 }
 
-// Settings configures a Balancer. Validate names the impossible ones.
+// Settings configures a Balancer. Validate reports invalid values.
 type Settings struct {
 	Nodes             int // number of load balancer nodes, this one included
 	Node              int // index of this node, from 0
--- a/policy/circuit_breaker_test.go
+++ b/policy/circuit_breaker_test.go
@@ -10,7 +10,7 @@
 	h := newHarness(t, testSettings(), 4)
 	bad := h.balancer.endpoints.ready[0]
 	for range failureThreshold {
-		h.balancer.recordFailure(h.now, &attempt{server: bad}, ServerError)
+		h.balancer.recordBreakerFailure(h.now, &attempt{server: bad}, ServerError)
 	}
 	if bad.breaker.state != breakerOpen {
 		t.Fatalf("breaker %v after %d failures, want open", bad.breaker.state, failureThreshold)
@@ -47,16 +47,16 @@
 	h := newHarness(t, testSettings(), 4)
 	s := h.balancer.endpoints.ready[0]
 	for range failureThreshold - 1 {
-		h.balancer.recordFailure(h.now, &attempt{server: s}, ServerError)
+		h.balancer.recordBreakerFailure(h.now, &attempt{server: s}, ServerError)
 	}
 	s.recordSuccess(h.now, nil)
-	h.balancer.recordFailure(h.now, &attempt{server: s}, ServerError)
+	h.balancer.recordBreakerFailure(h.now, &attempt{server: s}, ServerError)
 	if s.breaker.state != breakerClosed {
 		t.Fatal("failures with a success between them opened the breaker")
 	}
 	for range 2 * failureThreshold {
 		h.now += failureWindow / 3
-		h.balancer.recordFailure(h.now, &attempt{server: s}, ServerError)
+		h.balancer.recordBreakerFailure(h.now, &attempt{server: s}, ServerError)
 	}
 	if s.breaker.state != breakerClosed {
 		t.Fatal("failures spread wider than the window opened the breaker")
@@ -70,7 +70,7 @@
 	h.balancer.refresh(h.now)
 	for _, s := range h.balancer.endpoints.ready {
 		for range 2 * failureThreshold {
-			h.balancer.recordFailure(h.now, &attempt{server: s}, Timeout)
+			h.balancer.recordBreakerFailure(h.now, &attempt{server: s}, Timeout)
 		}
 	}
 	if got := h.breakers(); got[breakerOpen] != 3 {
@@ -82,7 +82,7 @@
 	h := newHarness(t, testSettings(), 3)
 	for _, s := range h.balancer.endpoints.ready {
 		for range failureThreshold {
-			h.balancer.recordFailure(h.now, &attempt{server: s}, ServerError)
+			h.balancer.recordBreakerFailure(h.now, &attempt{server: s}, ServerError)
 		}
 	}
 	id := h.request(2)
@@ -101,7 +101,7 @@
 	h := newHarness(t, testSettings(), 1)
 	s := h.balancer.endpoints.ready[0]
 	for range failureThreshold {
-		h.balancer.recordFailure(h.now, &attempt{server: s}, ServerError)
+		h.balancer.recordBreakerFailure(h.now, &attempt{server: s}, ServerError)
 	}
 	h.now = s.breaker.halfOpenAt + ms
 	if id := h.request(2); len(h.sendsOf(id)) != 0 {
@@ -124,7 +124,7 @@
 				s.recordSuccess(now, a)
 			} else {
 				s.score.outcomes.AddFailure(now)
-				balancer.recordFailure(now, a, ServerError)
+				balancer.recordBreakerFailure(now, a, ServerError)
 			}
 		}
 		balancer.means.update(now, balancer.subset.servers, balancer.subset.regime.maxOutcomeAge)
--- a/policy/concurrency_limit_test.go
+++ b/policy/concurrency_limit_test.go
@@ -140,7 +140,7 @@
 	}
 	for _, s := range h.balancer.endpoints.ready[:2] {
 		for range failureThreshold {
-			h.balancer.recordFailure(h.now, &attempt{server: s}, ServerError)
+			h.balancer.recordBreakerFailure(h.now, &attempt{server: s}, ServerError)
 		}
 	}
 	for _, s := range h.balancer.endpoints.ready[2:] {
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -15,13 +15,13 @@
 		b.recordResponse(now, request, attempt, outcome.Latency)
 	case ServerError, Reset, ConnectFailed:
 		server.score.recordFailure(now)
-		b.recordFailure(now, attempt, outcome.Status)
+		b.recordBreakerFailure(now, attempt, outcome.Status)
 	case Timeout:
 		// A shorter one is due to its client. The measure is the baseline: the mean rises with congestion
 		// until no client waits long enough to count.
 		if !attempt.unresponsive && request.relativeLatency(outcome.Latency) > unresponsiveMultiple {
 			server.score.recordFailure(now)
-			b.recordFailure(now, attempt, Timeout)
+			b.recordBreakerFailure(now, attempt, Timeout)
 		}
 	case Rejected: // lowers the score, or a full server would be selected again
 		server.score.recordFailure(now)
@@ -37,7 +37,7 @@
 	relativeLatency := request.relativeLatency(latency)
 	attempt.server.score.recordSuccess(now, relativeLatency)
 	if relativeLatency > b.subset.regime.slowResponseMultiple {
-		b.recordFailure(now, attempt, Timeout) // congested: it needs time to recover
+		b.recordBreakerFailure(now, attempt, Timeout) // congested: it needs time to recover
 	} else {
 		attempt.server.recordSuccess(now, attempt)
 	}
@@ -45,9 +45,10 @@
 	b.limiter.adjust(now, &b.latency, &b.subset.regime, len(b.queue.waiting))
 }
 
-// recordFailure opens the breaker of an attempt's server if its trial failed or the threshold is reached.
-// Time-outs may be due to a slowdown of all servers: they open no breaker once half of the subset is ejected.
-func (b *Balancer) recordFailure(now time.Duration, attempt *attempt, status Status) {
+// recordBreakerFailure counts a failed attempt for the breaker of its server, and opens the breaker if its
+// trial failed or the threshold is reached. Time-outs may be due to a slowdown of all servers: they open no
+// breaker once half of the subset is ejected.
+func (b *Balancer) recordBreakerFailure(now time.Duration, attempt *attempt, status Status) {
 	server := attempt.server
 	breaker := &server.breaker
 	breaker.recordFailure(now)
@@ -65,8 +66,8 @@
 	breaker.open(now, b.random)
 }
 
-// detectUnresponsive counts attempts without a response as failures and, where allowed, hedges the request.
-func (b *Balancer) detectUnresponsive(now time.Duration, request *request) {
+// checkAttempts counts unresponsive attempts as failures and, where permitted, hedges the request.
+func (b *Balancer) checkAttempts(now time.Duration, request *request) {
 	expected := request.expectedLatency(b.means.relativeLatency)
 	for i := range request.attempts {
 		attempt := &request.attempts[i]
@@ -75,7 +76,7 @@
 		}
 		b.limiter.markUnresponsive(attempt)
 		attempt.server.score.recordFailure(now)
-		b.recordFailure(now, attempt, Timeout)
+		b.recordBreakerFailure(now, attempt, Timeout)
 		if !b.retry.permitsHedging(now, request, expected) {
 			continue
 		}
--- a/policy/periodic_check.go
+++ b/policy/periodic_check.go
@@ -54,11 +54,12 @@
 	}
 }
 
+// checkRequest handles what is due for an active request.
 func (b *Balancer) checkRequest(now time.Duration, request *request) {
 	switch {
 	case request.streaming: // has no deadline any more
 	case request.inFlight > 0:
-		b.detectUnresponsive(now, request)
+		b.checkAttempts(now, request)
 	case now >= request.deadline:
 		b.terminateUnserved(request)
 	case request.backoffOver(now):
--- a/policy/simulated_fleet_test.go
+++ b/policy/simulated_fleet_test.go
@@ -173,11 +173,11 @@
 }
 
 // request has a client send a request to a node, and disconnect at its deadline.
-func (f *simulatedFleet) request(class, try int, work float64) {
+func (f *simulatedFleet) request(class, attempt int, work float64) {
 	i, _ := slices.BinarySearch(f.weights, f.rng.Float64()*f.weights[len(f.weights)-1])
 	n := f.nodes[i]
 	f.lastID++
-	request := &clientRequest{id: f.lastID, class: class, attempt: try, work: work}
+	request := &clientRequest{id: f.lastID, class: class, attempt: attempt, work: work}
 	n.requests[request.id] = request
 	left := f.settings.Classes[class].Deadline
 	n.balancer.Request(f.now, Request{ID: request.id, Class: class, Timeout: left})
--- a/policy/validate.go
+++ b/policy/validate.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// SettingError reports a setting whose value is impossible.
+// SettingError reports a setting whose value is invalid.
 type SettingError struct {
 	Field   string // path within Settings, such as "Limits.MaxAttempts" or "Classes[2].Deadline"
 	Value   any    // the value found; for Classes their number
@@ -19,7 +19,7 @@
 	return fmt.Sprintf("policy: setting %s is %v, must be %s", e.Field, e.Value, e.Allowed)
 }
 
-// Validate returns a *SettingError for the first impossible field, or nil.
+// Validate returns a *SettingError for the first invalid field, or nil.
 func (s *Settings) Validate() error {
 	checks := s.checks()
 	for i := range s.Classes {
@@ -41,7 +41,7 @@
 // allowedNumber says in words what isFiniteNonNegative accepts.
 const allowedNumber = "a finite number of at least 0"
 
-// isFiniteNonNegative refuses NaN too, which compares false.
+// isFiniteNonNegative rejects NaN too, which compares false.
 func isFiniteNonNegative(value float64) bool { return value >= 0 && !math.IsInf(value, 1) }
 
 // check is the result of comparing one field with its allowed values.
--- a/policy/validate_test.go
+++ b/policy/validate_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func TestImpossibleSettingIsReportedWithItsField(t *testing.T) {
+func TestInvalidSettingIsReportedWithItsField(t *testing.T) {
 	nan, infinite := math.NaN(), math.Inf(1)
 	for _, tc := range []struct {
 		field  string
@@ -41,8 +41,8 @@
 		set := testSettings()
 		tc.change(&set)
 		_, err := New(set, 1, newHost())
-		var impossible *SettingError
-		if !errors.As(err, &impossible) || impossible.Field != tc.field || impossible.Allowed == "" ||
+		var invalid *SettingError
+		if !errors.As(err, &invalid) || invalid.Field != tc.field || invalid.Allowed == "" ||
 			!strings.Contains(err.Error(), "setting "+tc.field+" ") {
 			t.Errorf("%s: error %v does not name it", tc.field, err)
 		}
@@ -57,12 +57,12 @@
 	}
 }
 
-func TestFirstImpossibleSettingIsReported(t *testing.T) {
+func TestFirstInvalidSettingIsReported(t *testing.T) {
 	settings := testSettings()
 	settings.Classes[2].Deadline, settings.Classes[1].LateFraction = 0, 2
-	var impossible *SettingError
-	if err := settings.Validate(); !errors.As(err, &impossible) || impossible.Field != "Classes[1].LateFraction" ||
-		impossible.Value != 2.0 || impossible.Allowed != "between 0 and 1" {
+	var invalid *SettingError
+	if err := settings.Validate(); !errors.As(err, &invalid) || invalid.Field != "Classes[1].LateFraction" ||
+		invalid.Value != 2.0 || invalid.Allowed != "between 0 and 1" {
 		t.Errorf("error %v, want the one of Classes[1].LateFraction", err)
 	}
 }
