--- a/policy/invariants_test.go
+++ b/policy/invariants_test.go
@@ -15,6 +15,7 @@
 	t              *testing.T
 	rng            *rand.Rand
 	balancer       *Balancer
+	classes        []Class
 	now            time.Duration
 	requests       map[RequestID]*checkedRequest
 	finalResponses map[RequestID]int
@@ -139,15 +140,22 @@
 	w.balancer.UpdateEndpoints(w.now, UpdateDelta, []Endpoint{e})
 }
 
-// runRandomEvents returns the log of the actions.
-func runRandomEvents(t *testing.T, seed uint64) []string {
+// newInvariantChecker starts a Balancer with eight servers.
+func newInvariantChecker(t *testing.T, seed uint64) *invariantChecker {
 	t.Helper()
 	settings := testSettings()
 	settings.Classes[0].LateFraction = 0.5
 	settings.Tenants = []Tenant{{QuotaPerS: 50}}
-	w := &invariantChecker{fakeHost: newHost(), t: t, rng: rand.New(rand.NewPCG(seed, 1)), now: time.Hour,
-		requests: map[RequestID]*checkedRequest{}, finalResponses: map[RequestID]int{},
-		endpoints: map[ServerID]Endpoint{}}
+	w := &invariantChecker{
+		fakeHost:       newHost(),
+		t:              t,
+		rng:            rand.New(rand.NewPCG(seed, 1)),
+		classes:        settings.Classes,
+		now:            time.Hour,
+		requests:       map[RequestID]*checkedRequest{},
+		finalResponses: map[RequestID]int{},
+		endpoints:      map[ServerID]Endpoint{},
+	}
 	balancer, err := New(settings, seed, w)
 	if err != nil {
 		t.Fatal(err)
@@ -159,33 +167,53 @@
 		w.endpoints[entries[i].Server] = entries[i]
 	}
 	balancer.UpdateEndpoints(w.now, UpdateCached, entries)
+	return w
+}
+
+// arrive sends a request of a random class and timeout.
+func (w *invariantChecker) arrive(id RequestID) {
+	class := w.rng.IntN(3)
+	left := time.Duration(300+w.rng.IntN(1700)) * ms
+	w.requests[id] = &checkedRequest{class: w.classes[class], deadline: w.now + left}
+	w.balancer.Request(w.now, Request{ID: id, Class: class, Timeout: left})
+}
+
+// checkEnd checks that every request got one final response, and that none is known any more.
+func (w *invariantChecker) checkEnd(ids []RequestID) {
+	w.t.Helper()
+	for _, id := range ids {
+		if w.finalResponses[id] != 1 {
+			w.t.Errorf("request %d got %d final responses", id, w.finalResponses[id])
+		}
+	}
+	known, active := len(w.balancer.requests.byID), len(w.balancer.requests.active)
+	if known > 0 || active > 0 {
+		w.t.Errorf("%d requests and %d active ones known at the end", known, active)
+	}
+}
+
+// runRandomEvents returns the log of the actions.
+func runRandomEvents(t *testing.T, seed uint64) []string {
+	t.Helper()
+	const steps, stepsWithArrivals = 4000, 3500 // then the requests end
+	w := newInvariantChecker(t, seed)
 	var ids []RequestID
-	for step := range 4000 {
+	for step := range steps {
 		w.now += 5 * ms
 		for range w.rng.IntN(4) {
-			if step >= 3500 {
-				break // let the requests end
+			if step >= stepsWithArrivals {
+				break
 			}
 			id := RequestID(len(ids) + 1)
-			class := w.rng.IntN(3)
-			left := time.Duration(300+w.rng.IntN(1700)) * ms
 			ids = append(ids, id)
-			w.requests[id] = &checkedRequest{class: settings.Classes[class], deadline: w.now + left}
-			balancer.Request(w.now, Request{ID: id, Class: class, Timeout: left})
+			w.arrive(id)
 		}
 		if w.rng.IntN(60) == 0 {
 			w.changeEndpoint(w.now)
 		}
 		w.step(ids)
 	}
-	for _, id := range ids {
-		if w.finalResponses[id] != 1 {
-			t.Errorf("request %d got %d final responses", id, w.finalResponses[id])
-		}
-	}
-	if known, active := len(balancer.requests.byID), len(balancer.requests.active); known > 0 || active > 0 {
-		t.Errorf("%d requests and %d active ones known at the end", known, active)
-	}
+	w.checkEnd(ids)
 	return w.log
 }
 
--- a/policy/latency_test.go
+++ b/policy/latency_test.go
@@ -1,6 +1,9 @@
 package policy
 
-import "testing"
+import (
+	"math"
+	"testing"
+)
 
 // Guards against ordering queued requests by an initial estimate that a busy fleet never corrects.
 func TestWeightPerWorkFollowsAllResponses(t *testing.T) {
@@ -38,3 +41,54 @@
 		t.Fatalf("%d of %d attempts count as unloaded, want the first few", unloaded, sends)
 	}
 }
+
+func TestOnlyUnloadedLatenciesMoveTheBaselines(t *testing.T) {
+	settings := testSettings()
+	for _, tc := range []struct {
+		name     string
+		unloaded bool
+	}{{"unloaded", true}, {"loaded", false}} {
+		t.Run(tc.name, func(t *testing.T) {
+			class := newRequestClass(Class{Objective: 400 * ms}, &settings)
+			estimator := newLatencyEstimator(&class)
+			s := newServer(0)
+			baseline := class.baseline.Value()
+
+			estimator.record(&attempt{server: s, unloaded: tc.unloaded}, &request{class: &class}, 50*ms, 1)
+
+			if moved := class.baseline.Value() != baseline; moved != tc.unloaded {
+				t.Errorf("the class's baseline moved: %v, want %v", moved, tc.unloaded)
+			}
+			if moved := s.baseline.Samples() > 0; moved != tc.unloaded {
+				t.Errorf("the server's baseline moved: %v, want %v", moved, tc.unloaded)
+			}
+		})
+	}
+}
+
+func TestBaselineTakesNoLatencyNearTheObjective(t *testing.T) {
+	settings := testSettings()
+	class := newRequestClass(Class{Objective: 300 * ms}, &settings)
+	for range maxLatencySamples {
+		class.recordUnloaded(10, 0)
+	}
+	if got := class.baseline.Value(); got > 0.1 {
+		t.Errorf("baseline %v s, want a third of the objective at most", got)
+	}
+}
+
+func TestCongestionFollowsLoadedLatencies(t *testing.T) {
+	settings := testSettings()
+	class := newRequestClass(Class{Objective: 400 * ms}, &settings) // the guessed baseline is 100 ms
+	estimator := newLatencyEstimator(&class)
+	loaded := &attempt{server: newServer(0)}
+	for range 20 * congestionSmoothing {
+		estimator.record(loaded, &request{class: &class}, 200*ms, 1)
+	}
+	if got := estimator.congestion; math.Abs(got-math.Ln2) > 0.01 {
+		t.Errorf("congestion %.3f at twice the baseline, want %.3f", got, math.Ln2)
+	}
+	if got := estimator.smoothed; math.Abs(got-0.2) > 0.01 {
+		t.Errorf("smoothed latency %.3f s, want 0.200 s", got)
+	}
+}
--- a/policy/simulated_fleet_test.go
+++ b/policy/simulated_fleet_test.go
@@ -278,9 +278,26 @@
 
 // simulate runs the scenario until the last server has warmed up.
 func (c scenario) simulate(t *testing.T, seed uint64) *simulatedFleet {
+	t.Helper()
+	f := newSimulatedFleet(t, c, seed)
+	f.arrive()
+	began := f.now + c.warmUp
+	f.scheduleFaults(began)
+	f.schedule(began, f.sumCapacity)
+	f.runUntil(began + c.restartSpan + c.downtime + c.rules.SlowStartDuration)
+	return f
+}
+
+// newSimulatedFleet starts the servers and nodes of a scenario.
+func newSimulatedFleet(t *testing.T, c scenario, seed uint64) *simulatedFleet {
 	t.Helper()
 	f := &simulatedFleet{
-		scenario: c, t: t, settings: testSettings(), rng: rand.New(rand.NewPCG(seed, 0)), now: time.Hour,
+		scenario:      c,
+		t:             t,
+		settings:      testSettings(),
+		rng:           rand.New(rand.NewPCG(seed, 0)),
+		now:           time.Hour,
+		nodes:         make([]*simulatedNode, c.nodes),
 		arrivalFactor: 1,
 	}
 	f.settings.Nodes, f.settings.Rules = c.nodes, c.rules
@@ -295,42 +312,51 @@
 			Idempotency: NotIdempotent,
 		},
 	}
+	speeds := []float64{1.5, 1.5, 0.9, 0.55, 0.55}
 	for i, e := range ready(1, c.servers) {
-		f.servers = append(f.servers, &simulatedServer{Endpoint: e, speed: []float64{1.5, 1.5, 0.9, 0.55, 0.55}[i%5]})
+		f.servers = append(f.servers, &simulatedServer{Endpoint: e, speed: speeds[i%len(speeds)]})
 	}
 	f.rng.Shuffle(c.servers, func(i, j int) { f.servers[i], f.servers[j] = f.servers[j], f.servers[i] })
-	f.nodes = make([]*simulatedNode, c.nodes)
 	sum := 0.0
 	for i := range f.nodes {
 		f.startNode(i)
 		sum += 0.3 + 0.7*f.rng.ExpFloat64() // some nodes get several times the mean
 		f.weights = append(f.weights, sum)
 	}
-	f.arrive()
-	began := f.now + c.warmUp
-	k := max(1, int(c.restarted*float64(c.servers)))
-	for i, s := range f.servers[:k] {
-		f.schedule(began+c.restartSpan*time.Duration(i)/time.Duration(k), func() { f.restart(s) })
+	return f
+}
+
+// scheduleFaults schedules the restarts of the scenario and all that goes with them.
+func (f *simulatedFleet) scheduleFaults(began time.Duration) {
+	restarted := max(1, int(f.restarted*float64(f.scenario.servers)))
+	for i, s := range f.servers[:restarted] {
+		at := began + f.restartSpan*time.Duration(i)/time.Duration(restarted)
+		f.schedule(at, func() { f.restart(s) })
 	}
-	others := f.servers[k:]
-	f.schedule(began+c.downtime, func() {
-		f.arrivalFactor = max(1, c.burst)
-		for i := 0; c.othersFail && i < len(others)/3; i++ {
+	others := f.servers[restarted:]
+	f.schedule(began+f.downtime, func() {
+		f.arrivalFactor = max(1, f.burst)
+		for i := 0; f.othersFail && i < len(others)/3; i++ {
 			others[i].fails, others[i].hangs = i%2 == 0, i%2 == 1
 		}
 	})
-	if c.nodesRestartAfter > 0 {
-		f.schedule(began+c.nodesRestartAfter, func() {
-			for i := range f.nodes {
-				f.startNode(i)
-			}
-		})
+	if f.nodesRestartAfter > 0 {
+		f.schedule(began+f.nodesRestartAfter, f.restartNodes)
 	}
-	f.schedule(began, f.sumCapacity)
-	for end := began + c.restartSpan + c.downtime + c.rules.SlowStartDuration; f.now < end; {
-		e := heap.Pop(&f.events).(simulatedEvent)
-		f.now = e.at
-		e.action()
+}
+
+// restartNodes starts a new process of every node.
+func (f *simulatedFleet) restartNodes() {
+	for i := range f.nodes {
+		f.startNode(i)
+	}
+}
+
+// runUntil runs the events up to the first at a time or later.
+func (f *simulatedFleet) runUntil(end time.Duration) {
+	for f.now < end {
+		event := heap.Pop(&f.events).(simulatedEvent)
+		f.now = event.at
+		event.action()
 	}
-	return f
 }
