--- a/policy/latency.go
+++ b/policy/latency.go
@@ -20,9 +20,9 @@
 	minRelativeWork = 0.25 // by a cost hint, which is a rough estimate
 	maxRelativeWork = 4    // by a cost hint
 
-	initialBaselineFraction   = 1.0 / 4              // of a class's latency objective
-	maxBaselineCongestion     = targetCongestion / 2 // up to which a sample counts for a class's baseline
-	objectivePerBaselineLimit = 3                    // the objective is this multiple of the largest sample
+	initialBaselineFraction = 1.0 / 4              // of a class's latency objective
+	maxBaselineCongestion   = targetCongestion / 2 // up to which a sample counts for a class's baseline
+	baselineCapDivisor      = 3                    // a sample counts as a third of the objective at most
 
 	minBaseline = time.Millisecond       // so that multiples of the baseline stay finite
 	minLatency  = 100 * time.Microsecond // so that logarithms stay finite
@@ -73,7 +73,7 @@
 // objective are outliers, which would hide congestion.
 func (c *requestClass) recordUnloaded(latency, congestion float64) {
 	if c.baseline.Samples() < startupSamples || congestion < maxBaselineCongestion {
-		c.baseline.Add(min(latency, c.Objective.Seconds()/objectivePerBaselineLimit))
+		c.baseline.Add(min(latency, c.Objective.Seconds()/baselineCapDivisor))
 	}
 }
 
--- a/policy/score.go
+++ b/policy/score.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	outcomesPerServer  = 100  // latest outcomes that a server is judged by
-	priorOutcomes      = 3.0  // weight of the means beside a server's own outcomes
-	successWeight      = 0.7  // of the success rate in the score
-	latencyWeight      = 0.3  // of the latency in the score
-	minHighestLatency  = 1e-9 // multiple of the baseline, so that the score stays finite
-	scoreTieMargin     = 0.1  // scores this close go by the attempts in flight
-	initialSuccessRate = 1.0  // without any outcome
-	initialLatency     = 1.0  // multiple of the baseline, without any outcome
+	outcomesPerServer      = 100  // latest outcomes that a server is judged by
+	priorOutcomes          = 3.0  // weight of the means beside a server's own outcomes
+	successWeight          = 0.7  // of the success rate in the score
+	latencyWeight          = 0.3  // of the latency in the score
+	minHighestLatency      = 1e-9 // multiple of the baseline, so that the score stays finite
+	scoreTieMargin         = 0.1  // scores this close go by the attempts in flight
+	initialSuccessRate     = 1.0  // without any outcome
+	initialRelativeLatency = 1.0  // multiple of the baseline, without any outcome
 )
 
 // serverScore judges a server by its latest outcomes.
@@ -61,7 +61,7 @@
 type outcomeMeans struct{ successRate, relativeLatency float64 }
 
 func newOutcomeMeans() outcomeMeans {
-	return outcomeMeans{successRate: initialSuccessRate, relativeLatency: initialLatency}
+	return outcomeMeans{successRate: initialSuccessRate, relativeLatency: initialRelativeLatency}
 }
 
 // update drops the expired outcomes of the servers and takes the means over the others.
