--- a/policy/api.go
+++ b/policy/api.go
@@ -10,7 +10,7 @@
 // # Files
 //
 // The interface is in api.go, settings.go and validate.go. The Balancer owns one value of each concern and
-// calls them in order: balancer.go holds the events, timers.go the periodic check and the first watch,
+// calls them in order: balancer.go holds the events, periodic_check.go the check of all active requests,
 // dispatch.go the path of a request, and outcome.go what the outcome of an attempt says about its server.
 // Each concern has a type that alone changes its state:
 //
@@ -24,7 +24,7 @@
 //	quota.go              tenantQuotas        the tenants' quotas
 //	arrivals.go           arrivalStats        the rate and the priority weight of arrivals
 //	admission.go          admissionQueue      the requests that wait for capacity
-//	                      loadShedder         which of them are terminated
+//	load_shedding.go      loadShedder         which of them are terminated
 //	selection.go          candidates          the choice between servers
 //	score.go              serverScore         the score of a server from its outcomes
 //	circuit_breaker.go    circuitBreaker      the ejection of a server after consecutive failures
@@ -99,7 +99,7 @@
 // Class is a class of requests that are treated alike.
 type Class struct {
 	Deadline         time.Duration // total time that a client waits, over all of its attempts
-	Objective        time.Duration // latency up to which a response has its full weight; 0: Deadline
+	Objective        time.Duration // latency objective, up to which a response has its full weight; 0: Deadline
 	ObjectivePerWork float64       // extends the objective by this multiple of Request.CostHint
 	LateFraction     float64       // share of the weight, 0 to 1, of a response after the objective
 	PriorityWeight   float64       // weight of one request, or with Settings.WeightByWork of its work
@@ -132,7 +132,7 @@
 	ResponseGrace     time.Duration // time after a client's deadline at which a final response still counts
 }
 
-// Settings configures a Balancer. Validate names the impossible ones.
+// Settings configures a Balancer. Validate reports invalid values.
 type Settings struct {
 	Nodes             int // number of load balancer nodes, this one included
 	Node              int // index of this node, from 0
