--- a/cmd/simadapter/adapter.go
+++ b/cmd/simadapter/adapter.go
@@ -97,8 +97,8 @@
 		balancer.ClientDisconnected(now, event.Outcome.ID)
 	case simproto.EventTimer:
 		balancer.Timer(now, event.Token)
-	case simproto.EventProbeResult, simproto.EventPeerMessage: // the instances use neither
-	case simproto.EventInstance: // see handleBatch
+	case simproto.EventProbeResult, simproto.EventPeerMessage, simproto.EventInstance:
+		// The instances use neither of the first two; handleBatch has selected the instance.
 	}
 }
 
