--- a/internal/testkit/machine.go
+++ b/internal/testkit/machine.go
@@ -24,6 +24,8 @@
 	changed chan struct{} // closed at the next Partition or Heal
 	stays   int           // how often the machine has returned
 	fillers []net.Conn    // which fill the accept queue while it is away
+
+	pendingAccept chan struct{} // closed when the pending Accept returns; nil: none is pending
 }
 
 // Response is the response to a call of a Machine.
@@ -45,29 +47,63 @@
 		Address: listener.Addr().String(), listener: listener.(*net.TCPListener),
 		answer: answer, changed: make(chan struct{}),
 	}
+	m.serve(tb, listener)
+	return m
+}
+
+// serve serves connections, which it accepts by way of a listener, until the end of the test.
+func (m *Machine) serve(tb testing.TB, listener net.Listener) {
+	tb.Helper()
 	server := &http.Server{Handler: m}
 	go func() { _ = server.Serve(machineListener{listener, m}) }() // ends with the server's Close
 	tb.Cleanup(func() {
 		m.setAway(false)
 		_ = server.Close() // the test is over
 	})
-	return m
 }
 
-// Partition takes the machine off the network.
+// Partition takes the machine off the network. When it returns, connection attempts hang.
 func (m *Machine) Partition(tb testing.TB) {
 	tb.Helper()
 	m.setAway(true)
 	m.setBacklog(tb, 0)
-	for { // until a connection attempt hangs
-		conn, err := net.DialTimeout("tcp", m.Address, connectTimeout)
-		if err != nil {
-			return
-		}
-		m.mu.Lock()
-		m.fillers = append(m.fillers, conn)
-		m.mu.Unlock()
+	m.completePendingAccept()
+	for m.addFiller() { // until a connection attempt hangs
+	}
+}
+
+// completePendingAccept returns once no Accept is pending, or the machine is back. An Accept that was
+// pending when the machine vanished takes one more connection out of the accept queue, and so makes room
+// for another; a later one takes none while the machine is away.
+func (m *Machine) completePendingAccept() {
+	m.mu.Lock()
+	pending, changed, away := m.pendingAccept, m.changed, m.away
+	m.mu.Unlock()
+	if pending == nil || !away {
+		return
+	}
+	m.addFiller() // for the pending Accept, if no other connection is in the queue
+	select {
+	case <-pending:
+	case <-changed:
+	}
+}
+
+// addFiller opens a connection that stays in the accept queue. It reports false if the queue is full or
+// the machine is back.
+func (m *Machine) addFiller() bool {
+	conn, err := net.DialTimeout("tcp", m.Address, connectTimeout)
+	if err != nil {
+		return false
+	}
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if !m.away {
+		_ = conn.Close() // nothing was sent on it
+		return false
 	}
+	m.fillers = append(m.fillers, conn)
+	return true
 }
 
 // Heal brings the machine back.
@@ -127,18 +163,31 @@
 }
 
 // awaitPresence blocks while the machine is away.
-func (m *Machine) awaitPresence() {
+func (m *Machine) awaitPresence() { m.whenPresent(func() {}) }
+
+// whenPresent waits until the machine is there and then calls a function, which holds m.mu.
+func (m *Machine) whenPresent(call func()) {
 	for {
 		m.mu.Lock()
-		away, changed := m.away, m.changed
-		m.mu.Unlock()
-		if !away {
+		if !m.away {
+			call()
+			m.mu.Unlock()
 			return
 		}
+		changed := m.changed
+		m.mu.Unlock()
 		<-changed
 	}
 }
 
+// acceptReturned records that the pending Accept has returned.
+func (m *Machine) acceptReturned() {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	close(m.pendingAccept)
+	m.pendingAccept = nil
+}
+
 // setBacklog sets how many connections the system establishes ahead of Accept.
 func (m *Machine) setBacklog(tb testing.TB, connections int) {
 	tb.Helper()
@@ -160,8 +209,10 @@
 }
 
 func (l machineListener) Accept() (net.Conn, error) {
-	l.machine.awaitPresence()
+	returned := make(chan struct{})
+	l.machine.whenPresent(func() { l.machine.pendingAccept = returned })
 	conn, err := l.Listener.Accept()
+	l.machine.acceptReturned()
 	if err == nil {
 		l.machine.awaitPresence() // it may have vanished meanwhile
 	}
--- a/internal/testkit/machine_test.go
+++ b/internal/testkit/machine_test.go
@@ -5,6 +5,7 @@
 	"net"
 	"net/http"
 	"testing"
+	"time"
 )
 
 func TestMachineIsSilentWhileAway(t *testing.T) {
@@ -38,3 +39,42 @@
 		t.Errorf("answered %q after its return", got)
 	}
 }
+
+// gatedListener begins its first Accept when the gate opens, like one whose goroutine is scheduled late.
+type gatedListener struct {
+	net.Listener
+	called   chan<- struct{}
+	gate     <-chan struct{}
+	returned chan<- struct{}
+}
+
+func (l gatedListener) Accept() (net.Conn, error) {
+	signal(l.called)
+	<-l.gate
+	defer signal(l.returned)
+	return l.Listener.Accept()
+}
+
+// signal sends to a channel, unless that is full: only the first call counts.
+func signal(channel chan<- struct{}) {
+	select {
+	case channel <- struct{}{}:
+	default:
+	}
+}
+
+func TestPartitionLastsPastAnAcceptThatWasPending(t *testing.T) {
+	listener := Listen(t)
+	machine := &Machine{
+		Address: listener.Addr().String(), listener: listener.(*net.TCPListener), changed: make(chan struct{}),
+	}
+	called, gate, returned := make(chan struct{}, 1), make(chan struct{}), make(chan struct{}, 1)
+	machine.serve(t, gatedListener{listener, called, gate, returned})
+	Wait(t, called, "the Accept")
+	time.AfterFunc(2*connectTimeout, func() { close(gate) })
+	machine.Partition(t)
+	Wait(t, returned, "the return of the pending Accept")
+	if _, err := net.DialTimeout("tcp", machine.Address, connectTimeout); !IsTimeout(err) {
+		t.Errorf("dial after the pending Accept: %v, want a timeout", err)
+	}
+}
