--- a/internal/testkit/handlers.go
+++ b/internal/testkit/handlers.go
@@ -2,20 +2,22 @@
 
 import (
 	"io"
+	"net"
 	"net/http"
+	"time"
 )
 
-// OK answers 200.
+// OK responds with status 200.
 func OK(w http.ResponseWriter, _ *http.Request) {
 	_, _ = io.WriteString(w, "done") // the client may have disconnected
 }
 
-// ServerError answers 500.
+// ServerError responds with status 500.
 func ServerError(w http.ResponseWriter, _ *http.Request) {
 	http.Error(w, "oops", http.StatusInternalServerError)
 }
 
-// NotProcessed answers 503 and promises that the request was not processed.
+// NotProcessed responds with status 503 and promises that the request was not processed.
 func NotProcessed(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("X-Not-Processed", "1")
 	w.WriteHeader(http.StatusServiceUnavailable)
@@ -39,3 +41,29 @@
 		}
 	}
 }
+
+// resetConnection ends the connection of a request with a reset, also if something was written to it.
+func resetConnection(w http.ResponseWriter) {
+	conn, _, err := w.(http.Hijacker).Hijack()
+	if err != nil {
+		return
+	}
+	if tcp, ok := conn.(*net.TCPConn); ok {
+		_ = tcp.SetLinger(0) // it is closed in either case
+	}
+	_ = conn.Close() // the peer sees the reset
+}
+
+// LongPoll blocks a call of the endpoint list for as long as it requests, until changed is closed or
+// until its caller disconnects.
+func LongPoll(r *http.Request, changed <-chan struct{}) {
+	wait, err := time.ParseDuration(r.URL.Query().Get("wait_ms") + "ms")
+	if err != nil {
+		return // no wait is requested
+	}
+	select {
+	case <-changed:
+	case <-r.Context().Done():
+	case <-time.After(wait):
+	}
+}
--- a/internal/testkit/listener.go
+++ b/internal/testkit/listener.go
@@ -1,11 +1,10 @@
 package testkit
 
 import (
+	"errors"
 	"fmt"
 	"net"
-	"net/netip"
 	"os"
-	"strconv"
 	"sync/atomic"
 	"syscall"
 	"testing"
@@ -39,6 +38,18 @@
 	return listener
 }
 
+// setBacklog sets how many connections the system establishes at a listener ahead of Accept. With 0 it
+// establishes one.
+func setBacklog(listener *net.TCPListener, connections int) error {
+	raw, err := listener.SyscallConn()
+	if err != nil {
+		return err
+	}
+	var listenErr error
+	controlErr := raw.Control(func(fd uintptr) { listenErr = syscall.Listen(int(fd), connections) })
+	return errors.Join(controlErr, listenErr)
+}
+
 // acceptUntilClosed serves each connection in a goroutine of its own until the listener is closed.
 // Then it closes the connections, which ends these goroutines.
 func acceptUntilClosed(listener net.Listener, serve func(net.Conn)) {
@@ -62,39 +73,3 @@
 	defer func() { _ = listener.Close() }() // nothing was accepted
 	return listener.Addr().String()
 }
-
-// ReservedAddr is a loopback address that is bound, so that no other process can take it, and that
-// refuses connections until Listen is called.
-type ReservedAddr struct {
-	Address string
-	file    *os.File
-}
-
-// ReserveAddr binds a free loopback port until the end of the test.
-func ReserveAddr(t *testing.T) *ReservedAddr {
-	t.Helper()
-	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
-	if err != nil {
-		t.Fatal(err)
-	}
-	file := os.NewFile(uintptr(fd), "reserved address")
-	t.Cleanup(func() { _ = file.Close() }) // a listener has its own copy of the descriptor
-	host := newHost()
-	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: netip.MustParseAddr(host).As4()}); err != nil {
-		t.Fatal(err)
-	}
-	bound, err := syscall.Getsockname(fd)
-	if err != nil {
-		t.Fatal(err)
-	}
-	port := bound.(*syscall.SockaddrInet4).Port
-	return &ReservedAddr{Address: net.JoinHostPort(host, strconv.Itoa(port)), file: file}
-}
-
-// Listen starts to accept connections at the address. The caller closes the listener.
-func (a *ReservedAddr) Listen() (net.Listener, error) {
-	if err := syscall.Listen(int(a.file.Fd()), syscall.SOMAXCONN); err != nil {
-		return nil, fmt.Errorf("listen at %s: %w", a.Address, err)
-	}
-	return net.FileListener(a.file)
-}
--- a/internal/testkit/listener_test.go
+++ b/internal/testkit/listener_test.go
@@ -28,7 +28,7 @@
 func TestScriptedServerClosesItsConnectionsWithTheTest(t *testing.T) {
 	var conn net.Conn
 	t.Run("inner", func(t *testing.T) {
-		server := NewScriptedServer(t, "", false)
+		server := NewScriptedServer(t, "", KeepAlive)
 		var err error
 		if conn, err = net.Dial("tcp", server.Address); err != nil {
 			t.Fatal(err)
--- a/internal/testkit/machine_test.go
+++ b/internal/testkit/machine_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-func TestMachineIsSilentWhileAway(t *testing.T) {
-	machine := NewMachine(t, func(*http.Request) Response { return Response{Status: http.StatusOK, Body: "here"} })
+func TestPartitionedMachineIsUnreachable(t *testing.T) {
+	machine := NewMachine(t, func(*http.Request) Response { return Response{Status: http.StatusOK, Body: "reachable"} })
 	client := http.Client{Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
 	get := func() string {
@@ -24,19 +24,19 @@
 		}
 		return string(body)
 	}
-	if got := get(); got != "here" {
-		t.Fatalf("answered %q", got)
+	if got := get(); got != "reachable" {
+		t.Fatalf("response %q", got)
 	}
 	machine.Partition(t)
 	if _, err := net.DialTimeout("tcp", machine.Address, connectTimeout); !IsTimeout(err) {
-		t.Errorf("dial while it is away: %v, want a timeout", err)
+		t.Errorf("dial during the partition: %v, want a timeout", err)
 	}
-	answers := make(chan string, 1)
-	go func() { answers <- get() }() // on the connection from before
+	responses := make(chan string, 1)
+	go func() { responses <- get() }() // on the connection from before
 	machine.Heal(t)
-	Wait(t, answers, "the end of the call while it was away")
-	if got := get(); got != "here" {
-		t.Errorf("answered %q after its return", got)
+	Wait(t, responses, "the end of the call during the partition")
+	if got := get(); got != "reachable" {
+		t.Errorf("response %q after the partition", got)
 	}
 }
 
--- a/internal/testkit/registry.go
+++ b/internal/testkit/registry.go
@@ -14,7 +14,7 @@
 	"calicohinge/internal/endpointjson"
 )
 
-// maxRecordedCalls bounds Registry.Queries; further calls are answered and not recorded.
+// maxRecordedCalls bounds Registry.Queries; further calls are served and not recorded.
 const maxRecordedCalls = 4096
 
 // Registry is a discovery service whose list the test sets.
@@ -43,7 +43,7 @@
 // Address returns the host and port at which the service listens.
 func (r *Registry) Address() string { return r.Listener.Addr().String() }
 
-// update makes a change under the lock and answers the pending watches.
+// update makes a change under the lock and completes the pending watches.
 func (r *Registry) update(change func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- /dev/null
+++ b/internal/testkit/reserved_addr.go
@@ -0,0 +1,47 @@
+package testkit
+
+import (
+	"fmt"
+	"net"
+	"net/netip"
+	"os"
+	"strconv"
+	"syscall"
+	"testing"
+)
+
+// ReservedAddr is a loopback address that is bound, so that no other process can take it, and that
+// refuses connections until Listen is called.
+type ReservedAddr struct {
+	Address string
+	file    *os.File
+}
+
+// ReserveAddr binds a free loopback port until the end of the test.
+func ReserveAddr(t *testing.T) *ReservedAddr {
+	t.Helper()
+	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	file := os.NewFile(uintptr(fd), "reserved address")
+	t.Cleanup(func() { _ = file.Close() }) // a listener has its own copy of the descriptor
+	host := newHost()
+	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: netip.MustParseAddr(host).As4()}); err != nil {
+		t.Fatal(err)
+	}
+	bound, err := syscall.Getsockname(fd)
+	if err != nil {
+		t.Fatal(err)
+	}
+	port := bound.(*syscall.SockaddrInet4).Port
+	return &ReservedAddr{Address: net.JoinHostPort(host, strconv.Itoa(port)), file: file}
+}
+
+// Listen starts to accept connections at the address. The caller closes the listener.
+func (a *ReservedAddr) Listen() (net.Listener, error) {
+	if err := syscall.Listen(int(a.file.Fd()), syscall.SOMAXCONN); err != nil {
+		return nil, fmt.Errorf("listen at %s: %w", a.Address, err)
+	}
+	return net.FileListener(a.file)
+}
--- a/internal/testkit/scripted_discovery.go
+++ b/internal/testkit/scripted_discovery.go
@@ -6,13 +6,13 @@
 	"testing"
 )
 
-// The answers of a ScriptedDiscovery other than a body.
+// The responses of a ScriptedDiscovery other than a body.
 const (
 	ResponseReset       = "reset" // the connection is reset
 	ResponseUnavailable = "down"  // status 503
 )
 
-// ScriptedDiscovery is a discovery service whose calls the test answers one by one.
+// ScriptedDiscovery is a discovery service whose responses the test sends one by one.
 type ScriptedDiscovery struct {
 	Address   string
 	Calls     chan *http.Request // in order of arrival
@@ -27,7 +27,7 @@
 		scripted.Calls <- r
 		select {
 		case text := <-scripted.Responses:
-			answerScripted(w, r, text)
+			writeScripted(w, r, text)
 		case <-r.Context().Done():
 		}
 	})
@@ -35,7 +35,7 @@
 	return scripted
 }
 
-func answerScripted(w http.ResponseWriter, r *http.Request, text string) {
+func writeScripted(w http.ResponseWriter, r *http.Request, text string) {
 	switch text {
 	case ResponseReset:
 		Reset(w, r)
--- a/internal/testkit/scripted_server.go
+++ b/internal/testkit/scripted_server.go
@@ -15,9 +15,17 @@
 	Conns   chan net.Conn // the accepted connections
 }
 
-// NewScriptedServer starts a server. After a response it closes the connection, or keeps it open for
-// another request.
-func NewScriptedServer(t *testing.T, response string, closeAfterResponse bool) *ScriptedServer {
+// Persistence is what a ScriptedServer does with a connection after a response.
+type Persistence = bool
+
+// The connection stays open for another request, or is closed.
+const (
+	KeepAlive          Persistence = false
+	CloseAfterResponse Persistence = true
+)
+
+// NewScriptedServer starts a server. It stops at the end of the test.
+func NewScriptedServer(t *testing.T, response string, persistence Persistence) *ScriptedServer {
 	t.Helper()
 	listener := Listen(t)
 	server := &ScriptedServer{Address: listener.Addr().String(), Conns: make(chan net.Conn, 100)}
@@ -26,7 +34,7 @@
 		defer func() { _ = conn.Close() }() // the client may have closed it first
 		requests := bufio.NewReader(conn)
 		for {
-			if respond(conn, requests, response) != nil || closeAfterResponse {
+			if respond(conn, requests, response) != nil || persistence == CloseAfterResponse {
 				return
 			}
 		}
--- a/internal/testkit/stuck_server.go
+++ b/internal/testkit/stuck_server.go
@@ -2,7 +2,6 @@
 
 import (
 	"net"
-	"syscall"
 	"testing"
 	"time"
 
@@ -26,7 +25,9 @@
 func NewStuckServer(t *testing.T) *StuckServer {
 	t.Helper()
 	listener := Listen(t)
-	shrinkBacklog(t, listener)
+	if err := setBacklog(listener.(*net.TCPListener), 0); err != nil {
+		t.Fatal(err)
+	}
 	for { // until a connection attempt hangs
 		conn, err := net.DialTimeout("tcp", listener.Addr().String(), connectTimeout)
 		if err != nil {
@@ -36,19 +37,6 @@
 	}
 }
 
-// shrinkBacklog lets the kernel queue one connection at most.
-func shrinkBacklog(t *testing.T, listener net.Listener) {
-	t.Helper()
-	raw, err := listener.(*net.TCPListener).SyscallConn()
-	if err != nil {
-		t.Fatal(err)
-	}
-	controlErr := raw.Control(func(fd uintptr) { err = syscall.Listen(int(fd), 0) })
-	if controlErr != nil || err != nil {
-		t.Fatal(controlErr, err)
-	}
-}
-
 // Endpoint returns the server's entry in an endpoint list.
 func (s *StuckServer) Endpoint(id string) endpointjson.Endpoint {
 	return readyEndpoint(id, s.Addr().String())
