--- a/cmd/balancer/address_change_test.go
+++ b/cmd/balancer/address_change_test.go
@@ -7,6 +7,7 @@
 	"testing"
 	"time"
 
+	"calicohinge/internal/balancertest"
 	"calicohinge/internal/testkit"
 )
 
@@ -21,7 +22,7 @@
 // A node is told of a new address of the discovery service, or of several in a row, while the service takes
 // its time for each call, also for those that were given up: the node has the list in time.
 func TestListOfASlowDiscoveryArrivesInTimeAfterSIGHUP(t *testing.T) {
-	program := buildProgram(t)
+	program := balancertest.Build(t)
 	for _, mode := range []string{"pushed", "on_request"} {
 		for _, c := range []struct {
 			hangups     int
@@ -45,9 +46,8 @@
 		"known":     listOf(1, "127.0.0.1:1"),
 		"settings":  moreSettings(fmt.Sprintf(`"RegistryMode": %q, "Contract": {"DrainGraceMs": 300}`, mode)),
 	}
-	started := startProcess(t, config, program)
-	awaitReady(t, testkit.Wait(t, started.addr, "the process to serve"))
-	file := configFile{t, started.configPath}
+	started := balancertest.Start(t, config, program)
+	balancertest.AwaitReady(t, testkit.Wait(t, started.Addr, "the process to serve"))
 	began := time.Now()
 	var address string
 	for range hangups {
@@ -58,8 +58,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		file.replace(string(text))
-		signalProcess(t, started.pid, syscall.SIGHUP)
+		started.ConfigFile.Replace(t, text)
+		balancertest.Signal(t, started.PID, syscall.SIGHUP)
 		began = began.Add(hangupInterval)
 	}
 	first := began.Add(-time.Duration(hangups) * hangupInterval)
--- a/cmd/balancer/benchmark_test.go
+++ b/cmd/balancer/benchmark_test.go
@@ -20,6 +20,7 @@
 	"testing"
 	"time"
 
+	"calicohinge/internal/balancertest"
 	"calicohinge/internal/testkit"
 )
 
@@ -42,7 +43,7 @@
 // versions returns this tree's binary and the baseline, if there is one.
 func versions(b *testing.B) []version {
 	b.Helper()
-	all := []version{{"this", buildProgram(b)}}
+	all := []version{{"this", balancertest.Build(b)}}
 	if path := flagValue[string](baselineFlag); path != "" {
 		all = append(all, version{baselineFlag, path})
 	}
@@ -65,20 +66,18 @@
 func BenchmarkRequest(b *testing.B) {
 	measureInTurns(b, func(b *testing.B, path string) {
 		server := newServer(b, testkit.OK)
-		started := startProcess(b, map[string]any{
+		started := balancertest.Start(b, map[string]any{
 			"discovery": "127.0.0.1:1", "known": listOf(1, server, server, server, server),
 			"limits":   map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024},
 			"settings": moreSettings(`"Limits": {"MaxAttempts": 3}`),
 		}, path)
-		addr := <-started.addr
-		if timeToReady(addr, time.Now(), testkit.WaitTimeout) >= testkit.WaitTimeout {
-			b.Fatal("never ready")
-		}
-		before := processorTime(b, started.pid)
+		addr := <-started.Addr
+		balancertest.AwaitReady(b, addr)
+		before := processorTime(b, started.PID)
 		b.ResetTimer()
 		served := makeRequests(b, addr)
 		b.StopTimer()
-		spent := processorTime(b, started.pid) - before
+		spent := processorTime(b, started.PID) - before
 		b.ReportMetric(float64(spent.Microseconds())/float64(b.N), "cpu-µs/op")
 		b.ReportMetric(float64(served)/float64(b.N), "served/op")
 	})
@@ -165,7 +164,7 @@
 func peakMemory(b *testing.B, path string, servers int) int {
 	b.Helper()
 	taken := make(chan struct{}) // closed once the node has taken all lists in
-	started := startProcess(b, map[string]any{
+	started := balancertest.Start(b, map[string]any{
 		"discovery": serveLists(b, servers, taken),
 		"limits":    map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024},
 		"settings":  moreSettings(`"Balancers": 650, "Accounts": ` + tenants(manyTenants)),
@@ -175,7 +174,7 @@
 	case <-time.After(testkit.WaitTimeout):
 		b.Fatal("the lists are not taken in")
 	}
-	return peakResident(b, started.pid)
+	return peakResident(b, started.PID)
 }
 
 // serveLists serves complete lists, one for each call, and holds the call behind the last.
--- a/cmd/balancer/configuration_test.go
+++ b/cmd/balancer/configuration_test.go
@@ -4,6 +4,8 @@
 	"path/filepath"
 	"strings"
 	"testing"
+
+	"calicohinge/internal/balancertest"
 )
 
 func TestBadConfigurationEndsWithOneLine(t *testing.T) {
@@ -24,7 +26,7 @@
 		"negative limit":      `{"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "limits": {"cores": -1}, "settings": ` + settings + `}`,
 	} {
 		t.Run(name, func(t *testing.T) {
-			t.Setenv("BALANCER_CONFIG", writeConfig(t, []byte(text)))
+			t.Setenv("BALANCER_CONFIG", balancertest.NewConfigFile(t, []byte(text)).Path)
 			err := run()
 			if err == nil || strings.Contains(err.Error(), "\n") {
 				t.Errorf("ended with %v, want one plain line", err)
--- a/cmd/balancer/descriptors_test.go
+++ b/cmd/balancer/descriptors_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"calicohinge/internal/testkit"
+	"calicohinge/internal/balancertest"
 	"calicohinge/policy"
 )
 
@@ -118,7 +118,7 @@
 // clients take what they can get while discovery is down: it stays within them, follows
 // discovery once that is back, and serves whoever makes a request.
 func TestIdleClientsLeaveDescriptorsFree(t *testing.T) {
-	program := buildProgram(t)
+	program := balancertest.Build(t)
 	for _, c := range []struct {
 		name           string
 		sockets, limit int
@@ -155,15 +155,13 @@
 		})
 		return slices.Repeat([]string{addr}, servers)
 	}
-	started := startProcess(t, map[string]any{
+	started := balancertest.Start(t, map[string]any{
 		"discovery": startDiscovery(t, listOf(2, named("new")...), outage, 0),
 		"known":     listOf(1, named("old")...),
 		"limits":    map[string]any{"sockets": sockets},
 		"settings":  moreSettings(`"Limits": {"MaxAttempts": 3}`),
 	}, "sh", "-c", fmt.Sprintf("ulimit -n %d && exec %s", limit, program))
-	node := &nodeUnderFlood{t: t, pid: started.pid, addr: <-started.addr, limit: limit}
-	if timeToReady(node.addr, time.Now(), testkit.WaitTimeout) >= testkit.WaitTimeout {
-		t.Fatal("never ready")
-	}
+	node := &nodeUnderFlood{t: t, pid: started.PID, addr: <-started.Addr, limit: limit}
+	balancertest.AwaitReady(t, node.addr)
 	return node
 }
--- a/cmd/balancer/logging_test.go
+++ b/cmd/balancer/logging_test.go
@@ -6,13 +6,14 @@
 	"syscall"
 	"testing"
 
+	"calicohinge/internal/balancertest"
 	"calicohinge/internal/testkit"
 )
 
 // Whoever reads the log may be gone, or read no more: the process serves, answers the
 // requests that it has and ends as usual.
 func TestProcessServesWithoutAReaderOfItsLog(t *testing.T) {
-	program := buildProgram(t)
+	program := balancertest.Build(t)
 	for name, breakPipe := range map[string]func(t *testing.T, reader, writer *os.File){
 		"closed": func(t *testing.T, reader, _ *os.File) { closeFile(t, reader) },
 		"full":   func(t *testing.T, _, writer *os.File) { fillPipe(t, writer) },
@@ -36,17 +37,17 @@
 	server := testkit.NewBackend(t, testkit.OK)
 	addr := testkit.FreeAddr(t)
 	command := exec.CommandContext(t.Context(), program)
-	command.Env = []string{"BALANCER_CONFIG=" + writeConfigFor(t, addr, server.Address())}
+	command.Env = []string{writeConfigFor(t, addr, server.Address()).Environment()}
 	command.Stderr = log
 	if err := command.Start(); err != nil {
 		t.Fatal(err)
 	}
 	closeFile(t, log)
-	awaitReady(t, addr)
+	balancertest.AwaitReady(t, addr)
 	if answer := post(addr); answer != "done" {
 		t.Errorf("answer %q", answer)
 	}
-	signalProcess(t, command.Process.Pid, syscall.SIGTERM)
+	balancertest.Signal(t, command.Process.Pid, syscall.SIGTERM)
 	if err := command.Wait(); err != nil {
 		t.Errorf("ended with %v", err)
 	}
--- a/cmd/balancer/readiness_test.go
+++ b/cmd/balancer/readiness_test.go
@@ -5,6 +5,8 @@
 	"slices"
 	"testing"
 	"time"
+
+	"calicohinge/internal/balancertest"
 )
 
 const (
@@ -24,7 +26,7 @@
 }
 
 func TestRestartedProcessesAreReadyInTime(t *testing.T) {
-	program, processes := buildProgram(t), flagValue[int](processesFlag)
+	program, processes := balancertest.Build(t), flagValue[int](processesFlag)
 	overbooked := 4 * time.Second / time.Duration(processes) // all complete lists take 4 s
 	for _, c := range []restartCase{
 		{"known list", true, 0, false, 0},
@@ -71,8 +73,8 @@
 			config["known"] = list
 		}
 		began := time.Now()
-		started := startProcess(t, config, program)
-		go func() { took <- timeToReady(<-started.addr, began, readinessLimit) }()
+		started := balancertest.Start(t, config, program)
+		go func() { took <- balancertest.TimeToReady(<-started.Addr, began, readinessLimit) }()
 	}
 	var times []time.Duration
 	for range processes {
--- a/cmd/balancer/shortage_test.go
+++ b/cmd/balancer/shortage_test.go
@@ -8,6 +8,7 @@
 
 	"golang.org/x/sys/unix"
 
+	"calicohinge/internal/balancertest"
 	"calicohinge/internal/testkit"
 )
 
@@ -37,7 +38,7 @@
 // descriptors left. Clients that connect meanwhile are served, on old connections too, and
 // the process goes on; also if it is told to end just then.
 func TestRequestsOutlastAShortageOfDescriptors(t *testing.T) {
-	program := buildProgram(t)
+	program := balancertest.Build(t)
 	for name, signal := range map[string]unix.Signal{"serving": 0, "shutting down": unix.SIGTERM} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -51,20 +52,20 @@
 func testShortageOfDescriptors(t *testing.T, program string, signal unix.Signal) {
 	t.Helper()
 	server := testkit.NewBackend(t, testkit.OK)
-	started := startProcess(t, map[string]any{
+	started := balancertest.Start(t, map[string]any{
 		"discovery": "127.0.0.1:1", "settings": testkit.JSON(settings), "known": listOf(1, server.Address()),
 	}, program)
-	client := &nodeUnderFlood{t: t, pid: started.pid, addr: testkit.Wait(t, started.addr, "the process")}
-	awaitReady(t, client.addr)
+	client := &nodeUnderFlood{t: t, pid: started.PID, addr: testkit.Wait(t, started.Addr, "the process")}
+	balancertest.AwaitReady(t, client.addr)
 	old := client.dial()
 	if body, err := client.request(old); body != "done" {
 		t.Fatalf("answered %q, %v", body, err)
 	}
 	testkit.Wait(t, server.Requests, "the request before")
-	former := limitDescriptors(t, started.pid, scarceDescriptors)
-	signalProcess(t, started.pid, signal)
+	former := limitDescriptors(t, started.PID, scarceDescriptors)
+	balancertest.Signal(t, started.PID, signal)
 	began := time.Now()
-	timer := time.AfterFunc(shortage, func() { limitDescriptors(t, started.pid, former) })
+	timer := time.AfterFunc(shortage, func() { limitDescriptors(t, started.PID, former) })
 	defer timer.Stop()
 	for i, conn := range []net.Conn{client.dial(), old} {
 		if body, err := client.request(conn); body != "done" {
@@ -84,17 +85,17 @@
 func TestSIGHUPOutlastsAShortageOfDescriptors(t *testing.T) {
 	t.Parallel()
 	calls := make(chan string, 1000)
-	started := startProcess(t, map[string]any{
+	started := balancertest.Start(t, map[string]any{
 		"discovery": namedDiscovery(t, "first", calls), "settings": testkit.JSON(settings),
-	}, buildProgram(t))
+	}, balancertest.Build(t))
 	if name := testkit.Wait(t, calls, "a call"); name != "first" {
 		t.Fatalf("%s is called", name)
 	}
-	configFile{t, started.configPath}.replace(configText(namedDiscovery(t, "second", calls)))
-	former := limitDescriptors(t, started.pid, scarceDescriptors)
-	signalProcess(t, started.pid, unix.SIGHUP)
+	started.ConfigFile.Replace(t, configText(namedDiscovery(t, "second", calls)))
+	former := limitDescriptors(t, started.PID, scarceDescriptors)
+	balancertest.Signal(t, started.PID, unix.SIGHUP)
 	time.Sleep(shortage / 3) // shorter than the file is tried
-	limitDescriptors(t, started.pid, former)
+	limitDescriptors(t, started.PID, former)
 	for name := ""; name != "second"; {
 		name = testkit.Wait(t, calls, "a call to the second one")
 	}
--- a/cmd/balancer/shutdown_clients_test.go
+++ b/cmd/balancer/shutdown_clients_test.go
@@ -17,6 +17,7 @@
 
 	"golang.org/x/sys/unix"
 
+	"calicohinge/internal/balancertest"
 	"calicohinge/internal/testkit"
 )
 
@@ -163,14 +164,14 @@
 	t.Helper()
 	server := testkit.NewBackend(t, testkit.OK)
 	hanging := testkit.NewBackend(t, testkit.Unresponsive(make(chan struct{}, 1)))
-	started := startProcess(t, map[string]any{
+	started := balancertest.Start(t, map[string]any{
 		"discovery": "127.0.0.1:1",
 		"settings": testkit.JSON(strings.ReplaceAll(settings, "8000",
 			fmt.Sprint(shutdownDeadline.Milliseconds()))),
 		"known": listOf(1, server.Address(), server.Address(), server.Address(), hanging.Address()),
 	}, program)
-	addr := testkit.Wait(t, started.addr, "the process to serve")
-	awaitReady(t, addr)
+	addr := testkit.Wait(t, started.Addr, "the process to serve")
+	balancertest.AwaitReady(t, addr)
 
 	var signaledAt atomic.Pointer[time.Time]
 	sinceSignal := func() time.Duration {
@@ -194,20 +195,12 @@
 	time.Sleep(shutdownDeadline) // the clients are on their way
 	now := time.Now()
 	signaledAt.Store(&now)
-	signalProcess(t, started.pid, syscall.SIGTERM)
-	disturb(started.pid)
+	balancertest.Signal(t, started.PID, syscall.SIGTERM)
+	disturb(started.PID)
 	clients.Wait()
 	return total
 }
 
-// signalProcess sends a process a signal. It may have ended by then.
-func signalProcess(t *testing.T, pid int, signal syscall.Signal) {
-	t.Helper()
-	if err := syscall.Kill(pid, signal); err != nil && !errors.Is(err, syscall.ESRCH) {
-		t.Error(err)
-	}
-}
-
 // report fails the test for each request that got no response, up to a few.
 func (r shutdownRun) report(t *testing.T) {
 	t.Helper()
@@ -252,23 +245,23 @@
 // Clients send on connections old and new until the process accepts none. Each request
 // whose connection was established gets a complete response.
 func TestEveryRequestIsAnsweredUntilTheProcessEnds(t *testing.T) {
-	endUnderLoad(t, buildProgram(t), func(int) {}).report(t)
+	endUnderLoad(t, balancertest.Build(t), func(int) {}).report(t)
 }
 
 // The same, with the process held up for 150 ms around each step of the end of its
 // shutdown, as the operators' terms allow.
 func TestEveryRequestIsAnsweredByAProcessThatIsHeldUp(t *testing.T) {
 	const holdUp = 150 * time.Millisecond
-	program := buildProgram(t)
+	program := balancertest.Build(t)
 	for _, after := range []time.Duration{300, 400, 500, 560, 600, 640, 680} {
 		after *= time.Millisecond
 		t.Run(fmt.Sprintf("%v after SIGTERM", after), func(t *testing.T) {
 			t.Parallel()
 			endUnderLoad(t, program, func(pid int) {
 				time.Sleep(after)
-				signalProcess(t, pid, syscall.SIGSTOP)
+				balancertest.Signal(t, pid, syscall.SIGSTOP)
 				time.Sleep(holdUp)
-				signalProcess(t, pid, syscall.SIGCONT)
+				balancertest.Signal(t, pid, syscall.SIGCONT)
 			}).report(t)
 		})
 	}
@@ -278,7 +271,7 @@
 // connections.
 func TestEveryRequestIsAnsweredByAProcessShortOfDescriptors(t *testing.T) {
 	const short = 100 * time.Millisecond
-	program := buildProgram(t)
+	program := balancertest.Build(t)
 	for _, after := range []time.Duration{100, 300, 450, 520, 560, 590} {
 		after *= time.Millisecond
 		t.Run(fmt.Sprintf("%v after SIGTERM", after), func(t *testing.T) {
--- a/cmd/balancer/signals_test.go
+++ b/cmd/balancer/signals_test.go
@@ -5,12 +5,11 @@
 	"log/slog"
 	"net/http"
 	"os"
-	"path/filepath"
 	"strings"
 	"syscall"
 	"testing"
-	"time"
 
+	"calicohinge/internal/balancertest"
 	"calicohinge/internal/testkit"
 )
 
@@ -50,10 +49,10 @@
 		testkit.OK(w, r)
 	})
 	addr := testkit.FreeAddr(t)
-	t.Setenv("BALANCER_CONFIG", writeConfigFor(t, addr, server.Address()))
+	t.Setenv("BALANCER_CONFIG", writeConfigFor(t, addr, server.Address()).Path)
 	ended := make(chan error, 1)
 	go func() { ended <- run() }()
-	awaitReady(t, addr)
+	balancertest.AwaitReady(t, addr)
 	answers := make(chan string, 1)
 	go func() { answers <- post(addr) }()
 	testkit.Wait(t, server.Requests, "the request")
@@ -65,26 +64,8 @@
 	waitEnd(t, ended)
 }
 
-// configFile is a configuration file that a test replaces while the program runs.
-type configFile struct {
-	t    *testing.T
-	path string
-}
-
-// replace swaps the file in one step, as an operator's tool would.
-func (f configFile) replace(text string) {
-	f.t.Helper()
-	next := f.path + ".new"
-	if err := os.WriteFile(next, []byte(text), 0o600); err != nil {
-		f.t.Fatal(err)
-	}
-	if err := os.Rename(next, f.path); err != nil {
-		f.t.Fatal(err)
-	}
-}
-
-func configText(discovery string) string {
-	return `{"listen": "127.0.0.1:0", "discovery": "` + discovery + `", "settings": ` + settings + `}`
+func configText(discovery string) []byte {
+	return []byte(`{"listen": "127.0.0.1:0", "discovery": "` + discovery + `", "settings": ` + settings + `}`)
 }
 
 // namedDiscovery serves an empty list and says by name that it was called for it.
@@ -111,22 +92,21 @@
 			t.Fatalf("%s is called, want %s", got, name)
 		}
 	}
-	file := configFile{t, filepath.Join(t.TempDir(), "config.json")}
 	first := namedDiscovery(t, "first", calls)
-	file.replace(configText(first))
-	t.Setenv("BALANCER_CONFIG", file.path)
+	file := balancertest.NewConfigFile(t, configText(first))
+	t.Setenv("BALANCER_CONFIG", file.Path)
 	t.Setenv("BALANCER_DISCOVERY", first)
 	ended := make(chan error, 1)
 	go func() { ended <- run() }()
 	expectCall("first")
 	for _, name := range []string{"second", "third"} {
-		file.replace(configText(namedDiscovery(t, name, calls)))
+		file.Replace(t, configText(namedDiscovery(t, name, calls)))
 		signalSelf(t, syscall.SIGHUP)
 		expectCall(name)
 	}
 	logged := captureLog(t)
-	for _, text := range []string{`{"listen"`, configText("nowhere"), ``} {
-		file.replace(text)
+	for _, text := range [][]byte{[]byte(`{"listen"`), configText("nowhere"), nil} {
+		file.Replace(t, text)
 		signalSelf(t, syscall.SIGHUP)
 		line := testkit.Wait(t, logged, "a log line")
 		for strings.Contains(line, "endpoint list updated") { // that of the third address
@@ -136,7 +116,7 @@
 			t.Errorf("logged %q", line)
 		}
 	}
-	file.replace(configText(namedDiscovery(t, "fourth", calls)))
+	file.Replace(t, configText(namedDiscovery(t, "fourth", calls)))
 	signalSelf(t, syscall.SIGHUP)
 	expectCall("fourth")
 	signalSelf(t, syscall.SIGTERM)
@@ -159,11 +139,3 @@
 	t.Cleanup(func() { slog.SetDefault(before) })
 	return logged
 }
-
-// awaitReady waits until a node answers that it is ready.
-func awaitReady(t *testing.T, addr string) {
-	t.Helper()
-	if timeToReady(addr, time.Now(), testkit.WaitTimeout) >= testkit.WaitTimeout {
-		t.Fatal("never ready")
-	}
-}
--- a/cmd/balancer/silent_discovery_test.go
+++ b/cmd/balancer/silent_discovery_test.go
@@ -9,6 +9,7 @@
 	"testing"
 	"time"
 
+	"calicohinge/internal/balancertest"
 	"calicohinge/internal/endpointjson"
 	"calicohinge/internal/testkit"
 	"calicohinge/policy"
@@ -66,7 +67,7 @@
 // The machine of the discovery service says nothing for a while, and a server has begun to drain when it
 // is back: the node follows within the notification deadline, for whatever time it could reach nobody.
 func TestDiscoveryIsFollowedAfterASilentOutage(t *testing.T) {
-	program := buildProgram(t)
+	program := balancertest.Build(t)
 	for _, mode := range []string{"pushed", "on_request"} {
 		for _, outage := range []time.Duration{8 * time.Second, 50 * time.Second} {
 			t.Run(fmt.Sprintf("%s, away for %v", mode, outage), func(t *testing.T) {
@@ -82,12 +83,12 @@
 	former, other := testkit.NewBackend(t, testkit.OK), testkit.NewBackend(t, testkit.OK)
 	list := newWatchedList(endpointjson.List{Generation: 1, Reset: true, Endpoints: []endpointjson.Endpoint{former.Endpoint("s-0")}})
 	machine := testkit.NewMachine(t, list.answer)
-	started := startProcess(t, map[string]any{
+	started := balancertest.Start(t, map[string]any{
 		"discovery": machine.Address,
 		"settings":  moreSettings(fmt.Sprintf(`"RegistryMode": %q, "Contract": {"DrainGraceMs": 1000}`, mode)),
 	}, program)
-	addr := testkit.Wait(t, started.addr, "the process to serve")
-	awaitReady(t, addr)
+	addr := testkit.Wait(t, started.Addr, "the process to serve")
+	balancertest.AwaitReady(t, addr)
 	if body := post(addr); body != "done" {
 		t.Fatalf("answered %q", body)
 	}
--- a/cmd/balancer/soak_nodes_test.go
+++ b/cmd/balancer/soak_nodes_test.go
@@ -9,6 +9,7 @@
 	"testing"
 	"time"
 
+	"calicohinge/internal/balancertest"
 	"calicohinge/internal/testkit"
 )
 
@@ -32,8 +33,8 @@
 type soakIncarnation struct {
 	name      string
 	startedAt time.Time
-	process   process
-	clock     wallClock
+	process   balancertest.Process
+	clock     balancertest.WallClock
 
 	mu           sync.Mutex
 	deliveries   []soakDelivery // lists that discovery has answered with
@@ -79,13 +80,13 @@
 // start starts a process of the node on a machine whose wall clock is ahead.
 func (n *soakNode) start(number int, ahead time.Duration) {
 	n.t.Helper()
-	next := &soakIncarnation{name: fmt.Sprintf("%s.%d", n.name, number), clock: newWallClock(n.t, ahead), startedAt: time.Now()}
+	next := &soakIncarnation{name: fmt.Sprintf("%s.%d", n.name, number), clock: balancertest.NewWallClock(n.t, ahead), startedAt: time.Now()}
 	n.mu.Lock()
 	n.current = next // before a client can connect to it
 	n.mu.Unlock()
-	options := processOptions{environment: []string{next.clock.environment()}, logged: next.logged}
-	next.process = startProcessWith(n.t, options, n.config(n.discovery.address(next)), n.program)
-	testkit.Wait(n.t, next.process.addr, "the process of "+next.name)
+	options := balancertest.Options{Environment: []string{next.clock.Environment()}, Logged: next.logged}
+	next.process = balancertest.StartWith(n.t, options, n.config(n.discovery.address(next)), n.program)
+	testkit.Wait(n.t, next.process.Addr, "the process of "+next.name)
 }
 
 // incarnation returns the process that the node's address leads to.
@@ -98,7 +99,7 @@
 // stepClock steps the wall clock of the node's machine.
 func (n *soakNode) stepClock(ahead time.Duration) {
 	current := n.incarnation()
-	current.clock.step(n.t, current.process.pid, ahead)
+	current.clock.Step(n.t, current.process.PID, ahead)
 }
 
 // hangUp gives the node a new address of discovery.
@@ -109,20 +110,20 @@
 		n.t.Error(err)
 		return
 	}
-	configFile{n.t, current.process.configPath}.replace(string(text))
+	current.process.ConfigFile.Replace(n.t, text)
 	current.mu.Lock()
 	current.hangups = append(current.hangups, time.Now())
 	current.mu.Unlock()
-	signalProcess(n.t, current.process.pid, syscall.SIGHUP)
+	balancertest.Signal(n.t, current.process.PID, syscall.SIGHUP)
 }
 
 // holdUp stops the node for as long as the operators' terms allow.
 func (n *soakNode) holdUp() {
 	const longest = 120 * time.Millisecond
-	pid := n.incarnation().process.pid
-	signalProcess(n.t, pid, syscall.SIGSTOP)
+	pid := n.incarnation().process.PID
+	balancertest.Signal(n.t, pid, syscall.SIGSTOP)
 	time.Sleep(longest)
-	signalProcess(n.t, pid, syscall.SIGCONT)
+	balancertest.Signal(n.t, pid, syscall.SIGCONT)
 }
 
 // terminate tells the node to end, by a series of signals, and kills it as early as the operators' terms
@@ -135,16 +136,16 @@
 	current.mu.Unlock()
 	kill := time.After(n.killAfter)
 	for _, signal := range append([]syscall.Signal{syscall.SIGTERM}, signals...) {
-		signalProcess(n.t, current.process.pid, signal)
+		balancertest.Signal(n.t, current.process.PID, signal)
 		time.Sleep(signalInterval)
 	}
 	select {
-	case err := <-current.process.ended:
+	case err := <-current.process.Exited:
 		if err != nil {
 			n.records.violate("crash", current, "ended with %v", err)
 		}
 	case <-kill:
-		signalProcess(n.t, current.process.pid, syscall.SIGKILL)
+		balancertest.Signal(n.t, current.process.PID, syscall.SIGKILL)
 		n.records.violate("shutdown", current, "had to be killed %v after SIGTERM", n.killAfter)
 	}
 }
--- a/cmd/balancer/soak_test.go
+++ b/cmd/balancer/soak_test.go
@@ -9,6 +9,7 @@
 	"testing"
 	"time"
 
+	"calicohinge/internal/balancertest"
 	"calicohinge/internal/endpointjson"
 	"calicohinge/internal/testkit"
 )
@@ -24,7 +25,7 @@
 // are held up and restarted; clients send on open connections until the kill. Every rule is checked from
 // what clients, servers and discovery saw. A seed that fails is played again with -soak-seed.
 func TestSoak(t *testing.T) {
-	program := buildSteppableProgram(t)
+	program := balancertest.BuildSteppable(t)
 	first := flagValue[int](soakSeedFlag)
 	for seed := first; seed < first+flagValue[int](soakRunsFlag); seed++ {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
@@ -124,7 +125,7 @@
 		node.start(0, plan.clocks[i])
 	}
 	for _, node := range run.nodes {
-		awaitReady(run.t, node.addr)
+		balancertest.AwaitReady(run.t, node.addr)
 	}
 	ended := make(chan struct{})
 	clients := run.startClients(ended)
--- /dev/null
+++ b/internal/balancertest/build.go
@@ -0,0 +1,86 @@
+// Package balancertest builds the program of the load balancer's node and runs it as processes of their
+// own: it writes their configuration, signals them, and steps the wall clock that they see. Whatever it
+// starts ends with the test that it was given. The tests of cmd/balancer and the soak use it; no program
+// imports it.
+package balancertest
+
+import (
+	"encoding/json"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	_ "embed" // of the source that steps the wall clock
+)
+
+// programPackage is the package of the program under test.
+const programPackage = "calicohinge/cmd/balancer"
+
+// Build builds the program as deploy/balancer.toml does, with further flags, and returns its path.
+func Build(tb testing.TB, flags ...string) string {
+	tb.Helper()
+	path := filepath.Join(tb.TempDir(), "balancer")
+	arguments := append([]string{"build", "-ldflags=-linkmode=external", "-o", path}, flags...)
+	build := exec.CommandContext(tb.Context(), "go", append(arguments, programPackage)...)
+	build.Env = append(os.Environ(), "CGO_ENABLED=1")
+	if out, err := build.CombinedOutput(); err != nil {
+		tb.Fatalf("%v\n%s", err, out)
+	}
+	return path
+}
+
+// stepSource is a source file of the program that steps its wall clock when a WallClock says so.
+//
+//go:embed testdata/wallclock/step.go
+var stepSource []byte
+
+// BuildSteppable builds the program with a wall clock that a WallClock steps without privileges. The
+// monotonic clock and the program's own sources stay as they are: package time is replaced by a copy whose
+// Now adds an offset, and stepSource is added.
+func BuildSteppable(tb testing.TB) string {
+	tb.Helper()
+	dir := tb.TempDir()
+	originalTime := filepath.Join(goOutput(tb, "env", "GOROOT"), "src", "time", "time.go")
+	steppableTime := writeFile(tb, filepath.Join(dir, "time.go"), steppableTimeSource(tb, originalTime))
+	step := writeFile(tb, filepath.Join(dir, "step.go"), stepSource)
+	added := filepath.Join(goOutput(tb, "list", "-f", "{{.Dir}}", programPackage), "wall_clock_step.go")
+	overlay, err := json.Marshal(map[string]any{"Replace": map[string]string{originalTime: steppableTime, added: step}})
+	if err != nil {
+		tb.Fatal(err)
+	}
+	return Build(tb, "-overlay="+writeFile(tb, filepath.Join(dir, "overlay.json"), overlay))
+}
+
+// steppableTimeSource returns the source of a file of package time with an offset of the wall clock.
+func steppableTimeSource(tb testing.TB, path string) []byte {
+	tb.Helper()
+	text, err := os.ReadFile(path)
+	if err != nil {
+		tb.Fatal(err)
+	}
+	source := string(text)
+	const now = "func Now() Time {\n\tsec, nsec, mono := runtimeNow()\n"
+	for _, change := range []struct{ from, to string }{
+		{now, now + "\tsec += wallClockStep.Load()\n"},
+		{"import (\n", "import (\n\t\"sync/atomic\"\n"},
+	} {
+		if strings.Count(source, change.from) != 1 {
+			tb.Fatalf("%s: not one %q", path, change.from)
+		}
+		source = strings.Replace(source, change.from, change.to, 1)
+	}
+	source += "\nvar wallClockStep atomic.Int64\n\nfunc StepWallClock(seconds int64) { wallClockStep.Store(seconds) }\n"
+	return []byte(source)
+}
+
+// goOutput returns what a go command prints.
+func goOutput(tb testing.TB, arguments ...string) string {
+	tb.Helper()
+	out, err := exec.CommandContext(tb.Context(), "go", arguments...).Output()
+	if err != nil {
+		tb.Fatalf("go %v: %v", arguments, err)
+	}
+	return strings.TrimSpace(string(out))
+}
