--- a/cmd/balancer/harness_test.go
+++ b/cmd/balancer/harness_test.go
@@ -26,8 +26,8 @@
 
 func TestMain(m *testing.M) {
 	flag.Int(processesFlag, 10, "how many processes TestRestartedProcessesAreReadyInTime starts at once")
-	flag.Int(soakRunsFlag, 4, "how many seeds TestSoak plays")
-	flag.Int(soakSeedFlag, 1, "the first seed that TestSoak plays")
+	flag.Int(soakRunsFlag, 4, "how many seeds TestSoak runs")
+	flag.Int(soakSeedFlag, 1, "the first seed that TestSoak runs")
 	flag.String(baselineFlag, "", "another version's binary, which the benchmarks measure as well")
 	flag.Parse()
 	os.Exit(m.Run())
--- /dev/null
+++ b/internal/soak/apply.go
@@ -0,0 +1,83 @@
+package soak
+
+import (
+	"time"
+
+	"calicohinge/internal/soak/scenario"
+)
+
+// apply applies an action of the schedule.
+func (r *runner) apply(action scenario.Action) {
+	switch a := action.(type) {
+	case scenario.SetDiscoveryFault:
+		r.setDiscoveryFault(a)
+	case scenario.DrainServer:
+		r.delistServer(a.Server, lifecycleDraining)
+	case scenario.RemoveServer:
+		r.delistServer(a.Server, lifecycleRemoved)
+	case scenario.StartServer:
+		r.startServer(a.ID)
+	case scenario.HangServer:
+		r.history.Logf("%s hangs", scenario.ServerID(a.Server))
+		r.servers[a.Server].record.Hanging.Store(true)
+	case scenario.ResumeServer:
+		r.servers[a.Server].record.Hanging.Store(false)
+	default:
+		r.applyToNode(action)
+	}
+}
+
+// applyToNode applies an action on a node.
+func (r *runner) applyToNode(action scenario.Action) {
+	switch a := action.(type) {
+	case scenario.StepClock:
+		r.history.Logf("%v", a)
+		r.nodes[a.Node].stepClock(a.Ahead)
+	case scenario.PauseNode:
+		r.history.Logf("%v", a)
+		r.nodes[a.Node].pause()
+	case scenario.ReloadNode:
+		r.history.Logf("%v", a)
+		r.nodes[a.Node].reload()
+	case scenario.RestartNode:
+		r.restartNode(a)
+	default:
+		r.t.Errorf("unknown action %v", action)
+	}
+}
+
+// setDiscoveryFault begins a fault before the timeline shows it, and ends one after.
+func (r *runner) setDiscoveryFault(action scenario.SetDiscoveryFault) {
+	if action.Fault != scenario.DiscoveryHealthy {
+		r.history.Logf("%v", action)
+	}
+	r.discovery.setFault(action.Fault)
+	if action.Fault == scenario.DiscoveryHealthy {
+		r.history.Logf("%v", action)
+	}
+}
+
+// delistServer publishes that a server is draining or removed.
+func (r *runner) delistServer(index int, lifecycle string) {
+	server := r.servers[index]
+	delisted := server.endpoint
+	delisted.Lifecycle = lifecycle
+	generation := r.discovery.publish(delisted)
+	server.record.DelistedIn.CompareAndSwap(0, generation)
+	r.history.Logf("generation %d: %s is %s", generation, delisted.InstanceID, lifecycle)
+}
+
+// startServer starts a process of a server and publishes it.
+func (r *runner) startServer(id string) {
+	server := startServer(r.t, r.history, id, time.Now())
+	r.history.Logf("generation %d: %s starts", r.discovery.publish(server.endpoint), id)
+}
+
+// restartNode shuts a node down and starts it again.
+func (r *runner) restartNode(action scenario.RestartNode) {
+	node := r.nodes[action.Node]
+	r.history.Logf("%v", action)
+	node.terminate(action.Signals)
+	r.history.Logf("%s: starts again", node.name)
+	node.start(1, action.Ahead)
+}
--- /dev/null
+++ b/internal/soak/check/slow_start.go
@@ -0,0 +1,68 @@
+package check
+
+import (
+	"fmt"
+	"math"
+	"time"
+
+	"calicohinge/internal/soak/history"
+)
+
+// checkSlowStart checks that no server that was warming up got more than it bears from all nodes together.
+func (c *checker) checkSlowStart() {
+	for _, server := range c.History.Servers() {
+		if !server.JoinedAt.IsZero() {
+			c.checkWarmUp(server)
+		}
+	}
+}
+
+// checkWarmUp checks a server that has joined, up to its first overload.
+func (c *checker) checkWarmUp(server *history.Server) {
+	const step = 100 * time.Millisecond
+	warmAt := server.JoinedAt.Add(c.Settings.SlowStart)
+	for at := server.JoinedAt; at.Before(warmAt) && at.Before(c.EndedAt); at = at.Add(step) {
+		end := at.Add(c.Settings.OverloadWindow)
+		allowed := withChance(c.slowStartBudget(server, at, end))
+		if got := server.ArrivalsBetween(at, end); float64(got) > allowed {
+			c.violations = append(c.violations, history.Violation{
+				Rule: "slow start", At: at, Text: fmt.Sprintf("%s got %d requests %v after its start, %.1f are allowed",
+					server.ID, got, at.Sub(server.JoinedAt), allowed),
+			})
+			return
+		}
+	}
+}
+
+// slowStartBudget returns how many requests a server that is warming up bears in a time.
+func (c *checker) slowStartBudget(server *history.Server, from, to time.Time) float64 {
+	s := c.Settings
+	age := min(1, to.Sub(server.JoinedAt).Seconds()/s.SlowStart.Seconds())
+	share := s.SlowStartShare + (1-s.SlowStartShare)*age
+	return s.OverloadMultiple * share * c.warmServerRate(from, to) * s.OverloadWindow.Seconds()
+}
+
+// withChance adds to a budget of requests what the operators' terms allow for chance.
+func withChance(budget float64) float64 {
+	const few = 30
+	if budget < few {
+		return budget + 3*math.Sqrt(budget) + 3
+	}
+	return budget + 2*math.Sqrt(budget) + 2
+}
+
+// warmServerRate returns the most requests a second that one of the first servers got in a second of the
+// time that the nodes go by.
+func (c *checker) warmServerRate(from, to time.Time) float64 {
+	const memory = 3 * time.Second // of the nodes, before the time itself
+	most := 0
+	for _, server := range c.History.Servers() {
+		if !server.JoinedAt.IsZero() || server.Hanging.Load() {
+			continue
+		}
+		for at := from.Add(-memory); at.Before(to); at = at.Add(time.Second) {
+			most = max(most, server.ArrivalsBetween(at, at.Add(time.Second)))
+		}
+	}
+	return float64(most)
+}
--- /dev/null
+++ b/internal/soak/client.go
@@ -0,0 +1,109 @@
+package soak
+
+import (
+	"bufio"
+	"errors"
+	"math/rand/v2"
+	"net"
+	"syscall"
+	"time"
+
+	"calicohinge/internal/soak/history"
+	"calicohinge/internal/soak/scenario"
+	"calicohinge/internal/testkit"
+)
+
+// refusedPause is the pause of a client whose connection was refused.
+const refusedPause = 20 * time.Millisecond
+
+// What ends a request or a connection other than a failure.
+var (
+	errDisconnected = errors.New("the client disconnected")
+	errRestarted    = errors.New("the node was restarted")
+)
+
+// client sends requests to a node one after another, on an open connection for as long as that stays open,
+// also to a node that shuts down.
+type client struct {
+	name      string
+	node      *node
+	history   *history.History
+	classes   []scenario.Class
+	random    *rand.Rand
+	keepAlive bool
+	pause     time.Duration // mean between two requests
+	ended     <-chan struct{}
+
+	incarnation *history.Incarnation // that the connection leads to
+	conn        net.Conn
+	reader      *bufio.Reader
+	sent        int
+}
+
+// run sends requests until the run has ended.
+func (c *client) run() {
+	defer c.disconnect()
+	for {
+		select {
+		case <-c.ended:
+			return
+		case <-time.After(time.Duration(c.random.ExpFloat64() * float64(c.pause))):
+		}
+		c.sendOne()
+	}
+}
+
+// sendOne sends a request, and another one on a new connection if its connection was closed under it
+// unread.
+func (c *client) sendOne() {
+	for {
+		reused := c.conn != nil
+		if err := c.connect(); err != nil {
+			time.Sleep(refusedPause) // the node is being restarted
+			return
+		}
+		responded, err := c.exchange()
+		if err == nil {
+			c.history.CountResponse()
+			return
+		}
+		c.disconnect()
+		switch {
+		case errors.Is(err, errDisconnected):
+			return
+		case reused && !responded && !testkit.IsTimeout(err):
+			continue // crossed the close of an idle connection
+		case errors.Is(err, syscall.ECONNRESET) && !responded && c.incarnation.Terminated():
+			c.history.CountUnread() // in the accept queue of a node that shuts down
+		default:
+			c.history.Violate("lost", c.incarnation, "request %s, reused connection %v, part of a response %v: %v",
+				c.requestID(), reused, responded, err)
+		}
+		return
+	}
+}
+
+// connect opens a connection unless there is one.
+func (c *client) connect() error {
+	if c.conn != nil {
+		return nil
+	}
+	current := c.node.incarnation()
+	conn, err := net.Dial("tcp", c.node.addr)
+	if err != nil {
+		return err
+	}
+	if c.node.incarnation() != current { // restarted meanwhile: the connection may lead to either process
+		_ = conn.Close() // nothing was sent on it
+		return errRestarted
+	}
+	c.incarnation, c.conn, c.reader = current, conn, bufio.NewReader(conn)
+	return nil
+}
+
+func (c *client) disconnect() {
+	if c.conn != nil {
+		_ = c.conn.Close() // nothing more is expected of it
+		c.conn = nil
+	}
+}
--- /dev/null
+++ b/internal/soak/client_exchange.go
@@ -0,0 +1,113 @@
+package soak
+
+import (
+	"fmt"
+	"io"
+	"net/http"
+	"time"
+
+	"calicohinge/internal/soak/history"
+	"calicohinge/internal/soak/scenario"
+	"calicohinge/internal/testkit"
+)
+
+const (
+	disconnectShare   = 0.05 // of the requests whose clients disconnect early
+	shortTimeoutShare = 0.2  // of the requests whose clients wait for less than the class's deadline
+	// responseGrace is how long after its deadline a response may still come: it earns nothing, and is not
+	// lost.
+	responseGrace = 500 * time.Millisecond
+	// lagAllowance is how much longer a client reads, which may itself be late on a busy machine. Whether
+	// the response was late is decided by how late the client was.
+	lagAllowance = 2 * time.Second
+)
+
+func (c *client) requestID() string { return fmt.Sprintf("%s-%d", c.name, c.sent) }
+
+// nextRequest makes the next request.
+func (c *client) nextRequest() *history.Request {
+	c.sent++
+	class := c.classes[c.random.IntN(len(c.classes))]
+	timeout := class.Deadline
+	if c.random.Float64() < shortTimeoutShare {
+		timeout = timeout/4 + time.Duration(c.random.Float64()*float64(timeout)/2)
+	}
+	return &history.Request{
+		ID: c.requestID(), Incarnation: c.incarnation, Class: class, Timeout: timeout.Truncate(time.Millisecond),
+	}
+}
+
+// exchange sends a request and reads its response. On an error it reports whether a part of the response
+// had come.
+func (c *client) exchange() (bool, error) {
+	request := c.nextRequest()
+	disconnects := c.random.Float64() < disconnectShare
+	readTimeout := request.Timeout + responseGrace + lagAllowance
+	if disconnects {
+		readTimeout = time.Duration(c.random.Float64() * float64(request.Timeout))
+	}
+	c.history.RequestSent(request)
+	if err := c.conn.SetDeadline(time.Now().Add(readTimeout)); err != nil {
+		return false, err
+	}
+	_, err := io.WriteString(c.conn, requestText(request))
+	switch {
+	case disconnects && testkit.IsTimeout(err):
+		return false, errDisconnected // before it has sent anything
+	case err != nil:
+		return false, fmt.Errorf("write: %w", err)
+	}
+	result, err := c.readResponse()
+	if disconnects && testkit.IsTimeout(err) {
+		c.history.ClientDisconnects(request)
+		return result.began, errDisconnected
+	}
+	c.checkResponseTime(request)
+	if err == nil && (!c.keepAlive || !result.keepAlive) {
+		c.disconnect()
+	}
+	return result.began, err
+}
+
+// checkResponseTime checks that the response to a request, or the end of its connection, came in time.
+func (c *client) checkResponseTime(request *history.Request) {
+	late := time.Since(request.SentAt) - request.Timeout - responseGrace
+	if late > c.history.Lag.Around(time.Now()) {
+		c.history.Violate("late", c.incarnation, "request %s: %v after the grace of its response", request.ID, late)
+	}
+}
+
+// requestText returns a request as it is sent.
+func requestText(r *history.Request) string {
+	method, more := "POST", "Content-Length: 0\r\n"
+	switch r.Class.Effect {
+	case scenario.EffectPure:
+		method, more = "GET", ""
+	case scenario.EffectToken:
+		more += "Idempotency-Key: k-" + r.ID + "\r\n"
+	case scenario.EffectSideEffect:
+	}
+	return fmt.Sprintf("%s /%s HTTP/1.1\r\nHost: x\r\nX-Request-ID: %s\r\nX-Timeout-Ms: %d\r\n%s\r\n",
+		method, r.Class.Name, r.ID, r.Timeout.Milliseconds(), more)
+}
+
+// readResult is how far the reading of a response got.
+type readResult struct {
+	began     bool // a part of the response came
+	keepAlive bool // the response is complete and its connection stays open
+}
+
+// readResponse reads a response.
+func (c *client) readResponse() (readResult, error) {
+	if _, err := c.reader.Peek(1); err != nil {
+		return readResult{}, fmt.Errorf("no response: %w", err)
+	}
+	response, err := http.ReadResponse(c.reader, nil)
+	if err != nil {
+		return readResult{began: true}, fmt.Errorf("response: %w", err)
+	}
+	if _, err = io.Copy(io.Discard, response.Body); err != nil {
+		return readResult{began: true}, fmt.Errorf("response body: %w", err)
+	}
+	return readResult{began: true, keepAlive: !response.Close}, nil
+}
--- /dev/null
+++ b/internal/soak/history/discovery.go
@@ -0,0 +1,80 @@
+package history
+
+import (
+	"sync"
+	"time"
+
+	"calicohinge/policy"
+)
+
+// AddressChangeDeadline is the operators' term: a node counts as notified of the list at a new address so
+// long after SIGHUP.
+const AddressChangeDeadline = 4 * time.Second
+
+// Discovery is what the discovery service published, and when it could not be reached. The zero value is
+// ready to use.
+type Discovery struct {
+	mu        sync.Mutex
+	published []time.Time // by generation, from 1 on
+	outages   []outage    // in order of time, those that are over
+}
+
+// outage is a span of time in which the service could not be reached.
+type outage struct{ from, to time.Time }
+
+// Published records that the list of the next generation is published now.
+func (d *Discovery) Published() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.published = append(d.published, time.Now())
+}
+
+// OutageEnded records that the service could not be reached from a time until now.
+func (d *Discovery) OutageEnded(from time.Time) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.outages = append(d.outages, outage{from, time.Now()})
+}
+
+// PublishedAt returns when a generation was published.
+func (d *Discovery) PublishedAt(generation uint64) time.Time {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.published[generation-1]
+}
+
+// reachableFrom returns the first time, not before from, at which a span begins in which the service could
+// be reached all the time.
+func (d *Discovery) reachableFrom(from time.Time, span time.Duration) time.Time {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for _, outage := range d.outages {
+		if outage.to.After(from) && outage.from.Before(from.Add(span)) {
+			from = outage.to
+		}
+	}
+	return from
+}
+
+// NotifiedAt returns when a process counts as notified of a generation: when the list was written to it, or
+// at the end of the notification deadline or of the address change deadline if that is earlier.
+func (d *Discovery) NotifiedAt(incarnation *Incarnation, generation uint64) time.Time {
+	known := d.PublishedAt(generation)
+	if known.Before(incarnation.StartedAt) {
+		known = incarnation.StartedAt
+	}
+	notified := d.reachableFrom(known, policy.NotificationDeadline).Add(policy.NotificationDeadline)
+	deliveries, reloads := incarnation.notifications()
+	for _, delivery := range deliveries {
+		if delivery.generation >= generation && delivery.at.Before(notified) {
+			notified = delivery.at
+		}
+	}
+	for _, reload := range reloads {
+		due := reload.Add(AddressChangeDeadline)
+		if !reload.Before(known) && due.Before(notified) && d.reachableFrom(reload, AddressChangeDeadline).Equal(reload) {
+			notified = due
+		}
+	}
+	return notified
+}
--- /dev/null
+++ b/internal/soak/history/scheduling_lag.go
@@ -0,0 +1,67 @@
+package history
+
+import (
+	"slices"
+	"sync"
+	"time"
+)
+
+const (
+	// lagInterval is how often the lag is measured.
+	lagInterval = 5 * time.Millisecond
+	// lagReach is how far from a time its lag is looked for.
+	lagReach = 500 * time.Millisecond
+)
+
+// SchedulingLag measures how late this process itself was scheduled: what it recorded is late by as much.
+type SchedulingLag struct {
+	mu      sync.Mutex
+	samples []lagSample // in order of time
+	stop    chan struct{}
+}
+
+type lagSample struct {
+	at  time.Time
+	lag time.Duration
+}
+
+// StartSchedulingLag starts a measurement. The caller stops it.
+func StartSchedulingLag() *SchedulingLag {
+	l := &SchedulingLag{stop: make(chan struct{})}
+	go l.measure()
+	return l
+}
+
+// Stop ends the measurement.
+func (l *SchedulingLag) Stop() { close(l.stop) }
+
+func (l *SchedulingLag) measure() {
+	for {
+		before := time.Now()
+		select {
+		case <-l.stop:
+			return
+		case <-time.After(lagInterval):
+		}
+		if lag := time.Since(before) - lagInterval; lag > lagInterval {
+			l.mu.Lock()
+			l.samples = append(l.samples, lagSample{time.Now(), lag})
+			l.mu.Unlock()
+		}
+	}
+}
+
+// Around returns the greatest lag around a time.
+func (l *SchedulingLag) Around(at time.Time) time.Duration {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	first, _ := slices.BinarySearchFunc(l.samples, at.Add(-lagReach), func(s lagSample, t time.Time) int { return s.at.Compare(t) })
+	greatest := time.Duration(0)
+	for _, sample := range l.samples[first:] {
+		if sample.at.Sub(at) > lagReach+sample.lag {
+			break
+		}
+		greatest = max(greatest, sample.lag)
+	}
+	return greatest
+}
--- /dev/null
+++ b/internal/soak/history/server.go
@@ -0,0 +1,40 @@
+package history
+
+import (
+	"sync"
+	"sync/atomic"
+	"time"
+)
+
+// Server is one process of a server.
+type Server struct {
+	ID       string
+	JoinedAt time.Time   // when it was listed first; zero: it was there from the start
+	Hanging  atomic.Bool // it responds to no request
+
+	// DelistedIn is the generation of the list that first showed the server as draining or removed; 0: none.
+	DelistedIn atomic.Uint64
+
+	mu       sync.Mutex
+	arrivals []time.Time
+}
+
+// RequestArrived records that a request arrived at the server.
+func (s *Server) RequestArrived(at time.Time) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.arrivals = append(s.arrivals, at)
+}
+
+// ArrivalsBetween counts the requests that arrived in a time.
+func (s *Server) ArrivalsBetween(from, to time.Time) int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	count := 0
+	for _, at := range s.arrivals {
+		if !at.Before(from) && at.Before(to) {
+			count++
+		}
+	}
+	return count
+}
--- /dev/null
+++ b/internal/soak/node.go
@@ -0,0 +1,107 @@
+package soak
+
+import (
+	"encoding/json"
+	"fmt"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+
+	"calicohinge/internal/balancertest"
+	"calicohinge/internal/soak/history"
+	"calicohinge/internal/testkit"
+)
+
+// node is a node with all processes that it has in a run, one after the other at the same address. One
+// goroutine starts, signals and ends them.
+type node struct {
+	t         *testing.T
+	name      string
+	addr      string
+	program   string
+	settings  json.RawMessage
+	discovery *discovery
+	history   *history.History
+	killDelay time.Duration // after SIGTERM
+
+	process balancertest.Process
+	clock   balancertest.WallClock
+
+	mu      sync.Mutex
+	current *history.Incarnation
+}
+
+// config returns the configuration of the node with an address of the discovery service.
+func (n *node) config(discovery string) map[string]any {
+	return map[string]any{
+		"name": n.name, "listen": n.addr, "discovery": discovery, "settings": n.settings,
+		"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 512},
+	}
+}
+
+// start starts a process of the node on a machine whose wall clock is ahead.
+func (n *node) start(number int, ahead time.Duration) {
+	n.t.Helper()
+	n.clock = balancertest.NewWallClock(n.t, ahead)
+	next := &history.Incarnation{Name: fmt.Sprintf("%s.%d", n.name, number), StartedAt: time.Now()}
+	n.mu.Lock()
+	n.current = next // before a client can connect to it
+	n.mu.Unlock()
+	options := balancertest.Options{Environment: []string{n.clock.Environment()}, Logged: next.Logged}
+	n.process = balancertest.StartWith(n.t, options, n.config(n.discovery.newAddress(next)), n.program)
+	testkit.Wait(n.t, n.process.Addr, "the process of "+next.Name)
+}
+
+// incarnation returns the process that the node's address leads to.
+func (n *node) incarnation() *history.Incarnation {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.current
+}
+
+// stepClock steps the wall clock of the node's machine.
+func (n *node) stepClock(ahead time.Duration) { n.clock.Step(n.t, n.process.PID, ahead) }
+
+// reload gives the node a new address of the discovery service.
+func (n *node) reload() {
+	current := n.incarnation()
+	text, err := json.Marshal(n.config(n.discovery.newAddress(current)))
+	if err != nil {
+		n.t.Error(err)
+		return
+	}
+	n.process.ConfigFile.Replace(n.t, text)
+	current.Reloads()
+	balancertest.Signal(n.t, n.process.PID, syscall.SIGHUP)
+}
+
+// pause stops the node for as long as the operators' terms allow.
+func (n *node) pause() {
+	const longest = 120 * time.Millisecond
+	balancertest.Signal(n.t, n.process.PID, syscall.SIGSTOP)
+	time.Sleep(longest)
+	balancertest.Signal(n.t, n.process.PID, syscall.SIGCONT)
+}
+
+// terminate shuts the node down by SIGTERM and further signals, and kills it as early as the operators'
+// terms allow. The process has to have exited by then.
+func (n *node) terminate(signals []syscall.Signal) {
+	const signalInterval = 40 * time.Millisecond
+	current := n.incarnation()
+	current.Terminates()
+	kill := time.After(n.killDelay)
+	for _, signal := range append([]syscall.Signal{syscall.SIGTERM}, signals...) {
+		balancertest.Signal(n.t, n.process.PID, signal)
+		time.Sleep(signalInterval)
+	}
+	select {
+	case err := <-n.process.Exited:
+		if err != nil {
+			n.history.Violate("crash", current, "exited with %v", err)
+		}
+	case <-kill:
+		balancertest.Signal(n.t, n.process.PID, syscall.SIGKILL)
+		n.history.Violate("shutdown", current, "had to be killed %v after SIGTERM", n.killDelay)
+	}
+}
--- /dev/null
+++ b/internal/soak/scenario/scenario_test.go
@@ -0,0 +1,50 @@
+package scenario
+
+import (
+	"fmt"
+	"os"
+	"reflect"
+	"strings"
+	"testing"
+)
+
+func TestSeedGivesTheSameScenarioTwice(t *testing.T) {
+	for seed := range uint64(100) {
+		if first, second := Generate(seed), Generate(seed); !reflect.DeepEqual(first, second) {
+			t.Errorf("seed %d: %+v, then %+v", seed, first, second)
+		}
+	}
+}
+
+func TestSeedsGiveDifferentScenarios(t *testing.T) {
+	first, second := Generate(1), Generate(2)
+	second.Seed = first.Seed
+	if reflect.DeepEqual(first, second) {
+		t.Errorf("seeds 1 and 2 give %+v", first)
+	}
+}
+
+// Seeds that are noted in reports have to give the same scenario in later versions.
+func TestScenarioOfASeedStaysTheSame(t *testing.T) {
+	want, err := os.ReadFile("testdata/seed-1.txt")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got := describe(Generate(1)); got != string(want) {
+		t.Errorf("seed 1 gives\n%s\nwant\n%s", got, want)
+	}
+}
+
+// describe returns a text of all parts of a scenario.
+func describe(s Scenario) string {
+	var text strings.Builder
+	_, _ = fmt.Fprintf(&text, "seed %d, high concurrency %v, %d nodes\n%+v\nclocks ahead by %v, final signals %v\n",
+		s.Seed, s.HighConcurrency, s.Nodes, s.Settings, s.Schedule.InitialClocks, s.Schedule.FinalSignals)
+	for i, events := range s.Schedule.Concurrent {
+		_, _ = fmt.Fprintf(&text, "schedule %d\n", i)
+		for _, event := range events {
+			_, _ = fmt.Fprintf(&text, "%v %v\n", event.At, event.Action)
+		}
+	}
+	return text.String()
+}
--- /dev/null
+++ b/internal/soak/scenario/schedule.go
@@ -0,0 +1,140 @@
+package scenario
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"syscall"
+	"time"
+)
+
+// Event is an action at a time of a run.
+type Event struct {
+	At     time.Duration // since the clients began
+	Action Action
+}
+
+// Schedule is all that happens in a run.
+type Schedule struct {
+	InitialClocks []time.Duration  // by how much each node's wall clock is ahead at its start
+	Concurrent    [][]Event        // fault schedules that run beside each other; the events of one follow each other
+	FinalSignals  []syscall.Signal // follow the SIGTERM that ends each node
+}
+
+// generateSchedule generates a schedule. The order in which the parts are generated must stay: the parts
+// share one random sequence.
+func generateSchedule(random *rand.Rand, nodes int) Schedule {
+	schedule := Schedule{FinalSignals: generateSignals(random)}
+	for range nodes {
+		schedule.InitialClocks = append(schedule.InitialClocks, generateClockStep(random))
+	}
+	schedule.Concurrent = append(schedule.Concurrent,
+		generateDiscoveryFaults(random), generateServerChanges(random), generateHang(random))
+	restarted := random.IntN(nodes)
+	for node := range nodes {
+		events := generateNodeFaults(random, node)
+		if node == restarted {
+			events = append(events, generateRestart(random, node))
+		}
+		schedule.Concurrent = append(schedule.Concurrent, events)
+	}
+	for _, events := range schedule.Concurrent {
+		slices.SortStableFunc(events, func(x, y Event) int { return int(x.At - y.At) })
+	}
+	return schedule
+}
+
+// generateClockStep generates by how much a wall clock is ahead.
+func generateClockStep(random *rand.Rand) time.Duration {
+	const day = 24 * time.Hour
+	steps := []time.Duration{0, time.Second, 5 * time.Second, 30 * time.Second, 7 * time.Minute, time.Hour, 400 * day}
+	step := steps[random.IntN(len(steps))]
+	if random.IntN(2) == 0 {
+		return -step
+	}
+	return step
+}
+
+// generateSignals generates the signals that follow SIGTERM.
+func generateSignals(random *rand.Rand) []syscall.Signal {
+	return [][]syscall.Signal{
+		nil, {syscall.SIGTERM}, {syscall.SIGHUP, syscall.SIGTERM}, {syscall.SIGTERM, syscall.SIGHUP, syscall.SIGINT},
+	}[random.IntN(4)]
+}
+
+// generateDiscoveryFaults generates one or two outages of the discovery service.
+func generateDiscoveryFaults(random *rand.Rand) []Event {
+	faults := []DiscoveryFault{
+		DiscoveryUnresponsive, DiscoveryUnresponsive, DiscoveryUnavailable, DiscoveryReset, DiscoverySlow,
+	}
+	var events []Event
+	at := between(random, time.Second, 4*time.Second)
+	for range 1 + random.IntN(2) {
+		fault := faults[random.IntN(len(faults))]
+		longest := 6 * time.Second
+		if fault == DiscoveryUnresponsive {
+			longest = 10 * time.Second
+		}
+		until := at + between(random, time.Second, longest)
+		events = append(events, Event{at, SetDiscoveryFault{fault}}, Event{until, SetDiscoveryFault{DiscoveryHealthy}})
+		at = until + between(random, 200*time.Millisecond, 3*time.Second)
+	}
+	return events
+}
+
+// generateServerChanges generates servers that drain and are removed, and others that start: one under the
+// ID of a removed server, the rest under new IDs.
+func generateServerChanges(random *rand.Rand) []Event {
+	const changes = 3
+	var events []Event
+	for i, server := range random.Perm(Servers)[:changes] {
+		drainAt := between(random, time.Second, 9*time.Second)
+		removeAt := drainAt + between(random, 500*time.Millisecond, 4*time.Second)
+		startAt := removeAt + between(random, 0, 2*time.Second)
+		id := ServerID(server)
+		if i > 0 {
+			id = fmt.Sprintf("new-%d", i)
+		}
+		events = append(events,
+			Event{drainAt, DrainServer{server}}, Event{removeAt, RemoveServer{server}}, Event{startAt, StartServer{id}})
+	}
+	return events
+}
+
+// ServerID returns the ID of one of the first servers.
+func ServerID(server int) string { return fmt.Sprintf("s-%d", server) }
+
+// generateHang generates a server that hangs for a while.
+func generateHang(random *rand.Rand) []Event {
+	const duration = 2 * time.Second
+	server := random.IntN(Servers)
+	from := between(random, 2*time.Second, 12*time.Second)
+	return []Event{{from, HangServer{server}}, {from + duration, ResumeServer{server}}}
+}
+
+// generateNodeFaults generates steps of a node's wall clock, pauses and a series of reloads.
+func generateNodeFaults(random *rand.Rand, node int) []Event {
+	const stepInterval, reloadInterval, reloads = time.Second, 300 * time.Millisecond, 3
+	var events []Event
+	for at := stepInterval; at < Duration; at += stepInterval {
+		events = append(events, Event{at, StepClock{node, generateClockStep(random)}})
+	}
+	for third := range time.Duration(3) { // apart: the operators' terms allow one pause at a time
+		at := between(random, third*Duration/3, (third+1)*Duration/3-time.Second)
+		events = append(events, Event{at, PauseNode{node}})
+	}
+	if random.IntN(3) > 0 {
+		from := between(random, time.Second, 10*time.Second)
+		for i := range reloads {
+			events = append(events, Event{from + time.Duration(i)*reloadInterval, ReloadNode{node}})
+		}
+	}
+	return events
+}
+
+// generateRestart generates the restart of a node.
+func generateRestart(random *rand.Rand, node int) Event {
+	at := between(random, 4*time.Second, 11*time.Second)
+	signals := generateSignals(random)
+	return Event{at, RestartNode{node, signals, generateClockStep(random)}}
+}
--- /dev/null
+++ b/internal/soak/scenario/settings.go
@@ -0,0 +1,101 @@
+package scenario
+
+import (
+	"encoding/json"
+	"math/rand/v2"
+	"time"
+)
+
+// Class is a class of requests.
+type Class struct {
+	Name         string
+	Effect       Effect
+	Deadline     time.Duration
+	KeyRetention time.Duration // of a class that is idempotent with a key, else 0
+}
+
+// Effect is what a request does at its server, as the settings name it.
+type Effect string
+
+// The effects of a class.
+const (
+	EffectPure       Effect = "pure"        // idempotent
+	EffectToken      Effect = "token"       // idempotent with an idempotency key
+	EffectSideEffect Effect = "side_effect" // not idempotent
+)
+
+// Settings are the settings of the nodes of a run, as far as they differ between runs.
+type Settings struct {
+	Mode             string // of discovery
+	Classes          []Class
+	DrainGrace       time.Duration
+	SlowStartShare   float64
+	SlowStart        time.Duration
+	OverloadMultiple float64
+	OverloadWindow   time.Duration
+	Hedging          bool
+}
+
+func generateSettings(random *rand.Rand) Settings {
+	deadline := func() time.Duration { return time.Duration(200+random.IntN(600)) * time.Millisecond }
+	return Settings{
+		Mode: []string{"pushed", "on_request"}[random.IntN(2)],
+		Classes: []Class{
+			{Name: "read", Effect: EffectPure, Deadline: deadline()},
+			{Name: "push", Effect: EffectToken, Deadline: deadline(), KeyRetention: 400 * time.Millisecond},
+			{Name: "pay", Effect: EffectSideEffect, Deadline: deadline()},
+		},
+		DrainGrace:       []time.Duration{300 * time.Millisecond, time.Second}[random.IntN(2)],
+		SlowStartShare:   0.05 + 0.1*random.Float64(),
+		SlowStart:        time.Duration(5+random.IntN(5)) * time.Second,
+		OverloadMultiple: 1.5 + random.Float64(),
+		OverloadWindow:   time.Second,
+		Hedging:          random.IntN(2) == 0,
+	}
+}
+
+// JSON returns the settings of one of the nodes in the form of the configuration file.
+func (s *Settings) JSON(node, nodes int) (json.RawMessage, error) {
+	classes := make([]map[string]any, 0, len(s.Classes))
+	for _, class := range s.Classes {
+		classes = append(classes, class.settings())
+	}
+	return json.Marshal(map[string]any{
+		"Classes": classes, "Zones": []string{"a"}, "RegistryMode": s.Mode, "Balancers": nodes, "Me": node,
+		"Contract": map[string]any{
+			"DrainGraceMs": s.DrainGrace.Milliseconds(), "ColdFrom": s.SlowStartShare, "ColdMs": s.SlowStart.Milliseconds(),
+			"FallMultiple": s.OverloadMultiple, "FallMs": s.OverloadWindow.Milliseconds(),
+		},
+		"Limits": map[string]any{
+			"Cancel": true, "ConnIdleMs": 4000, "ConnectTimeoutMs": 150, "MaxAttempts": 4,
+			"MaxRetryAfterMs": 500, "RetryAfter": true, "SecondCopies": s.Hedging,
+		},
+	})
+}
+
+func (c *Class) settings() map[string]any {
+	settings := map[string]any{
+		"Name": c.Name, "Effect": c.Effect, "DeadlineMs": c.Deadline.Milliseconds(),
+		"PromiseMs": c.Deadline.Milliseconds() / 2, "Importance": 1, "DedupScope": "all",
+	}
+	if c.KeyRetention > 0 {
+		settings["KeyTtlMs"] = c.KeyRetention.Milliseconds()
+	}
+	return settings
+}
+
+// KillDelay returns how long after SIGTERM the operators' terms allow a node to be killed.
+func (s *Settings) KillDelay() time.Duration {
+	const extra = 700 * time.Millisecond // after the longest deadline
+	return s.LongestDeadline() + extra
+}
+
+// LongestDeadline returns the longest deadline of the classes, of which 3 s count at most.
+func (s *Settings) LongestDeadline() time.Duration {
+	const limit = 3 * time.Second
+	longest := time.Duration(0)
+	for _, class := range s.Classes {
+		longest = max(longest, class.Deadline)
+	}
+	return min(longest, limit)
+}
