--- a/cmd/balancer/shortage_test.go
+++ b/cmd/balancer/shortage_test.go
@@ -20,18 +20,26 @@
 	scarceDescriptors = 3
 )
 
-// limitDescriptors sets how many descriptors a process may open and returns the former limit.
-func limitDescriptors(t *testing.T, pid int, descriptors uint64) (former uint64) {
-	t.Helper()
+// setDescriptorLimit sets how many descriptors a process may open and returns the previous limit. The error
+// is ESRCH if the process has exited.
+func setDescriptorLimit(pid int, descriptors uint64) (uint64, error) {
 	var limit unix.Rlimit
 	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, nil, &limit); err != nil {
-		t.Fatal(err)
+		return 0, err
 	}
-	former, limit.Cur = limit.Cur, descriptors
-	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, &limit, nil); err != nil {
+	previous := limit.Cur
+	limit.Cur = descriptors
+	return previous, unix.Prlimit(pid, unix.RLIMIT_NOFILE, &limit, nil)
+}
+
+// limitDescriptors is setDescriptorLimit for a process that runs.
+func limitDescriptors(t *testing.T, pid int, descriptors uint64) uint64 {
+	t.Helper()
+	previous, err := setDescriptorLimit(pid, descriptors)
+	if err != nil {
 		t.Fatal(err)
 	}
-	return former
+	return previous
 }
 
 // For a while accept and socket fail in a process, as they do where a system has no
@@ -65,7 +73,11 @@
 	former := limitDescriptors(t, started.PID, scarceDescriptors)
 	balancertest.Signal(t, started.PID, signal)
 	began := time.Now()
-	timer := time.AfterFunc(shortage, func() { limitDescriptors(t, started.PID, former) })
+	timer := time.AfterFunc(shortage, func() {
+		if _, err := setDescriptorLimit(started.PID, former); err != nil {
+			t.Error(err)
+		}
+	})
 	defer timer.Stop()
 	for i, conn := range []net.Conn{client.dial(), old} {
 		if body, err := client.request(conn); body != "done" {
--- a/cmd/balancer/shutdown_clients_test.go
+++ b/cmd/balancer/shutdown_clients_test.go
@@ -25,6 +25,10 @@
 	// shutdownDeadline is the longest request deadline of the processes under test. It
 	// keeps a shutdown short: the process ends within half a second more.
 	shutdownDeadline = 200 * time.Millisecond
+	// earliestExit is how long after SIGTERM a process exits at the earliest under load: requests are served
+	// until 0.3 s before the end of the grace period, which is the longest deadline and 0.45 s more. From
+	// then on the process exits as soon as no connection is open.
+	earliestExit = shutdownDeadline + 150*time.Millisecond
 	// shutdownClients is how many clients send at the same time.
 	shutdownClients = 24
 )
@@ -135,6 +139,13 @@
 	// after, and of which nothing but a reset came: their connections were established between
 	// the process's last accept and its close of the listener.
 	resetInQueue int
+	exit         processExit
+}
+
+// processExit is how a process exited.
+type processExit struct {
+	err   error
+	after time.Duration // since SIGTERM
 }
 
 // separateQueued counts the last lost request of a client that was refused next under
@@ -196,8 +207,14 @@
 	now := time.Now()
 	signaledAt.Store(&now)
 	balancertest.Signal(t, started.PID, syscall.SIGTERM)
+	exits := make(chan processExit, 1)
+	go func() {
+		err := <-started.Exited
+		exits <- processExit{err, sinceSignal()}
+	}()
 	disturb(started.PID)
 	clients.Wait()
+	total.exit = testkit.Wait(t, exits, "the exit of the process")
 	return total
 }
 
@@ -212,6 +229,9 @@
 	for _, err := range r.lost[:min(shown, len(r.lost))] {
 		t.Error(err)
 	}
+	if r.exit.err != nil || r.exit.after < earliestExit {
+		t.Errorf("the process exited %v after SIGTERM with %v, want no error and %v at least", r.exit.after, r.exit.err, earliestExit)
+	}
 	if r.answered == 0 {
 		t.Error("no request was answered")
 	}
@@ -278,9 +298,17 @@
 			t.Parallel()
 			endUnderLoad(t, program, func(pid int) {
 				time.Sleep(after)
-				former := limitDescriptors(t, pid, scarceDescriptors)
-				time.Sleep(short)
-				limitDescriptors(t, pid, former)
+				previous, err := setDescriptorLimit(pid, scarceDescriptors)
+				if err == nil {
+					time.Sleep(short)
+					_, err = setDescriptorLimit(pid, previous)
+				}
+				switch {
+				case errors.Is(err, unix.ESRCH): // whether it may have, report checks
+					t.Log("the process has exited before it was short of descriptors, or meanwhile")
+				case err != nil:
+					t.Error(err)
+				}
 			}).report(t)
 		})
 	}
