--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -56,33 +56,41 @@
 // sendOne sends a request, and another one on a new connection if its connection was closed under it
 // unread.
 func (c *client) sendOne() {
-	for {
-		reused := c.conn != nil
-		if err := c.connect(); err != nil {
-			time.Sleep(refusedPause) // the node is being restarted
-			return
-		}
-		responded, err := c.exchange()
-		if err == nil {
-			c.history.CountResponse()
-			return
-		}
-		c.disconnect()
-		switch {
-		case errors.Is(err, errDisconnected):
-			return
-		case reused && !responded && !testkit.IsTimeout(err):
-			continue // crossed the close of an idle connection
-		case errors.Is(err, syscall.ECONNRESET) && !responded && c.incarnation.Terminated():
-			c.history.CountUnread() // in the accept queue of a node that shuts down
-		default:
-			c.history.Violate("lost", c.incarnation, "request %s, reused connection %v, part of a response %v: %v",
-				c.requestID(), reused, responded, err)
-		}
-		return
+	for c.sendOnce() {
 	}
 }
 
+// sendOnce sends a request and records how it ended. It reports whether another one is to be sent.
+func (c *client) sendOnce() bool {
+	reused := c.conn != nil
+	if err := c.connect(); err != nil {
+		time.Sleep(refusedPause) // the node is being restarted
+		return false
+	}
+	responded, err := c.exchange()
+	if err == nil {
+		c.history.CountResponse()
+		return false
+	}
+	c.disconnect()
+	switch {
+	case errors.Is(err, errDisconnected):
+	case reused && !responded && !testkit.IsTimeout(err):
+		return true // crossed the close of an idle connection
+	case c.resetInQueue(responded, err):
+		c.history.CountUnread()
+	default:
+		c.history.Violate("lost", c.incarnation, "request %s, reused connection %v, part of a response %v: %v",
+			c.requestID(), reused, responded, err)
+	}
+	return false
+}
+
+// resetInQueue reports whether a connection was reset in the accept queue of a node that shuts down.
+func (c *client) resetInQueue(responded bool, err error) bool {
+	return errors.Is(err, syscall.ECONNRESET) && !responded && c.incarnation.Terminated()
+}
+
 // connect opens a connection unless there is one.
 func (c *client) connect() error {
 	if c.conn != nil {
--- a/internal/soak/client_exchange.go
+++ b/internal/soak/client_exchange.go
@@ -47,28 +47,35 @@
 		readTimeout = time.Duration(c.random.Float64() * float64(request.Timeout))
 	}
 	c.history.RequestSent(request)
-	if err := c.conn.SetDeadline(time.Now().Add(readTimeout)); err != nil {
+	if err := c.write(request, readTimeout); err != nil {
+		if disconnects && testkit.IsTimeout(err) {
+			err = errDisconnected // before it has sent anything
+		}
 		return false, err
 	}
-	_, err := io.WriteString(c.conn, requestText(request))
-	switch {
-	case disconnects && testkit.IsTimeout(err):
-		return false, errDisconnected // before it has sent anything
-	case err != nil:
-		return false, fmt.Errorf("write: %w", err)
-	}
 	result, err := c.readResponse()
 	if disconnects && testkit.IsTimeout(err) {
 		c.history.ClientDisconnects(request)
 		return result.began, errDisconnected
 	}
 	c.checkResponseTime(request)
-	if err == nil && (!c.keepAlive || !result.keepAlive) {
+	if err == nil && !result.keepAlive {
 		c.disconnect()
 	}
 	return result.began, err
 }
 
+// write sends a request. The timeout is that of the whole exchange.
+func (c *client) write(request *history.Request, timeout time.Duration) error {
+	if err := c.conn.SetDeadline(time.Now().Add(timeout)); err != nil {
+		return err
+	}
+	if _, err := io.WriteString(c.conn, requestText(request)); err != nil {
+		return fmt.Errorf("write: %w", err)
+	}
+	return nil
+}
+
 // checkResponseTime checks that the response to a request, or the end of its connection, came in time.
 func (c *client) checkResponseTime(request *history.Request) {
 	late := time.Since(request.SentAt) - request.Timeout - responseGrace
@@ -94,7 +101,7 @@
 // readResult is how far the reading of a response got.
 type readResult struct {
 	began     bool // a part of the response came
-	keepAlive bool // the response is complete and its connection stays open
+	keepAlive bool // the response is complete and its connection is used again
 }
 
 // readResponse reads a response.
@@ -109,5 +116,5 @@
 	if _, err = io.Copy(io.Discard, response.Body); err != nil {
 		return readResult{began: true}, fmt.Errorf("response body: %w", err)
 	}
-	return readResult{began: true, keepAlive: !response.Close}, nil
+	return readResult{began: true, keepAlive: c.keepAlive && !response.Close}, nil
 }
--- a/internal/soak/history/discovery.go
+++ b/internal/soak/history/discovery.go
@@ -4,13 +4,10 @@
 	"sync"
 	"time"
 
+	"calicohinge/internal/testkit"
 	"calicohinge/policy"
 )
 
-// AddressChangeDeadline is the operators' term: a node counts as notified of the list at a new address so
-// long after SIGHUP.
-const AddressChangeDeadline = 4 * time.Second
-
 // Discovery is what the discovery service published, and when it could not be reached. The zero value is
 // ready to use.
 type Discovery struct {
@@ -71,8 +68,8 @@
 		}
 	}
 	for _, reload := range reloads {
-		due := reload.Add(AddressChangeDeadline)
-		if !reload.Before(known) && due.Before(notified) && d.reachableFrom(reload, AddressChangeDeadline).Equal(reload) {
+		due := reload.Add(testkit.AddressChangeDeadline)
+		if !reload.Before(known) && due.Before(notified) && d.reachableFrom(reload, testkit.AddressChangeDeadline).Equal(reload) {
 			notified = due
 		}
 	}
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -15,15 +15,19 @@
 // delays one that passes.
 const WaitTimeout = 20 * time.Second
 
+// AddressChangeDeadline is the operators' term: a node counts as notified of the list at a new address of
+// the discovery service so long after SIGHUP.
+const AddressChangeDeadline = 4 * time.Second
+
 // Wait returns the next value of a channel, or fails the test. The description completes the words
 // "timed out waiting for".
-func Wait[T any](t *testing.T, values <-chan T, description string) T {
-	t.Helper()
+func Wait[T any](tb testing.TB, values <-chan T, description string) T {
+	tb.Helper()
 	select {
 	case value := <-values:
 		return value
 	case <-time.After(WaitTimeout):
-		t.Fatalf("timed out waiting for %s", description)
+		tb.Fatalf("timed out waiting for %s", description)
 		panic("unreachable")
 	}
 }
@@ -32,11 +36,11 @@
 const pollInterval = time.Millisecond
 
 // Until waits until a condition holds, or fails the test.
-func Until(t *testing.T, description string, holds func() bool) {
-	t.Helper()
+func Until(tb testing.TB, description string, holds func() bool) {
+	tb.Helper()
 	for end := time.Now().Add(WaitTimeout); !holds(); time.Sleep(pollInterval) {
 		if time.Now().After(end) {
-			t.Fatalf("timed out waiting for %s", description)
+			tb.Fatalf("timed out waiting for %s", description)
 		}
 	}
 }
