--- a/cmd/balancer/benchmark_test.go
+++ b/cmd/balancer/benchmark_test.go
@@ -34,7 +34,7 @@
 	largeFleet     = 7800
 	smallFleet     = 10
 	manyTenants    = 20000
-	completeLists  = 4 // that a node takes in before its memory is read
+	completeLists  = 4 // that a node applies before its memory is read
 )
 
 // version is a binary that is measured.
@@ -65,19 +65,20 @@
 // that the node spends on each.
 func BenchmarkRequest(b *testing.B) {
 	measureInTurns(b, func(b *testing.B, path string) {
+		b.Helper()
 		server := newServer(b, testkit.OK)
-		started := balancertest.Start(b, map[string]any{
-			"discovery": "127.0.0.1:1", "known": listOf(1, server, server, server, server),
+		process := balancertest.Start(b, map[string]any{
+			"discovery": noDiscovery, "known": listOf(1, server, server, server, server),
 			"limits":   map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024},
 			"settings": moreSettings(`"Limits": {"MaxAttempts": 3}`),
 		}, path)
-		addr := <-started.Addr
+		addr := testkit.Wait(b, process.Addr, "the process to serve")
 		balancertest.AwaitReady(b, addr)
-		before := processorTime(b, started.PID)
+		before := processorTime(b, process.PID)
 		b.ResetTimer()
 		served := makeRequests(b, addr)
 		b.StopTimer()
-		spent := processorTime(b, started.PID) - before
+		spent := processorTime(b, process.PID) - before
 		b.ReportMetric(float64(spent.Microseconds())/float64(b.N), "cpu-µs/op")
 		b.ReportMetric(float64(served)/float64(b.N), "served/op")
 	})
@@ -95,7 +96,7 @@
 				b.Error(err)
 				return
 			}
-			defer func() { _ = conn.Close() }() // its answers have been read
+			defer func() { _ = conn.Close() }() // its responses have been read
 			reader := bufio.NewReader(conn)
 			for id := next.Add(1); id <= int64(b.N); id = next.Add(1) {
 				status, err := exchange(conn, reader, id)
@@ -113,10 +114,9 @@
 	return served.Load()
 }
 
-// exchange makes one request and reads its answer to the end.
-func exchange(conn net.Conn, reader *bufio.Reader, id int64) (status int, err error) {
-	if _, err := fmt.Fprintf(conn, "POST /pay HTTP/1.1\r\nHost: x\r\nX-Request-ID: a%d\r\n"+
-		"X-Timeout-Ms: 8000\r\nContent-Length: 0\r\n\r\n", id); err != nil {
+// exchange makes one request and reads its response to the end. It returns the status.
+func exchange(conn net.Conn, reader *bufio.Reader, id int64) (int, error) {
+	if err := writeRequest(conn, fmt.Sprintf("a%d", id), classDeadline); err != nil {
 		return 0, err
 	}
 	response, err := http.ReadResponse(reader, nil)
@@ -151,6 +151,7 @@
 // of one before a small fleet, each after some complete lists, with many tenants.
 func BenchmarkPeakMemory(b *testing.B) {
 	measureInTurns(b, func(b *testing.B, path string) {
+		b.Helper()
 		// Once, whatever b.N is: a peak has no mean.
 		small := peakMemory(b, path, smallFleet)
 		large := peakMemory(b, path, largeFleet)
@@ -163,22 +164,23 @@
 // peakMemory returns the peak resident memory of a node, in kB.
 func peakMemory(b *testing.B, path string, servers int) int {
 	b.Helper()
-	taken := make(chan struct{}) // closed once the node has taken all lists in
-	started := balancertest.Start(b, map[string]any{
-		"discovery": serveLists(b, servers, taken),
+	applied := make(chan struct{}) // closed once the node has applied all lists
+	process := balancertest.Start(b, map[string]any{
+		"discovery": serveLists(b, servers, applied),
 		"limits":    map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024},
 		"settings":  moreSettings(`"Balancers": 650, "Accounts": ` + tenants(manyTenants)),
 	}, path)
 	select {
-	case <-taken:
+	case <-applied:
 	case <-time.After(testkit.WaitTimeout):
-		b.Fatal("the lists are not taken in")
+		b.Fatal("the lists are not applied")
 	}
-	return peakResident(b, started.PID)
+	return peakResident(b, process.PID)
 }
 
-// serveLists serves complete lists, one for each call, and holds the call behind the last.
-func serveLists(b *testing.B, servers int, taken chan<- struct{}) (addr string) {
+// serveLists serves complete lists, one for each call, and lets the call after the last wait. It returns its
+// address.
+func serveLists(b *testing.B, servers int, applied chan<- struct{}) string {
 	b.Helper()
 	addresses := make([]string, servers)
 	for i := range addresses {
@@ -196,7 +198,7 @@
 			return
 		}
 		if call == completeLists+1 {
-			close(taken)
+			close(applied)
 		}
 		<-r.Context().Done()
 	})
--- a/cmd/balancer/configuration_test.go
+++ b/cmd/balancer/configuration_test.go
@@ -8,7 +8,7 @@
 	"calicohinge/internal/balancertest"
 )
 
-func TestBadConfigurationEndsWithOneLine(t *testing.T) {
+func TestBadConfigurationIsReportedInOneLine(t *testing.T) {
 	for name, text := range map[string]string{
 		"empty":               ``,
 		"no object":           `[1]`,
--- a/cmd/balancer/descriptor_shortage_test.go
+++ b/cmd/balancer/descriptor_shortage_test.go
@@ -42,54 +42,59 @@
 	return previous
 }
 
-// For a while accept and socket fail in a process, as they do where a system has no
-// descriptors left. Clients that connect meanwhile are served, on old connections too, and
-// the process goes on; also if it is told to end just then.
-func TestRequestsOutlastAShortageOfDescriptors(t *testing.T) {
+// For a while accept and socket fail in a process, as they do where a system has no descriptors left.
+// Clients that connect meanwhile are served, on old connections too, and the process goes on; also if it
+// gets SIGTERM just then.
+func TestRequestsOutlastAShortageOfDescriptors(t *testing.T) { //nolint:tparallel // the load of other tests would change its times
 	program := balancertest.Build(t)
 	for name, signal := range map[string]unix.Signal{"serving": 0, "shutting down": unix.SIGTERM} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			testShortageOfDescriptors(t, program, signal)
+			testDescriptorShortage(t, program, signal)
 		})
 	}
 }
 
-// testShortageOfDescriptors takes the descriptors of a process, sends it a signal, of which 0
-// does nothing, and makes requests on a connection old and new.
-func testShortageOfDescriptors(t *testing.T, program string, signal unix.Signal) {
+// testDescriptorShortage takes the descriptors of a process, sends it a signal, of which 0 does nothing, and
+// makes requests on a new connection and on an old one.
+func testDescriptorShortage(t *testing.T, program string, signal unix.Signal) {
 	t.Helper()
 	server := testkit.NewBackend(t, testkit.OK)
-	started := balancertest.Start(t, map[string]any{
-		"discovery": "127.0.0.1:1", "settings": testkit.JSON(settings), "known": listOf(1, server.Address()),
+	process := balancertest.Start(t, map[string]any{
+		"discovery": noDiscovery, "settings": testkit.JSON(settings), "known": listOf(1, server.Address()),
 	}, program)
-	client := &nodeUnderFlood{t: t, pid: started.PID, addr: testkit.Wait(t, started.Addr, "the process")}
-	balancertest.AwaitReady(t, client.addr)
-	old := client.dial()
-	if body, err := client.request(old); body != "done" {
-		t.Fatalf("answered %q, %v", body, err)
-	}
+	node := &connectedNode{t: t, pid: process.PID, addr: testkit.Wait(t, process.Addr, "the process to serve")}
+	balancertest.AwaitReady(t, node.addr)
+	old := node.dial()
+	expectDone(t, node, old)
 	testkit.Wait(t, server.Requests, "the request before")
-	former := limitDescriptors(t, started.PID, scarceDescriptors)
-	balancertest.Signal(t, started.PID, signal)
+
+	previous := limitDescriptors(t, process.PID, scarceDescriptors)
+	balancertest.Signal(t, process.PID, signal)
 	began := time.Now()
 	timer := time.AfterFunc(shortage, func() {
-		if _, err := setDescriptorLimit(started.PID, former); err != nil {
+		if _, err := setDescriptorLimit(process.PID, previous); err != nil {
 			t.Error(err)
 		}
 	})
 	defer timer.Stop()
-	for i, conn := range []net.Conn{client.dial(), old} {
-		if body, err := client.request(conn); body != "done" {
-			t.Errorf("connection %d: answered %q, %v", i, body, err)
-		}
-		told, err := strconv.Atoi(testkit.Wait(t, server.Requests, "the request").Header.Get("X-Timeout-Ms"))
-		if limit := 8000 - shortage.Milliseconds(); i == 0 && (err != nil || int64(told) > limit) {
-			t.Errorf("the server was told %d ms, %v; want %d at most", told, err, limit)
-		}
-		if took := time.Since(began); i == 0 && took < shortage {
-			t.Errorf("a connection was accepted after %v: there was no shortage", took)
-		}
+
+	expectDone(t, node, node.dial())
+	timeoutMs, err := strconv.Atoi(testkit.Wait(t, server.Requests, "the request").Header.Get("X-Timeout-Ms"))
+	if limit := (classDeadline - shortage).Milliseconds(); err != nil || int64(timeoutMs) > limit {
+		t.Errorf("the server was given %d ms, %v; want %d at most", timeoutMs, err, limit)
+	}
+	if took := time.Since(began); took < shortage {
+		t.Errorf("a connection was accepted after %v: there was no shortage", took)
+	}
+	expectDone(t, node, old)
+}
+
+// expectDone makes a request on a connection, which has to be served.
+func expectDone(t *testing.T, node *connectedNode, conn net.Conn) {
+	t.Helper()
+	if body, err := node.request(conn); body != "done" {
+		t.Errorf("response %q, %v", body, err)
 	}
 }
 
@@ -97,17 +102,17 @@
 func TestSIGHUPOutlastsAShortageOfDescriptors(t *testing.T) {
 	t.Parallel()
 	calls := make(chan string, 1000)
-	started := balancertest.Start(t, map[string]any{
+	process := balancertest.Start(t, map[string]any{
 		"discovery": namedDiscovery(t, "first", calls), "settings": testkit.JSON(settings),
 	}, balancertest.Build(t))
 	if name := testkit.Wait(t, calls, "a call"); name != "first" {
 		t.Fatalf("%s is called", name)
 	}
-	started.ConfigFile.Replace(t, configText(namedDiscovery(t, "second", calls)))
-	former := limitDescriptors(t, started.PID, scarceDescriptors)
-	balancertest.Signal(t, started.PID, unix.SIGHUP)
-	time.Sleep(shortage / 3) // shorter than the file is tried
-	limitDescriptors(t, started.PID, former)
+	process.ConfigFile.Replace(t, configText(namedDiscovery(t, "second", calls)))
+	previous := limitDescriptors(t, process.PID, scarceDescriptors)
+	balancertest.Signal(t, process.PID, unix.SIGHUP)
+	time.Sleep(shortage / 3) // the node tries to open the file for longer
+	limitDescriptors(t, process.PID, previous)
 	for name := ""; name != "second"; {
 		name = testkit.Wait(t, calls, "a call to the second one")
 	}
--- a/cmd/balancer/discovery_stub_test.go
+++ b/cmd/balancer/discovery_stub_test.go
@@ -4,8 +4,8 @@
 	"context"
 	"encoding/json"
 	"fmt"
-	"io"
 	"net/http"
+	"sync"
 	"testing"
 	"time"
 
@@ -13,31 +13,51 @@
 	"calicohinge/internal/testkit"
 )
 
-// queueLength is how many calls may wait at an overbooked discovery.
+// queueLength is how many calls may wait at an overloaded discovery service.
 const queueLength = 1 << 16
 
-// outage says how a discovery service is away until back is closed: its address refuses
-// connections, or it answers calls with status 503.
+// outage says how a discovery service cannot be used until the outage has ended.
 type outage struct {
-	back    <-chan struct{}
-	refuses bool
+	kind  outageKind
+	ended <-chan struct{} // closed at the end
 }
 
-// overbookedDiscovery serves a list once it is back. It takes calls for the complete list
-// one after the other, each for timePerCall, those that were given up included.
-type overbookedDiscovery struct {
+// outageKind is what a client of the service sees of an outage.
+type outageKind int
+
+const (
+	outageUnavailable outageKind = iota // status 503
+	outageRefused                       // refused connections
+)
+
+// newOutage begins an outage and returns a function that ends it, which may be called again.
+func newOutage(kind outageKind) (outage, func()) {
+	ended := make(chan struct{})
+	return outage{kind, ended}, sync.OnceFunc(func() { close(ended) })
+}
+
+// noOutage is an outage that has ended.
+func noOutage() outage {
+	outage, end := newOutage(outageUnavailable)
+	end()
+	return outage
+}
+
+// overloadedDiscovery serves a list after its outage. It takes calls for the complete list one after the
+// other, each for timePerCall, those that their client has abandoned included.
+type overloadedDiscovery struct {
 	t           *testing.T
 	list        endpointjson.List
 	outage      outage
 	timePerCall time.Duration
 	queue       chan chan struct{} // one for each call, closed when it has had its time
-	watches     chan string        // the addresses at which a node with the list watches on
+	watches     chan string        // the addresses at which a node with the list watches for changes
 }
 
 // newDiscovery makes one that serves at no address yet.
-func newDiscovery(t *testing.T, list endpointjson.List, outage outage, timePerCall time.Duration) *overbookedDiscovery {
+func newDiscovery(t *testing.T, list endpointjson.List, outage outage, timePerCall time.Duration) *overloadedDiscovery {
 	t.Helper()
-	stub := &overbookedDiscovery{
+	stub := &overloadedDiscovery{
 		t: t, list: list, outage: outage, timePerCall: timePerCall,
 		queue: make(chan chan struct{}, queueLength), watches: make(chan string, queueLength),
 	}
@@ -46,11 +66,11 @@
 }
 
 // startDiscovery starts one and returns its address.
-func startDiscovery(t *testing.T, list endpointjson.List, outage outage, timePerCall time.Duration) (addr string) {
+func startDiscovery(t *testing.T, list endpointjson.List, outage outage, timePerCall time.Duration) string {
 	t.Helper()
 	stub := newDiscovery(t, list, outage, timePerCall)
 	reserved := testkit.ReserveAddr(t)
-	if outage.refuses {
+	if outage.kind == outageRefused {
 		go stub.serveAfterOutage(reserved)
 	} else {
 		stub.serve(reserved)
@@ -58,8 +78,8 @@
 	return reserved.Address
 }
 
-// address has it serve at a further address.
-func (d *overbookedDiscovery) address() string {
+// newAddress has it serve at a further address.
+func (d *overloadedDiscovery) newAddress() string {
 	d.t.Helper()
 	reserved := testkit.ReserveAddr(d.t)
 	d.serve(reserved)
@@ -67,7 +87,7 @@
 }
 
 // serve begins to accept calls, to the end of the test.
-func (d *overbookedDiscovery) serve(reserved *testkit.ReservedAddr) {
+func (d *overloadedDiscovery) serve(reserved *testkit.ReservedAddr) {
 	listener, err := reserved.Listen()
 	if err != nil {
 		d.t.Error(err)
@@ -79,21 +99,21 @@
 }
 
 // serveAfterOutage serves once the outage is over.
-func (d *overbookedDiscovery) serveAfterOutage(reserved *testkit.ReservedAddr) {
+func (d *overloadedDiscovery) serveAfterOutage(reserved *testkit.ReservedAddr) {
 	select {
-	case <-d.outage.back:
+	case <-d.outage.ended:
 		d.serve(reserved)
 	case <-d.t.Context().Done():
 	}
 }
 
 // work takes the calls for the complete list in turn.
-func (d *overbookedDiscovery) work() {
+func (d *overloadedDiscovery) work() {
 	for {
 		select {
-		case finished := <-d.queue:
+		case done := <-d.queue:
 			time.Sleep(d.timePerCall) // what is under test
-			close(finished)
+			close(done)
 		case <-d.t.Context().Done():
 			return
 		}
@@ -101,9 +121,9 @@
 }
 
 // ServeHTTP implements http.Handler.
-func (d *overbookedDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (d *overloadedDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	select {
-	case <-d.outage.back:
+	case <-d.outage.ended:
 	default:
 		http.Error(w, "down", http.StatusServiceUnavailable)
 		return
@@ -113,17 +133,17 @@
 		d.serveNoChange(w, r)
 		return
 	}
-	finished := make(chan struct{})
-	d.queue <- finished
+	done := make(chan struct{})
+	d.queue <- done
 	select {
-	case <-finished:
-		_ = json.NewEncoder(w).Encode(d.list) // the call may have been given up
+	case <-done:
+		_ = json.NewEncoder(w).Encode(d.list) // the client may have abandoned the call
 	case <-d.t.Context().Done():
 	}
 }
 
-// serveNoChange holds a watch for as long as it asks and tells of no change.
-func (d *overbookedDiscovery) serveNoChange(w http.ResponseWriter, r *http.Request) {
+// serveNoChange holds a watch for as long as it requests and reports no change.
+func (d *overloadedDiscovery) serveNoChange(w http.ResponseWriter, r *http.Request) {
 	wait, err := time.ParseDuration(r.URL.Query().Get("wait_ms") + "ms")
 	if err != nil {
 		d.t.Error(err)
@@ -132,11 +152,5 @@
 	case <-time.After(wait):
 	case <-r.Context().Done():
 	}
-	_, _ = fmt.Fprintf(w, `{"generation": %d, "instances": []}`, d.list.Generation) // the node may have ended
-}
-
-// closeAtEnd closes something at the end of the test, by when nobody uses it.
-func closeAtEnd(tb testing.TB, closer io.Closer) {
-	tb.Helper()
-	tb.Cleanup(func() { _ = closer.Close() })
+	_, _ = fmt.Fprintf(w, `{"generation": %d, "instances": []}`, d.list.Generation) // the node may have exited
 }
--- a/cmd/balancer/harness_test.go
+++ b/cmd/balancer/harness_test.go
@@ -14,13 +14,6 @@
 	"calicohinge/internal/testkit"
 )
 
-// settings has one class; a test adds keys ahead of it with moreSettings.
-const settings = `{"Classes": [{"Name": "pay", "Effect": "side_effect", "DeadlineMs": 8000}], "Zones": ["a"]}`
-
-func moreSettings(keys string) json.RawMessage {
-	return json.RawMessage("{" + keys + ", " + strings.TrimPrefix(settings, "{"))
-}
-
 // processesFlag names the flag that says how many processes are started at once.
 const processesFlag = "processes"
 
@@ -38,12 +31,25 @@
 	return flag.Lookup(name).Value.(flag.Getter).Get().(T)
 }
 
-// writeConfigFor writes the configuration of a node that listens at an address and knows a
-// server, without a discovery service.
-func writeConfigFor(tb testing.TB, listen, server string) balancertest.ConfigFile {
+// settings has one class; a test adds keys ahead of it with moreSettings.
+const settings = `{"Classes": [{"Name": "pay", "Effect": "side_effect", "DeadlineMs": 8000}], "Zones": ["a"]}`
+
+func moreSettings(keys string) json.RawMessage {
+	return json.RawMessage("{" + keys + ", " + strings.TrimPrefix(settings, "{"))
+}
+
+// noDiscovery is an address at which no discovery service listens.
+const noDiscovery = "127.0.0.1:1"
+
+// discoveryModes returns the modes in which a node follows its discovery service.
+func discoveryModes() []string { return []string{"pushed", "on_request"} }
+
+// newConfigFile writes the configuration of a node that listens at an address and knows a server, without a
+// discovery service.
+func newConfigFile(tb testing.TB, listen, server string) balancertest.ConfigFile {
 	tb.Helper()
 	text, err := json.Marshal(map[string]any{
-		"listen": listen, "discovery": "127.0.0.1:1", "settings": json.RawMessage(settings),
+		"listen": listen, "discovery": noDiscovery, "settings": json.RawMessage(settings),
 		"known": listOf(1, server),
 	})
 	if err != nil {
@@ -70,10 +76,10 @@
 	return list
 }
 
-// waitEnd waits for the program's end, which has to be in order.
-func waitEnd(t *testing.T, ended <-chan error) {
+// awaitExit waits until the program has exited, which has to be without an error.
+func awaitExit(t *testing.T, exited <-chan error) {
 	t.Helper()
-	if err := testkit.Wait(t, ended, "the program's end"); err != nil {
-		t.Errorf("ended with %v", err)
+	if err := testkit.Wait(t, exited, "the exit of the program"); err != nil {
+		t.Errorf("exited with %v", err)
 	}
 }
--- a/cmd/balancer/idle_clients_test.go
+++ b/cmd/balancer/idle_clients_test.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"bufio"
 	"fmt"
 	"io"
 	"net"
@@ -13,11 +12,12 @@
 	"time"
 
 	"calicohinge/internal/balancertest"
+	"calicohinge/internal/testkit"
 	"calicohinge/policy"
 )
 
-// nodeUnderFlood is a process with few descriptors and the clients that it has.
-type nodeUnderFlood struct {
+// connectedNode is a process, with few descriptors, and the connections of its clients.
+type connectedNode struct {
 	t        *testing.T
 	pid      int
 	addr     string
@@ -27,40 +27,28 @@
 }
 
 // dial opens a client connection that lasts to the end of the test.
-func (n *nodeUnderFlood) dial() net.Conn {
+func (n *connectedNode) dial() net.Conn {
 	n.t.Helper()
 	conn, err := net.Dial("tcp", n.addr)
 	if err != nil {
 		n.t.Fatal(err)
 	}
-	closeAtEnd(n.t, conn)
+	n.t.Cleanup(func() { _ = conn.Close() }) // nobody uses it any more
 	return conn
 }
 
-// request makes a request on a connection and returns the body of its answer.
-func (n *nodeUnderFlood) request(conn net.Conn) (string, error) {
-	if err := conn.SetDeadline(time.Now().Add(10 * time.Second)); err != nil { // over the class's deadline
-		return "", err
-	}
+// request makes a request on a connection and returns the body of its response.
+func (n *connectedNode) request(conn net.Conn) (string, error) {
 	n.requests++
-	if _, err := fmt.Fprintf(conn, "POST /pay HTTP/1.1\r\nHost: x\r\nX-Request-ID: a%d\r\n"+
-		"X-Timeout-Ms: 8000\r\nContent-Length: 0\r\n\r\n", n.requests); err != nil {
-		return "", err
-	}
-	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
-	if err != nil {
-		return "", err
-	}
-	body, err := io.ReadAll(response.Body)
-	return string(body), err
+	return postOn(conn, fmt.Sprintf("a%d", n.requests))
 }
 
-// requestOnce makes a request on a connection of its own and returns the body of its answer,
-// or the error.
-func (n *nodeUnderFlood) requestOnce() string {
+// requestOnce makes a request on a connection of its own and returns the body of its response, or the
+// error.
+func (n *connectedNode) requestOnce() string {
 	n.t.Helper()
 	conn := n.dial()
-	defer func() { _ = conn.Close() }() // its answer has been read
+	defer func() { _ = conn.Close() }() // its response has been read
 	body, err := n.request(conn)
 	n.countDescriptors()
 	if err != nil {
@@ -70,7 +58,7 @@
 }
 
 // countDescriptors takes the open descriptors into the peak.
-func (n *nodeUnderFlood) countDescriptors() {
+func (n *connectedNode) countDescriptors() {
 	n.t.Helper()
 	open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", n.pid))
 	if err != nil {
@@ -80,13 +68,14 @@
 }
 
 // inherited reports whether a descriptor comes from whoever runs the tests.
-func (n *nodeUnderFlood) inherited(entry os.DirEntry) bool {
+func (n *connectedNode) inherited(entry os.DirEntry) bool {
 	fd, err := strconv.Atoi(entry.Name())
 	return err != nil || fd >= n.limit
 }
 
-// flood opens connections that stay idle; every other one makes a request first, which may fail.
-func (n *nodeUnderFlood) flood(connections int) {
+// openIdleConnections opens connections that stay idle; every other one makes a request first, which may
+// fail.
+func (n *connectedNode) openIdleConnections(connections int) {
 	n.t.Helper()
 	for i := range connections {
 		conn := n.dial()
@@ -97,44 +86,44 @@
 	}
 }
 
-// awaitNewServers makes requests until the list of the discovery that is back is in force,
-// in time, and then some more.
-func (n *nodeUnderFlood) awaitNewServers() {
+// awaitNewServers makes requests until the list of the discovery service is in force after its outage, in
+// time, and then some more.
+func (n *connectedNode) awaitNewServers() {
 	n.t.Helper()
-	returned := time.Now()
+	outageEnded := time.Now()
 	for body := n.requestOnce(); body != "new"; body = n.requestOnce() {
-		if time.Since(returned) > policy.NotificationDeadline {
+		if time.Since(outageEnded) > policy.NotificationDeadline {
 			n.t.Fatalf("discovery is not followed: %q", body)
 		}
 	}
 	for range 20 {
 		if body := n.requestOnce(); body != "new" {
-			n.t.Fatalf("answered %q", body)
+			n.t.Fatalf("response %q", body)
 		}
 	}
 }
 
-// A process has as many descriptors as its configuration says, or is granted fewer, and idle
-// clients take what they can get while discovery is down: it stays within them, follows
-// discovery once that is back, and serves whoever makes a request.
-func TestIdleClientsLeaveDescriptorsFree(t *testing.T) {
+// A process has as many descriptors as its configuration says, or is granted fewer, and idle clients take
+// what they can get during an outage of discovery: the process stays within them, follows discovery after
+// the outage, and serves whoever makes a request.
+func TestIdleClientsLeaveDescriptorsFree(t *testing.T) { //nolint:tparallel // the load of other tests would change its times
 	program := balancertest.Build(t)
 	for _, c := range []struct {
 		name           string
 		sockets, limit int
-		refuses        bool
+		outage         outageKind
 	}{
-		{"the smallest limits, 503", 64, 64, false},
-		{"the smallest limits, refused", 64, 64, true},
-		{"256, refused", 256, 256, true},
-		{"fewer granted than configured", 256, 64, true},
+		{"the smallest limits, 503", 64, 64, outageUnavailable},
+		{"the smallest limits, refused", 64, 64, outageRefused},
+		{"256, refused", 256, 256, outageRefused},
+		{"fewer granted than configured", 256, 64, outageRefused},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			back := make(chan struct{})
-			node := startUnderFlood(t, program, outage{back, c.refuses}, c.sockets, c.limit)
-			node.flood(2 * c.sockets)
-			close(back)
+			outage, endOutage := newOutage(c.outage)
+			node := startConnectedNode(t, program, outage, c.sockets, c.limit)
+			node.openIdleConnections(2 * c.sockets)
+			endOutage()
 			node.awaitNewServers()
 			t.Logf("%d descriptors at the peak", node.peak)
 			if node.peak >= c.limit {
@@ -144,9 +133,9 @@
 	}
 }
 
-// startUnderFlood starts a process that knows old servers; discovery tells of new ones once it is
-// back. There are more servers than it has connections for.
-func startUnderFlood(t *testing.T, program string, outage outage, sockets, limit int) *nodeUnderFlood {
+// startConnectedNode starts a process that knows old servers; discovery lists new ones after its outage.
+// There are more servers than the process has connections for.
+func startConnectedNode(t *testing.T, program string, outage outage, sockets, limit int) *connectedNode {
 	t.Helper()
 	const servers = 40
 	named := func(name string) []string {
@@ -155,13 +144,13 @@
 		})
 		return slices.Repeat([]string{addr}, servers)
 	}
-	started := balancertest.Start(t, map[string]any{
+	process := balancertest.Start(t, map[string]any{
 		"discovery": startDiscovery(t, listOf(2, named("new")...), outage, 0),
 		"known":     listOf(1, named("old")...),
 		"limits":    map[string]any{"sockets": sockets},
 		"settings":  moreSettings(`"Limits": {"MaxAttempts": 3}`),
 	}, "sh", "-c", fmt.Sprintf("ulimit -n %d && exec %s", limit, program))
-	node := &nodeUnderFlood{t: t, pid: started.PID, addr: <-started.Addr, limit: limit}
-	balancertest.AwaitReady(t, node.addr)
-	return node
+	addr := testkit.Wait(t, process.Addr, "the process to serve")
+	balancertest.AwaitReady(t, addr)
+	return &connectedNode{t: t, pid: process.PID, addr: addr, limit: limit}
 }
--- a/cmd/balancer/logging_test.go
+++ b/cmd/balancer/logging_test.go
@@ -10,13 +10,13 @@
 	"calicohinge/internal/testkit"
 )
 
-// Whoever reads the log may be gone, or read no more: the process serves, answers the
-// requests that it has and ends as usual.
-func TestProcessServesWithoutAReaderOfItsLog(t *testing.T) {
+// Whoever reads the log may have exited, or read no more: the process serves, completes the requests that
+// it has and exits as usual.
+func TestProcessServesWithoutAReaderOfItsLog(t *testing.T) { //nolint:tparallel // the load of other tests would change its times
 	program := balancertest.Build(t)
 	for name, breakPipe := range map[string]func(t *testing.T, reader, writer *os.File){
-		"closed": func(t *testing.T, reader, _ *os.File) { closeFile(t, reader) },
-		"full":   func(t *testing.T, _, writer *os.File) { fillPipe(t, writer) },
+		"closed": func(t *testing.T, reader, _ *os.File) { t.Helper(); closeFile(t, reader) },
+		"full":   func(t *testing.T, _, writer *os.File) { t.Helper(); fillPipe(t, writer) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -31,25 +31,25 @@
 	}
 }
 
-// testServingWithLog has a process that logs to a pipe serve a request and end.
+// testServingWithLog has a process that logs to a pipe serve a request and exit.
 func testServingWithLog(t *testing.T, program string, log *os.File) {
 	t.Helper()
 	server := testkit.NewBackend(t, testkit.OK)
 	addr := testkit.FreeAddr(t)
 	command := exec.CommandContext(t.Context(), program)
-	command.Env = []string{writeConfigFor(t, addr, server.Address()).Environment()}
+	command.Env = []string{newConfigFile(t, addr, server.Address()).Environment()}
 	command.Stderr = log
 	if err := command.Start(); err != nil {
 		t.Fatal(err)
 	}
 	closeFile(t, log)
 	balancertest.AwaitReady(t, addr)
-	if answer := post(addr); answer != "done" {
-		t.Errorf("answer %q", answer)
+	if body := post(addr); body != "done" {
+		t.Errorf("response %q", body)
 	}
 	balancertest.Signal(t, command.Process.Pid, syscall.SIGTERM)
 	if err := command.Wait(); err != nil {
-		t.Errorf("ended with %v", err)
+		t.Errorf("exited with %v", err)
 	}
 }
 
--- a/cmd/balancer/readiness_test.go
+++ b/cmd/balancer/readiness_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"calicohinge/internal/balancertest"
+	"calicohinge/internal/endpointjson"
 )
 
 const (
@@ -19,26 +20,27 @@
 // restartCase is the state in which processes are restarted together.
 type restartCase struct {
 	name        string
-	known       bool // their configuration holds a list
-	down        time.Duration
-	refuses     bool
+	known       endpointjson.List // in their configuration, if it has endpoints
+	down        time.Duration     // of discovery, from the start
+	outage      outageKind
 	timePerCall time.Duration
 }
 
-func TestRestartedProcessesAreReadyInTime(t *testing.T) {
+func TestRestartedProcessesAreReadyInTime(t *testing.T) { //nolint:tparallel // the load of other tests would change its times
 	program, processes := balancertest.Build(t), flagValue[int](processesFlag)
-	overbooked := 4 * time.Second / time.Duration(processes) // all complete lists take 4 s
+	list, empty := listOf(2, slices.Repeat([]string{noDiscovery}, 200)...), endpointjson.List{}
+	overloaded := 4 * time.Second / time.Duration(processes) // all complete lists take 4 s
 	for _, c := range []restartCase{
-		{"known list", true, 0, false, 0},
-		{"known list, discovery down", true, time.Hour, true, 0},
-		{"empty list", false, 0, false, 0},
-		{"empty list, discovery refuses for 3 s", false, 3 * time.Second, true, 0},
-		{"empty list, discovery answers 503 for 3 s", false, 3 * time.Second, false, 0},
-		{"empty list, discovery answers 503 for 5 s", false, 5 * time.Second, false, 0},
-		{"empty list, discovery overbooked", false, 0, false, overbooked},
-		{"empty list, discovery overbooked after 3 s", false, 3 * time.Second, false, overbooked},
+		{"known list", list, 0, outageUnavailable, 0},
+		{"known list, discovery down", list, time.Hour, outageRefused, 0},
+		{"empty list", empty, 0, outageUnavailable, 0},
+		{"empty list, discovery refuses for 3 s", empty, 3 * time.Second, outageRefused, 0},
+		{"empty list, discovery unavailable for 3 s", empty, 3 * time.Second, outageUnavailable, 0},
+		{"empty list, discovery unavailable for 5 s", empty, 5 * time.Second, outageUnavailable, 0},
+		{"empty list, discovery overloaded", empty, 0, outageUnavailable, overloaded},
+		{"empty list, discovery overloaded after 3 s", empty, 3 * time.Second, outageUnavailable, overloaded},
 	} {
-		for _, mode := range []string{"pushed", "on_request"} {
+		for _, mode := range discoveryModes() {
 			t.Run(mode+", "+c.name, func(t *testing.T) {
 				t.Parallel()
 				times := restartTogether(t, program, processes, mode, c)
@@ -57,10 +59,10 @@
 // restartTogether starts processes at once and returns their times to readiness, sorted.
 func restartTogether(t *testing.T, program string, processes int, mode string, c restartCase) []time.Duration {
 	t.Helper()
-	list := listOf(2, slices.Repeat([]string{"127.0.0.1:1"}, 200)...)
-	back := make(chan struct{})
-	discovery := startDiscovery(t, list, outage{back, c.refuses}, c.timePerCall)
-	defer time.AfterFunc(c.down, func() { close(back) }).Stop()
+	list := listOf(2, slices.Repeat([]string{noDiscovery}, 200)...)
+	outage, endOutage := newOutage(c.outage)
+	discovery := startDiscovery(t, list, outage, c.timePerCall)
+	defer time.AfterFunc(c.down, endOutage).Stop()
 	took := make(chan time.Duration, processes)
 	for i := range processes {
 		config := map[string]any{
@@ -69,12 +71,12 @@
 			"settings": moreSettings(fmt.Sprintf(
 				`"Balancers": 300, "Me": %d, "RegistryMode": %q, "Contract": {"DrainGraceMs": 1000}`, i, mode)),
 		}
-		if c.known {
-			config["known"] = list
+		if len(c.known.Endpoints) > 0 {
+			config["known"] = c.known
 		}
 		began := time.Now()
-		started := balancertest.Start(t, config, program)
-		go func() { took <- balancertest.TimeToReady(<-started.Addr, began, readinessLimit) }()
+		process := balancertest.Start(t, config, program)
+		go func() { took <- balancertest.TimeToReady(<-process.Addr, began, readinessLimit) }()
 	}
 	var times []time.Duration
 	for range processes {
--- a/cmd/balancer/signals_test.go
+++ b/cmd/balancer/signals_test.go
@@ -21,55 +21,35 @@
 	}
 }
 
-// post makes a request and returns the body of its answer, or the error.
-func post(addr string) string {
-	request, err := http.NewRequest(http.MethodPost, "http://"+addr+"/pay", nil)
-	if err != nil {
-		return err.Error()
-	}
-	request.Header.Set("X-Request-ID", "a1")
-	request.Header.Set("X-Timeout-Ms", "8000")
-	response, err := http.DefaultClient.Do(request)
-	if err != nil {
-		return err.Error()
-	}
-	defer func() { _ = response.Body.Close() }() // it has been read
-	body, err := io.ReadAll(response.Body)
-	if err != nil {
-		return err.Error()
-	}
-	return string(body)
-}
-
-// On SIGTERM the program answers the requests that it has and ends without an error.
-func TestSIGTERMAnswersActiveRequests(t *testing.T) {
+// After SIGTERM the program completes the requests that it has and exits without an error.
+func TestActiveRequestsGetAResponseAfterSIGTERM(t *testing.T) {
 	release := make(chan struct{})
 	server := testkit.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		<-release
 		testkit.OK(w, r)
 	})
 	addr := testkit.FreeAddr(t)
-	t.Setenv("BALANCER_CONFIG", writeConfigFor(t, addr, server.Address()).Path)
-	ended := make(chan error, 1)
-	go func() { ended <- run() }()
+	t.Setenv("BALANCER_CONFIG", newConfigFile(t, addr, server.Address()).Path)
+	exited := make(chan error, 1)
+	go func() { exited <- run() }()
 	balancertest.AwaitReady(t, addr)
-	answers := make(chan string, 1)
-	go func() { answers <- post(addr) }()
+	responses := make(chan string, 1)
+	go func() { responses <- post(addr) }()
 	testkit.Wait(t, server.Requests, "the request")
 	signalSelf(t, syscall.SIGTERM)
 	close(release)
-	if answer := testkit.Wait(t, answers, "an answer"); answer != "done" {
-		t.Errorf("answer %q", answer)
+	if body := testkit.Wait(t, responses, "a response"); body != "done" {
+		t.Errorf("response %q", body)
 	}
-	waitEnd(t, ended)
+	awaitExit(t, exited)
 }
 
 func configText(discovery string) []byte {
 	return []byte(`{"listen": "127.0.0.1:0", "discovery": "` + discovery + `", "settings": ` + settings + `}`)
 }
 
-// namedDiscovery serves an empty list and says by name that it was called for it.
-func namedDiscovery(t *testing.T, name string, calls chan<- string) (addr string) {
+// namedDiscovery serves an empty list and sends its name for each call that gets it. It returns its address.
+func namedDiscovery(t *testing.T, name string, calls chan<- string) string {
 	t.Helper()
 	return newServer(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Has("after") {
@@ -77,14 +57,14 @@
 			return
 		}
 		calls <- name
-		_, _ = io.WriteString(w, `{"generation": 1, "reset": true, "instances": []}`) // the node may have moved on
+		_, _ = io.WriteString(w, `{"generation": 1, "reset": true, "instances": []}`) // the node may have abandoned the call
 	})
 }
 
 // SIGHUP takes up discovery's address from the file, more than once and past files that
 // cannot be read, and the program goes on. The file goes before the environment, which
 // cannot have changed.
-func TestSIGHUPMovesDiscoveryAndSurvivesBadFiles(t *testing.T) {
+func TestSIGHUPChangesDiscoveryAddressAndSurvivesBadFiles(t *testing.T) {
 	calls := make(chan string, 1000)
 	expectCall := func(name string) {
 		t.Helper()
@@ -96,8 +76,8 @@
 	file := balancertest.NewConfigFile(t, configText(first))
 	t.Setenv("BALANCER_CONFIG", file.Path)
 	t.Setenv("BALANCER_DISCOVERY", first)
-	ended := make(chan error, 1)
-	go func() { ended <- run() }()
+	exited := make(chan error, 1)
+	go func() { exited <- run() }()
 	expectCall("first")
 	for _, name := range []string{"second", "third"} {
 		file.Replace(t, configText(namedDiscovery(t, name, calls)))
@@ -120,7 +100,7 @@
 	signalSelf(t, syscall.SIGHUP)
 	expectCall("fourth")
 	signalSelf(t, syscall.SIGTERM)
-	waitEnd(t, ended)
+	awaitExit(t, exited)
 }
 
 // lineWriter hands on what is written, a line at a time.
--- a/cmd/balancer/wall_clock_test.go
+++ b/cmd/balancer/wall_clock_test.go
@@ -13,9 +13,19 @@
 	"calicohinge/internal/testkit"
 )
 
+const (
+	warmServers      = 7
+	slowStartShare   = 0.1
+	slowStartTime    = 9 * time.Second
+	firstMoments     = 800 * time.Millisecond // of the new server
+	warmUpClients    = 4
+	warmUpClientTime = 500 * time.Millisecond // of sending before the new server starts
+	warmUpTimeout    = 200 * time.Millisecond // of each request
+)
+
 // A process starts on a machine whose wall clock is wrong, and a server starts later: it gets what slow
 // start allows, whatever that clock shows.
-func TestNewServerWarmsUpWhateverTheWallClockShows(t *testing.T) {
+func TestNewServerWarmsUpWhateverTheWallClockShows(t *testing.T) { //nolint:tparallel // the load of other tests would change its times
 	program := balancertest.BuildSteppable(t)
 	for _, ahead := range []time.Duration{0, 5 * time.Second, 30 * time.Second, time.Hour, -30 * time.Second, -time.Hour} {
 		t.Run(fmt.Sprintf("ahead by %v", ahead), func(t *testing.T) {
@@ -25,50 +35,30 @@
 	}
 }
 
-const (
-	warmServers      = 7
-	slowStartShare   = 0.1
-	slowStartTime    = 9 * time.Second
-	firstMoments     = 800 * time.Millisecond // of the new server
-	warmUpClients    = 4
-	warmUpClientTime = 500 * time.Millisecond // of sending before the new server starts
-)
-
 func testNewServerWarmsUp(t *testing.T, program string, ahead time.Duration) {
 	t.Helper()
-	counts := make([]atomic.Int64, warmServers+1)
-	var endpoints []endpointjson.Endpoint
-	for i := range counts {
-		backend := testkit.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
-			counts[i].Add(1)
-			testkit.OK(w, r)
-		})
-		endpoints = append(endpoints, backend.Endpoint(fmt.Sprintf("s-%d", i)))
-	}
-	list := newWatchedList(endpointjson.List{Generation: 1, Reset: true, Endpoints: endpoints[:warmServers]})
-	machine := testkit.NewMachine(t, list.answer)
-	started := balancertest.StartWith(t, balancertest.Options{Environment: []string{balancertest.NewWallClock(t, ahead).Environment()}}, map[string]any{
+	servers := newCountingServers(t, warmServers+1)
+	list := newWatchedList(servers.endpoints[:warmServers]...)
+	machine := testkit.NewMachine(t, list.respond)
+	options := balancertest.Options{Environment: []string{balancertest.NewWallClock(t, ahead).Environment()}}
+	process := balancertest.StartWith(t, options, map[string]any{
 		"discovery": machine.Address,
 		"settings": moreSettings(fmt.Sprintf(`"RegistryMode": "pushed", "Contract": {"ColdFrom": %v, "ColdMs": %d}`,
 			slowStartShare, slowStartTime.Milliseconds())),
 	}, program)
-	addr := testkit.Wait(t, started.Addr, "the process to serve")
+	addr := testkit.Wait(t, process.Addr, "the process to serve")
 	balancertest.AwaitReady(t, addr)
-	var clients sync.WaitGroup
-	var ended atomic.Bool
-	for i := range warmUpClients {
-		client := shutdownClient{addr: addr, name: fmt.Sprintf("c%d", i), keepAlive: true}
-		clients.Go(func() { client.sendUntil(t, &ended) })
-	}
+	stopClients := startWarmUpClients(t, addr)
 	time.Sleep(warmUpClientTime)
-	newServer := endpoints[warmServers]
+
+	newServer := servers.endpoints[warmServers]
 	newServer.StartedUnixMilli = float64(time.Now().UnixMilli())
-	before := total(counts)
+	before := servers.total()
 	list.set(endpointjson.List{Generation: 2, Endpoints: []endpointjson.Endpoint{newServer}})
 	time.Sleep(firstMoments)
-	got, all := counts[warmServers].Load(), total(counts)-before
-	ended.Store(true)
-	clients.Wait()
+	got, all := servers.counts[warmServers].Load(), servers.total()-before
+	stopClients()
+
 	share := float64(got) / float64(all)
 	capacityShare := slowStartShare + (1-slowStartShare)*firstMoments.Seconds()/slowStartTime.Seconds()
 	most := capacityShare / (warmServers + 1)
@@ -78,24 +68,45 @@
 	}
 }
 
-func total(counts []atomic.Int64) (sum int64) {
-	for i := range counts {
-		sum += counts[i].Load()
+// startWarmUpClients starts clients that send until the returned function is called, which waits for them.
+func startWarmUpClients(t *testing.T, addr string) func() {
+	t.Helper()
+	var clients sync.WaitGroup
+	var ended atomic.Bool
+	for i := range warmUpClients {
+		client := loadClient{addr: addr, name: fmt.Sprintf("c%d", i), timeout: warmUpTimeout, keepAlive: true}
+		clients.Go(func() { client.sendUntil(t, &ended) })
 	}
-	return sum
+	return func() {
+		ended.Store(true)
+		clients.Wait()
+	}
+}
+
+// countingServers are servers that count their requests.
+type countingServers struct {
+	counts    []atomic.Int64
+	endpoints []endpointjson.Endpoint
 }
 
-// sendUntil sends requests one after another until ended is set.
-func (c *shutdownClient) sendUntil(t *testing.T, ended *atomic.Bool) {
+func newCountingServers(t *testing.T, number int) *countingServers {
 	t.Helper()
-	for !ended.Load() {
-		if _, err := c.connect(); err != nil {
-			t.Error(err)
-			return
-		}
-		c.sent++
-		if _, err := c.roundTrip(); err != nil {
-			t.Error(err)
-		}
+	servers := &countingServers{counts: make([]atomic.Int64, number)}
+	for i := range servers.counts {
+		backend := testkit.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
+			servers.counts[i].Add(1)
+			testkit.OK(w, r)
+		})
+		servers.endpoints = append(servers.endpoints, backend.Endpoint(fmt.Sprintf("s-%d", i)))
 	}
+	return servers
+}
+
+// total returns how many requests all servers got.
+func (s *countingServers) total() int64 {
+	sum := int64(0)
+	for i := range s.counts {
+		sum += s.counts[i].Load()
+	}
+	return sum
 }
