--- /dev/null
+++ b/cmd/balancer/descriptor_shortage_test.go
@@ -0,0 +1,119 @@
+package main
+
+import (
+	"net"
+	"strconv"
+	"testing"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"calicohinge/internal/balancertest"
+	"calicohinge/internal/testkit"
+)
+
+const (
+	// shortage is how long a process gets no descriptor. It is shorter than the deadline of
+	// the requests that come meanwhile.
+	shortage = 300 * time.Millisecond
+	// scarceDescriptors is fewer than any process has open.
+	scarceDescriptors = 3
+)
+
+// setDescriptorLimit sets how many descriptors a process may open and returns the previous limit. The error
+// is ESRCH if the process has exited.
+func setDescriptorLimit(pid int, descriptors uint64) (uint64, error) {
+	var limit unix.Rlimit
+	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, nil, &limit); err != nil {
+		return 0, err
+	}
+	previous := limit.Cur
+	limit.Cur = descriptors
+	return previous, unix.Prlimit(pid, unix.RLIMIT_NOFILE, &limit, nil)
+}
+
+// limitDescriptors is setDescriptorLimit for a process that runs.
+func limitDescriptors(t *testing.T, pid int, descriptors uint64) uint64 {
+	t.Helper()
+	previous, err := setDescriptorLimit(pid, descriptors)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return previous
+}
+
+// For a while accept and socket fail in a process, as they do where a system has no descriptors left.
+// Clients that connect meanwhile are served, on old connections too, and the process goes on; also if it
+// gets SIGTERM just then.
+func TestRequestsOutlastAShortageOfDescriptors(t *testing.T) { //nolint:tparallel // the load of other tests would change its times
+	program := balancertest.Build(t)
+	for name, signal := range map[string]unix.Signal{"serving": 0, "shutting down": unix.SIGTERM} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			testDescriptorShortage(t, program, signal)
+		})
+	}
+}
+
+// testDescriptorShortage takes the descriptors of a process, sends it a signal, of which 0 does nothing, and
+// makes requests on a new connection and on an old one.
+func testDescriptorShortage(t *testing.T, program string, signal unix.Signal) {
+	t.Helper()
+	server := testkit.NewBackend(t, testkit.OK)
+	process := balancertest.Start(t, map[string]any{
+		"discovery": noDiscovery, "settings": testkit.JSON(settings), "known": listOf(1, server.Address()),
+	}, program)
+	node := &connectedNode{t: t, pid: process.PID, addr: testkit.Wait(t, process.Addr, "the process to serve")}
+	balancertest.AwaitReady(t, node.addr)
+	old := node.dial()
+	expectDone(t, node, old)
+	testkit.Wait(t, server.Requests, "the request before")
+
+	previous := limitDescriptors(t, process.PID, scarceDescriptors)
+	balancertest.Signal(t, process.PID, signal)
+	began := time.Now()
+	timer := time.AfterFunc(shortage, func() {
+		if _, err := setDescriptorLimit(process.PID, previous); err != nil {
+			t.Error(err)
+		}
+	})
+	defer timer.Stop()
+
+	expectDone(t, node, node.dial())
+	timeoutMs, err := strconv.Atoi(testkit.Wait(t, server.Requests, "the request").Header.Get("X-Timeout-Ms"))
+	if limit := (classDeadline - shortage).Milliseconds(); err != nil || int64(timeoutMs) > limit {
+		t.Errorf("the server was given %d ms, %v; want %d at most", timeoutMs, err, limit)
+	}
+	if took := time.Since(began); took < shortage {
+		t.Errorf("a connection was accepted after %v: there was no shortage", took)
+	}
+	expectDone(t, node, old)
+}
+
+// expectDone makes a request on a connection, which has to be served.
+func expectDone(t *testing.T, node *connectedNode, conn net.Conn) {
+	t.Helper()
+	if body, err := node.request(conn); body != "done" {
+		t.Errorf("response %q, %v", body, err)
+	}
+}
+
+// A new configuration that cannot be opened for a moment takes effect all the same.
+func TestSIGHUPOutlastsAShortageOfDescriptors(t *testing.T) {
+	t.Parallel()
+	calls := make(chan string, 1000)
+	process := balancertest.Start(t, map[string]any{
+		"discovery": namedDiscovery(t, "first", calls), "settings": testkit.JSON(settings),
+	}, balancertest.Build(t))
+	if name := testkit.Wait(t, calls, "a call"); name != "first" {
+		t.Fatalf("%s is called", name)
+	}
+	process.ConfigFile.Replace(t, configText(namedDiscovery(t, "second", calls)))
+	previous := limitDescriptors(t, process.PID, scarceDescriptors)
+	balancertest.Signal(t, process.PID, unix.SIGHUP)
+	time.Sleep(shortage / 3) // the node tries to open the file for longer
+	limitDescriptors(t, process.PID, previous)
+	for name := ""; name != "second"; {
+		name = testkit.Wait(t, calls, "a call to the second one")
+	}
+}
--- /dev/null
+++ b/cmd/balancer/shutdown_test.go
@@ -0,0 +1,212 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"math"
+	"net"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"calicohinge/internal/balancertest"
+	"calicohinge/internal/testkit"
+)
+
+const (
+	// shutdownDeadline is the longest request deadline of the processes under test. It keeps a shutdown
+	// short: the process exits within half a second more.
+	shutdownDeadline = 200 * time.Millisecond
+	// earliestExit is how long after SIGTERM a process exits at the earliest under load: requests are served
+	// until 0.3 s before the end of the grace period, which is the longest deadline and 0.45 s more. From
+	// then on the process exits as soon as no connection is open.
+	earliestExit = shutdownDeadline + 150*time.Millisecond
+	// shutdownClients is how many clients send at the same time.
+	shutdownClients = 24
+)
+
+// shutdownResult is one shutdown of a process under load.
+type shutdownResult struct {
+	loadResult
+	exit processExit
+}
+
+// processExit is how a process exited.
+type processExit struct {
+	err   error
+	after time.Duration // since SIGTERM
+}
+
+// shutDownUnderLoad starts a process before a server that responds and one that does not, has clients send
+// to it, and sends it SIGTERM. Then it calls disturb, which may stop and continue the process, and returns
+// once no connection is accepted any more and the process has exited.
+func shutDownUnderLoad(t *testing.T, program string, disturb func(pid int)) shutdownResult {
+	t.Helper()
+	process, addr := startShutdownProcess(t, program)
+	var signaledAt atomic.Pointer[time.Time]
+	sinceSignal := func() time.Duration {
+		if at := signaledAt.Load(); at != nil {
+			return time.Since(*at)
+		}
+		return -1
+	}
+	results := startShutdownClients(addr, sinceSignal)
+	time.Sleep(shutdownDeadline) // the clients are on their way
+	now := time.Now()
+	signaledAt.Store(&now)
+	balancertest.Signal(t, process.PID, syscall.SIGTERM)
+	exits := make(chan processExit, 1)
+	go func() {
+		err := <-process.Exited
+		exits <- processExit{err, sinceSignal()}
+	}()
+	disturb(process.PID)
+	return shutdownResult{results(), testkit.Wait(t, exits, "the exit of the process")}
+}
+
+// startShutdownProcess starts a process before three entries of a server that responds and one of a server
+// that does not, and returns where it serves.
+func startShutdownProcess(t *testing.T, program string) (balancertest.Process, string) {
+	t.Helper()
+	server := testkit.NewBackend(t, testkit.OK)
+	hanging := testkit.NewBackend(t, testkit.Unresponsive(make(chan struct{}, 1)))
+	process := balancertest.Start(t, map[string]any{
+		"discovery": noDiscovery,
+		"settings": testkit.JSON(strings.ReplaceAll(settings, "8000",
+			fmt.Sprint(shutdownDeadline.Milliseconds()))),
+		"known": listOf(1, server.Address(), server.Address(), server.Address(), hanging.Address()),
+	}, program)
+	addr := testkit.Wait(t, process.Addr, "the process to serve")
+	balancertest.AwaitReady(t, addr)
+	return process, addr
+}
+
+// startShutdownClients starts clients that send until they are refused. The returned function waits for
+// that and returns their result.
+func startShutdownClients(addr string, sinceSignal func() time.Duration) func() loadResult {
+	results := make(chan loadResult, shutdownClients)
+	var clients sync.WaitGroup
+	for i := range shutdownClients {
+		client := loadClient{
+			addr: addr, name: fmt.Sprintf("c%d", i), timeout: shutdownDeadline, keepAlive: i%2 == 0,
+		}
+		clients.Go(func() { results <- client.sendUntilRefused(sinceSignal) })
+	}
+	return func() loadResult {
+		clients.Wait()
+		close(results)
+		var total loadResult
+		for result := range results {
+			total.add(result)
+		}
+		return total
+	}
+}
+
+// check fails the test for each request that got no response, up to a few, and for a process that exited
+// early or with an error.
+func (r shutdownResult) check(t *testing.T) {
+	t.Helper()
+	t.Logf("%d responses, %d requests lost, %d reset in the accept queue", r.responses, len(r.lost), r.resetInQueue)
+	if limit := maxResetInQueue(t); r.resetInQueue > limit {
+		t.Errorf("%d connections were reset in the accept queue, want %d at most", r.resetInQueue, limit)
+	}
+	const shown = 5
+	for _, err := range r.lost[:min(shown, len(r.lost))] {
+		t.Error(err)
+	}
+	if r.exit.err != nil || r.exit.after < earliestExit {
+		t.Errorf("the process exited %v after SIGTERM with %v, want no error and %v at least", r.exit.after, r.exit.err, earliestExit)
+	}
+	if r.responses == 0 {
+		t.Error("no request got a response")
+	}
+}
+
+// maxResetInQueue returns how many connections may be reset in the accept queue: none where the
+// system has socket filters, with which the process stops handshakes before its last accept.
+// Without them no order of system calls excludes a connection between that accept and the close,
+// and on a busy machine each client may meet that moment, once.
+func maxResetInQueue(t *testing.T) int {
+	t.Helper()
+	raw, err := testkit.Listen(t).(*net.TCPListener).SyscallConn()
+	if err != nil {
+		t.Fatal(err)
+	}
+	var filterErr error
+	if err := raw.Control(func(fd uintptr) {
+		accept := unix.SockFilter{Code: unix.BPF_RET | unix.BPF_K, K: math.MaxUint32}
+		program := unix.SockFprog{Len: 1, Filter: &accept}
+		filterErr = unix.SetsockoptSockFprog(int(fd), unix.SOL_SOCKET, unix.SO_ATTACH_FILTER, &program)
+	}); err != nil {
+		t.Fatal(err)
+	}
+	if filterErr == nil {
+		return 0
+	}
+	t.Logf("no socket filters: %v", filterErr)
+	return shutdownClients
+}
+
+// Clients send on connections old and new until the process accepts none. Each request whose connection
+// was established gets a complete response.
+func TestEveryRequestGetsAResponseUntilTheProcessExits(t *testing.T) {
+	shutDownUnderLoad(t, balancertest.Build(t), func(int) {}).check(t)
+}
+
+// The process is paused for 150 ms around each step of the end of its shutdown, as the operators' terms
+// allow.
+func TestEveryRequestGetsAResponseFromAPausedProcess(t *testing.T) { //nolint:tparallel // the load of other tests would change its times
+	const pause = 150 * time.Millisecond
+	program := balancertest.Build(t)
+	for _, after := range []time.Duration{300, 400, 500, 560, 600, 640, 680} {
+		after *= time.Millisecond
+		t.Run(fmt.Sprintf("%v after SIGTERM", after), func(t *testing.T) {
+			t.Parallel()
+			shutDownUnderLoad(t, program, func(pid int) {
+				time.Sleep(after)
+				balancertest.Signal(t, pid, syscall.SIGSTOP)
+				time.Sleep(pause)
+				balancertest.Signal(t, pid, syscall.SIGCONT)
+			}).check(t)
+		})
+	}
+}
+
+// The process gets no descriptor for 100 ms, also as it accepts the last connections.
+func TestEveryRequestGetsAResponseFromAProcessShortOfDescriptors(t *testing.T) { //nolint:tparallel // the load of other tests would change its times
+	const short = 100 * time.Millisecond
+	program := balancertest.Build(t)
+	for _, after := range []time.Duration{100, 300, 450, 520, 560, 590} {
+		after *= time.Millisecond
+		t.Run(fmt.Sprintf("%v after SIGTERM", after), func(t *testing.T) {
+			t.Parallel()
+			shutDownUnderLoad(t, program, func(pid int) {
+				time.Sleep(after)
+				takeDescriptors(t, pid, short)
+			}).check(t)
+		})
+	}
+}
+
+// takeDescriptors lets a process open no descriptor for a time. The process may have exited before or
+// meanwhile; whether it was right to, shutdownResult.check tells.
+func takeDescriptors(t *testing.T, pid int, duration time.Duration) {
+	t.Helper()
+	previous, err := setDescriptorLimit(pid, scarceDescriptors)
+	if err == nil {
+		time.Sleep(duration)
+		_, err = setDescriptorLimit(pid, previous)
+	}
+	switch {
+	case errors.Is(err, unix.ESRCH):
+		t.Log("the process exited before it was short of descriptors, or meanwhile")
+	case err != nil:
+		t.Error(err)
+	}
+}
--- a/cmd/balancer/signals_test.go
+++ b/cmd/balancer/signals_test.go
@@ -5,12 +5,11 @@
 	"log/slog"
 	"net/http"
 	"os"
-	"path/filepath"
 	"strings"
 	"syscall"
 	"testing"
-	"time"
 
+	"calicohinge/internal/balancertest"
 	"calicohinge/internal/testkit"
 )
 
@@ -22,73 +21,35 @@
 	}
 }
 
-// post makes a request and returns the body of its answer, or the error.
-func post(addr string) string {
-	request, err := http.NewRequest(http.MethodPost, "http://"+addr+"/pay", nil)
-	if err != nil {
-		return err.Error()
-	}
-	request.Header.Set("X-Request-ID", "a1")
-	request.Header.Set("X-Timeout-Ms", "8000")
-	response, err := http.DefaultClient.Do(request)
-	if err != nil {
-		return err.Error()
-	}
-	defer func() { _ = response.Body.Close() }() // it has been read
-	body, err := io.ReadAll(response.Body)
-	if err != nil {
-		return err.Error()
-	}
-	return string(body)
-}
-
-// On SIGTERM the program answers the requests that it has and ends without an error.
-func TestSIGTERMAnswersActiveRequests(t *testing.T) {
+// After SIGTERM the program completes the requests that it has and exits without an error.
+func TestActiveRequestsGetAResponseAfterSIGTERM(t *testing.T) {
 	release := make(chan struct{})
 	server := testkit.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		<-release
 		testkit.OK(w, r)
 	})
 	addr := testkit.FreeAddr(t)
-	t.Setenv("BALANCER_CONFIG", writeConfigFor(t, addr, server.Address()))
-	ended := make(chan error, 1)
-	go func() { ended <- run() }()
-	awaitReady(t, addr)
-	answers := make(chan string, 1)
-	go func() { answers <- post(addr) }()
+	t.Setenv("BALANCER_CONFIG", newConfigFile(t, addr, server.Address()).Path)
+	exited := make(chan error, 1)
+	go func() { exited <- run() }()
+	balancertest.AwaitReady(t, addr)
+	responses := make(chan string, 1)
+	go func() { responses <- post(addr) }()
 	testkit.Wait(t, server.Requests, "the request")
 	signalSelf(t, syscall.SIGTERM)
 	close(release)
-	if answer := testkit.Wait(t, answers, "an answer"); answer != "done" {
-		t.Errorf("answer %q", answer)
+	if body := testkit.Wait(t, responses, "a response"); body != "done" {
+		t.Errorf("response %q", body)
 	}
-	waitEnd(t, ended)
+	awaitExit(t, exited)
 }
 
-// configFile is a configuration file that a test replaces while the program runs.
-type configFile struct {
-	t    *testing.T
-	path string
+func configText(discovery string) []byte {
+	return []byte(`{"listen": "127.0.0.1:0", "discovery": "` + discovery + `", "settings": ` + settings + `}`)
 }
 
-// replace swaps the file in one step, as an operator's tool would.
-func (f configFile) replace(text string) {
-	f.t.Helper()
-	next := f.path + ".new"
-	if err := os.WriteFile(next, []byte(text), 0o600); err != nil {
-		f.t.Fatal(err)
-	}
-	if err := os.Rename(next, f.path); err != nil {
-		f.t.Fatal(err)
-	}
-}
-
-func configText(discovery string) string {
-	return `{"listen": "127.0.0.1:0", "discovery": "` + discovery + `", "settings": ` + settings + `}`
-}
-
-// namedDiscovery serves an empty list and says by name that it was called for it.
-func namedDiscovery(t *testing.T, name string, calls chan<- string) (addr string) {
+// namedDiscovery serves an empty list and sends its name for each call that gets it. It returns its address.
+func namedDiscovery(t *testing.T, name string, calls chan<- string) string {
 	t.Helper()
 	return newServer(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Has("after") {
@@ -96,14 +57,14 @@
 			return
 		}
 		calls <- name
-		_, _ = io.WriteString(w, `{"generation": 1, "reset": true, "instances": []}`) // the node may have moved on
+		_, _ = io.WriteString(w, `{"generation": 1, "reset": true, "instances": []}`) // the node may have abandoned the call
 	})
 }
 
 // SIGHUP takes up discovery's address from the file, more than once and past files that
 // cannot be read, and the program goes on. The file goes before the environment, which
 // cannot have changed.
-func TestSIGHUPMovesDiscoveryAndSurvivesBadFiles(t *testing.T) {
+func TestSIGHUPChangesDiscoveryAddressAndSurvivesBadFiles(t *testing.T) {
 	calls := make(chan string, 1000)
 	expectCall := func(name string) {
 		t.Helper()
@@ -111,22 +72,21 @@
 			t.Fatalf("%s is called, want %s", got, name)
 		}
 	}
-	file := configFile{t, filepath.Join(t.TempDir(), "config.json")}
 	first := namedDiscovery(t, "first", calls)
-	file.replace(configText(first))
-	t.Setenv("BALANCER_CONFIG", file.path)
+	file := balancertest.NewConfigFile(t, configText(first))
+	t.Setenv("BALANCER_CONFIG", file.Path)
 	t.Setenv("BALANCER_DISCOVERY", first)
-	ended := make(chan error, 1)
-	go func() { ended <- run() }()
+	exited := make(chan error, 1)
+	go func() { exited <- run() }()
 	expectCall("first")
 	for _, name := range []string{"second", "third"} {
-		file.replace(configText(namedDiscovery(t, name, calls)))
+		file.Replace(t, configText(namedDiscovery(t, name, calls)))
 		signalSelf(t, syscall.SIGHUP)
 		expectCall(name)
 	}
 	logged := captureLog(t)
-	for _, text := range []string{`{"listen"`, configText("nowhere"), ``} {
-		file.replace(text)
+	for _, text := range [][]byte{[]byte(`{"listen"`), configText("nowhere"), nil} {
+		file.Replace(t, text)
 		signalSelf(t, syscall.SIGHUP)
 		line := testkit.Wait(t, logged, "a log line")
 		for strings.Contains(line, "endpoint list updated") { // that of the third address
@@ -136,11 +96,11 @@
 			t.Errorf("logged %q", line)
 		}
 	}
-	file.replace(configText(namedDiscovery(t, "fourth", calls)))
+	file.Replace(t, configText(namedDiscovery(t, "fourth", calls)))
 	signalSelf(t, syscall.SIGHUP)
 	expectCall("fourth")
 	signalSelf(t, syscall.SIGTERM)
-	waitEnd(t, ended)
+	awaitExit(t, exited)
 }
 
 // lineWriter hands on what is written, a line at a time.
@@ -159,11 +119,3 @@
 	t.Cleanup(func() { slog.SetDefault(before) })
 	return logged
 }
-
-// awaitReady waits until a node answers that it is ready.
-func awaitReady(t *testing.T, addr string) {
-	t.Helper()
-	if timeToReady(addr, time.Now(), testkit.WaitTimeout) >= testkit.WaitTimeout {
-		t.Fatal("never ready")
-	}
-}
--- /dev/null
+++ b/cmd/balancer/unresponsive_discovery_test.go
@@ -0,0 +1,58 @@
+package main
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"calicohinge/internal/balancertest"
+	"calicohinge/internal/endpointjson"
+	"calicohinge/internal/testkit"
+	"calicohinge/policy"
+)
+
+// The machine of the discovery service is partitioned for a while, and a server has begun to drain when the
+// partition is healed: the node follows within the notification deadline, however long it could reach
+// nobody.
+func TestDiscoveryIsFollowedAfterANetworkPartition(t *testing.T) { //nolint:tparallel // the load of other tests would change its times
+	program := balancertest.Build(t)
+	for _, mode := range discoveryModes() {
+		for _, duration := range []time.Duration{8 * time.Second, 50 * time.Second} {
+			t.Run(fmt.Sprintf("%s, partitioned for %v", mode, duration), func(t *testing.T) {
+				t.Parallel()
+				testPartition(t, program, mode, duration)
+			})
+		}
+	}
+}
+
+func testPartition(t *testing.T, program, mode string, duration time.Duration) {
+	t.Helper()
+	first, second := testkit.NewBackend(t, testkit.OK), testkit.NewBackend(t, testkit.OK)
+	list := newWatchedList(first.Endpoint("s-0"))
+	machine := testkit.NewMachine(t, list.respond)
+	process := balancertest.Start(t, map[string]any{
+		"discovery": machine.Address,
+		"settings":  moreSettings(fmt.Sprintf(`"RegistryMode": %q, "Contract": {"DrainGraceMs": 1000}`, mode)),
+	}, program)
+	addr := testkit.Wait(t, process.Addr, "the process to serve")
+	balancertest.AwaitReady(t, addr)
+	if body := post(addr); body != "done" {
+		t.Fatalf("response %q", body)
+	}
+
+	machine.Partition(t)
+	time.Sleep(duration) // what is under test
+	draining := first.Endpoint("s-0")
+	draining.Lifecycle = "Terminating"
+	list.set(endpointjson.List{Generation: 2, Reset: true, Endpoints: []endpointjson.Endpoint{draining, second.Endpoint("s-1")}})
+	machine.Heal(t)
+	healed := time.Now()
+
+	list.awaitWatch(t, 2)
+	took := time.Since(healed)
+	t.Logf("followed %v after the partition", took.Round(time.Millisecond))
+	if took > policy.NotificationDeadline {
+		t.Errorf("followed %v after the partition, want %v at most", took, policy.NotificationDeadline)
+	}
+}
--- a/internal/testkit/machine_test.go
+++ b/internal/testkit/machine_test.go
@@ -5,10 +5,11 @@
 	"net"
 	"net/http"
 	"testing"
+	"time"
 )
 
-func TestMachineIsSilentWhileAway(t *testing.T) {
-	machine := NewMachine(t, func(*http.Request) Response { return Response{Status: http.StatusOK, Body: "here"} })
+func TestPartitionedMachineIsUnreachable(t *testing.T) {
+	machine := NewMachine(t, func(*http.Request) Response { return Response{Status: http.StatusOK, Body: "reachable"} })
 	client := http.Client{Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
 	get := func() string {
@@ -23,18 +24,57 @@
 		}
 		return string(body)
 	}
-	if got := get(); got != "here" {
-		t.Fatalf("answered %q", got)
+	if got := get(); got != "reachable" {
+		t.Fatalf("response %q", got)
 	}
 	machine.Partition(t)
 	if _, err := net.DialTimeout("tcp", machine.Address, connectTimeout); !IsTimeout(err) {
-		t.Errorf("dial while it is away: %v, want a timeout", err)
+		t.Errorf("dial during the partition: %v, want a timeout", err)
 	}
-	answers := make(chan string, 1)
-	go func() { answers <- get() }() // on the connection from before
+	responses := make(chan string, 1)
+	go func() { responses <- get() }() // on the connection from before
 	machine.Heal(t)
-	Wait(t, answers, "the end of the call while it was away")
-	if got := get(); got != "here" {
-		t.Errorf("answered %q after its return", got)
+	Wait(t, responses, "the end of the call during the partition")
+	if got := get(); got != "reachable" {
+		t.Errorf("response %q after the partition", got)
+	}
+}
+
+// gatedListener begins its first Accept when the gate opens, like one whose goroutine is scheduled late.
+type gatedListener struct {
+	net.Listener
+	called   chan<- struct{}
+	gate     <-chan struct{}
+	returned chan<- struct{}
+}
+
+func (l gatedListener) Accept() (net.Conn, error) {
+	signal(l.called)
+	<-l.gate
+	defer signal(l.returned)
+	return l.Listener.Accept()
+}
+
+// signal sends to a channel, unless that is full: only the first call counts.
+func signal(channel chan<- struct{}) {
+	select {
+	case channel <- struct{}{}:
+	default:
+	}
+}
+
+func TestPartitionLastsPastAnAcceptThatWasPending(t *testing.T) {
+	listener := Listen(t)
+	machine := &Machine{
+		Address: listener.Addr().String(), listener: listener.(*net.TCPListener), changed: make(chan struct{}),
+	}
+	called, gate, returned := make(chan struct{}, 1), make(chan struct{}), make(chan struct{}, 1)
+	machine.serve(t, gatedListener{listener, called, gate, returned})
+	Wait(t, called, "the Accept")
+	time.AfterFunc(2*connectTimeout, func() { close(gate) })
+	machine.Partition(t)
+	Wait(t, returned, "the return of the pending Accept")
+	if _, err := net.DialTimeout("tcp", machine.Address, connectTimeout); !IsTimeout(err) {
+		t.Errorf("dial after the pending Accept: %v, want a timeout", err)
 	}
 }
