--- a/docs/pages_test.go
+++ b/docs/pages_test.go
@@ -48,7 +48,7 @@
 func parseSources(t *testing.T) *sources {
 	t.Helper()
 	found := &sources{declared: map[string]bool{}, tests: map[string]bool{}}
-	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
+	err := filepath.WalkDir(root, func(path string, _ fs.DirEntry, err error) error {
 		if err != nil || !strings.HasSuffix(path, ".go") {
 			return err
 		}
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -207,8 +207,7 @@
 // more are revoked first. Their outcomes are reported after the update, so that the balancer sends their
 // requests to servers of the new list.
 func (l *loop) updateEndpoints(now time.Duration, update endpointsUpdated) {
-	complete := update.kind != policy.UpdateDelta
-	revoked := l.requests.revokeAttemptsAt(l.pool.UpdateEndpoints(complete, update.forPool))
+	revoked := l.requests.revokeAttemptsAt(l.pool.UpdateEndpoints(update.kind, update.forPool))
 	l.balancer.UpdateEndpoints(now, update.kind, update.forBalancer)
 	for _, a := range revoked {
 		l.reportOutcome(now, a.request, a.index, upstream.Result{Status: policy.NotSent})
--- a/internal/upstream/endpoints.go
+++ b/internal/upstream/endpoints.go
@@ -17,12 +17,12 @@
 
 func (s RevokedServers) add(id policy.ServerID) { s[id] = struct{}{} }
 
-// UpdateEndpoints applies an update of the endpoint list: the complete list, or
-// the endpoints that changed. A server with a new address or a new start time is
+// UpdateEndpoints applies an update of the endpoint list: the endpoints that changed, if it
+// is a delta, and the complete list otherwise. A server with a new address or a new start time is
 // another incarnation: idle connections to the previous one are closed, and those in use
 // once they are released. It returns the servers that were added or removed, that
 // are not ready, or that are another incarnation now.
-func (p *Pool) UpdateEndpoints(complete bool, endpoints []endpoint.Endpoint) RevokedServers {
+func (p *Pool) UpdateEndpoints(kind policy.UpdateKind, endpoints []endpoint.Endpoint) RevokedServers {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	listed := make(map[policy.ServerID]struct{}, len(endpoints))
@@ -39,7 +39,7 @@
 			revoked.add(id)
 		}
 	}
-	if !complete {
+	if kind == policy.UpdateDelta {
 		return revoked
 	}
 	for id, s := range p.servers {
--- a/internal/upstream/endpoints_test.go
+++ b/internal/upstream/endpoints_test.go
@@ -17,26 +17,26 @@
 		return []endpoint.Endpoint{next}
 	}
 	for name, c := range map[string]struct {
-		complete  bool
+		kind      policy.UpdateKind
 		endpoints []endpoint.Endpoint
 		revoked   bool
 		listed    bool // the pool still knows the server
 	}{
-		"unchanged":           {true, []endpoint.Endpoint{known}, false, true},
-		"not in a delta":      {false, nil, false, true},
-		"not in a full list":  {true, nil, true, false},
-		"draining":            {false, changed(func(e *endpoint.Endpoint) { e.State = policy.Draining }), true, true},
-		"removed":             {false, changed(func(e *endpoint.Endpoint) { e.State = policy.Removed }), true, false},
-		"at a new address":    {false, changed(func(e *endpoint.Endpoint) { e.Address = "10.0.0.2:80" }), true, true},
-		"with a new start":    {false, changed(func(e *endpoint.Endpoint) { e.StartedAt = time.UnixMilli(2) }), true, true},
-		"with another weight": {false, changed(func(e *endpoint.Endpoint) { e.Weight = 2 }), false, true},
+		"unchanged":           {policy.UpdateSnapshot, []endpoint.Endpoint{known}, false, true},
+		"not in a delta":      {policy.UpdateDelta, nil, false, true},
+		"not in a full list":  {policy.UpdateSnapshot, nil, true, false},
+		"draining":            {policy.UpdateDelta, changed(func(e *endpoint.Endpoint) { e.State = policy.Draining }), true, true},
+		"removed":             {policy.UpdateDelta, changed(func(e *endpoint.Endpoint) { e.State = policy.Removed }), true, false},
+		"at a new address":    {policy.UpdateDelta, changed(func(e *endpoint.Endpoint) { e.Address = "10.0.0.2:80" }), true, true},
+		"with a new start":    {policy.UpdateDelta, changed(func(e *endpoint.Endpoint) { e.StartedAt = time.UnixMilli(2) }), true, true},
+		"with another weight": {policy.UpdateDelta, changed(func(e *endpoint.Endpoint) { e.Weight = 2 }), false, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			pool := NewPool(poolConfig())
-			if revoked := pool.UpdateEndpoints(true, []endpoint.Endpoint{known}); !revoked.Contains(known.ID) {
+			if revoked := pool.UpdateEndpoints(policy.UpdateSnapshot, []endpoint.Endpoint{known}); !revoked.Contains(known.ID) {
 				t.Error("a new server is not in the set")
 			}
-			revoked := pool.UpdateEndpoints(c.complete, c.endpoints)
+			revoked := pool.UpdateEndpoints(c.kind, c.endpoints)
 			if got := revoked.Contains(known.ID); got != c.revoked {
 				t.Errorf("revoked %v, want %v", got, c.revoked)
 			}
@@ -58,7 +58,7 @@
 	expectStatus(t, pool, id, policy.OK) // leaves an idle connection
 
 	replaced := endpoint.Endpoint{ID: id, Address: server.Address, State: policy.Ready, StartedAt: time.UnixMilli(1)}
-	pool.UpdateEndpoints(false, []endpoint.Endpoint{replaced})
+	pool.UpdateEndpoints(policy.UpdateDelta, []endpoint.Endpoint{replaced})
 	expectOpen(t, pool, 1)
 	pool.release(inUse)
 	expectOpen(t, pool, 0)
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -51,7 +51,7 @@
 func poolTo(config Config, address string) (*Pool, policy.ServerID) {
 	pool := NewPool(config)
 	server := endpoint.Endpoint{ID: 1, Address: address, State: policy.Ready}
-	pool.UpdateEndpoints(true, []endpoint.Endpoint{server})
+	pool.UpdateEndpoints(policy.UpdateSnapshot, []endpoint.Endpoint{server})
 	return pool, server.ID
 }
 
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -68,7 +68,7 @@
 	config.MaxOpen = 1
 	pool, id := poolTo(config, testkit.NewBackend(t, testkit.OK).Address())
 	other := endpoint.Endpoint{ID: 2, Address: testkit.NewBackend(t, testkit.OK).Address(), State: policy.Ready}
-	pool.UpdateEndpoints(false, []endpoint.Endpoint{other})
+	pool.UpdateEndpoints(policy.UpdateDelta, []endpoint.Endpoint{other})
 	for _, target := range []policy.ServerID{id, other.ID, id} {
 		expectStatus(t, pool, target, policy.OK)
 	}
