--- a/cmd/balancer/client_test.go
+++ b/cmd/balancer/client_test.go
@@ -56,18 +56,28 @@
 	return string(body), err
 }
 
+// A process under shutdown closes connections unused from the end of its grace period on, and leaves each new one
+// open for newConnGrace at least.
+const (
+	unusedClosedFrom = shutdownDeadline + 450*time.Millisecond
+	newConnGrace     = 50 * time.Millisecond
+)
+
 // loadClient sends requests one after another. A request has to get a complete response if its connection
-// was established, unless that had carried a request before and ends without a byte of a response: then it
-// crossed the close of an idle connection and is sent once more.
+// was established, unless that ends without a byte of a response, and had carried a request before or had
+// been unused for more than newConnGrace, as the client's process was paused, and the process closes unused
+// connections by then: the request crossed the close and is sent once more.
 type loadClient struct {
 	addr      string
 	name      string
 	timeout   time.Duration // of each request
 	keepAlive bool          // the client reuses its connection for as long as it stays open
 
-	conn   net.Conn
-	reader *bufio.Reader
-	sent   int
+	conn      net.Conn
+	reader    *bufio.Reader
+	sent      int
+	connected time.Time     // when the connection was established
+	unused    time.Duration // from then until the last request on it was written
 }
 
 // loadResult is how the requests of clients ended.
@@ -78,6 +88,8 @@
 	// which got nothing but a reset: their connections were established between the process's last accept
 	// and its close of the listener.
 	resetInQueue int
+	// unusedClosed counts the requests that crossed the close of a connection without a request before.
+	unusedClosed int
 }
 
 // lostRequestError is a request without a complete response.
@@ -114,6 +126,8 @@
 			result.responses++
 		case reused && !began:
 			continue // on a new connection
+		case !began && c.unused > newConnGrace && sinceSignal() >= unusedClosedFrom:
+			result.unusedClosed++
 		default:
 			result.lost = append(result.lost, &lostRequestError{
 				client: c.name, number: c.sent, sentAt: sentAt, reused: reused, began: began, err: err,
@@ -147,7 +161,7 @@
 	if err != nil {
 		return err
 	}
-	c.conn, c.reader = conn, bufio.NewReader(conn)
+	c.conn, c.reader, c.connected = conn, bufio.NewReader(conn), time.Now()
 	return c.conn.SetDeadline(time.Now().Add(testkit.WaitTimeout))
 }
 
@@ -161,7 +175,9 @@
 			c.conn = nil
 		}
 	}()
-	if err := writeRequest(c.conn, fmt.Sprintf("%s-%d", c.name, c.sent), c.timeout); err != nil {
+	err := writeRequest(c.conn, fmt.Sprintf("%s-%d", c.name, c.sent), c.timeout)
+	c.unused = time.Since(c.connected)
+	if err != nil {
 		return false, fmt.Errorf("write: %w", err)
 	}
 	if _, err := c.reader.Peek(1); err != nil {
@@ -196,4 +212,5 @@
 	r.responses += other.responses
 	r.lost = append(r.lost, other.lost...)
 	r.resetInQueue += other.resetInQueue
+	r.unusedClosed += other.unusedClosed
 }
--- a/cmd/balancer/shutdown_test.go
+++ b/cmd/balancer/shutdown_test.go
@@ -112,7 +112,8 @@
 // early or with an error.
 func (r shutdownResult) check(t *testing.T) {
 	t.Helper()
-	t.Logf("%d responses, %d requests lost, %d reset in the accept queue", r.responses, len(r.lost), r.resetInQueue)
+	t.Logf("%d responses, %d requests lost, %d reset in the accept queue, %d closed unused",
+		r.responses, len(r.lost), r.resetInQueue, r.unusedClosed)
 	if limit := maxResetInQueue(t); r.resetInQueue > limit {
 		t.Errorf("%d connections were reset in the accept queue, want %d at most", r.resetInQueue, limit)
 	}
