--- a/cmd/balancer/address_change_test.go
+++ b/cmd/balancer/address_change_test.go
@@ -16,7 +16,7 @@
 
 // A node is given a new address of the discovery service, or several in a row, while the service takes its
 // time for each call, also for those that were abandoned: the node has the list in time.
-func TestListOfASlowDiscoveryArrivesInTimeAfterSIGHUP(t *testing.T) { //nolint:tparallel // the load of other tests would change its times
+func TestListOfASlowDiscoveryArrivesInTimeAfterSIGHUP(t *testing.T) {
 	program := balancertest.Build(t)
 	for _, mode := range discoveryModes() {
 		for _, c := range []addressChanges{
--- a/cmd/balancer/descriptor_shortage_test.go
+++ b/cmd/balancer/descriptor_shortage_test.go
@@ -45,7 +45,7 @@
 // For a while accept and socket fail in a process, as they do where a system has no descriptors left.
 // Clients that connect meanwhile are served, on old connections too, and the process goes on; also if it
 // gets SIGTERM just then.
-func TestRequestsOutlastAShortageOfDescriptors(t *testing.T) { //nolint:tparallel // the load of other tests would change its times
+func TestRequestsOutlastAShortageOfDescriptors(t *testing.T) {
 	program := balancertest.Build(t)
 	for name, signal := range map[string]unix.Signal{"serving": 0, "shutting down": unix.SIGTERM} {
 		t.Run(name, func(t *testing.T) {
--- a/cmd/balancer/idle_clients_test.go
+++ b/cmd/balancer/idle_clients_test.go
@@ -106,7 +106,7 @@
 // A process has as many descriptors as its configuration says, or is granted fewer, and idle clients take
 // what they can get during an outage of discovery: the process stays within them, follows discovery after
 // the outage, and serves whoever makes a request.
-func TestIdleClientsLeaveDescriptorsFree(t *testing.T) { //nolint:tparallel // the load of other tests would change its times
+func TestIdleClientsLeaveDescriptorsFree(t *testing.T) {
 	program := balancertest.Build(t)
 	for _, c := range []struct {
 		name           string
--- a/cmd/balancer/logging_test.go
+++ b/cmd/balancer/logging_test.go
@@ -12,7 +12,7 @@
 
 // Whoever reads the log may have exited, or read no more: the process serves, completes the requests that
 // it has and exits as usual.
-func TestProcessServesWithoutAReaderOfItsLog(t *testing.T) { //nolint:tparallel // the load of other tests would change its times
+func TestProcessServesWithoutAReaderOfItsLog(t *testing.T) {
 	program := balancertest.Build(t)
 	for name, breakPipe := range map[string]func(t *testing.T, reader, writer *os.File){
 		"closed": func(t *testing.T, reader, _ *os.File) { t.Helper(); closeFile(t, reader) },
--- a/cmd/balancer/readiness_test.go
+++ b/cmd/balancer/readiness_test.go
@@ -26,7 +26,7 @@
 	timePerCall time.Duration
 }
 
-func TestRestartedProcessesAreReadyInTime(t *testing.T) { //nolint:tparallel // the load of other tests would change its times
+func TestRestartedProcessesAreReadyInTime(t *testing.T) {
 	program, processes := balancertest.Build(t), flagValue[int](processesFlag)
 	list, empty := listOf(2, slices.Repeat([]string{noDiscovery}, 200)...), endpointjson.List{}
 	overloaded := 4 * time.Second / time.Duration(processes) // all complete lists take 4 s
--- a/cmd/balancer/shutdown_test.go
+++ b/cmd/balancer/shutdown_test.go
@@ -162,7 +162,7 @@
 
 // The process is paused for 150 ms around each step of the end of its shutdown, as the operators' terms
 // allow.
-func TestEveryRequestGetsAResponseFromAPausedProcess(t *testing.T) { //nolint:tparallel // the load of other tests would change its times
+func TestEveryRequestGetsAResponseFromAPausedProcess(t *testing.T) {
 	const pause = 150 * time.Millisecond
 	program := balancertest.Build(t)
 	for _, after := range []time.Duration{300, 400, 500, 560, 600, 640, 680} {
@@ -180,7 +180,7 @@
 }
 
 // The process gets no descriptor for 100 ms, also as it accepts the last connections.
-func TestEveryRequestGetsAResponseFromAProcessShortOfDescriptors(t *testing.T) { //nolint:tparallel // the load of other tests would change its times
+func TestEveryRequestGetsAResponseFromAProcessShortOfDescriptors(t *testing.T) {
 	const short = 100 * time.Millisecond
 	program := balancertest.Build(t)
 	for _, after := range []time.Duration{100, 300, 450, 520, 560, 590} {
--- a/cmd/balancer/soak_test.go
+++ b/cmd/balancer/soak_test.go
@@ -18,7 +18,7 @@
 // stepped, a discovery service that is unresponsive, failing or slow, SIGHUPs in series, servers that drain,
 // are removed, come back and hang, nodes that are paused and restarted; clients send on open connections
 // until the kill. A seed that fails is run again with -soak-seed.
-func TestSoak(t *testing.T) { //nolint:tparallel // the load of other tests would change its times
+func TestSoak(t *testing.T) {
 	program := balancertest.BuildSteppable(t)
 	first := flagValue[int](soakSeedFlag)
 	for seed := first; seed < first+flagValue[int](soakRunsFlag); seed++ {
--- a/cmd/balancer/unresponsive_discovery_test.go
+++ b/cmd/balancer/unresponsive_discovery_test.go
@@ -14,7 +14,7 @@
 // The machine of the discovery service is partitioned for a while, and a server has begun to drain when the
 // partition is healed: the node follows within the notification deadline, however long it could reach
 // nobody.
-func TestDiscoveryIsFollowedAfterANetworkPartition(t *testing.T) { //nolint:tparallel // the load of other tests would change its times
+func TestDiscoveryIsFollowedAfterANetworkPartition(t *testing.T) {
 	program := balancertest.Build(t)
 	for _, mode := range discoveryModes() {
 		for _, duration := range []time.Duration{8 * time.Second, 50 * time.Second} {
--- a/cmd/balancer/wall_clock_test.go
+++ b/cmd/balancer/wall_clock_test.go
@@ -25,7 +25,7 @@
 
 // A process starts on a machine whose wall clock is wrong, and a server starts later: it gets what slow
 // start allows, whatever that clock shows.
-func TestNewServerWarmsUpWhateverTheWallClockShows(t *testing.T) { //nolint:tparallel // the load of other tests would change its times
+func TestNewServerWarmsUpWhateverTheWallClockShows(t *testing.T) {
 	program := balancertest.BuildSteppable(t)
 	for _, ahead := range []time.Duration{0, 5 * time.Second, 30 * time.Second, time.Hour, -30 * time.Second, -time.Hour} {
 		t.Run(fmt.Sprintf("ahead by %v", ahead), func(t *testing.T) {
--- a/internal/discovery/fetch_test.go
+++ b/internal/discovery/fetch_test.go
@@ -60,7 +60,7 @@
 		t.Run(name, func(t *testing.T) {
 			address := testkit.FreeAddr(t)
 			if c.response != "" {
-				address = testkit.NewScriptedServer(t, c.response, true).Address
+				address = testkit.NewScriptedServer(t, c.response, testkit.CloseAfterResponse).Address
 			}
 			for _, haveList := range []bool{false, true} {
 				_, err := testFollower(t, address, haveList).fetch(t.Context())
--- a/internal/testkit/scripted_server.go
+++ b/internal/testkit/scripted_server.go
@@ -16,12 +16,12 @@
 }
 
 // Persistence is what a ScriptedServer does with a connection after a response.
-type Persistence = bool
+type Persistence int
 
 // The connection stays open for another request, or is closed.
 const (
-	KeepAlive          Persistence = false
-	CloseAfterResponse Persistence = true
+	KeepAlive Persistence = iota
+	CloseAfterResponse
 )
 
 // NewScriptedServer starts a server. It stops at the end of the test.
--- a/internal/upstream/endpoints_test.go
+++ b/internal/upstream/endpoints_test.go
@@ -49,7 +49,7 @@
 
 // A connection in use when its server is replaced is closed at its release.
 func TestReplacedServerKeepsNoConnections(t *testing.T) {
-	server := testkit.NewScriptedServer(t, okResponse, false)
+	server := testkit.NewScriptedServer(t, okResponse, testkit.KeepAlive)
 	pool, id := poolTo(poolConfig(), server.Address)
 	inUse, err := pool.acquire(t.Context(), id)
 	if err != nil {
--- a/internal/upstream/exchange_test.go
+++ b/internal/upstream/exchange_test.go
@@ -16,32 +16,32 @@
 // responseCase is a response and what two attempts make of it.
 type responseCase struct {
 	response    string
-	closeAfter  bool
+	persistence testkit.Persistence
 	status      policy.Status
 	connections int // that two attempts take
 }
 
 func TestCompleteResponseDeterminesStatusAndReuse(t *testing.T) {
 	testResponses(t, map[string]responseCase{
-		"served":                      {okResponse, false, policy.OK, 1},
-		"served, chunked":             {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", false, policy.OK, 1},
-		"served, then closed":         {"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nhi", true, policy.OK, 2},
-		"served, with no length":      {"HTTP/1.1 200 OK\r\n\r\nhi", true, policy.OK, 2},
-		"early hints":                 {"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + okResponse, false, policy.OK, 1},
-		"more than the response":      {okResponse + "rest", false, policy.OK, 2},
-		"error":                       {"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", false, policy.ServerError, 1},
-		"another status":              {"HTTP/1.1 404 Where\r\nContent-Length: 0\r\n\r\n", false, policy.ServerError, 1},
-		"rejected, 503":               {"HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", false, policy.Rejected, 1},
-		"rejected, 504":               {"HTTP/1.1 504 Over\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", false, policy.Rejected, 1},
-		"503 that guarantees nothing": {"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n", false, policy.ServerError, 1},
+		"served":                      {okResponse, testkit.KeepAlive, policy.OK, 1},
+		"served, chunked":             {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", testkit.KeepAlive, policy.OK, 1},
+		"served, then closed":         {"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nhi", testkit.CloseAfterResponse, policy.OK, 2},
+		"served, with no length":      {"HTTP/1.1 200 OK\r\n\r\nhi", testkit.CloseAfterResponse, policy.OK, 2},
+		"early hints":                 {"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + okResponse, testkit.KeepAlive, policy.OK, 1},
+		"more than the response":      {okResponse + "rest", testkit.KeepAlive, policy.OK, 2},
+		"error":                       {"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", testkit.KeepAlive, policy.ServerError, 1},
+		"another status":              {"HTTP/1.1 404 Where\r\nContent-Length: 0\r\n\r\n", testkit.KeepAlive, policy.ServerError, 1},
+		"rejected, 503":               {"HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", testkit.KeepAlive, policy.Rejected, 1},
+		"rejected, 504":               {"HTTP/1.1 504 Over\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", testkit.KeepAlive, policy.Rejected, 1},
+		"503 that guarantees nothing": {"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n", testkit.KeepAlive, policy.ServerError, 1},
 	})
 }
 
 func TestResponseCutByACloseIsReset(t *testing.T) {
 	testResponses(t, map[string]responseCase{
-		"no response":   {"", true, policy.Reset, 2},
-		"half a header": {"HTTP/1.1 200 OK\r\nContent-Le", true, policy.Reset, 2},
-		"half a body":   {"HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nhi", true, policy.Reset, 2},
+		"no response":   {"", testkit.CloseAfterResponse, policy.Reset, 2},
+		"half a header": {"HTTP/1.1 200 OK\r\nContent-Le", testkit.CloseAfterResponse, policy.Reset, 2},
+		"half a body":   {"HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nhi", testkit.CloseAfterResponse, policy.Reset, 2},
 	})
 }
 
@@ -66,7 +66,7 @@
 		"1xx, then nothing":        "HTTP/1.1 103 Early Hints\r\n\r\nHT",
 		"switching protocols":      "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: Upgrade\r\n\r\n",
 	} {
-		cases[name] = responseCase{response, false, policy.ServerError, 2}
+		cases[name] = responseCase{response, testkit.KeepAlive, policy.ServerError, 2}
 	}
 	testResponses(t, cases)
 }
@@ -77,8 +77,8 @@
 		return strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", count) + okResponse
 	}
 	testResponses(t, map[string]responseCase{
-		"at the limit":   {interim(maxInterimResponses), false, policy.OK, 1},
-		"over the limit": {interim(maxInterimResponses + 1), false, policy.ServerError, 2},
+		"at the limit":   {interim(maxInterimResponses), testkit.KeepAlive, policy.OK, 1},
+		"over the limit": {interim(maxInterimResponses + 1), testkit.KeepAlive, policy.ServerError, 2},
 	})
 }
 
@@ -86,7 +86,7 @@
 	t.Helper()
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			server := testkit.NewScriptedServer(t, c.response, c.closeAfter)
+			server := testkit.NewScriptedServer(t, c.response, c.persistence)
 			pool, id := poolTo(poolConfig(), server.Address)
 			for range 2 {
 				testResponse(t, pool, id, c.status)
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -44,7 +44,7 @@
 }
 
 func TestIdleConnectionIsClosedAfterTheIdleTimeout(t *testing.T) {
-	server := testkit.NewScriptedServer(t, okResponse, false)
+	server := testkit.NewScriptedServer(t, okResponse, testkit.KeepAlive)
 	pool, id := poolTo(poolConfig(), server.Address)
 	pool.maxIdle = 20 * time.Millisecond
 	go pool.RetireIdle(t.Context())
