--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -6,6 +6,7 @@
 	"fmt"
 	"net"
 	"net/http"
+	"syscall"
 	"testing"
 	"time"
 
@@ -255,12 +256,14 @@
 	}
 
 	n.stop()
+	// A dial that meets the close of the listener may lose its first packet: it must not wait for the second.
+	const probeTimeout = 10 * time.Millisecond
 	testkit.Until(t, "the end of the listening", func() bool {
-		conn, err := net.Dial("tcp", n.addr)
+		conn, err := net.DialTimeout("tcp", n.addr, probeTimeout)
 		if err == nil {
 			closeConn(conn)
 		}
-		return err != nil
+		return errors.Is(err, syscall.ECONNREFUSED)
 	})
 
 	for _, client := range clients {
--- a/internal/testkit/machine_partition.go
+++ b/internal/testkit/machine_partition.go
@@ -12,7 +12,12 @@
 	m.beginPartition()
 	m.setBacklog(tb, 0)
 	m.completePendingAccept()
-	for m.addFiller() { // until a connection attempt hangs
+	for hanging := 0; hanging < hangingAttempts; {
+		if m.addFiller() {
+			hanging = 0
+		} else {
+			hanging++
+		}
 	}
 }
 
--- a/internal/testkit/stuck_server.go
+++ b/internal/testkit/stuck_server.go
@@ -8,10 +8,13 @@
 	"calicohinge/internal/endpointjson"
 )
 
-// connectTimeout ends the connection attempt that shows a backlog to be full. The attempts before it
-// succeed at once over loopback.
+// connectTimeout ends a connection attempt to a listener with a full backlog. Others succeed at once over
+// loopback.
 const connectTimeout = 100 * time.Millisecond
 
+// hangingAttempts is how many attempts in a row have to hang: one may only have been paused for that long.
+const hangingAttempts = 3
+
 // admittedBytes is how many bytes of a connection StuckServer.Admit reports at most.
 const admittedBytes = 64
 
@@ -28,13 +31,16 @@
 	if err := setBacklog(listener.(*net.TCPListener), 0); err != nil {
 		t.Fatal(err)
 	}
-	for { // until a connection attempt hangs
+	for hanging := 0; hanging < hangingAttempts; {
 		conn, err := net.DialTimeout("tcp", listener.Addr().String(), connectTimeout)
 		if err != nil {
-			return &StuckServer{listener}
+			hanging++
+			continue
 		}
+		hanging = 0
 		t.Cleanup(func() { _ = conn.Close() })
 	}
+	return &StuckServer{listener}
 }
 
 // Endpoint returns the server's entry in an endpoint list.
