--- a/internal/discovery/apply.go
+++ b/internal/discovery/apply.go
@@ -7,8 +7,9 @@
 	"calicohinge/policy"
 )
 
-// applyList applies the list of a completed call: it delivers the list to the handler and, if the list is of
-// the present address, the next call follows its generation. No other method applies a list.
+// applyList applies the list that a completed call has returned: it delivers the list to the handler. The next
+// call follows the generation of the list if the list is of the present address. No other method applies a
+// list.
 func (f *follower) applyList(completed *call) {
 	if completed.address != f.address {
 		f.applyPreviousList(completed)
@@ -23,8 +24,8 @@
 	f.deliver(completed.list)
 }
 
-// applyPreviousList applies a list of a previous address. It is in force until the present address gives its
-// own.
+// applyPreviousList applies a list of a previous address, unless the present address has given one. The next
+// call still requests the complete list from the present address.
 func (f *follower) applyPreviousList(completed *call) {
 	if f.haveList {
 		return
@@ -34,14 +35,14 @@
 	f.deliver(completed.list)
 }
 
-// isStale reports whether another call has returned a newer list since this one was made. A lower generation
-// alone does not show that: a service that has restarted counts from the beginning.
+// isStale reports whether another call has returned a newer list since the completed call started. A lower
+// generation alone does not make a list stale: a service that has restarted counts from the beginning.
 func (f *follower) isStale(completed *call) bool {
 	appliedMeanwhile := f.haveList && (completed.query.complete || completed.query.after != f.generation)
 	return appliedMeanwhile && completed.list.Generation < f.generation
 }
 
-// deliver passes a list to the handler.
+// deliver passes a list to the handler. A list without changes only confirms that the node is synced.
 func (f *follower) deliver(list endpoint.List) {
 	switch {
 	case list.Complete:
--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// The range of the delays between failed calls where lists are pushed.
+// Where lists are pushed, the nominal delay after a failed call grows from initialBackoff to maxBackoff.
 const (
 	initialBackoff = 100 * time.Millisecond
 	maxBackoff     = time.Second
 )
 
-// maxBackoffFor returns the longest delay between failed calls. Where lists are pushed, a node counts as
-// notified of a drain the moment that the discovery service is reachable, so that the delay has to be
-// well within the drain's grace period.
+// maxBackoffFor returns the longest delay after a failed call. Where lists are pushed, a node counts as
+// notified of a drain as soon as the discovery service is reachable. The next call has to come well
+// within the drain's grace period.
 func maxBackoffFor(drainGrace time.Duration) time.Duration {
 	return min(maxBackoff, max(initialBackoff, drainGrace/2))
 }
@@ -21,21 +21,22 @@
 // backoff is an exponential backoff with equal jitter: nodes whose calls failed at the same moment must
 // not repeat them at the same moment.
 type backoff struct {
-	delay, longest time.Duration
+	delay   time.Duration // the nominal delay after the next failure
+	longest time.Duration
 }
 
 func newBackoff(longest time.Duration) backoff {
 	return backoff{delay: initialBackoff, longest: longest}
 }
 
-// next returns the delay before the next call and doubles the one after that.
+// next returns the delay before the next call, and doubles the nominal delay.
 func (b *backoff) next() time.Duration {
 	delay := b.delay/2 + rand.N(b.delay/2)
 	b.delay = min(2*b.delay, b.longest)
 	return delay
 }
 
-// reset starts again from the initial delay.
+// reset returns the nominal delay to its initial value.
 func (b *backoff) reset() { b.delay = initialBackoff }
 
 // shortDelay returns a delay that only spreads the nodes' calls.
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -2,6 +2,10 @@
 // repeats failed calls with a backoff, and follows the list at another address when that changes. It
 // owns the connections to the service and the generation of the list. It reports lists and failures to
 // a Handler, which internal/node implements, and neither interprets endpoints nor selects servers.
+//
+// A failed call ends nothing: it is logged as "endpoint watch failed", the node keeps its list, and
+// another call follows. The states between two calls and their events are in the doc comment of follower,
+// the end of each call in that of inFlightCalls.
 package discovery
 
 import (
@@ -79,8 +83,8 @@
 }
 
 // Run reports the cached list and follows the list until the context ends. After a change of the address it
-// requests the complete list from the new one. The node uses the previous list until that arrives, and what
-// the previous address still returns.
+// requests the complete list from the new address. Until that list arrives, the node uses the list that it
+// has, and lists that calls in flight to the previous address still return.
 func (c *Client) Run(ctx context.Context, handler Handler) {
 	c.reportCached(handler)
 	calls := newInFlightCalls(c.send)
@@ -94,7 +98,7 @@
 			return
 		}
 		slog.Info("discovery address changed", "discovery_addr", address)
-		c.httpClient.CloseIdleConnections()
+		c.httpClient.CloseIdleConnections() // no further call goes to the previous address
 		current = current.moveTo(address, time.Now())
 	}
 }
@@ -105,7 +109,7 @@
 		handler.UpdateEndpoints(policy.UpdateCached, c.cached.Endpoints)
 		handler.Synced()
 	} else if c.polling {
-		handler.UpdateEndpoints(policy.UpdateCached, nil) // makes package policy request a watch
+		handler.UpdateEndpoints(policy.UpdateCached, nil) // package policy responds with RequestWatch
 	}
 }
 
--- a/internal/discovery/connect.go
+++ b/internal/discovery/connect.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	// connectInterval is how long a connection to the service may take before another one is tried. The
-	// last call before a notification deadline has an eighth of it; two attempts have to fit.
+	// connectInterval is how long a connection to the service may take before another attempt begins. The
+	// last call before a notification deadline has an eighth of the deadline; two attempts begin in that.
 	connectInterval = policy.NotificationDeadline / 12
-	// connectTimeout ends an attempt. A connection that takes longer would be of no use to a watch.
+	// connectTimeout ends an attempt to connect. A connection that takes longer is of no use to a watch.
 	connectTimeout = 3 * connectInterval
-	// maxConnectionsPerHost bounds the connections to the service: those of calls in flight, and those
+	// maxConnectionsPerHost bounds the connections to the service: those of the calls in flight, and those
 	// of cancelled calls that are still being closed.
 	maxConnectionsPerHost = maxInFlightCalls + 2
 )
 
-// newTransport returns a transport whose connection attempts end with their call. net/http detaches them:
-// an attempt to reach an unresponsive machine would outlast its call for as long as the system repeats
-// SYNs, about two minutes, and count against the limit of connections meanwhile.
+// newTransport returns a transport whose connection attempts end with their call. By itself, net/http lets an
+// attempt outlast its call. An attempt to reach an unresponsive machine would last for about two minutes, as
+// long as the system repeats SYNs, and would count against maxConnectionsPerHost meanwhile.
 func newTransport(dial netdial.Func) *http.Transport {
 	dial = netdial.Stagger(netdial.Repeat(dial), connectInterval, connectTimeout)
 	return &http.Transport{
--- a/internal/discovery/deadline.go
+++ b/internal/discovery/deadline.go
@@ -2,18 +2,19 @@
 
 import "time"
 
-// addressChangeDeadline is the time after a change of the address within which a node counts as notified
-// of the list at the new one. The operators' contract gives it, from SIGHUP on.
+// addressChangeDeadline is the time from SIGHUP until a node counts as notified of the list at the new
+// address. The operators' contract sets it.
 const addressChangeDeadline = 4 * time.Second
 
-// initialListDeadlines are the times at which a node counts as notified of the lists at addresses that it
-// has changed to, whether or not a list has arrived.
+// initialListDeadlines are the deadlines of the initial lists at new addresses. At its deadline a node counts
+// as notified of a list, whether or not the list has arrived.
 type initialListDeadlines struct {
-	present  time.Time // of the list at the present address; zero if the address has not changed
-	previous time.Time // of a list at a previous address that has not arrived either, else zero
+	present  time.Time // for the list at the present address; zero if the address has not changed
+	previous time.Time // for the list at a previous address if that list has not arrived either, else zero
 }
 
-// nextAt returns the deadline that is in force: the first one that has not passed, or the last one.
+// nextAt returns the deadline that the node has to meet next at a time: the previous one until it has passed,
+// then the present one.
 func (d initialListDeadlines) nextAt(now time.Time) time.Time {
 	if now.Before(d.previous) {
 		return d.previous
--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -53,8 +53,8 @@
 // Error is a failed call to the discovery service.
 type Error struct {
 	Kind   ErrorKind
-	Status int   // the HTTP status of a response that is a failure for its status, else 0
-	Err    error // the cause, nil if the status is
+	Status int   // the HTTP status of a BadStatus error, else 0
+	Err    error // the cause; nil for a BadStatus error
 }
 
 // Error describes the failure in one line.
@@ -71,10 +71,11 @@
 // transportError classifies an error of the HTTP client, which occurred before the response was complete.
 func transportError(err error) *Error { return &Error{Kind: transportErrorKind(err), Err: err} }
 
+// transportErrorKind returns the kind of an error of the HTTP client.
 func transportErrorKind(err error) ErrorKind {
 	operation, isOperation := errors.AsType[*net.OpError](err)
 	switch {
-	case errors.Is(err, context.DeadlineExceeded): // before others: it may have ended any operation
+	case errors.Is(err, context.DeadlineExceeded): // first, as a deadline may end any operation
 		return Timeout
 	case isOperation && operation.Op == "dial":
 		return Unreachable
--- a/internal/discovery/failure.go
+++ b/internal/discovery/failure.go
@@ -8,9 +8,9 @@
 	"calicohinge/policy"
 )
 
-// handleFailure handles a failed call and returns the next state.
+// handleFailure handles a call that has failed, or that ends as the follower stops, and returns the next state.
 func (f *follower) handleFailure(ctx context.Context, failed *call, err error) state {
-	// A connection that is left idle may be unresponsive by the time of the next call.
+	// An idle connection may be unresponsive by the time of the next call.
 	f.client.httpClient.CloseIdleConnections()
 	switch {
 	case ctx.Err() != nil:
@@ -32,17 +32,18 @@
 	f.handler.WatchFailed(f.notifiedAt(failed.startedAt, time.Now()))
 }
 
-// notifiedAt returns when the node counts as notified of what a call has missed that failed now.
+// notifiedAt returns when the node counts as notified of the changes that a failed call has missed.
 func (f *follower) notifiedAt(startedAt, now time.Time) time.Time {
-	deadline := startedAt.Add(policy.NotificationDeadline)
-	if listDeadline := f.deadlines.nextAt(now); f.initialListPending(now) && listDeadline.Before(deadline) {
+	callDeadline := startedAt.Add(policy.NotificationDeadline)
+	listDeadline := f.deadlines.nextAt(now)
+	if f.initialListPending(now) && listDeadline.Before(callDeadline) {
 		return listDeadline
 	}
-	return deadline
+	return callDeadline
 }
 
-// dropStaleWatchRequest removes a request from before the present failure. With it the next call would
-// follow at once, and at all nodes together.
+// dropStaleWatchRequest removes a watch request from before the failure. If it stayed, the next call would
+// follow at once, and all nodes would call together.
 func (f *follower) dropStaleWatchRequest() {
 	select {
 	case <-f.client.watchRequests:
@@ -50,8 +51,8 @@
 	}
 }
 
-// retryDelay returns the delay after a failed call where lists are pushed. The notification deadline leaves
-// no time for a backoff after an unresponsive watch, nor before the initial list at a new address.
+// retryDelay returns the delay after a failed call where lists are pushed. The deadlines leave no time for a
+// backoff after an unresponsive watch, or before the initial list at a new address.
 func (f *follower) retryDelay(kind ErrorKind) time.Duration {
 	if kind == Unresponsive || f.initialListPending(time.Now()) {
 		return shortDelay()
--- a/internal/discovery/fetch.go
+++ b/internal/discovery/fetch.go
@@ -7,22 +7,25 @@
 	"calicohinge/policy"
 )
 
-// A watch is a long poll. What a watch misses counts as notified policy.NotificationDeadline after it
-// became unresponsive, which may be at its start. Within that time the client has to detect the failure and
-// to complete another call: half of it goes to the wait of the watch, a quarter to a late response, and a
-// quarter remains for the other call.
+// A watch is a long poll, which may become unresponsive at its start. policy.NotificationDeadline later the node
+// counts as notified of the changes that the watch has missed. Within that time the client has to detect the
+// failure and to complete another call: half of the time goes to the wait of the watch, a quarter to a late
+// response, and a quarter remains for the other call.
 const (
-	watchWait           = policy.NotificationDeadline / 2 // for which the discovery service is to wait
-	watchResponseMargin = policy.NotificationDeadline / 4 // by which its response may be late
-	// A call for the complete list gets as long: a service that is short of time would never catch up with a
-	// fleet that repeats its calls earlier.
+	// watchWait is how long the discovery service is to wait for a change.
+	watchWait = policy.NotificationDeadline / 2
+	// watchResponseMargin is how late the response to a watch may be.
+	watchResponseMargin = policy.NotificationDeadline / 4
+	// responseTimeout is the response timeout of a watch. A call for the complete list has the same one: a slow
+	// service would never catch up with a fleet that repeats its calls earlier.
 	responseTimeout = watchWait + watchResponseMargin
-	// The first call after a change of the address leaves time for another one before the deadline.
+	// initialListResponseTimeout is the response timeout after a change of the address. It leaves time for a
+	// second call before the deadline.
 	initialListResponseTimeout = addressChangeDeadline / 2
 )
 
-// nextQuery returns the query of the next call: what is newer than the present list, or the complete list
-// if there is none.
+// nextQuery returns the query of the next call: a watch that follows the present list, or a query for the
+// complete list if there is none.
 func (f *follower) nextQuery() query {
 	if !f.haveList {
 		return completeListQuery(f.address)
@@ -30,9 +33,9 @@
 	return watchQuery(f.address, f.generation)
 }
 
-// fetch makes the next call and waits for a list from the present address, which that call or an earlier one
-// may return. It returns the call that has returned the list, or the next call and its failure. The
-// errors are of type *Error, or that of ctx.
+// fetch makes the next call and waits until that call fails, or until it or an earlier call returns a list of
+// the present address. It returns the call that has returned the list, or the failed call with its error. The
+// error is an *Error, or that of ctx. Lists of previous addresses that arrive meanwhile are applied.
 func (f *follower) fetch(ctx context.Context) (*call, error) {
 	current := f.calls.start(ctx, f.address, f.nextQuery())
 	timeout := time.NewTimer(f.nextResponseTimeout())
@@ -44,10 +47,11 @@
 			switch {
 			case done == current:
 				return done, done.err
-			case usable && done.address == f.address:
+			case !usable: // the failure of another call changes nothing
+			case done.address == f.address:
 				f.calls.detach(current)
 				return done, nil
-			case usable:
+			default:
 				f.applyList(done)
 			}
 		case <-timeout.C:
@@ -68,7 +72,8 @@
 	return responseTimeout
 }
 
-// timeoutError returns the error of a call without a response in time.
+// timeoutError returns the error of a call whose response timeout has passed: without a list it was a call for
+// the complete list, with one a watch.
 func (f *follower) timeoutError() error {
 	err := &Error{Kind: Timeout, Err: context.DeadlineExceeded}
 	if f.haveList {
--- a/internal/discovery/follower.go
+++ b/internal/discovery/follower.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// minCallDuration bounds the rate of the calls to a discovery service that responds to watches at once: a call
-// that took less is followed by a pause of as long.
+// minCallDuration bounds the rate of the calls to a discovery service that responds to watches at once: after a
+// call that took less, the follower pauses for this time.
 const minCallDuration = 20 * time.Millisecond
 
 // state is what a follower is doing.
@@ -61,10 +61,10 @@
 	delay   time.Duration // of statePausing
 	backoff backoff
 
-	haveList   bool   // a list of the present address has been cached or applied
-	generation uint64 // of that list; may be 0
-	deadlines  initialListDeadlines
-	outage     outage // for the log
+	haveList   bool                 // a list of the present address has been cached or applied
+	generation uint64               // of that list; may be 0
+	deadlines  initialListDeadlines // after a change of the address
+	outage     outage
 }
 
 // newFollower makes a follower that has no list.
@@ -83,8 +83,8 @@
 	return f
 }
 
-// moveTo returns a follower of the list at another address, for a follower that has stopped. A deadline that
-// is in force stays in force.
+// moveTo returns the follower that continues at another address, once this one has stopped. If the initial list
+// of this follower is still pending, its deadline stays in force.
 func (f *follower) moveTo(address string, now time.Time) *follower {
 	next := newFollower(f.client, f.handler, f.calls, address)
 	next.state = stateCalling
@@ -116,7 +116,7 @@
 		case <-f.client.watchRequests:
 			return stateCalling
 		case done := <-f.calls.done:
-			if f.finishEarlier(done) {
+			if f.completeEarlier(done) {
 				return stateCalling
 			}
 		case <-ctx.Done():
@@ -128,11 +128,11 @@
 // makeCall makes a call, waits in stateCalling and returns the next state.
 func (f *follower) makeCall(ctx context.Context) state {
 	startedAt := time.Now()
-	finished, err := f.fetch(ctx)
+	done, err := f.fetch(ctx)
 	if err != nil {
-		return f.handleFailure(ctx, finished, err)
+		return f.handleFailure(ctx, done, err)
 	}
-	f.applyList(finished)
+	f.applyList(done)
 	if time.Since(startedAt) < minCallDuration {
 		f.delay = minCallDuration
 		return statePausing
@@ -149,7 +149,7 @@
 		case <-timer.C:
 			return stateCalling
 		case done := <-f.calls.done:
-			if f.finishEarlier(done) {
+			if f.completeEarlier(done) {
 				return stateCalling
 			}
 		case <-ctx.Done():
@@ -158,9 +158,9 @@
 	}
 }
 
-// finishEarlier finishes an earlier call, received from done between two calls, and applies the list that it
-// has returned. It returns true if the list is of the present address: the list is followed again.
-func (f *follower) finishEarlier(done *call) bool {
+// completeEarlier completes a call that returns while the follower makes none, and applies its list. It returns
+// true if the list is of the present address: the next call is then due at once.
+func (f *follower) completeEarlier(done *call) bool {
 	if !f.calls.complete(done) {
 		return false
 	}
@@ -168,8 +168,8 @@
 	return done.address == f.address
 }
 
-// initialListPending reports whether the address has changed, and neither a list has arrived since nor its
-// deadline has passed.
+// initialListPending reports whether the address has changed, no list of the new address has arrived, and its
+// deadline has not passed.
 func (f *follower) initialListPending(now time.Time) bool {
 	return !f.haveList && now.Before(f.deadlines.present)
 }
--- a/internal/discovery/inflight.go
+++ b/internal/discovery/inflight.go
@@ -11,10 +11,11 @@
 
 const (
 	// maxInFlightCalls bounds the calls in flight: the present one, and those whose response timeout has
-	// passed or whose address has changed. A watch, four addresses in a row and a repeated call fit.
+	// passed or whose address has changed. There is room for a watch, a call to each of four new addresses
+	// in a row, and one more.
 	maxInFlightCalls = 6
-	// maxCallDuration ends a call that no later one has superseded. A service that takes longer for a
-	// response is of no use; the node has made several calls since.
+	// maxCallDuration ends a call that no later one has superseded. The node has made several other calls by
+	// then.
 	maxCallDuration = 30 * time.Second
 )
 
@@ -33,14 +34,15 @@
 // sendFunc sends a query and returns the list in the response.
 type sendFunc func(context.Context, query) (endpoint.List, error)
 
-// inFlightCalls are the calls whose responses are still to be used, in the order of their starts. The node
-// counts as notified of what the service has written, whether or not it has read it. A call is therefore
-// never cancelled because time has passed or the address has changed, as its response may be on its way: it
-// stays in flight until a later one has returned a list. The goroutine of the present follower uses it.
+// inFlightCalls holds the calls whose responses may still be used, in the order of their starts. The node
+// counts as notified of a list as soon as the service has written it. A response may therefore be on its way
+// when the response timeout passes or the address changes, and a call that has reached the service is not
+// cancelled then: it stays in flight until a later call returns a list. Only the goroutine of the present
+// follower calls its methods.
 //
 //	event                                   method     effect
 //	a call is made                          start      cancels the oldest one if there are too many
-//	a follower no longer waits for a call   detach     cancels it if it has not reached the service
+//	a follower no longer waits for a call   detach     cancels it if it has no connection yet
 //	a call has returned an error            complete   removes it
 //	a call has returned a list              complete   removes it, cancels those that started before it
 //	the client stops                        close      cancels all
@@ -55,14 +57,19 @@
 	return &inFlightCalls{send: send, done: make(chan *call)}
 }
 
-// start makes a call, which outlasts ctx. The oldest one is cancelled if there would be too many.
+// start makes a call, which the end of ctx does not cancel. The oldest call is cancelled if there would be too
+// many.
 func (c *inFlightCalls) start(ctx context.Context, address string, query query) *call {
 	if len(c.calls) >= maxInFlightCalls {
 		c.supersede(1)
 	}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), maxCallDuration)
 	started := &call{
-		address: address, query: query, startedAt: time.Now(), progress: &callProgress{}, cancel: cancel,
+		address:   address,
+		query:     query,
+		startedAt: time.Now(),
+		progress:  &callProgress{},
+		cancel:    cancel,
 	}
 	c.calls = append(c.calls, started)
 	c.routines.Go(func() {
@@ -75,16 +82,17 @@
 	return started
 }
 
-// detach leaves a call in flight that nobody waits for any more. One that has not reached the service is
-// cancelled: it has no response on its way.
+// detach leaves a call in flight whose follower no longer waits for it. A call that has no connection yet is
+// cancelled: the service cannot have written a response to it.
 func (c *inFlightCalls) detach(detached *call) {
 	if detached.progress.current() < phaseWriting {
 		c.remove(detached)
 	}
 }
 
-// complete ends a call that has been received from done. If it has returned a list, it supersedes the calls
-// that started before it. It returns true if the list is to be used: the call has not been superseded itself.
+// complete ends a call that has been received from done. A call that has returned a list supersedes those that
+// started before it. complete reports whether the list is to be used: it is not if the call has failed or was
+// superseded itself.
 func (c *inFlightCalls) complete(done *call) bool {
 	index := slices.Index(c.calls, done)
 	if index < 0 {
@@ -98,14 +106,14 @@
 	return true
 }
 
-// supersede cancels the oldest calls.
+// supersede removes the given number of the oldest calls.
 func (c *inFlightCalls) supersede(count int) {
 	for _, superseded := range slices.Clone(c.calls[:count]) {
 		c.remove(superseded)
 	}
 }
 
-// remove cancels a call, whose result is of no use any more. Every call ends here.
+// remove cancels a call whose result is no longer of use, or has been received. Every call ends here.
 func (c *inFlightCalls) remove(ended *call) {
 	ended.cancel()
 	c.calls = slices.DeleteFunc(c.calls, func(other *call) bool { return other == ended })
--- a/internal/discovery/outage.go
+++ b/internal/discovery/outage.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// outage counts the calls that have failed since the last list.
+// outage counts the calls that have failed since the last list arrived, for the log.
 type outage struct {
 	failures  int
 	startedAt time.Time // start of the first failed call
--- a/internal/discovery/progress.go
+++ b/internal/discovery/progress.go
@@ -7,7 +7,7 @@
 	"sync/atomic"
 )
 
-// callPhase is what a call waits for.
+// callPhase is how far a call has come.
 type callPhase int32
 
 // The phases of a call, in their order.
@@ -18,7 +18,7 @@
 	phaseConnecting
 	// phaseWriting is a call that has a connection.
 	phaseWriting
-	// phaseWaiting is a call that is written and has no byte of a response.
+	// phaseWaiting is a call that has been written and has no byte of a response yet.
 	phaseWaiting
 	// phaseReading is a call whose response has begun.
 	phaseReading
@@ -44,11 +44,11 @@
 // callProgress records how far a call has come. The HTTP client updates it from goroutines of its own.
 type callProgress struct{ phase atomic.Int32 }
 
-// enter records that a call has reached a phase. It never goes back: a connection that is opened for a call
-// and no longer needed reports late.
+// enter records that a call has reached a phase. The phase never goes back: the HTTP client may report the
+// connection attempt of a call after the call has got another connection.
 func (p *callProgress) enter(phase callPhase) {
-	for now := p.phase.Load(); now < int32(phase); now = p.phase.Load() {
-		if p.phase.CompareAndSwap(now, int32(phase)) {
+	for reached := p.phase.Load(); reached < int32(phase); reached = p.phase.Load() {
+		if p.phase.CompareAndSwap(reached, int32(phase)) {
 			return
 		}
 	}
@@ -57,7 +57,7 @@
 // current returns the phase of the call.
 func (p *callProgress) current() callPhase { return callPhase(p.phase.Load()) }
 
-// track returns a context whose calls update the progress.
+// track returns a context for the HTTP request of the call, which makes the HTTP client update the progress.
 func (p *callProgress) track(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		ConnectStart:         func(string, string) { p.enter(phaseConnecting) },
--- a/internal/discovery/query.go
+++ b/internal/discovery/query.go
@@ -18,11 +18,11 @@
 // maxListBytes bounds the body of a response.
 const maxListBytes = 8 << 20
 
-// query is one query to the service.
+// query is a query for the complete list, or for the changes after a generation.
 type query struct {
 	url      string
-	complete bool   // it is for the complete list
-	after    uint64 // otherwise for what is newer than this generation
+	complete bool   // for the complete list
+	after    uint64 // the generation, if the query is not for the complete list
 }
 
 // completeListQuery returns the query for the complete list.
@@ -30,7 +30,7 @@
 	return query{url: "http://" + address + listPath, complete: true}
 }
 
-// watchQuery returns the query for what is newer than a generation. It is a long poll.
+// watchQuery returns the query for the changes after a generation. It is a long poll.
 func watchQuery(address string, after uint64) query {
 	return query{
 		url: "http://" + address + listPath + "?after=" + strconv.FormatUint(after, 10) +
@@ -49,7 +49,7 @@
 	if err != nil {
 		return endpoint.List{}, transportError(err)
 	}
-	defer func() { _ = response.Body.Close() }() // nothing of the body is used any more
+	defer func() { _ = response.Body.Close() }() // the body has been read, or its error is returned
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxListBytes))
 	if err != nil {
 		return endpoint.List{}, transportError(err)
@@ -60,7 +60,8 @@
 	return query.decode(body)
 }
 
-// decode reads a list from the body of a response.
+// decode reads a list from the body of a response. The response to a query for the complete list is complete,
+// whether or not it says so.
 func (q query) decode(body []byte) (endpoint.List, error) {
 	var list endpointjson.List
 	if err := json.Unmarshal(body, &list); err != nil {
