--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -3,6 +3,10 @@
 // policy and carries out its actions over packages upstream and discovery. It makes no
 // balancing decision of its own, and only the loop's goroutine calls the policy.Balancer.
 // The balancer program is its caller.
+//
+// The types event, requestState and attemptState say what may happen while a node serves,
+// shutdown.run in which order it stops. If the listener fails, the node logs "accepting
+// connections failed" and shuts down gracefully.
 package node
 
 import (
@@ -22,11 +26,10 @@
 
 const (
 	ownDescriptors = 24 // standard streams, runtime, listener, discovery
-	// upstreamShare is the servers' share of the other descriptors. The clients get more:
+	// upstreamShare is the share of the other descriptors that connections to servers get. Clients get more, as
 	// their connections may be unused or idle.
 	upstreamShare = 0.45
-	// reserveDivisor gives the part of the descriptors for clients over the limit, which
-	// are rejected.
+	// reserveDivisor divides the other descriptors: one part is for clients over the limit, which are rejected.
 	reserveDivisor = 20
 )
 
@@ -57,7 +60,7 @@
 // Addr returns the address at which the node listens.
 func (n *Node) Addr() net.Addr { return n.listener.Addr() }
 
-// SetDiscoveryAddress has the node follow the endpoint list at another address. It must not be
+// SetDiscoveryAddress makes the node follow the endpoint list at another address. It must not be
 // called concurrently.
 func (n *Node) SetDiscoveryAddress(addr string) { n.discovery.SetAddress(addr) }
 
@@ -83,18 +86,6 @@
 	return shutdownErr
 }
 
-// awaitShutdown returns nil when the context ends, and an error if serving ends before.
-func (s *service) awaitShutdown(ctx context.Context) error {
-	select {
-	case err := <-s.serveResult:
-		slog.Error("accepting connections failed", "err", err)
-		s.serveResult <- err // shutdown waits for it
-		return fmt.Errorf("serve: %w", err)
-	case <-ctx.Done():
-		return nil
-	}
-}
-
 // service owns the parts of a running node and their goroutines.
 type service struct {
 	cfg         *config.Config
@@ -139,6 +130,18 @@
 	go func() { s.serveResult <- s.server.Serve(s.listener) }()
 }
 
+// awaitShutdown returns nil when the context ends, and an error if serving ends before.
+func (s *service) awaitShutdown(ctx context.Context) error {
+	select {
+	case err := <-s.serveResult:
+		slog.Error("accepting connections failed", "err", err)
+		s.serveResult <- err // shutdown waits for it
+		return fmt.Errorf("serve: %w", err)
+	case <-ctx.Done():
+		return nil
+	}
+}
+
 // stop closes the remaining connections, cancels the parts and waits for their goroutines.
 // Serve has returned by then; the goroutines of handlers return with their connections and the
 // loop. After a shutdown each request has its final response, unless its client does not read it.
@@ -155,7 +158,7 @@
 	reserve    int // from clients over the limit
 }
 
-// divideDescriptors divides the file descriptors of a node among its connections.
+// divideDescriptors divides the file descriptors of a node between its connections.
 func divideDescriptors(descriptors int) connectionLimits {
 	available := descriptors - ownDescriptors
 	servers := int(upstreamShare * float64(available))
