--- a/internal/node/host.go
+++ b/internal/node/host.go
@@ -10,8 +10,8 @@
 	"calicohinge/policy"
 )
 
-// policyHost carries out the balancer's actions. Its methods are called in the loop's goroutine, from within
-// the balancer's methods. What they have to report back is deferred to after the present event.
+// policyHost carries out the balancer's actions. The balancer calls its methods in the loop's goroutine, from
+// within its own. They report results with deferred events, which the loop handles after the present one.
 type policyHost struct {
 	clock       *clock
 	queue       *eventQueue
@@ -27,7 +27,7 @@
 // watcher starts a watch of the endpoint list.
 type watcher interface{ RequestWatch() }
 
-// Send implements policy.Host.
+// Send implements policy.Host. It starts an attempt, or reports NotSent if the request allows none any more.
 func (h *policyHost) Send(id policy.RequestID, server policy.ServerID, timeout time.Duration) {
 	req := h.requests.get(id)
 	if req == nil {
@@ -53,21 +53,22 @@
 	})
 }
 
-// limitToKeyRetention keeps a repeat of a request with an idempotency key from being written
-// once servers may have forgotten the key. Retention counts from the first attempt that may
-// have been executed. Which of the attempts in flight gets its connection first is open, so all
-// of them get the same write deadline.
+// limitToKeyRetention prevents a retry of a request with an idempotency key from being written once servers
+// may have forgotten the key. They keep it from the first attempt on that may have been executed. Any of the
+// attempts since that one may get its connection first, so all of them get the same write deadline.
 func (h *policyHost) limitToKeyRetention(req *request, index int) {
 	class := &h.classes[req.class]
 	first := slices.IndexFunc(req.attempts, func(a *attempt) bool { return a.state != attemptNotExecuted })
-	if class.Idempotency != policy.IdempotentWithKey || first >= index {
+	isRetry := first < index
+	if class.Idempotency != policy.IdempotentWithKey || !isRetry {
 		return
 	}
-	end := h.clock.toTime(req.attempts[first].sentAt + class.KeyRetention)
+	retentionEnd := h.clock.toTime(req.attempts[first].sentAt + class.KeyRetention)
 	for _, a := range req.attempts[first:] {
-		a.call.SetWriteDeadline(end)
+		a.call.SetWriteDeadline(retentionEnd)
 	}
-	req.attempts[index].timer = time.AfterFunc(time.Until(end), func() { h.queue.post(keyRetentionExpired{req, index}) })
+	expire := func() { h.queue.post(keyRetentionExpired{req, index}) }
+	req.attempts[index].timer = time.AfterFunc(time.Until(retentionEnd), expire)
 }
 
 // Cancel implements policy.Host.
@@ -89,7 +90,7 @@
 	h.complete(id, response{status: http.StatusBadGateway})
 }
 
-// complete completes a request by the balancer's decision, unless it is completed.
+// complete completes an active request by the balancer's decision.
 func (h *policyHost) complete(id policy.RequestID, final response) {
 	req := h.requests.get(id)
 	if req == nil || !req.complete(completion{response: final}) {
