--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -11,19 +11,20 @@
 	"calicohinge/internal/config"
 )
 
-// The platform kills a node killDeadlineExtra after the longest request deadline from SIGTERM on,
-// of which killDeadlineCap counts at most. The grace period ends killDeadlineMargin before
-// that: a process may be paused for 150 ms, and the last responses take some time to write.
+// After SIGTERM the platform waits for the longest request deadline, but at most killDeadlineCap, and for
+// killDeadlineExtra. Then it kills the node.
 const (
-	killDeadlineCap    = 3 * time.Second
-	killDeadlineExtra  = 700 * time.Millisecond
+	killDeadlineCap   = 3 * time.Second
+	killDeadlineExtra = 700 * time.Millisecond
+	// killDeadlineMargin is how long before that the grace period ends: a process may be paused for 150 ms, and
+	// the last responses take some time to write.
 	killDeadlineMargin = 250 * time.Millisecond
 )
 
 // The phases of a shutdown.
 const (
-	// quietPeriod is how long clients are still assigned to a node that is not ready any
-	// more, and how long no request must have come for the node to drain early.
+	// quietPeriod is how long the platform still assigns clients to a node that is no longer ready. The node
+	// drains early once no request has come for as long.
 	quietPeriod = 500 * time.Millisecond
 	// quietPollInterval is how often a node that shuts down checks for the quiet period.
 	quietPollInterval = 10 * time.Millisecond
@@ -35,13 +36,13 @@
 	// writePeriod is how long after the grace period the last responses may be written, for
 	// instance to a client that does not read. The node exits before it is killed.
 	writePeriod = killDeadlineMargin / 2
-	// minWritePeriod is the least time for writing the last responses, also if a process that
-	// was paused comes to them after its grace period.
+	// minWritePeriod is the least time for writing the last responses. It also holds for a process that was
+	// paused and writes them after its grace period.
 	minWritePeriod = 100 * time.Millisecond
 )
 
-// shutdownGracePeriod returns how long a graceful shutdown may take. A request that is active
-// for longer is completed at its end, as failed if necessary: the node would be killed under it.
+// shutdownGracePeriod returns how long a graceful shutdown may take. Requests that are still active at its end
+// are completed then, as failed if necessary: otherwise the platform would kill the node before they are.
 func shutdownGracePeriod(cfg *config.Config) time.Duration {
 	longest := time.Duration(0)
 	for _, class := range cfg.Policy.Classes {
@@ -57,7 +58,7 @@
 	began        time.Time
 	beganOnClock time.Duration
 	deadline     time.Time // end of the grace period
-	terminated   bool      // terminateRequests has had its effect
+	terminated   bool      // terminateRequests has terminated the requests
 }
 
 // shutdown completes the accepted requests and closes the connections, within the grace
@@ -108,7 +109,7 @@
 	}
 }
 
-// startDraining has each response close its connection from now on.
+// startDraining makes each response close its connection from now on.
 func (s *shutdown) startDraining() {
 	s.logStep("draining connections")
 	s.handler.draining.Store(true)
@@ -122,8 +123,8 @@
 	s.conns.Drain(limit)
 }
 
-// terminateRequests has all active requests completed, and those that still arrive rejected at once,
-// unless no connection is open. It may be called again, which has an effect only if none was.
+// terminateRequests completes all active requests, and rejects those that still arrive. It does nothing if no
+// connection is open, or if an earlier call has done it.
 func (s *shutdown) terminateRequests() {
 	if s.terminated || s.conns.Open() == 0 {
 		return
@@ -133,8 +134,8 @@
 	s.loop.terminateAll()
 }
 
-// stopAccepting closes the listener once the connections in its queue are accepted. It
-// returns why accepting ended if that was not the reason.
+// stopAccepting closes the listener once the connections in its queue are accepted. It returns an error if
+// accepting ended for another reason.
 func (s *shutdown) stopAccepting(ctx context.Context) error {
 	limit, cancel := s.withWritePeriod(ctx)
 	defer cancel()
@@ -145,7 +146,7 @@
 	return nil
 }
 
-// drainUntilDeadline goes on draining to the end of the grace period, or for longer if that is near:
+// drainUntilDeadline goes on draining until the end of the grace period, but for terminationPeriod at least:
 // clients may have just connected and be sending a request.
 func (s *shutdown) drainUntilDeadline(ctx context.Context) {
 	limit, cancel := context.WithTimeout(ctx, max(terminationPeriod, time.Until(s.deadline)))
@@ -161,8 +162,8 @@
 	s.conns.Shutdown(limit)
 }
 
-// withWritePeriod returns the context of a step that must not be left out at the end of a shutdown,
-// also if it is late.
+// withWritePeriod returns the context of one of the last steps. It leaves minWritePeriod at least, as a step
+// that begins late must not be left out.
 func (s *shutdown) withWritePeriod(ctx context.Context) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(ctx, max(minWritePeriod, time.Until(s.deadline.Add(writePeriod))))
 }
