--- a/internal/node/discovery_handler.go
+++ b/internal/node/discovery_handler.go
@@ -16,12 +16,11 @@
 	queue  *eventQueue
 	starts *processstart.Registry
 	zones  map[string]int // indexes of the configured zones by name
-	synced atomic.Bool    // an endpoint list is known; any goroutine may read it
+	synced atomic.Bool    // the node has an endpoint list; any goroutine may read it
 }
 
-// UpdateEndpoints implements discovery.Handler. The pool learns the servers' addresses
-// before the balancer learns of the servers. Endpoints that have no ID, or need an address
-// and have none, are skipped.
+// UpdateEndpoints implements discovery.Handler. It skips endpoints without an ID, and those that are ready but
+// have no address.
 func (d *discoveryHandler) UpdateEndpoints(kind policy.UpdateKind, list []endpoint.Endpoint) {
 	update := endpointsUpdated{kind: kind}
 	starts := d.starts.Update(kind, list, processstart.Moment{Clock: d.clock.now(), Wall: time.Now()})
--- a/internal/node/event_queue.go
+++ b/internal/node/event_queue.go
@@ -3,8 +3,9 @@
 // eventQueueSize is how many events may wait before their senders block.
 const eventQueueSize = 1024
 
-// eventQueue holds the events that wait for the loop. Other goroutines post events; host calls, which must
-// not call the balancer back, defer theirs to right after the event that the loop is handling.
+// eventQueue holds the events that wait for the loop. Other goroutines post events. The methods of policyHost
+// run within a call of the balancer and must not call it back: they defer their events until the loop has
+// handled the present one.
 type eventQueue struct {
 	posted   chan event
 	done     <-chan struct{} // closed when the loop ends
@@ -25,10 +26,10 @@
 	}
 }
 
-// deferEvent has an event handled after the present one and those that were deferred before.
+// deferEvent adds an event that the loop handles after the present one and those that were deferred before.
 func (q *eventQueue) deferEvent(e event) { q.deferred = append(q.deferred, e) }
 
-// takeDeferred returns the next deferred event, nil if there is none.
+// takeDeferred removes and returns the next deferred event, nil if there is none.
 func (q *eventQueue) takeDeferred() event {
 	if len(q.deferred) == 0 {
 		return nil
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -8,8 +8,8 @@
 	"calicohinge/policy"
 )
 
-// event is a message to the loop. handle runs in the loop's goroutine and makes one call, of the method
-// that handles this kind of event.
+// event is a message to the loop. handle runs in the loop's goroutine and calls the one method of loop that
+// handles this kind of event.
 type event interface {
 	handle(l *loop, now time.Duration)
 }
@@ -29,8 +29,8 @@
 
 func (e deadlineExpired) handle(l *loop, now time.Duration) { l.expireDeadline(now, e.request) }
 
-// outcomeReceived is sent by the goroutine that carries out an attempt and by the attempt's
-// timer, and deferred by the host calls that cancel one or do not send it.
+// outcomeReceived is sent by the goroutine that carries out an attempt and by the attempt's timer. It is
+// deferred by policyHost.Cancel, and by policyHost.Send if the attempt is not sent.
 type outcomeReceived struct {
 	request *request
 	index   int // of the attempt in the request
@@ -52,7 +52,7 @@
 	l.expireKeyRetention(now, e.request, e.index)
 }
 
-// requestCompletedByHost is deferred by the host calls that complete a request.
+// requestCompletedByHost is deferred by policyHost.Reject and policyHost.Fail.
 type requestCompletedByHost struct{ request *request }
 
 func (e requestCompletedByHost) handle(l *loop, _ time.Duration) { l.release(e.request) }
@@ -73,7 +73,7 @@
 
 // watchFailed is sent by the discovery client.
 type watchFailed struct {
-	notifiedAt time.Duration // on the node's clock: when changes that were missed count as notified
+	notifiedAt time.Duration // on the node's clock: when the node counts as notified of missed changes
 }
 
 func (e watchFailed) handle(l *loop, now time.Duration) { l.failWatch(now, e.notifiedAt) }
--- a/internal/node/forwarded_request.go
+++ b/internal/node/forwarded_request.go
@@ -13,15 +13,14 @@
 )
 
 const (
-	// maxResponseRead is how long a server may take at most from the first byte of its
-	// response to the last.
+	// maxResponseRead is how long a server may take at most from the first byte of its response to the last.
 	maxResponseRead = 150 * time.Millisecond
-	// responseReadDivisor gives the part of the latency objective for the read of a response, so
-	// that one that breaks off leaves time for a retry.
+	// responseReadDivisor divides the latency objective: a response may be read for one part of it, so that an
+	// incomplete response leaves time for a retry.
 	responseReadDivisor = 2
 )
 
-// forwardedRequest returns what is sent to servers.
+// forwardedRequest returns the request that is sent to servers.
 func forwardedRequest(r *http.Request, body []byte, class *policy.Class) upstream.Request {
 	return upstream.Request{
 		Method: r.Method,
--- a/internal/node/framing.go
+++ b/internal/node/framing.go
@@ -4,10 +4,10 @@
 
 const maxBody = 64 << 10 // bytes of a request's body
 
-// checkFraming rejects messages whose end this node and another one on the request path might see
-// in different places: what is a body to one is a request to the other (request smuggling).
-// net/http keeps Transfer-Encoding and drops a Content-Length beside it, and the
-// reverse in HTTP/1.0, so only the absence of both coding and old version is clear.
+// checkFraming rejects messages whose end this node and another program on the request path might see in
+// different places: the body that one sees is a request to the other (request smuggling). If a message has both
+// Transfer-Encoding and Content-Length, net/http drops one of them: Content-Length in HTTP/1.1, the other in
+// HTTP/1.0. The end is therefore certain only in HTTP/1.1 without a transfer coding.
 func checkFraming(r *http.Request) error {
 	switch {
 	case !r.ProtoAtLeast(1, 1):
--- a/internal/node/handler.go
+++ b/internal/node/handler.go
@@ -14,14 +14,14 @@
 
 const (
 	maxHeader = 16 << 10 // bytes of a request's head
-	// readTimeout is how long a client may take from its connection, or a request's
-	// first byte, to the request's last byte, whatever its deadline: one that sends
-	// half a request has to be disconnected within 3 s of connecting.
+	// readTimeout is how long a client may take to send a request, from its connection or the request's first
+	// byte on, whatever the request's deadline. A client that sends half a request has to be disconnected
+	// within 3 s of connecting.
 	readTimeout = 2 * time.Second
 	// idleTimeout is how long a client's connection may wait for its next request.
 	idleTimeout = 10 * time.Second
-	// writeTimeout is how long after its deadline a client may still take its response.
-	// One that reads nothing would otherwise keep its connection open.
+	// writeTimeout is how long after a request's deadline its client may still read the response. Without it, a
+	// client that reads nothing would keep its connection open.
 	writeTimeout = 500 * time.Millisecond
 	// readinessPath is the path of the health check.
 	readinessPath = "/health/ready"
@@ -74,14 +74,14 @@
 	}
 }
 
-// clientConnection returns the connection of a request; nil if it is none of downstream.
+// clientConnection returns the connection of a request, nil if package downstream did not accept it.
 func clientConnection(r *http.Request) *downstream.Conn {
 	conn, _ := r.Context().Value(connKey{}).(*downstream.Conn)
 	return conn
 }
 
-// serve writes the response to any request, and counts it. The error is errClientDisconnected: there is
-// no response to write.
+// serve writes the response to a request, and counts invalid requests and disconnected clients. The only error is
+// errClientDisconnected: then there is no response to write.
 func (h *handler) serve(w http.ResponseWriter, r *http.Request) error {
 	err := h.route(w, r)
 	if errors.Is(err, errClientDisconnected) {
@@ -146,8 +146,8 @@
 	})
 }
 
-// submit waits for a request's final response and writes it. The error is a *rejectionError, or
-// errClientDisconnected if nobody waits for the response.
+// submit passes a request to the loop, waits for its final response and writes it. The error is a
+// *rejectionError, or errClientDisconnected if nobody waits for the response.
 func (h *handler) submit(w http.ResponseWriter, r *http.Request, parsed *request) error {
 	id := parsed.Header.Get("X-Request-Id")
 	if !h.activeIDs.reserve(id) {
@@ -155,15 +155,15 @@
 	}
 	h.lastRequest.Store(int64(h.loop.clock.now()))
 	control := http.NewResponseController(w)
-	// net/http goes on reading, to see the client disconnect. The deadline of the
-	// request's own bytes would look like that. A broken connection shows elsewhere.
+	// net/http goes on reading to notice that the client disconnects. The read deadline of the request would
+	// look like a disconnect. An error is ignored: a broken connection shows elsewhere.
 	_ = control.SetReadDeadline(time.Time{})
 	final, err := h.loop.submit(r.Context(), parsed)
 	h.activeIDs.release(id)
 	if err != nil {
 		return err
 	}
-	// If the connection is broken, so is the write.
+	// An error is ignored: on a broken connection the write fails as well.
 	_ = control.SetWriteDeadline(time.Now().Add(parsed.deadline - h.loop.clock.now() + writeTimeout))
 	h.writeFinal(w, final)
 	return nil
@@ -182,8 +182,8 @@
 	return h.loop.clock.now()-max(at, last) < quietPeriod
 }
 
-// contextConn is the client connection of a request that came over none of downstream. It shows the
-// end of the request's context.
+// contextConn is the client connection of a request whose connection package downstream did not accept. Its
+// client counts as disconnected once the request's context ends.
 type contextConn struct{ done <-chan struct{} }
 
 // ClientDisconnected implements clientConn.
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -12,7 +12,7 @@
 	"calicohinge/policy"
 )
 
-// errClientDisconnected says that a request has no final response since nobody waits for one.
+// errClientDisconnected says that a request has no final response because its client has disconnected.
 var errClientDisconnected = errors.New("client disconnected")
 
 // loop drives the balancer: its goroutine handles one event after the other, and nothing else calls the
@@ -82,17 +82,17 @@
 	}
 }
 
-// handle handles an event and those that host calls defer meanwhile. An event's time is when it is
-// taken from the queue, not when it was sent.
+// handle handles an event and those that policyHost defers meanwhile. The time of an event is when the loop
+// takes it from the queue, not when it was posted.
 func (l *loop) handle(next event) {
 	for ; next != nil; next = l.queue.takeDeferred() {
 		next.handle(l, l.clock.now())
 	}
 }
 
-// submit has the balancer decide on a request and waits for its final response. The error is
-// errClientDisconnected, also when ctx ends. Once the loop has ended nothing can be decided:
-// the request is rejected if it was never forwarded, and has failed otherwise.
+// submit passes a request to the balancer and waits for its final response. The error is
+// errClientDisconnected, also when ctx ends. The balancer decides nothing once the loop has ended: a request
+// that comes later is rejected, and one that was active then gets lastResponse.
 func (l *loop) submit(ctx context.Context, req *request) (response, error) {
 	req.completion = make(chan completion, 1)
 	if !l.queue.post(requestArrived{req}) {
@@ -109,7 +109,8 @@
 	}
 }
 
-// lastResponse returns the final response to a request that was active as the loop ended.
+// lastResponse returns the final response to a request that was active as the loop ended. Without a decision
+// of the balancer, the request has failed.
 func lastResponse(req *request) (response, error) {
 	select {
 	case final := <-req.completion:
@@ -124,11 +125,11 @@
 	return response{status: http.StatusServiceUnavailable, retryAfter: l.retryAfter}
 }
 
-// terminateAll has every active request completed and later ones, which were never
-// forwarded, rejected at once.
+// terminateAll makes the balancer complete every active request. Later requests are rejected at once, before
+// any attempt.
 func (l *loop) terminateAll() { l.queue.post(terminated{}) }
 
-// arrive hands a new request to the balancer.
+// arrive passes a new request to the balancer, or rejects it after termination.
 func (l *loop) arrive(now time.Duration, req *request) {
 	req.arrive(l.requests.newID())
 	if l.terminated {
@@ -161,8 +162,8 @@
 	}
 }
 
-// receiveOutcome reports the outcome of an attempt. If it was not sent since its client had
-// disconnected, the event of that has still to come.
+// receiveOutcome reports the outcome of an attempt. If the attempt was not sent because its client had
+// disconnected, the loop has not handled clientDisconnected yet: the request is completed first.
 func (l *loop) receiveOutcome(now time.Duration, req *request, index int, result upstream.Result) {
 	if result.ClientDisconnected {
 		l.disconnect(now, req)
@@ -200,12 +201,13 @@
 	}
 }
 
-// fireTimer hands a timer that the balancer requested back to it.
+// fireTimer passes the token of a timer that has fired to the balancer, which requested it.
 func (l *loop) fireTimer(now time.Duration, token uint64) { l.balancer.Timer(now, token) }
 
-// updateEndpoints applies an update of the endpoint list. Attempts that must not reach their servers any
-// more are revoked first. Their outcomes are reported after the update, so that the balancer sends their
-// requests to servers of the new list.
+// updateEndpoints applies an update of the endpoint list. The pool learns the servers' addresses before the
+// balancer learns of the servers. Attempts that must no longer reach their servers are revoked first. The loop
+// reports their outcomes after the update, so that the balancer sends their requests
+// to servers of the new list.
 func (l *loop) updateEndpoints(now time.Duration, update endpointsUpdated) {
 	revoked := l.requests.revokeAttemptsAt(l.pool.UpdateEndpoints(update.kind, update.forPool))
 	l.balancer.UpdateEndpoints(now, update.kind, update.forBalancer)
@@ -214,10 +216,11 @@
 	}
 }
 
-// failWatch has the balancer start a new watch before the changes that were missed count as notified.
+// failWatch reports a failed watch. The balancer requests another one before the node counts as notified of
+// the changes that it has missed.
 func (l *loop) failWatch(now, notifiedAt time.Duration) { l.balancer.WatchFailed(now, notifiedAt) }
 
-// terminate has the balancer complete every active request.
+// terminate makes the balancer complete every active request, and rejects later ones.
 func (l *loop) terminate(now time.Duration) {
 	l.terminated = true
 	l.balancer.TerminateAll(now)
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -21,7 +21,7 @@
 	costHint      time.Duration // 0: unknown
 	deadline      time.Duration // on the node's clock: by when the response must be written
 	client        clientConn
-	completion    chan completion // has capacity for the only one
+	completion    chan completion // buffered: the loop sends one completion and never blocks
 
 	// Only the loop's goroutine uses the fields below.
 	id            policy.RequestID
@@ -31,7 +31,7 @@
 	deadlineTimer *time.Timer
 }
 
-// completion is how a request completed for its client: with a response, or an error if there is none.
+// completion is the result of a request for its client: the final response, or an error if there is none.
 type completion struct {
 	response response
 	err      error
@@ -43,5 +43,5 @@
 	server policy.ServerID
 	sentAt time.Duration // on the node's clock
 	state  attemptState
-	timer  *time.Timer // ends the attempt; nil: only the request's deadline does
+	timer  *time.Timer // ends the attempt before the request's deadline; may be nil
 }
--- a/internal/node/request_parser.go
+++ b/internal/node/request_parser.go
@@ -13,8 +13,8 @@
 const (
 	maxIDLength  = 128 // bytes of an X-Request-ID
 	maxValueBits = 31  // of numbers in headers
-	// responseMargin is kept between a final response and the client's deadline: the request travels to
-	// this node first, and the response's last byte back to the client.
+	// responseMargin is the time between the deadline for the final response and that of the client. The request
+	// has to travel to this node, and the response back to the client.
 	responseMargin = 10 * time.Millisecond
 )
 
@@ -24,8 +24,8 @@
 	clock *clock
 }
 
-// parse validates a request whose framing is checked, and reads its body. The error is a
-// *rejectionError, or that of the body's reader.
+// parse validates a request whose framing has been checked, and reads its body. The error is a
+// *rejectionError, or that of readBody.
 func (p *requestParser) parse(r *http.Request) (*request, error) {
 	classIndex, err := p.parseClass(r)
 	if err != nil {
@@ -59,8 +59,8 @@
 	}, nil
 }
 
-// timeInQueue returns how long a request may have waited for its connection to be accepted. The
-// client's time has been running meanwhile, and no server may get more than is left of it.
+// timeInQueue returns how long a request may have waited for its connection to be accepted. That time counts
+// against the client's timeout.
 func timeInQueue(r *http.Request) time.Duration {
 	if conn := clientConnection(r); conn != nil {
 		return conn.QueueTime()
@@ -99,8 +99,8 @@
 	return time.Duration(timeout) * time.Millisecond, nil
 }
 
-// parseCostHint returns the client's estimate of the work, which is in microseconds. It is
-// optional, and one that can't be read counts as none.
+// parseCostHint returns the client's estimate of the work, which the header gives in microseconds. It is 0 if
+// the header is missing or malformed.
 func parseCostHint(r *http.Request) time.Duration {
 	hint, _ := strconv.ParseUint(singleValue(r.Header["X-Cost"]), 10, maxValueBits)
 	return time.Duration(hint) * time.Microsecond
--- a/internal/node/request_table.go
+++ b/internal/node/request_table.go
@@ -39,9 +39,9 @@
 	index   int // of the attempt in the request
 }
 
-// revokeAttemptsAt revokes the attempts at the given servers of which no byte has been written, and
-// returns them. One that waits for its connection could be sent after the grace that a drain allows,
-// or reach another process at the same address.
+// revokeAttemptsAt revokes the attempts to the given servers that still wait for a connection, and returns
+// them. Such an attempt could be sent after the grace period of a drain, or reach another process at the same
+// address.
 func (t *requestTable) revokeAttemptsAt(servers upstream.RevokedServers) []attemptRef {
 	var revoked []attemptRef
 	for _, req := range t.active {
--- a/internal/node/transitions.go
+++ b/internal/node/transitions.go
@@ -13,7 +13,7 @@
 //	                                  policyHost.Reject, policyHost.Fail: the balancer's decision
 //	release     completed  released   loop.release, once no attempt is in flight
 //
-// A request that is rejected after termination is never active for the balancer, and not released.
+// A request that arrives after termination is rejected without the balancer, and needs no release.
 type requestState uint8
 
 const (
@@ -23,14 +23,14 @@
 	requestReleased                      // neither the loop nor the balancer knows it any more
 )
 
-// attemptState is the state of an attempt for the balancer. While it is in flight its upstream.Call has a
-// state as well, since the goroutine that carries out the attempt changes that: it is unsent as long as
-// the attempt waits for its connection, then sending or revoked.
+// attemptState is the state of an attempt for the balancer. An attempt in flight also has the state of its
+// upstream.Call, which the goroutine that carries out the attempt may change: unsent as long as the attempt
+// waits for its connection, then sending or revoked.
 //
 //	transition  from       to                 made by
 //	start       -          in flight, unsent  policyHost.Send
 //	send        unsent     sending            upstream.Pool.Send, before the first byte
-//	revoke      unsent     revoked            request.complete: the client waits no more
+//	revoke      unsent     revoked            request.complete: the client no longer waits
 //	                                          loop.expireKeyRetention: the server may have forgotten
 //	                                          the idempotency key
 //	                                          loop.updateEndpoints: the server was removed, drains, or
@@ -43,7 +43,7 @@
 const (
 	attemptInFlight    attemptState = iota // the balancer has no outcome yet
 	attemptReported                        // the balancer has its outcome; it may have been executed
-	attemptNotExecuted                     // the same; it is known not to have been executed
+	attemptNotExecuted                     // the balancer has its outcome; it has not been executed
 )
 
 // arrive makes a new request active under its ID.
