--- a/internal/processstart/estimator.go
+++ b/internal/processstart/estimator.go
@@ -8,31 +8,33 @@
 )
 
 const (
-	// youngDivisor gives the part of the servers, a quarter, of which at most may be warming up on a
-	// node's first list for it to rely on the servers' clock: package policy learns what a warm server
-	// gets while three quarters are warm.
+	// youngDivisor limits the part of the servers that may be warming up on a node's first list. At up to a
+	// quarter, the node uses the servers' clock: package policy learns the load of a warm server while three
+	// quarters are warm.
 	youngDivisor = 4
 	// maxAge is longer than any process runs.
 	maxAge = 100 * 365 * 24 * time.Hour
 )
 
-// estimator estimates when a process started on the node's clock, which is monotonic. The wall clocks of the
-// node's machine and of the servers' may be wrong from the beginning, or stepped. A process that counts as
-// older than it is could be overloaded while it warms up, so its age is the least of what three clocks
-// say, each of which may be wrong:
+// estimator estimates the start of a process on the node's clock, which is monotonic. The wall clocks of the
+// node's machine and of the servers' machines may be wrong from the beginning, or be stepped. A process that
+// counts as older than it is could be overloaded while it warms up. Its age is therefore the least of three,
+// each of which may be wrong:
 //
-//   - the wall clock of the node's machine;
-//   - the servers' own clock, as far as their starts show it, where it can be relied on;
-//   - the time since discovery last responded without the process.
+//   - the age by the wall clock of the node's machine;
+//   - the age by the servers' own clock, which their starts show, if useServerClock permits it;
+//   - the time since discovery last responded, when the list did not have the process yet.
 type estimator struct {
 	origin    time.Time     // wall time when the node's clock showed 0
 	slowStart time.Duration // how long a process takes to warm up
 	syncedAt  time.Duration // on the node's clock: when discovery last responded; 0: not yet
 
 	serverOrigin   time.Time // the servers' wall time when the node's clock showed 0; zero: unknown
-	useServerClock bool      // the ages by the servers' clock can be compared with the others
+	useServerClock bool      // the estimates of the present update use the servers' clock
 }
 
+// newEstimator returns an estimator that knows nothing of the servers' clock. The wall time origin is kept
+// without its monotonic reading, so that it is compared with other wall times.
 func newEstimator(origin time.Time, slowStart time.Duration) estimator {
 	return estimator{origin: origin.Round(0), slowStart: slowStart}
 }
@@ -41,7 +43,7 @@
 func (e *estimator) synced(now time.Duration) { e.syncedAt = now }
 
 // observe learns the servers' clock from the endpoints of an update, and decides whether the estimates
-// for that update use it.
+// for that update use it: always once discovery has responded, before that only if few servers are young.
 func (e *estimator) observe(list []endpoint.Endpoint, now time.Duration) {
 	e.learnServerClock(list, now)
 	e.useServerClock = e.syncedAt > 0 || e.fewAreYoung(list, now)
@@ -63,10 +65,10 @@
 	return max(0, now.Clock-age)
 }
 
-// ageByWallClock returns the age of a process by the wall clock of the node's machine. If that was stepped
-// since the node's start, the step may have been that of all machines or of this one alone, so
-// that either the present time of day or that of the node's start tells the age. It is the
-// lesser of both that are possible, 0 if none is.
+// ageByWallClock returns the age of a process by the wall clock of the node's machine. That clock may have been
+// stepped since the node's start, alone or with those of all machines. The age counts either from the present
+// time of day or from that of the node's start. ageByWallClock returns the lesser age of the two; a negative one
+// is impossible and is left out, and if both are, the age is 0.
 func (e *estimator) ageByWallClock(startedAt time.Time, now Moment) time.Duration {
 	byOrigin := now.Clock - startedAt.Sub(e.origin)
 	byPresent := now.Wall.Round(0).Sub(startedAt)
@@ -81,10 +83,10 @@
 	return min(byOrigin, byPresent)
 }
 
-// learnServerClock learns the servers' time of day from their starts: no process starts after
-// it is listed. What it learns is early by the age of the newest process as that was listed,
-// so that other processes seem younger by that. If the clock of one server's machine is ahead,
-// it is late, and only the other limits of estimate hold from then on.
+// learnServerClock learns the servers' time of day from their starts: no process starts after it is listed.
+// The time that it learns is too early by the age that the newest process had when it was listed, which makes
+// all processes seem younger by as much. If the clock of one server's machine is ahead, the time is too late, and
+// only the other two ages limit the estimates from then on.
 func (e *estimator) learnServerClock(list []endpoint.Endpoint, now time.Duration) {
 	for i := range list {
 		if list[i].StartedAt.IsZero() {
@@ -96,14 +98,14 @@
 	}
 }
 
-// ageByServerClock returns the age of a process by what is known of the servers' own clock.
+// ageByServerClock returns the age of a process by the servers' own clock, as learnServerClock has learned it.
 func (e *estimator) ageByServerClock(startedAt time.Time, now time.Duration) time.Duration {
 	return now + min(e.serverOrigin.Sub(startedAt), maxAge)
 }
 
-// fewAreYoung reports whether few servers of a node's first list are warming up by the servers'
-// own clock. If many are, as after a restart of the fleet at any time in the past, the node
-// would shed its load for the sake of a wall clock that is right nearly always, and relies on it.
+// fewAreYoung reports whether few servers of a node's first list are warming up by the servers' own clock. If
+// many seem to be, the fleet may have been restarted together, however long ago. The node would then shed load
+// for no reason, so it uses its wall clock alone, which is nearly always right.
 func (e *estimator) fewAreYoung(list []endpoint.Endpoint, now time.Duration) bool {
 	ready, young := 0, 0
 	for i := range list {
--- a/internal/processstart/registry.go
+++ b/internal/processstart/registry.go
@@ -1,9 +1,10 @@
-// Package processstart tells when the server processes of the endpoint list started, on the node's
-// monotonic clock. Discovery gives a start in the wall time of the server's machine; package policy needs
+// Package processstart estimates when the server processes of the endpoint list started, on the node's
+// monotonic clock. Discovery gives a start in the wall time of the server's machine. Package policy needs
 // it on the clock of its events, to know which servers are warming up.
 //
 // A Registry remembers the processes and keeps the start of each; its estimator compares the clocks. Package
-// node calls it with each update of the endpoint list. Nothing in it is safe for concurrent use.
+// node calls it with each update of the endpoint list, from one goroutine. A process keeps its start until it
+// has been removed for longer than the slow start; another process of the same server gets a start of its own.
 package processstart
 
 import (
@@ -20,12 +21,13 @@
 	Wall  time.Time     // the wall clock of the node's machine
 }
 
-// Registry holds the start of each process that the endpoint list names. A start is estimated once, when
-// its process is first listed, as a start that changes means a restart to package policy.
+// Registry holds the start of each process that the endpoint list names. It estimates a start once, when the
+// process is first listed: to package policy, a start that changes means a restart. It is not safe for
+// concurrent use.
 type Registry struct {
 	estimator estimator
 	retention time.Duration // how long a process that was removed is remembered
-	updates   uint32        // so far
+	updates   uint32        // the number of updates so far
 	listed    map[policy.ServerID]process
 	removed   map[policy.ServerID]removedProcess
 }
@@ -43,8 +45,8 @@
 	removedAt time.Duration // on the node's clock
 }
 
-// NewRegistry returns a registry without processes. The node's clock showed 0 at the wall time origin, and a
-// server warms up for slowStart. A process that was removed for longer than that warms up again.
+// NewRegistry returns a registry without processes. The node's clock showed 0 at the wall time origin. A server
+// warms up for slowStart. A process that was removed for longer than slowStart warms up again when it returns.
 func NewRegistry(origin time.Time, slowStart time.Duration) *Registry {
 	return &Registry{
 		estimator: newEstimator(origin, slowStart),
@@ -54,8 +56,8 @@
 	}
 }
 
-// Synced records that discovery has just responded, with or without changes: a process that is listed
-// for the first time later has started since.
+// Synced records that discovery has just responded, with or without changes. A process that is first listed
+// later counts as started since.
 func (r *Registry) Synced(now time.Duration) { r.estimator.synced(now) }
 
 // Update applies an endpoint update at the present moment. It returns the starts of the listed processes on
@@ -74,7 +76,7 @@
 	return starts
 }
 
-// updateProcess records the process of one endpoint and returns its start.
+// updateProcess records the process of an endpoint as listed or removed, and returns its start.
 func (r *Registry) updateProcess(e *endpoint.Endpoint, now Moment) time.Duration {
 	p, found := r.find(e)
 	if !found {
@@ -110,6 +112,7 @@
 	}
 }
 
+// remove moves a process from the listed ones to the removed ones.
 func (r *Registry) remove(id policy.ServerID, p process, now time.Duration) {
 	delete(r.listed, id)
 	r.removed[id] = removedProcess{p, now}
--- a/internal/processstart/registry_test.go
+++ b/internal/processstart/registry_test.go
@@ -19,7 +19,7 @@
 // wallNow returns the true wall time at the moment at which the node's clock shows clockNow.
 func wallNow() time.Time { return time.Date(2026, 12, 2, 10, 0, 0, 0, time.UTC) }
 
-// nowWithWallClockAhead is the present moment on a machine whose wall clock is ahead of the true time.
+// nowWithWallClockAhead returns the present moment on a machine whose wall clock is ahead of the true time.
 func nowWithWallClockAhead(ahead time.Duration) Moment {
 	return Moment{Clock: clockNow, Wall: wallNow().Add(ahead)}
 }
@@ -53,9 +53,8 @@
 	return list
 }
 
-// A wall clock is stepped after the node's start, that of all machines, of this one or of the
-// server's. A process that has just started has to count as one, not as warm, and not as one
-// that starts in the future.
+// The wall clocks of all machines, of the node's machine or of the server's machine are stepped after the node's
+// start. A process that has just started must not count as warm, nor as started in the future.
 func TestStartOfANewProcessSurvivesClockSteps(t *testing.T) {
 	for _, step := range []time.Duration{0, time.Hour, -time.Hour, 5 * time.Second, -5 * time.Second} {
 		for name, c := range map[string]struct{ own, server time.Duration }{
@@ -92,7 +91,7 @@
 	}
 }
 
-// Without steps a start is estimated where it was, also that of a process older than the node.
+// If no clock is stepped, the estimate is exact, also for a process older than the node.
 func TestStartIsEstimatedByItsWallTime(t *testing.T) {
 	for _, age := range []time.Duration{0, time.Millisecond, processAge, time.Minute, clockNow - time.Second} {
 		registry, list := newTestRegistry(0), endpointStarted(wallNow().Add(-age))
@@ -102,8 +101,8 @@
 	}
 }
 
-// The wall clock of the node's machine is stepped before the node follows discovery. Whether the time of day
-// was right before or is now, a process counts as no older than it is by either.
+// The wall clock of the node's machine is stepped before the node follows discovery. The time of day was right
+// before the step or is right after it: the process counts as old as the lesser age of the two.
 func TestStartAfterAClockStepIsTheLaterOfBothPossible(t *testing.T) {
 	for step, want := range map[time.Duration]time.Duration{
 		-30 * time.Second: clockNow - 30*time.Second,
@@ -127,8 +126,8 @@
 	}
 }
 
-// A server with an ID that is new to a node that follows discovery has just started, also if the node's
-// wall clock was wrong from its start on.
+// A node that follows discovery learns of a server with a new ID: the process counts as just started, also if
+// the node's wall clock was wrong from its start on.
 func TestNewServerHasJustStartedWhateverTheWallClockShows(t *testing.T) {
 	for _, ahead := range []time.Duration{0, time.Second, 5 * time.Second, 30 * time.Second, time.Hour, -time.Hour} {
 		registry, now := newTestRegistry(ahead), nowWithWallClockAhead(ahead)
@@ -141,8 +140,8 @@
 	}
 }
 
-// Discovery is unavailable while servers start: they count as old as the servers' own clock shows, but for
-// the newest one, and as the time since discovery last responded.
+// Servers start while discovery is unavailable. Their ages are those by the servers' own clock, on which the
+// newest one has just started, and at most the time since discovery last responded.
 func TestServersThatStartDuringAnOutageAreCompared(t *testing.T) {
 	const outage = 8 * time.Second
 	want := []time.Duration{clockNow, clockNow - 5*time.Second, clockNow - outage}
@@ -160,8 +159,8 @@
 	}
 }
 
-// A node whose wall clock is ahead starts among servers of which a few have just been restarted: they count
-// as young as the list permits. If many were, the wall clock decides, right or wrong.
+// A node whose wall clock is ahead starts after a few servers have been restarted: their ages are those by the
+// servers' own clock. If many servers have been restarted, the node's wall clock decides, right or wrong.
 func TestFirstListBoundsTheAgeOfFewYoungServers(t *testing.T) {
 	const ahead = time.Hour
 	for _, c := range []struct {
@@ -183,8 +182,8 @@
 	}
 }
 
-// A server that is removed and returns as the same process keeps its start, unless it was removed for long.
-// What is kept of servers that were removed expires.
+// A server that is removed and returns as the same process keeps its start, unless it was removed for longer
+// than the slow start. The registry then forgets it.
 func TestStartOfAReturningProcessIsStable(t *testing.T) {
 	for removedFor, want := range map[time.Duration]time.Duration{
 		processAge:        clockNow - processAge,
@@ -208,6 +207,7 @@
 			t.Errorf("removed for %v: started at %v, want %v", removedFor, again, want)
 		}
 
+		// All servers are removed, and the retention passes.
 		registry.Update(policy.UpdateSnapshot, nil, later)
 		registry.Update(policy.UpdateDelta, nil, Moment{later.Clock + testSlowStart + 1, now.Wall})
 		if kept := len(registry.listed) + len(registry.removed); kept > 0 {
