--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,9 +1,11 @@
-// Package config reads the operators' configuration: the configuration file of a node with
-// its environment overrides, and the settings, which the simulator adapter gets by itself. It
-// translates the operators' keys and words, which appear in no other package, into the types
-// of package policy and the fields of Config. Every error of this package is an *Error.
+// Package config reads the operators' configuration: the configuration file of a node with its environment
+// overrides, and the settings, which the simulator adapter gets without a file. It owns the operators' keys and
+// words, which appear in no other package, and translates them into the types of package policy and the fields
+// of Config.
 //
-// It is called by cmd/balancer and cmd/simadapter, keeps no state and logs nothing.
+// cmd/balancer and cmd/simadapter call it. It keeps no state and logs nothing. Each of its errors is an *Error
+// that names the key: at the start the program exits with it, at SIGHUP it logs the error and keeps the old
+// address.
 package config
 
 import (
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// fileWith is a valid configuration file but for the additional keys, given as JSON.
+// fileWith returns a valid configuration file with additional keys, given as JSON, which may be invalid.
 func fileWith(additional string) string {
 	return `{"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", ` + additional + `"settings": ` + validSettings + `}`
 }
@@ -154,8 +154,8 @@
 	}
 }
 
-// badFiles are the files that neither Load nor ReloadDiscovery accepts, with the key and a
-// part of the error.
+// badFiles returns files that neither Load nor ReloadDiscovery accepts, each with the key and a part of the
+// text of its error.
 func badFiles() map[string]struct{ text, key, part string } {
 	withSettings := func(settings string) string {
 		return `{"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": ` + settings + `}`
--- a/internal/config/error.go
+++ b/internal/config/error.go
@@ -13,7 +13,7 @@
 	File    string // path of the configuration file; empty where the text came from elsewhere
 	Key     string // such as "limits.sockets", "settings.Classes[2].DeadlineMs" or "BALANCER_CONFIG"
 	Value   any    // the value found, nil where there is none
-	Allowed string // the allowed values in words, such as "at least 64"; empty where Err says all
+	Allowed string // the allowed values in words, such as "at least 64"; empty where Err says what is wrong
 	Err     error  // the cause; may be nil
 }
 
@@ -49,8 +49,8 @@
 	return err
 }
 
-// jsonType is the Value of an error about a value of a wrong type: encoding/json gives its
-// type instead, such as "string" or "number 1.5".
+// jsonType is the Value of an error about a value of a wrong type. encoding/json does not give that value but
+// its type, such as "string" or "number 1.5".
 type jsonType string
 
 func (t jsonType) String() string { return "a JSON " + string(t) }
@@ -79,7 +79,7 @@
 	return outer + "." + inner
 }
 
-// typeInWords says which values of JSON a type of Go holds.
+// typeInWords describes the JSON values that a Go type holds.
 func typeInWords(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.Bool:
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -3,9 +3,9 @@
 import "syscall"
 
 const (
-	// defaultSockets is the number of sockets where the file gives none.
+	// defaultSockets is the number of sockets if the file gives none.
 	defaultSockets = 1024
-	// minSockets is the least number that leaves enough for clients and servers.
+	// minSockets is the least number of sockets with which a node has enough for clients and servers.
 	minSockets = 64
 )
 
@@ -31,10 +31,9 @@
 	return nil
 }
 
-// effectiveSockets returns the number of sockets to use: the operators' number or its default,
-// and no more than the system's limit of open files. Beyond that limit, accepting clients and
-// connecting to discovery and servers would all fail, and no idle client would be closed to
-// free a socket.
+// effectiveSockets returns the number of sockets to use: the operators' number or its default, but no more than
+// the system's limit of open files. A node at that limit could not accept clients or connect to discovery and
+// servers, and would not evict an idle client to free a socket.
 func effectiveSockets(configured int) (int, error) {
 	sockets := configured
 	if sockets == 0 {
--- a/internal/config/settings_table.go
+++ b/internal/config/settings_table.go
@@ -26,9 +26,9 @@
 	kind  kind
 }
 
-// settingsTable is the one table of the operators' keys and the fields of package policy. Errors of
-// policy.Settings.Validate are translated by it. Tests hold to it the structs that the settings are
-// decoded into, the keys in errors of this package, and docs/CONFIGURATION.md.
+// settingsTable maps the operators' keys to the fields of package policy. translateSettingError uses it. Tests
+// check against it the structs that the settings are decoded into, the keys in errors of this package, and
+// docs/CONFIGURATION.md.
 func settingsTable() []setting {
 	return []setting{
 		{key: "Balancers", field: "Nodes"},
--- a/internal/config/settings_table_test.go
+++ b/internal/config/settings_table_test.go
@@ -111,8 +111,8 @@
 func TestUntranslatableSettingsNameTheirKey(t *testing.T) {
 	impossible := map[kind]string{kindMilliseconds: "1e300", kindWord: `"unknown"`}
 	for _, s := range settingsTable() {
-		value, translated := impossible[s.kind]
-		if !translated {
+		value, canFail := impossible[s.kind]
+		if !canFail {
 			continue
 		}
 		text := []byte(settingAlone(s.key, value))
