--- a/internal/endpointjson/endpointjson.go
+++ b/internal/endpointjson/endpointjson.go
@@ -1,5 +1,5 @@
-// Package endpointjson defines the JSON form of the endpoint list, in which the discovery service publishes
-// it and a node's configuration holds it, and translates it into package endpoint. The names of the wire
+// Package endpointjson defines the JSON form of the endpoint list and translates it into package endpoint. The
+// discovery service publishes the list in this form, and a node's configuration holds it. The names of the wire
 // appear nowhere else. It keeps no state. Packages config and discovery use it.
 package endpointjson
 
@@ -74,8 +74,8 @@
 	return policy.Draining
 }
 
-// startTime converts a Unix time in milliseconds, rounded to the nanosecond. Times of 0 and less are the zero
-// time; those that no time.Time can hold are the latest one that it can.
+// startTime converts a Unix time in milliseconds, rounded to the nanosecond. It returns the zero time for 0 and
+// less, and the time of math.MaxInt64 milliseconds for larger values.
 func startTime(unixMilli float64) time.Time {
 	if unixMilli <= 0 {
 		return time.Time{}
--- a/internal/milliseconds/milliseconds.go
+++ b/internal/milliseconds/milliseconds.go
@@ -13,7 +13,8 @@
 // ToDuration converts a time in milliseconds, rounded to the nanosecond. It returns false for a value that is
 // not a number or out of range.
 func ToDuration(ms float64) (time.Duration, bool) {
-	if !(ms > -limit && ms < limit) {
+	inRange := ms > -limit && ms < limit // false for NaN
+	if !inRange {
 		return 0, false
 	}
 	return time.Duration(math.Round(ms * float64(time.Millisecond))), true
--- a/internal/netdial/netdial.go
+++ b/internal/netdial/netdial.go
@@ -23,8 +23,8 @@
 // Func opens a connection, as net.Dialer.DialContext does.
 type Func func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Repeat returns a function that retries dial after a transient error. It fails with the last error of dial
-// after maxAttempts, after another error, or when ctx ends.
+// Repeat returns a function that retries dial after a transient error. It returns the last error of dial after
+// maxAttempts, after an error that is not transient, or when ctx ends.
 func Repeat(dial Func) Func {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		for attempts := 1; ; attempts++ {
@@ -36,8 +36,8 @@
 	}
 }
 
-// IsLocalFailure reports whether a dial failed for a reason that lies with this machine alone, by what
-// socket(2) and connect(2) document. That an address is unreachable may be the peer's failure.
+// IsLocalFailure reports whether only this machine can be the cause of a failed dial, according to socket(2) and
+// connect(2). An unreachable address does not count: the peer may be the cause.
 func IsLocalFailure(err error) bool {
 	return syserror.IsShortage(err) || errors.Is(err, syscall.EADDRNOTAVAIL) ||
 		errors.Is(err, syscall.EADDRINUSE) || errors.Is(err, syscall.ENETDOWN)
--- a/internal/netdial/stagger.go
+++ b/internal/netdial/stagger.go
@@ -13,8 +13,8 @@
 // closes those of the other attempts. It fails when ctx ends, or as soon as an attempt fails for another
 // reason than a timeout.
 //
-// A single attempt to reach an unresponsive peer would take as long as the system takes to repeat its SYN,
-// after delays that double up to half a minute.
+// A single attempt would notice only at the next SYN that an unresponsive peer has recovered. The system repeats
+// the SYN after delays that double up to half a minute.
 func Stagger(dial Func, interval, timeout time.Duration) Func {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		d := staggeredDial{dial, network, address, timeout, make(chan dialResult)}
@@ -71,7 +71,7 @@
 	}
 }
 
-// isTimeout reports whether an attempt ended at its own timeout or at that of the system.
+// isTimeout reports whether an attempt ended at its own timeout or at that of the operating system.
 func isTimeout(err error) bool {
 	if errors.Is(err, context.DeadlineExceeded) || errors.Is(err, os.ErrDeadlineExceeded) {
 		return true
