--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -38,8 +38,8 @@
 	r.recorder.WatchFailed(notifiedAt)
 }
 
-// A watch is requested while one is active, which then fails: the handler requests the next one itself,
-// and the stale request must not make all nodes call at once.
+// A watch is requested while another one is active, and that one fails. The handler requests the next watch
+// itself: the stale request must not make all nodes call at once.
 func TestStaleWatchRequestIsDropped(t *testing.T) {
 	scripted := testkit.NewScriptedDiscovery(t)
 	client := New(Config{Address: scripted.Address, Poll: true})
@@ -53,8 +53,10 @@
 	defer cancel()
 	go func() { defer close(stopped); watch.run(ctx) }()
 	testkit.Wait(t, scripted.Calls, "the watch")
+
 	client.RequestWatch()
 	scripted.Responses <- testkit.ResponseReset
+
 	if pending := testkit.Wait(t, handler.pending, "the failure"); pending > 0 {
 		t.Error("the stale request is pending when the failure is reported")
 	}
@@ -64,6 +66,7 @@
 	}
 	client.RequestWatch() // the one after the failure is followed
 	testkit.Wait(t, scripted.Calls, "the watch after the failure")
+
 	cancel()
 	testkit.Wait(t, stopped, "the follower to stop")
 }
@@ -134,8 +137,10 @@
 			client.RequestWatch()
 			go client.Run(t.Context(), newRecorder())
 			pending := testkit.Wait(t, previous.Calls, "the first call")
+
 			client.SetAddress(skipped)
 			client.SetAddress(latest.Address)
+
 			if query := testkit.Wait(t, latest.Calls, "a call to the new address").URL.RawQuery; query != "" {
 				t.Errorf("query %q, want none", query)
 			}
--- a/internal/discovery/fetch_test.go
+++ b/internal/discovery/fetch_test.go
@@ -14,10 +14,11 @@
 	"calicohinge/policy"
 )
 
-// The time of an unresponsive watch, a late response and the spread of the next calls leave an eighth of the
+// The time of an unresponsive watch, of a late response and of the spread of the next calls leaves an eighth of the
 // notification deadline for the response to the next call.
 func TestUnresponsiveWatchLeavesTimeForAnotherCall(t *testing.T) {
-	if left := policy.NotificationDeadline - watchWait - watchResponseMargin - time.Second*3/4; left < policy.NotificationDeadline/8 {
+	const spread = 750 * time.Millisecond // of the next calls
+	if left := policy.NotificationDeadline - watchWait - watchResponseMargin - spread; left < policy.NotificationDeadline/8 {
 		t.Errorf("%v are left for the next call", left)
 	}
 	if responseTimeout > watchWait+watchResponseMargin {
@@ -157,19 +158,19 @@
 	}
 }
 
-// unresponsiveMachine accepts and refuses no attempt to connect to it.
-type unresponsiveMachine struct{ begun, underWay atomic.Int32 }
+// unresponsiveMachine neither accepts nor refuses attempts to connect to it.
+type unresponsiveMachine struct{ begun, inProgress atomic.Int32 } // attempts
 
 func (m *unresponsiveMachine) dial(ctx context.Context, _, _ string) (net.Conn, error) {
 	m.begun.Add(1)
-	m.underWay.Add(1)
-	defer m.underWay.Add(-1)
+	m.inProgress.Add(1)
+	defer m.inProgress.Add(-1)
 	<-ctx.Done()
 	return nil, &net.OpError{Op: "dial", Err: ctx.Err()}
 }
 
-// A call is cancelled while its connection is being opened: no attempt outlasts it, and the next call begins
-// one of its own at once, however many there were.
+// A call is cancelled while its connection is being opened. No attempt to connect outlasts it, and the next call
+// begins an attempt of its own at once, however many calls there were.
 func TestConnectionAttemptsEndWithTheirCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		machine := &unresponsiveMachine{}
@@ -183,8 +184,8 @@
 			if phase := failed.progress.current(); err == nil || phase > phaseConnecting {
 				t.Fatalf("%v in phase %v, want a failed call that has no connection", err, phase)
 			}
-			if begun, underWay := machine.begun.Load(), machine.underWay.Load(); begun != calls+1 || underWay != 0 {
-				t.Fatalf("after call %d: %d attempts begun, %d under way", calls+1, begun, underWay)
+			if begun, inProgress := machine.begun.Load(), machine.inProgress.Load(); begun != calls+1 || inProgress != 0 {
+				t.Fatalf("after call %d: %d attempts begun, %d in progress", calls+1, begun, inProgress)
 			}
 		}
 	})
--- a/internal/discovery/follower_state_test.go
+++ b/internal/discovery/follower_state_test.go
@@ -10,7 +10,8 @@
 	"calicohinge/internal/endpoint"
 )
 
-// The URLs of the calls of a followerTest. That of the present call is none of them.
+// The URLs of the earlier call and of the call to a previous address in a followerTest. The present call has
+// another URL.
 const (
 	earlierURL  = "earlier call"
 	previousURL = "call to a previous address"
@@ -22,7 +23,7 @@
 	err  error
 }
 
-// followerTest runs a follower whose calls return what the test gives.
+// followerTest is a test that gives the result of each call of a follower.
 type followerTest struct {
 	*testing.T
 	present, earlier, previous chan result // results of the calls
@@ -42,7 +43,7 @@
 	}
 }
 
-// transition is a row of the table of states at follower.
+// transition is a row of the table in the doc comment of follower.
 type transition struct {
 	polling  bool
 	state    state
@@ -53,6 +54,7 @@
 	failures int // failures that the handler receives
 }
 
+// returnList makes a call return a list.
 func returnList(results chan<- result) {
 	results <- result{list: endpoint.List{Generation: 4, Complete: true}}
 }
@@ -72,6 +74,7 @@
 	wait := func(delay time.Duration) func(*followerTest, *follower) {
 		return func(*followerTest, *follower) { time.Sleep(delay) }
 	}
+	// The columns: polling, state, have list, event, next state, lists, failures.
 	for name, c := range map[string]transition{
 		"idle, no event":                    {true, stateIdle, true, nothing, stateIdle, 0, 0},
 		"idle, request":                     {true, stateIdle, true, requestWatch, stateCalling, 0, 0},
@@ -101,7 +104,9 @@
 }
 
 func (c transition) check(t *testing.T) {
-	test := &followerTest{t, make(chan result, 1), make(chan result, 1), make(chan result, 1)}
+	test := &followerTest{
+		T: t, present: make(chan result, 1), earlier: make(chan result, 1), previous: make(chan result, 1),
+	}
 	client := New(Config{Address: "discovery", Poll: c.polling})
 	handler := newRecorder()
 	calls := newInFlightCalls(test.send)
--- a/internal/discovery/late_response_test.go
+++ b/internal/discovery/late_response_test.go
@@ -21,7 +21,7 @@
 	body    chan string
 }
 
-// controlledTransport has the test respond to each call, in any order.
+// controlledTransport lets the test respond to the calls, in any order.
 type controlledTransport struct{ calls chan *pendingCall }
 
 func (c controlledTransport) RoundTrip(request *http.Request) (*http.Response, error) {
@@ -46,7 +46,7 @@
 
 func (r requester) WatchFailed(time.Time) { r.client.RequestWatch() }
 
-// lateResponseTest is a test of a client that has generation 3 and to whose calls the test responds.
+// lateResponseTest is a test of a client that has generation 3. The test responds to the client's calls.
 type lateResponseTest struct {
 	*testing.T
 	client  *Client
@@ -54,7 +54,7 @@
 	updates chan policy.UpdateKind // that the handler has received
 }
 
-// testLateResponse runs a test in each way to follow the list.
+// testLateResponse runs a test in polling mode and where lists are pushed.
 func testLateResponse(t *testing.T, body func(*lateResponseTest)) {
 	t.Helper()
 	for name, poll := range map[string]bool{"polled": true, "pushed": false} {
@@ -73,6 +73,7 @@
 	})
 	client.httpClient.Transport = transport
 	handler := requester{newRecorder(), client}
+
 	client.RequestWatch()
 	ctx, cancel := context.WithCancel(t.Context())
 	stopped := make(chan struct{})
