--- a/internal/node/connection_limits_test.go
+++ b/internal/node/connection_limits_test.go
@@ -14,8 +14,8 @@
 	"calicohinge/internal/upstream"
 )
 
-// Hundreds of connections on which nothing comes, or a part of a request, must not keep usual
-// clients from being served, and are closed themselves before long.
+// Clients open hundreds of connections and send nothing or part of a request: other clients are still served, and
+// the node closes these connections before long.
 func TestConnectionsWithoutARequestAreEvicted(t *testing.T) {
 	n := startWithFewSockets(t, testkit.NewBackend(t, testkit.OK).Endpoint("s-0"))
 	var flood []net.Conn
@@ -54,8 +54,8 @@
 	}
 }
 
-// Where every connection has a request in flight a further client is rejected with
-// Retry-After, and past the reserve it is closed.
+// Every connection has a request in flight: a further client is rejected with Retry-After. The node closes its
+// connection.
 func TestClientsOverTheConnectionLimitAreRejected(t *testing.T) {
 	server := newGatedBackend(t)
 	n := startWithFewSockets(t, server.Endpoint("s-0"))
@@ -76,7 +76,7 @@
 	server.open()
 	for _, nc := range busy {
 		if resp := n.readResponse(nc); resp.StatusCode != http.StatusOK {
-			t.Fatalf("one in flight got status %d", resp.StatusCode)
+			t.Fatalf("a request in flight got status %d", resp.StatusCode)
 		}
 	}
 }
@@ -141,8 +141,8 @@
 	}
 }
 
-// Requests in flight use every connection to servers that a small node may have: each further
-// one gets a response, from a server where a connection becomes free in time, and a rejection otherwise.
+// Requests in flight use every connection to servers that a small node may have. A further request gets the
+// response of a server if a connection becomes free in time, and is rejected otherwise.
 func TestRequestsAtTheServerConnectionLimit(t *testing.T) {
 	t.Parallel()
 	for class, name := range classNames() {
@@ -161,7 +161,7 @@
 			l := startAtServerConnectionLimit(t)
 			l.wantStatus(l.submitAsync(t.Context(), l.newFurtherRequest(class)), http.StatusServiceUnavailable)
 			if len(l.server.Requests) > 0 {
-				t.Error("it was sent")
+				t.Error("the further request was sent")
 			}
 			l.server.open()
 			l.wantServedAfterwards(class)
@@ -200,7 +200,7 @@
 	return further
 }
 
-// wantServedAfterwards fails the test unless the requests in flight are served, and one after them.
+// wantServedAfterwards fails the test unless the requests in flight are served, and a new one after them.
 func (l *limitedLoop) wantServedAfterwards(class int) {
 	l.t.Helper()
 	for _, done := range l.inFlight {
--- a/internal/node/disconnect_concurrency_test.go
+++ b/internal/node/disconnect_concurrency_test.go
@@ -14,7 +14,7 @@
 // event queue in these tests.
 const concurrentClients = 300
 
-// sendOnNewConns has all clients send a request, of one class after another.
+// sendOnNewConns sends a request from each client on a connection of its own, of one class after another.
 func (s *handlerServer) sendOnNewConns(classes ...string) []*net.TCPConn {
 	s.t.Helper()
 	var clients []*net.TCPConn
@@ -35,8 +35,8 @@
 	}
 }
 
-// Hundreds send requests to a node whose loop is paused and disconnect, until its queue is full
-// and further events wait outside: no request is forwarded, all are released.
+// Hundreds of clients send requests to a node whose loop is paused, and disconnect. The event queue is full, and
+// further events wait to be posted: no request is forwarded, and all are released.
 func TestManyDisconnectsBehindAFullEventQueue(t *testing.T) {
 	b := testkit.NewBackend(t, testkit.OK)
 	s := startHandler(t, b.Endpoint("s-0"), b.Endpoint("s-1"), b.Endpoint("s-2"), b.Endpoint("s-3"))
@@ -65,9 +65,9 @@
 	}
 }
 
-// Hundreds disconnect at once, from requests that are queued, in flight, waiting for a retry or
-// for a connection, which then comes up, while all retries fall due and capacity becomes free,
-// before the loop learns of the first disconnect: none of their attempts starts.
+// Hundreds of clients disconnect at once. Their requests are queued, in flight, or wait for a retry or for a
+// connection. Before the loop learns of the first disconnect, the connections are opened, all retries fall due and
+// capacity becomes free: none of their attempts starts.
 func TestManyDisconnectsInMixedRequestStates(t *testing.T) {
 	t.Parallel()
 	servers := mixedServers{
@@ -115,13 +115,14 @@
 
 // The states of a request, by its last attempt.
 const (
-	stateQueued     = "queued"     // none yet
-	stateBackoff    = "backoff"    // it has ended
-	stateConnecting = "connecting" // its connection is being opened
-	stateInFlight   = "in flight"  // it is at a server that does not respond
-	stateMoving     = "moving"     // none of these for long
+	stateQueued     = "queued"     // there is no attempt yet
+	stateBackoff    = "backoff"    // the attempt has ended
+	stateConnecting = "connecting" // the connection of the attempt is being opened
+	stateInFlight   = "in flight"  // the attempt is at a server that does not respond
+	stateMoving     = "moving"     // the attempt is about to change its state
 )
 
+// state returns the state of a request.
 func (m mixedServers) state(l *testLoop, r *request) string {
 	state := stateQueued
 	for _, a := range r.attempts {
--- a/internal/node/disconnect_race_test.go
+++ b/internal/node/disconnect_race_test.go
@@ -17,10 +17,10 @@
 type requestPoint struct {
 	class    string
 	serves   http.HandlerFunc
-	others   int // requests that use all capacity before
-	due      func(s *handlerServer, now time.Duration)
-	started  int // its attempts before the client disconnects
-	inFlight int // and those that are in flight then
+	others   int                                       // requests that use all capacity before
+	due      func(s *handlerServer, now time.Duration) // makes the balancer decide the next attempt
+	started  int                                       // attempts that started before the client disconnects
+	inFlight int                                       // attempts that are in flight when it disconnects
 }
 
 func requestPoints() map[string]requestPoint {
@@ -37,7 +37,7 @@
 	}
 }
 
-// advanceClock has retries and hedged requests fall due.
+// advanceClock makes retries and hedged requests fall due.
 func advanceClock(s *handlerServer, now time.Duration) { s.loop.advanceClock(now) }
 
 // freeCapacity ends one of the attempts in flight, so that a queued request could be sent.
@@ -70,10 +70,10 @@
 	}
 }
 
-// A client disconnects in the moment in which the balancer decides the next attempt, whether the
-// loop has the event or only the socket shows it: no attempt starts, and nothing stays behind.
-// One that ends its sending only looks like one that closes, until something is written to
-// it. It counts as disconnected, so its connection ends with no response.
+// A client disconnects at the moment at which the balancer decides the next attempt. The loop has the event, or
+// only the socket shows the disconnect: no attempt starts, and the request is released. A client that only ends
+// its sending looks like one that closes, until something is written to it. It counts as disconnected: its
+// connection ends without a response.
 func TestNoAttemptStartsAfterADisconnect(t *testing.T) {
 	t.Parallel()
 	for pointName, point := range requestPoints() {
@@ -142,10 +142,10 @@
 	return s
 }
 
-// decide has the balancer decide the next attempt.
+// decide makes the balancer decide the next attempt.
 func (s *servedRequest) decide(now time.Duration) { s.point.due(s.handlerServer, now) }
 
-// disconnectBeforeDecision has the loop learn of the disconnect before the next decision.
+// disconnectBeforeDecision disconnects the client, so that the loop learns of it before the next decision.
 func (s *servedRequest) disconnectBeforeDecision() {
 	s.t.Helper()
 	s.resume()
@@ -154,8 +154,8 @@
 	s.loop.queue.post(eventFunc(s.decide))
 }
 
-// disconnectBehindDecision has the client disconnect while the decision waits in the loop's
-// queue, so that only the socket shows it.
+// disconnectBehindDecision disconnects the client while the decision waits in the loop's queue, so that only the
+// socket shows the disconnect.
 func (s *servedRequest) disconnectBehindDecision() {
 	s.t.Helper()
 	s.loop.queue.post(eventFunc(s.decide))
--- a/internal/node/disconnect_test.go
+++ b/internal/node/disconnect_test.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// The same while the disconnect event waits behind others: the state of the socket just before
-// the write counts.
+// A client disconnects while its request is queued, and the event waits behind others: the state of the socket
+// just before the write counts.
 func TestSocketStateStopsARequestBeforeTheDisconnectEvent(t *testing.T) {
 	l, server := startWithBusyServer(t)
 	client, c := acceptedConn(t, downstream.NewConns(downstreamConfig(5, 0)))
@@ -79,7 +79,8 @@
 	}
 }
 
-// A client disconnects while a connection for its request is opened, which then comes up late.
+// A client disconnects while a connection for its request is being opened. The connection is open later: nothing
+// is sent on it.
 func TestAttemptWaitingForAConnectionIsNotSentAfterADisconnect(t *testing.T) {
 	t.Parallel()
 	stuck := testkit.NewStuckServer(t)
@@ -116,7 +117,7 @@
 	}
 }
 
-// A client sends more behind its request and disconnects: its attempt is cancelled all the same.
+// A client sends more bytes after its request and disconnects: its attempt is cancelled as well.
 func TestDisconnectBehindReadAheadCancelsTheAttempt(t *testing.T) {
 	cancelled := make(chan struct{}, 1)
 	b := testkit.NewBackend(t, testkit.Unresponsive(cancelled))
@@ -131,8 +132,8 @@
 	testkit.Wait(t, cancelled, "the cancelled attempt")
 }
 
-// A client disconnects while a connection for its first or its second attempt is being opened,
-// which comes up before the disconnect event: nothing is written on it.
+// A client disconnects while a connection for its first or its second attempt is being opened. The connection is
+// open before the loop handles the disconnect: nothing is written on it.
 func TestLateConnectionIsNotUsedAfterADisconnect(t *testing.T) {
 	t.Parallel()
 	t.Run("first attempt", func(t *testing.T) {
@@ -174,7 +175,7 @@
 	}
 }
 
-// A client disconnects with a part of its request sent: there never is a request.
+// A client disconnects after it has sent part of a request: no request reaches the loop.
 func TestIncompleteRequestIsNeverForwarded(t *testing.T) {
 	b := testkit.NewBackend(t, testkit.OK)
 	s := startHandler(t, b.Endpoint("s-0"))
--- a/internal/node/discovery_failure_test.go
+++ b/internal/node/discovery_failure_test.go
@@ -16,8 +16,8 @@
 	"calicohinge/policy"
 )
 
-// A watch that becomes unresponsive is reopened before what it misses counts as notified, and so
-// is one that is reset; what has changed meanwhile arrives, indented or not.
+// A watch that becomes unresponsive or is reset is reopened before the node counts as notified of the changes that it
+// has missed. These changes arrive, also in indented JSON.
 func TestUnresponsiveOrResetWatchIsReopened(t *testing.T) {
 	t.Parallel()
 	for _, mode := range discoveryModes() {
@@ -59,9 +59,9 @@
 	n.wantStatus("read", http.StatusOK)
 }
 
-// Discovery moves during a call, at any point of it: the new address is queried for the full list,
-// and the old call is cancelled once that has arrived, whatever it would still bring. Until then
-// its response may be under way, and counts.
+// The address of discovery changes during the first call, and again during a watch. The complete list is requested
+// from the new address, and the old call is cancelled once that list has arrived. Until then its response may be on
+// its way, and would be used.
 func TestDiscoveryMoveCancelsCallsInFlight(t *testing.T) {
 	for _, mode := range discoveryModes() {
 		t.Run(mode, func(t *testing.T) {
@@ -95,8 +95,8 @@
 	}
 }
 
-// Discovery moves to an address that resets the first calls: its changes count as notified 4 s
-// after the move, so that the nodes of a large fleet must not back off as after other failures.
+// The new address of discovery resets the first calls. The node counts as notified of the list there 4 s after the
+// change of the address: also in a large fleet, it must not back off as after other failures.
 func TestNewDiscoveryAddressIsRetriedQuickly(t *testing.T) {
 	t.Parallel()
 	for _, mode := range discoveryModes() {
@@ -126,8 +126,8 @@
 	}
 }
 
-// Discovery goes down, which ends the watch, and comes back with a change: the node calls
-// again by itself, from the generation that it has, and follows.
+// Discovery fails the watch, and recovers with a change: the node calls again by itself, from the generation that it
+// has, and applies the change.
 func TestBrokenWatchResumesAtItsGeneration(t *testing.T) {
 	t.Parallel()
 	for _, mode := range discoveryModes() {
@@ -175,8 +175,8 @@
 	}
 }
 
-// Calls to discovery fail twice, in each way in which they can, at a node of a large fleet
-// where little is polled: changes count as notified 6 s after discovery could be reached again.
+// Two calls to discovery in a row fail, in each way in which they can, at a node of a large fleet that seldom polls.
+// The node counts as notified of changes policy.NotificationDeadline after discovery can be reached again.
 func TestFailedCallsAreRetriedBeforeTheNotificationDeadline(t *testing.T) {
 	for name, fail := range failedCalls() {
 		t.Run(name, func(t *testing.T) {
@@ -202,7 +202,7 @@
 	}
 }
 
-// The same with connections that are refused until discovery listens again.
+// Connections to discovery are refused until it listens again: the node calls before the notification deadline.
 func TestRefusedCallsAreRetriedBeforeTheNotificationDeadline(t *testing.T) {
 	t.Parallel()
 	reserved := testkit.ReserveAddr(t)
@@ -253,8 +253,8 @@
 	meanwhile()
 }
 
-// Idle clients use every connection while discovery is down, in each way, and as many connect
-// when it is back: the node follows it in time and responds to all requests.
+// Idle clients use every connection while discovery fails, in each of three ways, and more connect when it has
+// recovered: the node applies the new list in time and responds to all requests.
 func TestDiscoveryRecoversDuringAConnectionFlood(t *testing.T) {
 	t.Parallel()
 	for _, mode := range discoveryModes() {
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -26,9 +26,9 @@
 	n.wantStatus("read", http.StatusOK)
 }
 
-// Discovery moves, as after SIGHUP, more than once: the old watch ends, the new address is
-// queried for the full list, whatever its generation, and the node serves and stays ready
-// throughout, also while the new address doesn't respond.
+// The address of discovery changes more than once, as after SIGHUP. The old watch ends, and the complete list is
+// requested from the new address, whatever its generation. The node serves and stays ready throughout, also while
+// the new address doesn't respond.
 func TestDiscoveryAtANewAddressIsFollowed(t *testing.T) {
 	a, b := testkit.NewBackend(t, testkit.OK), testkit.NewBackend(t, testkit.OK)
 	old := testkit.NewRegistry(t, a.Endpoint("s-a"))
@@ -79,15 +79,14 @@
 	awaitWatch(t, d, "after=7")
 }
 
-// Generation 0 is one like others: a list that has it must be watched from there, not
-// fetched again and again.
+// Generation 0 is an ordinary generation: a list that has it is watched from there, and not requested in full again.
 func TestGenerationZeroIsWatched(t *testing.T) {
 	_, d := startReady(t, testkit.NewBackend(t, testkit.OK))
 	testkit.Wait(t, d.Queries, "the first call")
 	awaitWatch(t, d, "after=0")
 }
 
-// Where the list is polled, the balancer decides when.
+// In polling mode the balancer requests the list.
 func TestPolledEndpointListIsRequested(t *testing.T) {
 	b := testkit.NewBackend(t, testkit.OK)
 	n := startReadyWith(t, b.Endpoint("s-0"), func(file map[string]any) {
--- a/internal/node/endpoints_test.go
+++ b/internal/node/endpoints_test.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// A draining, a removal or a restart is notified while a connection to the server is being
-// opened, which then comes up: nothing is sent on it, and the request goes elsewhere.
+// The node is notified that a server drains, was removed or has restarted while a connection to the server is being
+// opened: nothing is sent on that connection, and the request goes to another server.
 func TestEndpointChangeRevokesAttemptsThatAwaitAConnection(t *testing.T) {
 	t.Parallel()
 	for name, change := range map[string]func(server endpointjson.Endpoint) []endpointjson.Endpoint{
@@ -104,7 +104,8 @@
 	})
 }
 
-// A draining is notified while a request waits for its next attempt: that goes elsewhere.
+// The node is notified that a server drains while a request waits for its next attempt: the attempt goes to another
+// server.
 func TestRetryAvoidsADrainingServer(t *testing.T) {
 	failing := testkit.NewBackend(t, testkit.ServerError)
 	drains, other := testkit.NewBackend(t, testkit.OK), testkit.NewBackend(t, testkit.OK)
@@ -137,9 +138,8 @@
 	n.wantStatus("read", http.StatusOK)
 }
 
-// A server that started before this node may still be warming up: its start must be after 0
-// on the clock, which means long ago, and must not change from list to list, which would mean
-// a restart.
+// A server that started before this node may still be warming up. Its start on the clock must be after 0, as 0 means
+// long ago. It must not change from list to list, as a change means a restart.
 func TestServerStartTimesAreStableOnTheClock(t *testing.T) {
 	l := newTestLoop(t, testConfig(t, testkit.NewRegistry(t), nil), nil, noWatcher{})
 	start := func(startedAt time.Time) time.Duration {
--- a/internal/node/forwarding_test.go
+++ b/internal/node/forwarding_test.go
@@ -84,9 +84,8 @@
 	}
 }
 
-// The node closes a connection after a response that its client has not read yet, and bytes of
-// the client are there or arrive: the response is delivered in full, and the connection ends
-// with the client's close.
+// The node closes a connection after a response that its client has not read yet, and the client has sent more bytes
+// or sends them now: the response is delivered in full, and the connection ends when the client closes it.
 func TestResponseIsDeliveredBeforeTheConnectionCloses(t *testing.T) {
 	text := strings.Repeat("x", maxBody)
 	b := testkit.NewBackend(t, func(w http.ResponseWriter, _ *http.Request) { send(w, text) })
@@ -123,8 +122,8 @@
 	}
 }
 
-// A client sends its request and reads its response a byte at a time: it is served, others are
-// meanwhile, and no connection stays behind.
+// A client sends its request and reads its response a byte at a time: it is served, another client is served
+// meanwhile, and no connection stays open.
 func TestByteByByteClientIsServed(t *testing.T) {
 	text := strings.Repeat("x", maxBody)
 	b := testkit.NewBackend(t, func(w http.ResponseWriter, _ *http.Request) { send(w, text) })
--- a/internal/node/harness_client_test.go
+++ b/internal/node/harness_client_test.go
@@ -18,9 +18,10 @@
 // slowReceiveBuffer is the size of the receive buffer of a client that reads slowly.
 const slowReceiveBuffer = 4096
 
-// partialRequest is the beginning of a request of which nothing more comes.
+// partialRequest is the beginning of a request that is never completed.
 const partialRequest = "GET /read HTTP/1.1\r\nHost: x\r\nX-Req"
 
+// dial returns a connection to the node.
 func (n *testNode) dial() net.Conn {
 	n.t.Helper()
 	return n.dialWith(&net.Dialer{})
@@ -143,8 +144,8 @@
 	}
 }
 
-// openFlood opens connections that stay: on one in three nothing is sent, on one half a request,
-// and one is idle after its response, if there is one.
+// openFlood opens connections that stay open: on each first of three nothing is sent, on each second half a
+// request, and each third one is idle after its response, unless it was evicted before.
 func (n *testNode) openFlood(count int) []net.Conn {
 	var conns []net.Conn
 	for i := range count {
@@ -196,8 +197,8 @@
 	return open
 }
 
-// What a client sends, and its close, may meet a connection that the node has closed. The
-// tests see that in what they read, so the functions below ignore it.
+// The functions below ignore errors: a client may send or close after the node has closed the connection, and
+// the tests see that when they read.
 
 func send(w io.Writer, text string) { _, _ = io.WriteString(w, text) }
 
@@ -224,5 +225,5 @@
 // closeWrite ends the sending of a client that goes on reading.
 func closeWrite(conn *net.TCPConn) { _ = conn.CloseWrite() }
 
-// limitToTestTimeout bounds what a test does on a connection.
+// limitToTestTimeout limits the reads and writes of a test on a connection.
 func limitToTestTimeout(conn net.Conn) { _ = conn.SetDeadline(time.Now().Add(testkit.WaitTimeout)) }
--- a/internal/node/harness_discovery_test.go
+++ b/internal/node/harness_discovery_test.go
@@ -33,7 +33,8 @@
 	return n, scripted
 }
 
-// largeFleetConfig is the configuration of a node among many with a discovery that is polled seldom.
+// largeFleetConfig returns a change of the configuration to that of a node among many, which seldom polls the
+// discovery service at an address.
 func largeFleetConfig(discovery string) func(file map[string]any) {
 	return func(file map[string]any) {
 		file["discovery"] = discovery
@@ -59,7 +60,7 @@
 	return e
 }
 
-// queryStarts fails the test if a call's query does not start as wanted; "" wants an empty one.
+// queryStarts fails the test unless a call's query starts with the wanted text, or is empty if that is "".
 func queryStarts(t *testing.T, call *http.Request, want string) {
 	t.Helper()
 	query := call.URL.RawQuery
@@ -68,8 +69,7 @@
 	}
 }
 
-// awaitWatch waits until a registry gets a call whose query contains a text, and fails the test if its
-// next call is another one.
+// awaitWatch waits for the next call to a registry, and fails the test unless its query contains a text.
 func awaitWatch(t *testing.T, registry *testkit.Registry, want string) {
 	t.Helper()
 	if query := testkit.Wait(t, registry.Queries, "the watch"); !strings.Contains(query, want) {
--- a/internal/node/harness_handler_test.go
+++ b/internal/node/harness_handler_test.go
@@ -27,13 +27,13 @@
 	conns   sync.Map // *downstream.Conn by its client's address
 }
 
-// startHandler starts one with deadlines that no test reaches, and 400 client connections.
+// startHandler starts a handlerServer with deadlines that no test reaches, and 400 client connections.
 func startHandler(t *testing.T, list ...endpointjson.Endpoint) *handlerServer {
 	t.Helper()
 	return startHandlerLingering(t, downstream.DefaultLingerTimeout, list...)
 }
 
-// startHandlerLingering does the same with another linger timeout.
+// startHandlerLingering is startHandler with another linger timeout.
 func startHandlerLingering(t *testing.T, linger time.Duration, list ...endpointjson.Endpoint) *handlerServer {
 	t.Helper()
 	cfg := testConfig(t, testkit.NewRegistry(t), withDeadlines(600000))
@@ -120,7 +120,7 @@
 	})
 }
 
-// awaitNoConns waits until nothing is open but idle connections to servers.
+// awaitNoConns waits until all connections are closed but idle ones to servers.
 func (s *handlerServer) awaitNoConns() {
 	s.t.Helper()
 	s.loop.awaitRequests(0, 0)
--- a/internal/node/harness_loop_test.go
+++ b/internal/node/harness_loop_test.go
@@ -21,13 +21,13 @@
 	t *testing.T
 }
 
-// startLoop starts one with an endpoint list.
+// startLoop starts a testLoop with an endpoint list.
 func startLoop(t *testing.T, list ...endpointjson.Endpoint) *testLoop {
 	t.Helper()
 	return startLoopWith(t, func(*upstream.Config) {}, list...)
 }
 
-// startLoopWith does the same with another configuration of the pool.
+// startLoopWith is startLoop with a changed configuration of the pool.
 func startLoopWith(t *testing.T, change func(*upstream.Config), list ...endpointjson.Endpoint) *testLoop {
 	t.Helper()
 	cfg := testConfig(t, testkit.NewRegistry(t), nil)
@@ -58,6 +58,7 @@
 // staysConnected is a client that does not disconnect.
 func staysConnected() bool { return false }
 
+// forwardedTestRequest returns a request as the handler forwards it.
 func forwardedTestRequest() *upstream.Request {
 	return &upstream.Request{
 		Method: "POST", URL: &url.URL{Path: "/pay"}, Host: "x", Header: http.Header{}, Body: []byte("b"),
@@ -78,7 +79,7 @@
 	}
 }
 
-// submitAsync submits a request; the channel gets its response, an empty one if there is none.
+// submitAsync submits a request and returns a channel, which gets the response, or an empty one if there is none.
 func (l *testLoop) submitAsync(ctx context.Context, r *request) <-chan response {
 	done := make(chan response, 1)
 	go func() {
@@ -153,8 +154,8 @@
 // lastRequest returns the request that arrived last. The loop is paused.
 func (l *testLoop) lastRequest() *request { return l.requests.get(l.requests.lastID) }
 
-// advanceClock moves the clock past every backoff and the delay of a hedged request, and has the
-// balancer act on it.
+// advanceClock moves the clock past every backoff and the delay of a hedged request, and fires a timer of the
+// balancer, so that it acts.
 func (l *testLoop) advanceClock(time.Duration) {
 	l.clock.origin = l.clock.origin.Add(-200 * time.Second)
 	l.balancer.Timer(l.clock.now(), 0)
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -91,6 +91,7 @@
 	lastID atomic.Int64 // of the requests made
 }
 
+// start starts a node. The node stops at the end of the test.
 func start(t *testing.T, cfg *config.Config) *testNode {
 	t.Helper()
 	n, err := Listen(cfg)
@@ -125,7 +126,7 @@
 	return n, d
 }
 
-// startReadyWith does the same with one server and a changed configuration.
+// startReadyWith is startReady with one server and a changed configuration.
 func startReadyWith(t *testing.T, server endpointjson.Endpoint, change func(file map[string]any)) *testNode {
 	t.Helper()
 	n := start(t, testConfig(t, testkit.NewRegistry(t, server), change))
@@ -133,10 +134,10 @@
 	return n
 }
 
-// fewSockets makes for 20 client connections and a reserve of 2.
+// fewSockets is a number of sockets that permits 20 client connections and a reserve of 2.
 const fewSockets = 64
 
-// startWithFewSockets starts a node with few client connections, of which none is in use.
+// startWithFewSockets starts a node that permits few client connections, none of which is in use.
 func startWithFewSockets(t *testing.T, server endpointjson.Endpoint) *testNode {
 	t.Helper()
 	n := startReadyWith(t, server, func(file map[string]any) {
@@ -162,7 +163,7 @@
 	n.t.Fatalf("readiness never became %d", status)
 }
 
-// awaitExit waits until Run returns, and fails the test if that is with an error.
+// awaitExit waits until Run returns, and fails the test if Run returns an error.
 func (n *testNode) awaitExit() {
 	n.t.Helper()
 	if err := testkit.Wait(n.t, n.done, "the node's exit"); err != nil {
@@ -240,7 +241,7 @@
 	return &gatedBackend{backend, open}
 }
 
-// firstRequestFails returns two servers of which the first to get a request runs fail.
+// firstRequestFails returns two servers. The one that gets the first request responds with fail.
 func firstRequestFails(t *testing.T, fail http.HandlerFunc) []*testkit.Backend {
 	t.Helper()
 	var failed atomic.Bool
@@ -254,7 +255,7 @@
 	return []*testkit.Backend{testkit.NewBackend(t, handle), testkit.NewBackend(t, handle)}
 }
 
-// received returns the requests that the servers got, and forgets them.
+// received removes and returns the requests that the servers have got.
 func received(servers ...*testkit.Backend) []*http.Request {
 	var requests []*http.Request
 	for _, server := range servers {
--- a/internal/node/key_retention_test.go
+++ b/internal/node/key_retention_test.go
@@ -10,7 +10,7 @@
 	"calicohinge/policy"
 )
 
-// retentionCase is a request with two attempts, of which one gets its connection late.
+// retentionCase is a request with two attempts, one of which gets its connection late.
 type retentionCase struct {
 	class     int
 	first     policy.Status // of the first attempt, Cancelled for one that is still in flight
@@ -19,8 +19,8 @@
 	wantSends int           // of that attempt
 }
 
-// Connections come up after the retention of a request's idempotency key, or before. After it
-// none of its attempts is written, the first one included, if another may have been executed.
+// The connection of an attempt is open before or after the end of the key's retention. After the end, no attempt of
+// the request is written if another one may have been executed. This holds for the first attempt as well.
 func TestRepeatsStayWithinTheKeyRetention(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]retentionCase{
--- a/internal/node/retry_test.go
+++ b/internal/node/retry_test.go
@@ -142,8 +142,8 @@
 	}
 }
 
-// Responses are truncated, at the first attempt or at the second too: what may be executed again is
-// retried elsewhere, what must not fails, and no client gets the part that came.
+// The response to the first attempt, or also to the second, is truncated. A request that may be executed again is
+// retried at another server, any other request fails, and no client gets the truncated response.
 func TestTruncatedResponsesAreRetriedIfPermitted(t *testing.T) {
 	t.Parallel()
 	const complete = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
@@ -196,8 +196,8 @@
 	}
 }
 
-// A response with no length is complete when its server closes the connection: each client
-// gets it, at the first attempt. A reset would be no end.
+// A response without a length is complete when its server closes the connection: each client gets it, at the first
+// attempt. After a reset it would be incomplete.
 func TestResponseWithNoLengthIsForwarded(t *testing.T) {
 	server := testkit.NewBackend(t, truncatedResponse("HTTP/1.1 200 OK\r\n\r\nall of it", endWithClose))
 	n, _ := startReady(t, server)
@@ -212,8 +212,8 @@
 	}
 }
 
-// A pooled connection breaks as a request is written to it, its last byte included: one that
-// is not idempotent is not sent again by any part of the node.
+// A pooled connection is reset after a request has been written to it: no part of the node sends a request again
+// that is not idempotent.
 func TestNonIdempotentRequestIsNotResentAfterAReset(t *testing.T) {
 	var served atomic.Bool
 	handle := func(w http.ResponseWriter, r *http.Request) {
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -50,9 +50,8 @@
 	n.awaitExit()
 }
 
-// The clients of a node that shuts down may have no other one: they are served on
-// their connections until shortly before the node has to exit, and what is open
-// then gets a response rather than being cut off.
+// The clients of a node that shuts down may have no other node: they are served on their connections until shortly
+// before the node has to exit, and a request that is active then gets a response.
 func TestShutdownServesItsClientsBeforeItTerminates(t *testing.T) {
 	b := testkit.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/pay" {
@@ -81,7 +80,7 @@
 	n.wantServedUntil(steady, began.Add(checkedTo), began.Add(drainsAt))
 
 	if resp := n.readResponse(late); resp.StatusCode != http.StatusBadGateway {
-		t.Errorf("the last one got status %d", resp.StatusCode)
+		t.Errorf("the last request got status %d", resp.StatusCode)
 	}
 	n.awaitExit()
 }
@@ -118,7 +117,7 @@
 	return nil
 }
 
-// A request whose deadline is long after the kill gets its response before it all the same.
+// A request whose deadline is long after the kill still gets its response before the kill.
 func TestShutdownFailsLongRequestsBeforeTheKill(t *testing.T) {
 	t.Parallel()
 	b := testkit.NewBackend(t, testkit.Unresponsive(make(chan struct{}, 1)))
@@ -136,15 +135,15 @@
 	n.awaitExit()
 }
 
-// A shutdown finds requests queued, waiting for a connection and in flight: each gets its final
-// response before the kill.
+// A shutdown begins while requests are queued, wait for a connection or are in flight: each gets its final response
+// before the kill.
 func TestShutdownCompletesRequestsInEveryState(t *testing.T) {
 	t.Parallel()
 	stuck := testkit.NewStuckServer(t)
 	b := testkit.NewBackend(t, testkit.Unresponsive(make(chan struct{}, 10)))
 	for name, c := range map[string]struct {
 		server endpointjson.Endpoint
-		first  int // requests that go before
+		first  int // requests that are sent before
 	}{
 		"queued":                   {b.Endpoint("s-0"), 5},
 		"waiting for a connection": {stuck.Endpoint("s-0"), 0},
@@ -192,7 +191,7 @@
 	return nc
 }
 
-// sendLongRequests sends so many of them, each on a connection of its own.
+// sendLongRequests sends a number of long requests, each on a connection of its own.
 func (n *testNode) sendLongRequests(count int) []net.Conn {
 	n.t.Helper()
 	var clients []net.Conn
@@ -202,7 +201,7 @@
 	return clients
 }
 
-// A shutdown finds a request half read: it is served once it is complete.
+// A shutdown begins while a request is half read: it is served once it is complete.
 func TestShutdownServesARequestThatIsBeingRead(t *testing.T) {
 	t.Parallel()
 	n, _ := startReady(t, testkit.NewBackend(t, testkit.OK))
@@ -218,8 +217,8 @@
 	}
 }
 
-// The listener fails while a request is in flight: it gets its response, others are
-// served on connections that are open, and Run returns the failure.
+// The listener fails while a request is in flight: the request gets its response, others are served on connections
+// that are open, and Run returns the failure.
 func TestListenerFailureBeginsAGracefulShutdown(t *testing.T) {
 	t.Parallel()
 	server := newGatedBackend(t)
@@ -241,8 +240,8 @@
 	}
 }
 
-// Requests come on connections that are open, but without one, as a shutdown terminates: they
-// are rejected and not dropped.
+// Clients with open, unused connections send requests when the shutdown has terminated the others: the requests are
+// rejected and not dropped.
 func TestTerminationRejectsRequestsOnUnusedConnections(t *testing.T) {
 	t.Parallel()
 	b := testkit.NewBackend(t, testkit.Unresponsive(make(chan struct{}, 1)))
@@ -273,8 +272,8 @@
 	}
 }
 
-// A shutdown finds every connection in use, those of the reserve too, and a further one that
-// waits for its admission with a request: each request gets its response before the kill.
+// A shutdown begins while every connection is in use, those of the reserve included, and further clients wait for
+// admission with their requests: each request gets its response before the kill.
 func TestShutdownRespondsToAConnectionThatWaitsForAdmission(t *testing.T) {
 	t.Parallel()
 	b := testkit.NewBackend(t, testkit.Unresponsive(make(chan struct{}, 100)))
--- a/internal/node/validation_test.go
+++ b/internal/node/validation_test.go
@@ -54,7 +54,7 @@
 func (n *testNode) wantNoneForwarded(server *testkit.Backend) {
 	n.t.Helper()
 	if len(server.Requests) != 0 {
-		n.t.Errorf("%d of them reached a server", len(server.Requests))
+		n.t.Errorf("%d of the requests reached a server", len(server.Requests))
 	}
 	n.wantStatus("read", http.StatusOK)
 }
@@ -86,9 +86,8 @@
 	}
 }
 
-// A message that can be read in two ways hides requests from a proxy before or behind; one that
-// can't be read must not keep its connection. Neither may reach a server, nor keep the node from
-// serving others.
+// A message that can be read in two ways may hide a request from another proxy on the request path. A message that
+// can't be read must not keep its connection open. Neither reaches a server, and the node still serves others.
 func TestMalformedMessagesAreRejected(t *testing.T) {
 	t.Parallel()
 	b := testkit.NewBackend(t, testkit.OK)
@@ -138,8 +137,8 @@
 	t.Cleanup(func() { n.wantNoneForwarded(b) })
 }
 
-// The read of a response takes half of its class's latency objective at most: one that breaks off
-// would otherwise take the time of the next attempt where the objective is short.
+// The read of a response takes half of its class's latency objective at most. If the objective is short, an
+// incomplete response would otherwise leave no time for the next attempt.
 func TestResponseReadTimeoutLeavesTimeForARetry(t *testing.T) {
 	for objective, want := range map[int]time.Duration{60: 30 * time.Millisecond, 2000: maxResponseRead} {
 		cfg := testConfig(t, testkit.NewRegistry(t), withDeadlines(objective*4/3))
