--- a/internal/discovery/fetch_test.go
+++ b/internal/discovery/fetch_test.go
@@ -145,7 +145,8 @@
 	})
 }
 
-// A call without a present list is for the complete one, whatever the response says of itself.
+// Without a present list, a call is for the complete list, and its response counts as complete even if it does not
+// say so.
 func TestListIsCompleteIfNoneWasKnown(t *testing.T) {
 	for _, haveList := range []bool{false, true} {
 		list, err := testFollower(t, "discovery", haveList).nextQuery().decode([]byte(`{"generation":3,"instances":[]}`))
--- a/internal/discovery/inflight.go
+++ b/internal/discovery/inflight.go
@@ -36,9 +36,9 @@
 
 // inFlightCalls holds the calls whose responses may still be used, in the order of their starts. The node
 // counts as notified of a list as soon as the service has written it. A response may therefore be on its way
-// when the response timeout passes or the address changes, and a call that has reached the service is not
-// cancelled then: it stays in flight until a later call returns a list. Only the goroutine of the present
-// follower calls its methods.
+// when the response timeout passes or the address changes, and a call that has a connection is not cancelled
+// then: it stays in flight until a later call returns a list, or until it reaches one of the limits above. Only
+// the goroutine of the present follower calls the methods but close.
 //
 //	event                                   method     effect
 //	a call is made                          start      cancels the oldest one if there are too many
--- a/internal/node/connection_limits_test.go
+++ b/internal/node/connection_limits_test.go
@@ -60,7 +60,7 @@
 	server := newGatedBackend(t)
 	n := startWithFewSockets(t, server.Endpoint("s-0"))
 	var busy []net.Conn
-	for range 20 { // some of the requests may be queued: their connections are in use all the same
+	for range 20 { // some of the requests may be queued: their connections are in use as well
 		nc := n.dial()
 		if err := n.request("read").Write(nc); err != nil {
 			t.Fatal(err)
@@ -110,8 +110,8 @@
 	}
 }
 
-// Many clients send noise, half a request or hundreds at once, and disconnect or stay: others are
-// served between them, and no connection or request stays behind.
+// Many clients send noise, half a request or hundreds of requests at once, and disconnect or stay connected: other
+// clients are served meanwhile, and in the end no connection is open and no request active.
 func TestAbusiveClientsLeaveNoConnectionsBehind(t *testing.T) {
 	s := startHandler(t, testkit.NewBackend(t, testkit.OK).Endpoint("s-0"))
 	abuses := []func(nc net.Conn){
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -66,7 +66,7 @@
 type endpointsUpdated struct {
 	kind        policy.UpdateKind
 	forPool     []endpoint.Endpoint
-	forBalancer []policy.Endpoint // the same ones
+	forBalancer []policy.Endpoint // the same endpoints, in the balancer's terms
 }
 
 func (e endpointsUpdated) handle(l *loop, now time.Duration) { l.updateEndpoints(now, e) }
--- a/internal/node/harness_handler_test.go
+++ b/internal/node/harness_handler_test.go
@@ -106,10 +106,10 @@
 	})
 }
 
-// awaitIdleConns waits until the pool has so many idle connections to an address.
+// awaitIdleConns waits until the pool has n idle connections to an address.
 func (s *handlerServer) awaitIdleConns(n int, addr net.Addr) {
 	s.t.Helper()
-	testkit.Until(s.t, "connections to come up", func() bool {
+	testkit.Until(s.t, "idle connections", func() bool {
 		idle := 0
 		for _, server := range s.loop.pool.Stats().Servers {
 			if server.Address == addr.String() {
--- a/internal/node/harness_loop_test.go
+++ b/internal/node/harness_loop_test.go
@@ -115,7 +115,7 @@
 	})
 }
 
-// awaitRequests waits until the loop has so many requests with so many attempts in flight.
+// awaitRequests waits until the loop has the given numbers of requests and of attempts in flight.
 func (l *testLoop) awaitRequests(requests, inFlight int) {
 	l.t.Helper()
 	description := fmt.Sprintf("%d requests with %d attempts in flight", requests, inFlight)
--- a/internal/node/key_retention_test.go
+++ b/internal/node/key_retention_test.go
@@ -14,8 +14,8 @@
 type retentionCase struct {
 	class     int
 	first     policy.Status // of the first attempt, Cancelled for one that is still in flight
-	expires   bool          // the retention ends before the connection comes up
-	late      int           // the index of the attempt whose connection comes up late
+	expires   bool          // the retention ends before the late connection is open
+	late      int           // the index of the attempt whose connection is open late
 	wantSends int           // of that attempt
 }
 
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -76,9 +76,8 @@
 	return sequence.run(ctx)
 }
 
-// run carries out the steps of a shutdown. Each begins at its time or, in a process that was paused,
-// later, but none is left out and their order is always the same. It does not use
-// http.Server.Shutdown, which drops requests that are just being read.
+// run carries out the steps of a shutdown in a fixed order. Each begins at its time, or later in a process that
+// was paused; none is left out. run does not use http.Server.Shutdown, which drops requests that are being read.
 func (s *shutdown) run(ctx context.Context) error {
 	s.withdrawReadiness()
 	s.serveUntilQuiet()
