--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -109,7 +109,7 @@
 		handler.UpdateEndpoints(policy.UpdateCached, c.cached.Endpoints)
 		handler.Synced()
 	} else if c.polling {
-		handler.UpdateEndpoints(policy.UpdateCached, nil) // package policy responds with RequestWatch
+		handler.UpdateEndpoints(policy.UpdateCached, nil) // package policy then requests a watch
 	}
 }
 
