--- a/policy/circuit_breaker.go
+++ b/policy/circuit_breaker.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	failureThreshold     = 5                // consecutive failures that open a breaker
-	maxFailureThreshold  = 12               // the same however often the server is expected to fail
-	maxChanceProbability = 1e-5             // of a run of failures: up to it, the run is taken for an outage
-	failureWindow        = 60 * time.Second // that consecutive failures must fall into
-	initialOpenDuration  = 2 * time.Second  // of an open breaker; doubles with each failed trial
+	failureThreshold     = 5                // consecutive failures that open a breaker if not expected
+	maxFailureThreshold  = 12               // consecutive failures that open a breaker in any case
+	maxChanceProbability = 1e-5             // probability above which a run of failures is expected
+	failureWindow        = 60 * time.Second // time that consecutive failures must fall into
+	initialOpenDuration  = 2 * time.Second  // time that a breaker stays open; doubles with each failed trial
 	maxOpenDuration      = 30 * time.Second
 )
 
@@ -30,25 +30,27 @@
 
 func (s breakerState) String() string { return enumName(s, "closed", "open", "half-open") }
 
-// circuitBreaker is the breaker of one server. Only a half-open one has a trial.
+// circuitBreaker is the breaker of one server. It has a trial only while it is half-open.
 type circuitBreaker struct {
 	state        breakerState
 	failures     []time.Duration // times of the consecutive failures within failureWindow
-	openDuration time.Duration   // how long it stays open when it opens next
-	halfOpenAt   time.Duration   // when an open one turns half-open
-	trial        *attempt        // in flight; nil while a half-open one awaits it
+	openDuration time.Duration   // how long the breaker stays open when it opens next
+	halfOpenAt   time.Duration   // when an open breaker turns half-open
+	trial        *attempt        // the attempt in flight; nil while a half-open breaker awaits one
 }
 
 func newCircuitBreaker() circuitBreaker {
 	return circuitBreaker{openDuration: initialOpenDuration}
 }
 
+// awaitsTrial reports whether the breaker is half-open and no trial is in flight.
 func (c *circuitBreaker) awaitsTrial() bool { return c.state == breakerHalfOpen && c.trial == nil }
 
+// isTrial reports whether an attempt is the trial of a half-open breaker.
 func (c *circuitBreaker) isTrial(a *attempt) bool { return c.state == breakerHalfOpen && c.trial == a }
 
-// acceptsTrial reports whether the next attempt of a request may be the trial. One that is not idempotent is
-// the trial only if no other request came.
+// acceptsTrial reports whether the next attempt of a request may be the trial. A request that is not
+// idempotent may only be once the trial is overdue.
 func (c *circuitBreaker) acceptsTrial(now time.Duration, idempotency Idempotency) bool {
 	return c.awaitsTrial() && (idempotency != NotIdempotent || c.trialOverdue(now))
 }
@@ -72,15 +74,16 @@
 	}
 }
 
-// abandonTrial ends a trial without a result: the next request is the trial.
+// abandonTrial ends a trial without a result. The breaker stays half-open and awaits another trial. An
+// attempt that is not the trial has no effect.
 func (c *circuitBreaker) abandonTrial(a *attempt) {
 	if c.trial == a {
 		c.trial = nil
 	}
 }
 
-// recordSuccess closes the breaker after its trial. A response to an older attempt shows that the server
-// is alive, so that the trial may follow at once.
+// recordSuccess closes the breaker if the attempt was its trial. A response to an older attempt shows that
+// the server of an open breaker is alive, so that the trial may follow at once.
 func (c *circuitBreaker) recordSuccess(now time.Duration, a *attempt) {
 	c.failures = c.failures[:0]
 	switch {
@@ -91,6 +94,7 @@
 	}
 }
 
+// recordFailure adds a consecutive failure and drops those before failureWindow.
 func (c *circuitBreaker) recordFailure(now time.Duration) {
 	expired := func(at time.Duration) bool { return now-at > failureWindow }
 	c.failures = slices.DeleteFunc(append(c.failures, now), expired)
@@ -118,7 +122,7 @@
 }
 
 // failuresExpected reports whether the consecutive failures are likely at the failure rate before them. The
-// score steers requests away then; opening the breaker would lose what the server still serves.
+// score then steers requests away from the server; an open breaker would lose what it still serves.
 func (c *circuitBreaker) failuresExpected(failureRate float64) bool {
 	failures := len(c.failures)
 	return failures < maxFailureThreshold && math.Pow(failureRate, float64(failures)) > maxChanceProbability
