--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -16,8 +16,8 @@
 	timerWatch               // the next call for the endpoint list
 )
 
-// Balancer makes the decisions of one node. Create it with New. Each concern keeps its own state; the
-// Balancer is the order in which they are called.
+// Balancer makes the decisions of one node. Create it with New. Each concern keeps its own state, and the
+// Balancer calls the concerns in order.
 type Balancer struct {
 	settings Settings
 	host     Host
@@ -85,7 +85,8 @@
 	return balancer, nil
 }
 
-// Request handles the arrival of a client's request. One of an unknown class is rejected.
+// Request handles the arrival of a client's request. A request of an unknown class is rejected, and one
+// whose ID is known already is ignored.
 func (b *Balancer) Request(now time.Duration, arrival Request) {
 	if b.requests.byID[arrival.ID] != nil {
 		return
@@ -105,7 +106,8 @@
 	b.checks.scheduleBy(min(now+checkInterval, request.deadline))
 }
 
-// StreamStarted reports that an attempt's response streams to the client: no attempt or deadline follows.
+// StreamStarted reports that an attempt's response streams to the client. The request gets no further
+// attempt, and its deadline no longer applies.
 func (b *Balancer) StreamStarted(now time.Duration, id RequestID, index int) {
 	request, attempt := b.requests.findAttempt(id, index)
 	if request == nil {
@@ -123,7 +125,8 @@
 	}
 }
 
-// Outcome reports the end of an attempt, which first counts for the server and then for the request.
+// Outcome reports the end of an attempt, which counts for its server first. Then it completes the request or
+// leads to a retry.
 func (b *Balancer) Outcome(now time.Duration, outcome Outcome) {
 	request, attempt := b.requests.findAttempt(outcome.ID, outcome.Attempt)
 	if request == nil {
@@ -133,18 +136,19 @@
 	attempt.server.endAttempt(attempt)
 	b.limiter.endAttempt(attempt)
 	b.recordOutcome(now, request, attempt, outcome)
-	if outcome.RequestCompleted || outcome.Status == OK {
+	switch {
+	case outcome.RequestCompleted || outcome.Status == OK:
 		b.complete(request)
-	} else if !request.completed && request.inFlight == 0 {
-		b.scheduleRetry(now, request)
-	}
-	if request.completed {
+	case request.completed: // earlier; this may have been its last attempt in flight
 		b.requests.release(request)
+	case request.inFlight == 0:
+		b.scheduleRetry(now, request)
 	}
 	b.dispatch(now)
 }
 
-// UpdateEndpoints handles an update of the endpoint list. A cached one starts the watch, if there is one.
+// UpdateEndpoints handles an update of the endpoint list. A cached list also starts the watch, with
+// Settings.PollEndpoints.
 func (b *Balancer) UpdateEndpoints(now time.Duration, kind UpdateKind, endpoints []Endpoint) {
 	b.watch.reset()
 	if kind == UpdateCached && b.settings.PollEndpoints {
@@ -157,8 +161,9 @@
 	b.dispatch(now)
 }
 
-// WatchFailed reports that a call for the endpoint list failed or its watch broke; the known list stays in
-// force. Changes missed since count as notified at the deadline, so a response has to fit before it.
+// WatchFailed reports that a call for the endpoint list failed or its watch broke. The known list stays in
+// force. The node counts as notified of missed changes at the deadline, so the next response must come
+// before it.
 func (b *Balancer) WatchFailed(now, deadline time.Duration) {
 	b.host.SetTimer(now+b.watch.backOff(deadline-now), timerWatch)
 }
