--- a/policy/admission.go
+++ b/policy/admission.go
@@ -7,17 +7,19 @@
 	"sort"
 )
 
-// admissionQueue holds the requests that wait for capacity, which are marked as queued, sorted by precedes.
+// admissionQueue holds the requests that wait for capacity, sorted by precedes. Each of them is marked as
+// queued.
 type admissionQueue struct{ waiting []*request }
 
+// add inserts a request at its place in the order.
 func (q *admissionQueue) add(request *request) {
 	index := sort.Search(len(q.waiting), func(i int) bool { return request.precedes(q.waiting[i]) })
 	q.waiting = slices.Insert(q.waiting, index, request)
 	request.queued = true
 }
 
-// markRemoved is called for a request right before it is sent or terminated and removeFunc removes it: its
-// record may be reused from then on.
+// markRemoved clears the mark of a request that the function of removeFunc is about to send or to terminate.
+// Without the mark, requestTable may reuse the record of the request as soon as it is released.
 func (q *admissionQueue) markRemoved(request *request) { request.queued = false }
 
 // removeFunc calls a function on each request in order and removes those for which it returns true.
@@ -31,4 +33,6 @@
 	return x > y || (x == y && r.objectiveDeadline < other.objectiveDeadline)
 }
 
+// weightPerWork returns the priority weight for each unit of the work that is estimated for the request's
+// class.
 func (r *request) weightPerWork() float64 { return r.weight / r.class.workEstimate.Value() }
--- a/policy/arrivals.go
+++ b/policy/arrivals.go
@@ -28,6 +28,7 @@
 	}
 }
 
+// record counts an arrival. A quota has been charged for the request before, as that may lower its weight.
 func (a *arrivalStats) record(now time.Duration, request *request) {
 	a.weightPerWork.Add(request.weightPerWork())
 	a.rate.Add(now, 1)
@@ -38,6 +39,7 @@
 	return a.weightPerWork.Value() * class.workEstimate.Value()
 }
 
+// isHighPriority reports whether a request weighs far more than the mean request with the work of its class.
 func (a *arrivalStats) isHighPriority(request *request) bool {
 	return request.weight > highPriorityMultiple*a.meanWeight(request.class)
 }
--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -4,7 +4,8 @@
 
 import "time"
 
-// refresh brings the subset, the scores and all other estimates up to date, once for each time.
+// refresh brings the subset, the scores and all other estimates up to date. It does so once for all calls
+// with the same time, unless they have become outdated since.
 func (b *Balancer) refresh(now time.Duration) {
 	if !b.outdated && b.refreshedAt == now {
 		return
@@ -25,12 +26,12 @@
 		return
 	}
 	b.refresh(now)
-	full := false // for any request that is not bound to the scope of its key
+	noCapacity := false // for any queued request
 	b.queue.removeFunc(func(request *request) bool {
 		if request.completed {
 			return true
 		}
-		if !full && b.sendIfCapacity(now, request) {
+		if !noCapacity && b.sendIfCapacity(now, request) {
 			return true
 		}
 		if b.subset.allEjected() {
@@ -38,7 +39,10 @@
 			b.terminateUnserved(request)
 			return true
 		}
-		full = full || len(request.attempts) == 0
+		// A first attempt may go to any server, so that no other request finds one either. A retry may be
+		// bound to the scope of its key.
+		isFirstAttempt := len(request.attempts) == 0
+		noCapacity = noCapacity || isFirstAttempt
 		return false
 	})
 }
@@ -66,8 +70,9 @@
 	})
 }
 
-// selectServer returns a server for the next attempt, or nil: a half-open server that awaits its trial, else
-// the better of two random candidates for a first attempt and the best of all for a retry.
+// selectServer returns a server for the next attempt, or nil if there is no capacity. A server that awaits
+// its trial comes first. Otherwise a first attempt gets the better of two random candidates, and a retry or
+// hedged request the best of all.
 func (b *Balancer) selectServer(now time.Duration, request *request) *server {
 	b.refresh(now)
 	b.collectCandidates(now, request)
@@ -82,8 +87,9 @@
 	return b.candidates.best()
 }
 
-// collectCandidates collects the servers that may get the next attempt, up to the first that gets it as a
-// trial. It refills the slow start budgets of the permitted ones.
+// collectCandidates collects the servers that may get the next attempt. It stops at the first server that
+// gets the attempt as its trial. It refills the slow start budgets of the servers that the retry policy
+// permits.
 func (b *Balancer) collectCandidates(now time.Duration, request *request) {
 	b.candidates.reset()
 	work := request.baselineLatency()
@@ -143,7 +149,7 @@
 	b.complete(request)
 }
 
-// complete releases a request and cancels its attempts in flight.
+// complete releases a request and cancels its attempts in flight. A completed request may be passed again.
 func (b *Balancer) complete(request *request) {
 	if !request.completed {
 		b.cancelAttempts(request, nil)
@@ -151,6 +157,8 @@
 	b.requests.release(request)
 }
 
+// cancelAttempts cancels the attempts in flight of a request, where permitted, except for one that may be
+// nil.
 func (b *Balancer) cancelAttempts(request *request, except *attempt) {
 	if !b.settings.Limits.Cancel {
 		return
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -22,7 +22,7 @@
 	return quotas
 }
 
-// charge takes a token of the tenant's quota, or lowers the weight of a request beyond it.
+// charge takes a token of the tenant's quota. A request that finds none keeps a fraction of its weight.
 func (q *tenantQuotas) charge(now time.Duration, request *request) {
 	if request.Tenant < 0 || request.Tenant >= len(q.buckets) {
 		return
@@ -34,8 +34,8 @@
 	}
 }
 
-// refund returns the token of a request that was rejected, since its client retries. Unserved requests would
-// use up an undersampled node's small part of a quota.
+// refund returns the token of a request that ends unserved, since its client retries. Otherwise such requests
+// would use up the small part of a quota that an undersampled node has.
 func (q *tenantQuotas) refund(request *request) {
 	if request.quota != nil {
 		request.quota.Return()
