--- a/policy/load_shedding.go
+++ b/policy/load_shedding.go
@@ -15,9 +15,10 @@
 	means    *outcomeMeans
 }
 
-// mustShed also returns a request that was not sent by its queueing deadline: its client can retry elsewhere.
+// mustShed reports whether a queued request is terminated: no attempt is left, it was not sent by its
+// queueing deadline, or it would be late.
 func (l *loadShedder) mustShed(now time.Duration, request *request) bool {
-	return l.retry.attemptsExhausted(request, now) ||
+	return l.retry.attemptsExhausted(now, request) ||
 		now >= request.queueingDeadline && !request.mayHaveBeenExecuted() ||
 		l.isLate(now, request)
 }
@@ -25,16 +26,17 @@
 // isLate reports whether a queued request cannot be served by its deadline any more.
 func (l *loadShedder) isLate(now time.Duration, request *request) bool {
 	required := request.expectedLatency(l.means.relativeLatency)
-	deadline := l.deadline(request)
-	if deadline == request.objectiveDeadline {
+	deadline := l.servingDeadline(request)
+	if mustMeetObjective := deadline == request.objectiveDeadline; mustMeetObjective {
 		required = time.Duration(l.regime.sheddingMargin * float64(required))
 	}
 	return now+required > deadline
 }
 
-// deadline returns the time by which a queued request must be served. On an undersampled node, which has
-// capacity rarely, a late response of high weight may still earn more than another in time.
-func (l *loadShedder) deadline(request *request) time.Duration {
+// servingDeadline returns the time by which a queued request must be served: its deadline or its objective.
+// An undersampled node has capacity rarely. A late response of high weight may earn more there than another
+// response in time.
+func (l *loadShedder) servingDeadline(request *request) time.Duration {
 	lateWeight := request.weight * request.class.LateFraction
 	if l.regime.queuesPastObjective && lateWeight >= l.arrivals.meanWeight(request.class) {
 		return request.deadline
--- a/policy/request.go
+++ b/policy/request.go
@@ -9,8 +9,8 @@
 	"calicohinge/internal/tokenbucket"
 )
 
-// queueingDivisor has a request that was not sent rejected after one half of the client's time, so that the
-// client can retry elsewhere.
+// queueingDivisor bounds the wait for the first attempt by one half of the client's time. A request that was
+// not sent by then is rejected, so that its client can retry elsewhere.
 const queueingDivisor = 2
 
 // attempt is one send of a request to a server. It keeps the server's zone and cell as of the send.
@@ -22,7 +22,7 @@
 	inFlight     bool
 	notExecuted  bool // known not to have been executed
 	unloaded     bool // had the server to itself when it was sent
-	unresponsive bool // not counted as in flight by the limiter any more
+	unresponsive bool // the limiter no longer counts it as in flight
 }
 
 // isUnresponsive reports whether an attempt in flight has waited long for a response, while its server has
@@ -40,17 +40,18 @@
 	objectiveDeadline time.Duration       // of a response of full weight
 	queueingDeadline  time.Duration       // of the first attempt
 	weight            float64             // priority weight of a response in time
-	quota             *tokenbucket.Bucket // of its tenant, from which it took a token; nil if it did not
+	quota             *tokenbucket.Bucket // of its tenant, if it took a token from it; nil otherwise
 	attempts          []attempt           // never reallocated, since servers point into it
 	inFlight          int                 // attempts in flight
 	retryAt           time.Duration       // end of its backoff; 0 if it is in none
 	queued            bool                // in the admission queue
-	streaming         bool                // the client gets the response of an attempt
+	streaming         bool                // the response of an attempt streams to the client
 	completed         bool                // not active any more
 	activeIndex       int                 // in requestTable.active
 }
 
-// setDeadlines allows for a final response that is handled a tick late, of which ResponseGrace covers a part.
+// setDeadlines sets the deadlines of an arrival. A final response may be handled one tick late.
+// ResponseGrace covers a part of the tick, and the deadline is earlier by the rest.
 func (r *request) setDeadlines(now time.Duration, settings *Settings) {
 	timeout := min(r.Timeout, r.class.Deadline) - max(0, settings.Tick-settings.Rules.ResponseGrace)
 	r.deadline = now + max(0, timeout)
@@ -80,7 +81,7 @@
 	r.inFlight--
 }
 
-// startStream records that the client gets the response of an attempt.
+// startStream records that the response of an attempt streams to the client.
 func (r *request) startStream() { r.streaming = true }
 
 // startBackoff has a retry wait until a time.
@@ -89,11 +90,11 @@
 // backoffOver reports whether the backoff of a retry has ended.
 func (r *request) backoffOver(now time.Duration) bool { return r.retryAt > 0 && now >= r.retryAt }
 
-// endBackoff ends the backoff of a retry, which is due.
+// endBackoff ends the backoff of a retry that is due.
 func (r *request) endBackoff() { r.retryAt = 0 }
 
-// firstExecuted returns the first attempt that may have been executed, or nil.
-func (r *request) firstExecuted() *attempt {
+// firstPossiblyExecuted returns the first attempt that may have been executed, or nil.
+func (r *request) firstPossiblyExecuted() *attempt {
 	for i := range r.attempts {
 		if a := &r.attempts[i]; !a.notExecuted {
 			return a
@@ -103,8 +104,9 @@
 }
 
 // mayHaveBeenExecuted reports whether any attempt may have been executed.
-func (r *request) mayHaveBeenExecuted() bool { return r.firstExecuted() != nil }
+func (r *request) mayHaveBeenExecuted() bool { return r.firstPossiblyExecuted() != nil }
 
+// hasTried reports whether the request has had an attempt at a server.
 func (r *request) hasTried(server *server) bool {
 	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.server == server })
 }
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -13,7 +13,7 @@
 	initialBackoffShare  = 1.0 / 16 // of the class's objective; doubles with each attempt
 	maxBackoff           = 30 * time.Second
 	jitterShare          = 0.2 // of a delay either way; keeps doubled delays growing
-	unresponsiveMultiple = 4.0 // of the expected latency without a response: counts as a failure
+	unresponsiveMultiple = 4.0 // of the expected latency; an attempt without a response by then has failed
 )
 
 // retryPolicy says which attempts a request may have, and when.
@@ -29,23 +29,25 @@
 	return jitter.Proportional(p.random, backoff, jitterShare)
 }
 
-// attemptsExhausted reports whether a request may have no attempt at a time or later.
-func (p *retryPolicy) attemptsExhausted(request *request, at time.Duration) bool {
-	executed := request.firstExecuted()
+// attemptsExhausted reports whether a request may have no attempt at a time or later: it has had all of its
+// attempts, or it may have been executed and must not be repeated.
+func (p *retryPolicy) attemptsExhausted(at time.Duration, request *request) bool {
+	executed := request.firstPossiblyExecuted()
 	return len(request.attempts) >= p.limits.MaxAttempts ||
 		executed != nil && !request.class.mayRepeatAfter(at-executed.sentAt)
 }
 
-// permitsRetryAt reports whether a retry at a time is permitted, and its response with the expected latency
-// still has weight.
+// permitsRetryAt reports whether a retry at a time is permitted, and its response is expected while it still
+// has weight.
 func (p *retryPolicy) permitsRetryAt(at time.Duration, request *request, latency time.Duration) bool {
-	return !p.attemptsExhausted(request, at) && at+latency <= request.retryDeadline()
+	return !p.attemptsExhausted(at, request) && at+latency <= request.retryDeadline()
 }
 
-// permits is the check of every attempt: it enforces deadlines, limits and idempotency.
+// permits reports whether a request may have an attempt at a server. It checks every attempt, and enforces
+// deadlines, limits and idempotency.
 func (p *retryPolicy) permits(now time.Duration, request *request, server *server) bool {
 	if request.completed || request.streaming || now >= request.deadline || server.State != Ready ||
-		p.attemptsExhausted(request, now) {
+		p.attemptsExhausted(now, request) {
 		return false
 	}
 	for i := range request.attempts {
@@ -62,8 +64,8 @@
 		(request.class.Idempotency != IdempotentWithKey || request.class.sharesKeyScope(earlier, server))
 }
 
-// permitsHedging reports whether a request with one attempt in flight may have a second one, whose response
-// with the expected latency meets the objective.
+// permitsHedging reports whether a request with one attempt in flight may have a second one. The response is
+// expected after the given latency and must meet the objective.
 func (p *retryPolicy) permitsHedging(now time.Duration, request *request, latency time.Duration) bool {
 	return request.inFlight == 1 && p.limits.Hedging && now+latency <= request.objectiveDeadline
 }
@@ -76,7 +78,8 @@
 	return r.objectiveDeadline
 }
 
-// mayRepeatAfter reports whether a request may be executed again at an age of its first attempt.
+// mayRepeatAfter reports whether a request may be executed again at an age of its first attempt that may
+// have been executed.
 func (c *requestClass) mayRepeatAfter(age time.Duration) bool {
 	return c.Idempotency == Idempotent || c.Idempotency == IdempotentWithKey && age < c.KeyRetention
 }
