--- a/policy/score.go
+++ b/policy/score.go
@@ -10,11 +10,11 @@
 
 const (
 	outcomesPerServer      = 100  // latest outcomes that a server is judged by
-	priorOutcomes          = 3.0  // weight of the means beside a server's own outcomes
+	priorOutcomes          = 3.0  // weight of the means beside a server's own outcomes, in outcomes
 	successWeight          = 0.7  // of the success rate in the score
 	latencyWeight          = 0.3  // of the latency in the score
 	minHighestLatency      = 1e-9 // multiple of the baseline, so that the score stays finite
-	scoreTieMargin         = 0.1  // scores this close go by the attempts in flight
+	scoreTieMargin         = 0.1  // difference up to which the attempts in flight decide
 	initialSuccessRate     = 1.0  // without any outcome
 	initialRelativeLatency = 1.0  // multiple of the baseline, without any outcome
 )
@@ -31,13 +31,15 @@
 	return serverScore{outcomes: outcomewindow.New(outcomesPerServer)}
 }
 
+// recordSuccess adds a response with its latency as a multiple of the baseline latency.
 func (s *serverScore) recordSuccess(now time.Duration, relativeLatency float64) {
 	s.outcomes.AddSuccess(now, relativeLatency)
 }
 
 func (s *serverScore) recordFailure(now time.Duration) { s.outcomes.AddFailure(now) }
 
-// estimate counts the means as priorOutcomes outcomes, so that a server without outcomes has the means.
+// estimate computes the success rate and the relative latency. The means count as priorOutcomes outcomes
+// beside the server's own, so that a server without outcomes has the means.
 func (s *serverScore) estimate(means outcomeMeans) {
 	outcomes, successes := float64(s.outcomes.Len()), float64(s.outcomes.Successes())
 	s.successRate = (successes + priorOutcomes*means.successRate) / (outcomes + priorOutcomes)
@@ -45,19 +47,23 @@
 	s.relativeLatency = latencySum / (successes + priorOutcomes)
 }
 
-// updateValue computes the score: 0.7 x success rate + 0.3 x (1 - latency / the highest latency).
+// updateValue computes the score, which is the weighted sum of two values from 0 to 1: the success rate, and
+// 1 - latency / highest latency.
 func (s *serverScore) updateValue(highestLatency float64) {
 	highest := max(highestLatency, s.relativeLatency, minHighestLatency)
 	s.value = successWeight*s.successRate + latencyWeight*(1-s.relativeLatency/highest)
 }
 
-// failureRateBefore returns the failure rate before the latest outcomes, which are consecutive failures.
-func (s *serverScore) failureRateBefore(latest int, means outcomeMeans) float64 {
-	failures := float64(max(0, s.outcomes.Failures()-latest)) + priorOutcomes*(1-means.successRate)
-	return failures / (float64(max(0, s.outcomes.Len()-latest)) + priorOutcomes)
+// failureRateBefore returns the failure rate before a number of consecutive failures, which are the latest
+// outcomes.
+func (s *serverScore) failureRateBefore(consecutiveFailures int, means outcomeMeans) float64 {
+	earlierOutcomes := float64(max(0, s.outcomes.Len()-consecutiveFailures))
+	earlierFailures := float64(max(0, s.outcomes.Failures()-consecutiveFailures))
+	return (earlierFailures + priorOutcomes*(1-means.successRate)) / (earlierOutcomes + priorOutcomes)
 }
 
-// outcomeMeans are taken over all servers of the subset, and stay as they are while there are no outcomes.
+// outcomeMeans are the means over all servers of the subset. They stay as they are while there are no
+// outcomes.
 type outcomeMeans struct{ successRate, relativeLatency float64 }
 
 func newOutcomeMeans() outcomeMeans {
