--- a/policy/concurrency_limit.go
+++ b/policy/concurrency_limit.go
@@ -8,24 +8,24 @@
 )
 
 const (
-	initialLimit          = 3     // for each server, until congestion shows
+	initialLimit          = 3     // attempts for each server
 	targetCongestion      = 0.3   // logarithm of latency over baseline that the limit steers to
 	limitIncrease         = 0.025 // in one smoothed latency, while requests wait for the limit
 	initialIncreaseFactor = 6.0   // on the increase until congestion shows for the first time
 	limitDecrease         = 0.1   // in one smoothed latency, for each unit of congestion above the target
-	peakDeviations        = 2     // standard deviations that a peak may exceed the mean in flight by
-	unloadedPerServer     = 3     // attempts per server over all nodes, up to which an idle one is unloaded
+	peakDeviations        = 2     // standard deviations by which the attempts in flight may exceed the limit
+	unloadedPerServer     = 3     // attempts per server over all nodes up to which an idle server is unloaded
 
-	knownGoodTimeConstant    = time.Minute            // of forgetting the good limit under congestion
+	knownGoodTimeConstant    = time.Minute            // of the decay of the known good limit under congestion
 	meanInFlightTimeConstant = time.Second            // of the mean number of attempts in flight
-	maxAdjustInterval        = 100 * time.Millisecond // that one adjustment covers after a pause
+	maxAdjustInterval        = 100 * time.Millisecond // longest time that one adjustment makes up for
 )
 
 // concurrencyLimiter limits the attempts in flight of this node.
 type concurrencyLimiter struct {
 	inFlight       int     // attempts of this node, not counting unresponsive ones
 	meanInFlight   float64 // its exponential moving average
-	limit          float64 // on all nodes' attempts for each server; may be below 1
+	limit          float64 // of all nodes' attempts for each server; may be below 1
 	knownGood      float64 // highest recent limit without congestion
 	congestionSeen bool    // the limit has left its fast initial growth
 	adjustedAt     time.Duration
@@ -35,13 +35,15 @@
 	return concurrencyLimiter{limit: float64(min(initialLimit, nodes))}
 }
 
-// startAttempt counts an attempt before its server does, and notes whether it has the server to itself.
+// startAttempt counts an attempt and records whether it has its server to itself. It must be called before
+// server.startAttempt, as the server is no longer idle afterwards.
 func (l *concurrencyLimiter) startAttempt(a *attempt, subset *subset) {
 	a.unloaded = l.serverUnloaded(a.server, subset)
 	l.inFlight++
 }
 
-// endAttempt takes an attempt that has ended out of the count.
+// endAttempt takes an attempt that has ended out of the count, unless it is unresponsive and was taken out
+// before.
 func (l *concurrencyLimiter) endAttempt(a *attempt) {
 	if !a.unresponsive {
 		l.inFlight--
@@ -56,23 +58,28 @@
 	}
 }
 
+// markAllUnresponsive calls markUnresponsive for each of the attempts.
 func (l *concurrencyLimiter) markAllUnresponsive(attempts []*attempt) {
 	for _, a := range attempts {
 		l.markUnresponsive(a)
 	}
 }
 
+// updateMeanInFlight adds the present number of attempts to the moving average, for the time since the last
+// call.
 func (l *concurrencyLimiter) updateMeanInFlight(elapsed time.Duration) {
 	weight := min(elapsed.Seconds()/meanInFlightTimeConstant.Seconds(), 1)
 	l.meanInFlight += (float64(l.inFlight) - l.meanInFlight) * weight
 }
 
-// adjust adapts the limit on a response, while a number of requests waits for it.
+// adjust adapts the limit on each response: congestion above the target decreases it, and otherwise it
+// increases if requests wait. The change is proportional to the time since the last response, in smoothed
+// latencies: a change shows after one of them, and faster steps would oscillate.
 func (l *concurrencyLimiter) adjust(
 	now time.Duration, latency *latencyEstimator, regime *samplingRegime, waiting int,
 ) {
 	interval := min((now - l.adjustedAt).Seconds(), maxAdjustInterval.Seconds())
-	rounds := interval / latency.smoothed // a change shows after one; faster steps would oscillate
+	latencies := interval / latency.smoothed
 	l.adjustedAt = now
 	excess := latency.congestion - targetCongestion
 	switch {
@@ -81,27 +88,29 @@
 		l.limit *= regime.firstCongestionFactor
 		l.knownGood = l.limit
 	case excess > 0:
-		l.decrease(excess, rounds, regime)
+		l.decrease(excess, latencies, regime)
 		l.knownGood *= 1 - interval/knownGoodTimeConstant.Seconds()
 	case waiting > 0:
-		l.increase(rounds, regime)
+		l.increase(latencies, regime)
 	}
 }
 
-func (l *concurrencyLimiter) decrease(excess, rounds float64, regime *samplingRegime) {
+// decrease lowers the limit for congestion above the target that lasted for a number of smoothed latencies.
+func (l *concurrencyLimiter) decrease(excess, latencies float64, regime *samplingRegime) {
 	floor := max(regime.minLimit, regime.knownGoodLimitFraction*l.knownGood)
-	l.limit = max(floor, l.limit*(1-limitDecrease*min(excess, regime.maxExcess)*rounds))
+	l.limit = max(floor, l.limit*(1-limitDecrease*min(excess, regime.maxExcess)*latencies))
 }
 
-// increase raises the limit. An additive increase leads nodes that share servers to equal limits.
-func (l *concurrencyLimiter) increase(rounds float64, regime *samplingRegime) {
+// increase raises the limit for a number of smoothed latencies without congestion. An additive increase
+// leads nodes that share servers to equal limits.
+func (l *concurrencyLimiter) increase(latencies float64, regime *samplingRegime) {
 	if !l.congestionSeen {
-		rounds *= initialIncreaseFactor
+		latencies *= initialIncreaseFactor
 	}
 	if regime.additiveIncrease {
-		l.limit += limitIncrease * rounds
+		l.limit += limitIncrease * latencies
 	} else {
-		l.limit *= 1 + limitIncrease*rounds
+		l.limit *= 1 + limitIncrease*latencies
 	}
 	l.knownGood = max(l.knownGood, l.limit)
 }
@@ -112,22 +121,23 @@
 	return float64(len(server.inFlight)+1) <= max(1, limit*capacityShare)
 }
 
-// nodeHasCapacity reports whether the node may have one more attempt in flight. The limit of an undersampled
-// node is a few attempts, which its arrivals exceed by chance: it applies to the mean, as chances even out
-// over many nodes, with a bound on the peaks. A request of high priority does not wait for the mean.
+// nodeHasCapacity reports whether the node may have one more attempt in flight. An undersampled node has a
+// limit of a few attempts, and by chance its arrivals often exceed that. Over many nodes such peaks even
+// out. The limit therefore applies to the mean number of attempts in flight, and the peaks are bounded apart
+// from it. A request of high priority does not wait for the mean.
 func (l *concurrencyLimiter) nodeHasCapacity(request *request, subset *subset, arrivals *arrivalStats) bool {
 	limit := l.limit / subset.nodesPerServer * float64(subset.closed)
 	next := float64(l.inFlight + 1)
 	if !subset.regime.limitAppliesToMean {
 		return next <= max(1, limit)
 	}
-	return (l.meanInFlight < limit || arrivals.isHighPriority(request)) &&
-		next <= limit+peakDeviations*math.Sqrt(limit+1)
+	maxPeak := limit + peakDeviations*math.Sqrt(limit+1)
+	return (l.meanInFlight < limit || arrivals.isHighPriority(request)) && next <= maxPeak
 }
 
 // serverUnloaded reports whether a server is idle and the fleet lightly loaded, judging by this node's
 // attempts.
 func (l *concurrencyLimiter) serverUnloaded(server *server, subset *subset) bool {
-	return len(server.inFlight) == 0 &&
-		float64(l.inFlight)*subset.nodesPerServer <= unloadedPerServer*float64(len(subset.servers))
+	inFlightOfAllNodes := float64(l.inFlight) * subset.nodesPerServer
+	return len(server.inFlight) == 0 && inFlightOfAllNodes <= unloadedPerServer*float64(len(subset.servers))
 }
