--- a/policy/latency.go
+++ b/policy/latency.go
@@ -1,6 +1,7 @@
 package policy
 
-// Latency estimates, from the baseline: the latency of requests that had a server to themselves.
+// The estimates of latency and congestion. They are relative to the baseline, which is the latency of
+// requests that had a server to themselves.
 
 import (
 	"math"
@@ -11,14 +12,14 @@
 
 const (
 	maxLatencySamples   = 400 // over which a class's latencies are averaged
-	startupSamples      = 12  // taken into a class's baseline whatever the congestion, to correct its guess
+	startupSamples      = 12  // count for a class's baseline whatever the congestion, to correct the guess
 	maxServerSamples    = 16  // over which a server's baseline is averaged
 	maxCostHintSamples  = 64  // over which a class's cost hints are averaged
-	latencySmoothing    = 64  // responses
-	congestionSmoothing = 32  // responses
+	latencySmoothing    = 64  // responses over which the latency is smoothed
+	congestionSmoothing = 32  // responses over which the congestion is smoothed
 
-	minRelativeWork = 0.25 // by a cost hint, which is a rough estimate
-	maxRelativeWork = 4    // by a cost hint
+	minRelativeWork = 0.25 // bounds the work by a cost hint, which is a rough estimate
+	maxRelativeWork = 4    // likewise
 
 	initialBaselineFraction = 1.0 / 4              // of a class's latency objective
 	maxBaselineCongestion   = targetCongestion / 2 // up to which a sample counts for a class's baseline
@@ -112,22 +113,25 @@
 	return latencyEstimator{smoothed: class.baseline.Value()}
 }
 
-// record takes the latency of a served request.
+// record takes the latency of a successful response. It adapts the baselines of the class and of the server
+// if the attempt was unloaded, and then compares the latency with both.
 func (e *latencyEstimator) record(
 	attempt *attempt, request *request, latency time.Duration, nodesPerServer float64,
 ) {
-	seconds, congestion := latency.Seconds(), e.congestion
+	seconds := latency.Seconds()
+	congestion := e.congestion // before this response
 	e.smoothed += (seconds - e.smoothed) / latencySmoothing
 	class := request.class
 	class.recordWork(seconds)
 	if attempt.unloaded {
 		class.recordUnloaded(seconds/request.relativeWork(), congestion)
 	}
-	offset := math.Log(max(seconds, minLatency.Seconds()) / (class.baseline.Value() * request.relativeWork()))
-	baseline := &attempt.server.baseline
+	classBaseline := class.baseline.Value() * request.relativeWork()
+	offset := math.Log(max(seconds, minLatency.Seconds()) / classBaseline)
+	serverBaseline := &attempt.server.baseline
 	if attempt.unloaded && congestion < targetCongestion {
 		// The more nodes use the server, the more a sample may be due to their load.
-		baseline.AddWithPrior(offset, nodesPerServer)
+		serverBaseline.AddWithPrior(offset, nodesPerServer)
 	}
-	e.congestion += (offset - baseline.Value() - congestion) / congestionSmoothing
+	e.congestion += (offset - serverBaseline.Value() - congestion) / congestionSmoothing
 }
