--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	slowStartSafety = 0.8  // part of the estimated capacity of a warming server that is used
-	burstWindows    = 0.25 // overload windows whose budget may be saved up
-	minWarmFraction = 0.75 // of the subset, for an estimate of what a warm server gets
+	slowStartSafety = 0.8  // part of a warming server's estimated capacity that is used
+	burstWindows    = 0.25 // budget that may be saved up, in overload windows
+	minWarmFraction = 0.75 // part of the subset that must be warm for an estimate of what a warm server gets
 
-	warmServerRateTimeConstant = 10 * time.Second // of the smoothed rate of a warm server
+	warmServerRateTimeConstant = 10 * time.Second // over which the rate of a warm server is smoothed
 )
 
 // slowStart limits the work that this node sends to servers that are warming up.
@@ -22,8 +22,8 @@
 	nodes          int
 	rules          Rules
 	random         *rand.Rand
-	sentWork       decayrate.Meter // baseline latencies of this node's attempts
-	warmServerRate float64         // work per second from all nodes, when most servers were warm; 0: unknown
+	sentWork       decayrate.Meter // work of this node's attempts: their baseline latencies
+	warmServerRate float64         // work per second that a warm server gets from all nodes; 0: unknown
 }
 
 // slowStartBudget is the work that this node may still send to a server that is warming up.
@@ -56,32 +56,34 @@
 	return server.capacityShare(&s.rules, now) >= 1 || server.budget.work > 0
 }
 
-// recordSend takes the work of an attempt, in seconds. The budget of a warm server has no effect.
+// recordSend takes the work of an attempt, in seconds, from the server's budget. A warm server's budget has
+// no effect.
 func (s *slowStart) recordSend(now time.Duration, server *server, work float64) {
 	s.sentWork.Add(now, work)
 	server.budget.work -= work
 }
 
-// updateWarmServerRate leaves the rate as it was while less than minWarmFraction of the subset is warm.
-func (s *slowStart) updateWarmServerRate(now, elapsed time.Duration, subset *subset, ready int) {
+// updateWarmServerRate adds the present rate to the smoothed one, for the time since the last call. It
+// leaves the rate as it was while less than minWarmFraction of the subset is warm.
+func (s *slowStart) updateWarmServerRate(now, elapsed time.Duration, subset *subset, readyServers int) {
 	warm := 0
 	for _, server := range subset.servers {
 		if server.breaker.state == breakerClosed && server.capacityShare(&s.rules, now) >= 1 {
 			warm++
 		}
 	}
-	if float64(warm) < minWarmFraction*float64(len(subset.servers)) || ready == 0 {
+	if float64(warm) < minWarmFraction*float64(len(subset.servers)) || readyServers == 0 {
 		return
 	}
-	rate := s.sentWork.PerSecond(now) * float64(s.nodes) / float64(ready)
+	rate := s.sentWork.PerSecond(now) * float64(s.nodes) / float64(readyServers)
 	weight := min(1, elapsed.Seconds()/warmServerRateTimeConstant.Seconds())
 	s.warmServerRate += (rate - s.warmServerRate) * weight
 }
 
 // refillBudget adds to the budget of a warming server, before a request of the given work in seconds. A node
-// does not see the other nodes' sends: the budget grows at this node's part of the rate that would overload
-// the server. It starts with a random debt of up to one request, since a send from each node at once could
-// overload the server.
+// does not see the other nodes' sends. The budget therefore grows at this node's part of the rate that would
+// overload the server. It starts with a random debt of up to one request, since a send from each node at
+// once could overload the server.
 func (s *slowStart) refillBudget(
 	now time.Duration, server *server, work float64, subset *subset, arrivals *arrivalStats,
 ) {
@@ -90,11 +92,11 @@
 		return
 	}
 	budget := &server.budget
-	if budget.updatedAt == 0 {
+	if isNew := budget.updatedAt == 0; isNew {
 		*budget = slowStartBudget{work: -work * s.random.Float64(), updatedAt: now}
 	}
 	rate := s.warmServerRate / subset.nodesPerServer * s.rules.OverloadMultiple
-	if s.warmServerRate == 0 { // a new node among warming servers knows its own arrivals only
+	if s.warmServerRate == 0 { // unknown: a new node among warming servers knows only its own arrivals
 		rate = arrivals.rate.PerSecond(now) * work / float64(len(subset.servers))
 	}
 	rate *= share * slowStartSafety
