--- a/policy/subset.go
+++ b/policy/subset.go
@@ -1,12 +1,12 @@
 package policy
 
-// The subset of the servers that this node uses: it could not measure all of them with its requests alone.
+// The subset of the servers that this node uses. Its requests alone are too few to measure all servers.
 
 import "time"
 
 const (
 	minSubsetSize         = 4               // warm servers whose breaker is not open
-	subsetRequestInterval = time.Second / 4 // in which each server of the subset gets one request
+	subsetRequestInterval = time.Second / 4 // time in which each server of the subset is to get one request
 )
 
 // subset is a contiguous part of the ring of ready servers. The subsets of all nodes cover the ring evenly.
@@ -16,9 +16,9 @@
 	servers        []*server
 	nodesPerServer float64        // mean number of nodes that use a server, at least 1
 	regime         samplingRegime // by nodesPerServer
-	wanted         int            // number of warm servers, not counting open breakers, when it was renewed
+	wanted         int            // warm servers whose breaker is not open, wanted at the last renewal
 	renewedAt      time.Duration
-	stale          bool // the ready servers or their breakers have changed since
+	stale          bool // the ready servers or their breakers have changed since renewedAt
 
 	closed, awaitingTrial int // servers by the state of their breaker, as of the last refresh
 }
@@ -29,29 +29,34 @@
 	return created
 }
 
+// setNodesPerServer sets the mean number of nodes that use a server, and the regime that follows from it.
 func (s *subset) setNodesPerServer(nodesPerServer float64) {
 	s.nodesPerServer = nodesPerServer
 	s.regime = regimeFor(nodesPerServer)
 }
 
-// invalidate has the next renewal take place, because the ready servers or their breakers have changed.
+// invalidate makes a renewal due, because the ready servers or their breakers have changed.
 func (s *subset) invalidate() { s.stale = true }
 
-// renewIfDue adapts the subset to the ready servers, the ring, and to the rate of arrivals.
+// renewIfDue adapts the subset to the rate of arrivals and to the ready servers in the order of the ring. It
+// is due at intervals, and at once when the subset is stale or has to grow.
 func (s *subset) renewIfDue(now time.Duration, ring []*server, arrivalsPerSecond float64) {
 	rounded := int(arrivalsPerSecond*subsetRequestInterval.Seconds() + 0.5)
 	wanted := max(minSubsetSize, rounded)
-	if !s.stale && wanted <= s.wanted && now-s.renewedAt < subsetRequestInterval {
+	due := s.stale || wanted > s.wanted || now-s.renewedAt >= subsetRequestInterval
+	if !due {
 		return
 	}
 	s.stale, s.wanted, s.renewedAt = false, wanted, now
 	nodes, ready := float64(s.nodes), len(ring)
-	middle := float64(s.node) + 0.5 // of the node's part of the ring
-	s.fill(now, ring, int(middle/nodes*float64(ready)))
+	middle := float64(s.node) + 0.5 // of this node's part of the ring, in parts of one node
+	start := int(middle / nodes * float64(ready))
+	s.fill(now, ring, start)
 	s.setNodesPerServer(max(1, nodes*float64(len(s.servers))/float64(max(1, ready))))
 }
 
-// fill takes servers along the ring until the wanted number is reached; a warming one counts in part.
+// fill takes servers along the ring until the wanted number is reached. A warming server counts for its
+// share of the full capacity, and one with an open breaker does not count.
 func (s *subset) fill(now time.Duration, ring []*server, start int) {
 	s.servers = s.servers[:0]
 	missing := float64(s.wanted)
@@ -64,7 +69,7 @@
 	}
 }
 
-// advanceBreakers turns the breakers half-open that are due, and counts the servers by their state.
+// advanceBreakers turns those breakers half-open that are due, and counts the servers by their state.
 func (s *subset) advanceBreakers(now time.Duration) {
 	s.closed, s.awaitingTrial = 0, 0
 	for _, server := range s.servers {
@@ -81,7 +86,7 @@
 // allEjected reports whether no server may get a request, as of the last refresh.
 func (s *subset) allEjected() bool { return s.closed+s.awaitingTrial == 0 }
 
-// mayEjectAnother reports whether at most half of the subset has no closed breaker once another one opens.
+// mayEjectAnother reports whether no more than half of the subset is ejected once another breaker opens.
 func (s *subset) mayEjectAnother() bool {
 	ejected := 0
 	for _, server := range s.servers {
