--- a/policy/watch_schedule.go
+++ b/policy/watch_schedule.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	initialWatchBackoff = 500 * time.Millisecond  // before another call for the endpoint list; doubles
+	initialWatchBackoff = 500 * time.Millisecond  // before the next call for the endpoint list; doubles
 	watchSpreadPerNode  = 60 * time.Millisecond   // each node's part of the time over which calls spread
-	watchResponseTime   = 1500 * time.Millisecond // for a response, before the notification deadline
+	watchResponseTime   = 1500 * time.Millisecond // time left for a response before the notification deadline
 
 	spreadsPerPollInterval  = 2 // the first calls spread over half of MaxPollInterval at most
 	backoffsPerPollInterval = 4 // the backoff grows to about a quarter of MaxPollInterval
@@ -50,8 +50,9 @@
 }
 
 // initialSpan returns the time over which the first calls of nodes that start together spread. 0 means to
-// call at once, as few nodes do, and all without a cached list. A discovery service that serves its calls one
-// after another, even abandoned ones, times out on 80 calls at once and on their repetitions.
+// call at once, as few nodes do, and every node without a cached list. The discovery service may serve its
+// calls one after another, even abandoned ones: the calls of many nodes at once would time out, and so would
+// their repetitions.
 func (w *watchSchedule) initialSpan(cachedEndpoints int) time.Duration {
 	span := min(w.spread, w.maxPollInterval/spreadsPerPollInterval, NotificationDeadline-watchResponseTime)
 	if span <= initialWatchBackoff || cachedEndpoints == 0 {
@@ -60,9 +61,9 @@
 	return span
 }
 
-// backOff returns the delay of the next call after a failed one, and doubles the backoff. A response has to
-// fit into the time left until the notification deadline. Full jitter and then equal backoffs spread nodes
-// that lost the discovery service together.
+// backOff returns the delay of the next call after a failed one, and doubles the backoff. The response has
+// to come in the time left until the notification deadline. The first backoff has full jitter, which keeps
+// nodes apart that lost the discovery service together. Later ones are equal for all nodes.
 func (w *watchSchedule) backOff(left time.Duration) time.Duration {
 	longest := min(max(left-watchResponseTime, left/minWaitsPerTimeLeft, 0),
 		max(w.maxPollInterval, initialWatchBackoff))
