--- a/policy/endpoint_set.go
+++ b/policy/endpoint_set.go
@@ -9,11 +9,12 @@
 	"calicohinge/internal/hashring"
 )
 
-// endpointSet holds the ready endpoints, sorted by ring position, and others with attempts in flight.
+// endpointSet holds the servers of the endpoint list. It keeps removed ones while they have attempts in
+// flight.
 type endpointSet struct {
 	zone  int // of this node
 	byID  map[ServerID]*server
-	ready []*server
+	ready []*server // sorted by ring position
 }
 
 func newEndpointSet(zone int) endpointSet {
@@ -35,6 +36,7 @@
 }
 
 // updateEndpoint applies one entry of the list. A server keeps its measurements until its process restarts.
+// In that case the attempts in flight at the previous process are returned.
 func (e *endpointSet) updateEndpoint(endpoint Endpoint) []*attempt {
 	var lost []*attempt
 	server := e.byID[endpoint.Server]
@@ -51,7 +53,8 @@
 	return lost
 }
 
-// markAllRemoved covers the draining endpoints too, which may be left out of all later lists.
+// markAllRemoved marks every server as removed, before a complete list is applied. That includes draining
+// servers, since the list and all later ones may leave them out.
 func (e *endpointSet) markAllRemoved() {
 	for _, s := range e.byID {
 		s.State = Removed
