--- a/policy/api.go
+++ b/policy/api.go
@@ -62,14 +62,6 @@
 // ServerID identifies a server. It is opaque: equal IDs mean the same server.
 type ServerID uint64
 
-// enumName returns the name of an enumerated value, or its number if it has none.
-func enumName[T ~uint8](value T, names ...string) string {
-	if int(value) < len(names) {
-		return names[value]
-	}
-	return strconv.Itoa(int(value))
-}
-
 // Idempotency says whether a request may be executed more than once.
 type Idempotency uint8
 
@@ -101,7 +93,7 @@
 	Deadline         time.Duration // total time that a client waits, over all of its attempts
 	Objective        time.Duration // latency objective, up to which a response has its full weight; 0: Deadline
 	ObjectivePerWork float64       // extends the objective by this multiple of Request.CostHint
-	LateFraction     float64       // share of the weight, 0 to 1, of a response after the objective
+	LateFraction     float64       // share of the weight, 0 to 1, that a response after the objective keeps
 	PriorityWeight   float64       // weight of one request, or with Settings.WeightByWork of its work
 	Idempotency      Idempotency
 	KeyScope         KeyScope      // with IdempotentWithKey
@@ -126,8 +118,8 @@
 type Rules struct {
 	SlowStartShare    float64       // share of its capacity, 0 to 1, that a server starts with at least
 	SlowStartDuration time.Duration // time after which a server has warmed up at the latest
-	OverloadMultiple  float64       // a server that is warming up fails when it gets more than this
-	OverloadWindow    time.Duration // multiple of its current capacity for this long
+	OverloadMultiple  float64       // multiple of its current capacity above which a warming server fails
+	OverloadWindow    time.Duration // time over which the work that it gets is measured for that
 	MaxPollInterval   time.Duration // with Settings.PollEndpoints: longest time between two polls
 	ResponseGrace     time.Duration // time after a client's deadline at which a final response still counts
 }
@@ -142,7 +134,7 @@
 	OverQuotaFraction float64       // share of its weight that a request beyond its tenant's quota keeps
 	WeightByWork      bool          // PriorityWeight counts per unit of work, not per request
 	PollEndpoints     bool          // the endpoint list has to be watched or polled; otherwise it is pushed
-	Tick              time.Duration // longest delay until an event is handled, as events come in batches
+	Tick              time.Duration // longest delay until an event is handled, since events come in batches
 	Limits            Limits
 	Rules             Rules
 }
@@ -169,8 +161,9 @@
 	StartedAt time.Duration // when its process started; 0: long ago
 }
 
-// NotificationDeadline is the time within which a node counts as notified of a change, from when
-// the discovery service knew of it and was reachable, whether or not calls to it have failed.
+// NotificationDeadline is the time after which a node counts as notified of a change of the endpoint list.
+// It runs from the moment at which the discovery service knows of the change and is reachable. Failed calls
+// do not extend it.
 const NotificationDeadline = 6 * time.Second
 
 // UpdateKind says what the endpoints of an update stand for.
@@ -230,7 +223,7 @@
 // Host carries out the actions of a Balancer. It is called from within the Balancer's
 // methods and must not call the Balancer back.
 type Host interface {
-	// Send starts an attempt. It is limited by timeout, or by the client's own if that is 0.
+	// Send starts an attempt. It is limited by timeout, or by the client's own time-out if that is 0.
 	Send(id RequestID, server ServerID, timeout time.Duration)
 	// Cancel stops waiting for an attempt in flight, whose Outcome still follows.
 	Cancel(id RequestID, attempt int)
@@ -243,3 +236,11 @@
 	// WatchEndpoints subscribes to changes of the endpoint list, with Settings.PollEndpoints.
 	WatchEndpoints()
 }
+
+// enumName returns the name of an enumerated value, or its number if it has none.
+func enumName[T ~uint8](value T, names ...string) string {
+	if int(value) < len(names) {
+		return names[value]
+	}
+	return strconv.Itoa(int(value))
+}
