--- a/policy/periodic_check.go
+++ b/policy/periodic_check.go
@@ -21,7 +21,7 @@
 
 func newCheckTimer(host Host) checkTimer { return checkTimer{host: host, due: maxTime} }
 
-// scheduleBy has the next check run at a time or earlier.
+// scheduleBy makes the next check run at a time or earlier.
 func (c *checkTimer) scheduleBy(at time.Duration) {
 	if at < c.due {
 		c.due = at
@@ -41,7 +41,8 @@
 	b.refresh(now)
 	b.shedLoad(now)
 	next := now + checkInterval
-	// Backwards, since completing a request moves the last one, already checked, to its index.
+	// The order is backwards: when a request is completed, the last one, which has been checked, takes its
+	// index.
 	for _, request := range slices.Backward(b.requests.active) {
 		b.checkRequest(now, request)
 		if !request.completed && request.inFlight == 0 {
--- a/policy/request_table.go
+++ b/policy/request_table.go
@@ -1,17 +1,19 @@
 package policy
 
-// requestTable holds the active requests and the completed ones with attempts in flight. It reuses records.
+// requestTable holds the active requests, and the completed ones while they have attempts in flight. It
+// reuses their records.
 type requestTable struct {
 	byID        map[RequestID]*request
-	active      []*request
-	free        []*request
-	maxAttempts int
+	active      []*request // in no order; each knows its index
+	free        []*request // records for reuse
+	maxAttempts int        // of a request, for which a record has room
 }
 
 func newRequestTable(maxAttempts int) requestTable {
 	return requestTable{byID: map[RequestID]*request{}, maxAttempts: maxAttempts}
 }
 
+// add returns the record of an arrival, which is active from now on.
 func (t *requestTable) add(arrival Request, class *requestClass) *request {
 	var record *request
 	if n := len(t.free); n > 0 {
@@ -41,7 +43,8 @@
 	return request, &request.attempts[index]
 }
 
-// release marks a request as completed, and forgets it once no attempt is in flight.
+// release marks a request as completed, and forgets it once no attempt is in flight. It is called when the
+// request is completed and again at the end of each later attempt.
 func (t *requestTable) release(request *request) {
 	if !request.completed {
 		request.completed = true
--- a/policy/sampling_regime.go
+++ b/policy/sampling_regime.go
@@ -15,14 +15,14 @@
 type samplingRegime struct {
 	noResponseThreshold  int           // consecutive missing responses or connections that open a breaker
 	slowResponseMultiple float64       // of the baseline latency, above which a response counts as a failure
-	maxOutcomeAge        time.Duration // after which an outcome no longer counts for the scores
+	maxOutcomeAge        time.Duration // age from which an outcome no longer counts for the scores
 
 	limitAppliesToMean     bool    // the node's limit holds for the mean number of attempts in flight
 	additiveIncrease       bool    // the concurrency limit grows by steps instead of by a factor
 	firstCongestionFactor  float64 // on the concurrency limit when congestion shows for the first time
-	maxExcess              float64 // congestion above the target that counts in one adjustment
+	maxExcess              float64 // most congestion above the target that counts in one adjustment
 	minLimit               float64 // least concurrency limit for each server
-	knownGoodLimitFraction float64 // of the last good limit, below which the limit does not fall
+	knownGoodLimitFraction float64 // of the known good limit, below which the concurrency limit does not fall
 
 	queuesPastObjective bool    // a request of high weight may wait beyond its latency objective
 	sheddingMargin      float64 // of the expected latency that must be left before the latency objective
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -1,6 +1,6 @@
 package policy
 
-// The choice of a server by its score, with two random choices (Mitzenmacher 2001).
+// The choice of a server by its score: the power of two random choices (Mitzenmacher 2001).
 
 import "math/rand/v2"
 
@@ -33,7 +33,8 @@
 	return betterServer(c.closed[i], c.closed[j])
 }
 
-// betterServer compares by score; near-ties go to fewer attempts in flight, then to this node's zone.
+// betterServer returns the server with the higher score. If the scores are close, it returns the one with
+// fewer attempts in flight. If these are equal too, a server in this node's zone comes first, and then x.
 func betterServer(x, y *server) *server {
 	switch {
 	case x.score.value > y.score.value+scoreTieMargin:
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -3,7 +3,8 @@
 import "time"
 
 // Defaults returns the settings that hold where the operators give none: no retries, hedged requests or
-// cancellations, and the most careful rules known for polling and slow start. It has no classes.
+// cancellations, and careful rules for polling and slow start. They have no classes, so that Validate
+// rejects them until the caller adds one.
 func Defaults() Settings {
 	return Settings{
 		Nodes:             1,
