--- a/internal/decayrate/decayrate.go
+++ b/internal/decayrate/decayrate.go
@@ -16,7 +16,7 @@
 	return Meter{timeConstant: timeConstant}
 }
 
-// Add counts an event of a weight at a time, which must not lie before that of the last Add.
+// Add counts an event of the given weight. The time must not be before that of the last Add.
 func (m *Meter) Add(now time.Duration, weight float64) {
 	m.rate = m.PerSecond(now) + weight/m.timeConstant.Seconds()
 	m.updatedAt = now
--- a/internal/outcomewindow/outcomewindow.go
+++ b/internal/outcomewindow/outcomewindow.go
@@ -8,15 +8,15 @@
 type outcome struct {
 	at      time.Duration
 	success bool
-	latency float64
+	latency float64 // of a success, in the unit of the caller
 }
 
-// Window is a ring buffer of outcomes with their running sums. Its invariant: successes and
-// latencySum cover exactly the length outcomes before next. It is not safe for concurrent use.
+// Window is a ring buffer of outcomes with their running sums. As an invariant, successes and latencySum cover
+// exactly the outcomes in the window, which are the last ones before next. It is not safe for concurrent use.
 type Window struct {
 	ring       []outcome
 	next       int // index of the next outcome to be written
-	length     int
+	length     int // number of outcomes in the window
 	successes  int
 	latencySum float64 // of the successes
 }
@@ -36,6 +36,7 @@
 // AddFailure records a failure. A full window forgets its oldest outcome.
 func (w *Window) AddFailure(now time.Duration) { w.add(outcome{at: now}) }
 
+// add writes an outcome, but leaves the running sums to the caller.
 func (w *Window) add(added outcome) {
 	if w.length == len(w.ring) {
 		w.dropOldest()
@@ -64,10 +65,12 @@
 // LatencySum returns the sum of the latencies of the successes in the window.
 func (w *Window) LatencySum() float64 { return w.latencySum }
 
+// oldest returns the oldest outcome of a window that is not empty.
 func (w *Window) oldest() *outcome {
 	return &w.ring[(w.next+len(w.ring)-w.length)%len(w.ring)]
 }
 
+// dropOldest removes the oldest outcome and takes it out of the running sums.
 func (w *Window) dropOldest() {
 	oldest := w.oldest()
 	w.length--
--- a/internal/runningmean/runningmean.go
+++ b/internal/runningmean/runningmean.go
@@ -5,7 +5,7 @@
 // in which each sample has the same small weight. The zero value is not usable.
 type Mean struct {
 	value      float64
-	samples    float64
+	samples    float64 // weight of value
 	maxSamples float64
 }
 
@@ -20,7 +20,8 @@
 // Add takes a sample into the mean.
 func (m *Mean) Add(sample float64) { m.AddWithPrior(sample, 0) }
 
-// AddWithPrior takes a sample that counts less by the weight of a prior, in samples, for the present mean.
+// AddWithPrior takes a sample as Add does, but gives the present mean an additional weight of prior samples, so
+// that the new sample changes it less.
 func (m *Mean) AddWithPrior(sample, prior float64) {
 	m.samples = min(m.samples+1, m.maxSamples)
 	m.value += (sample - m.value) / (m.samples + prior)
--- a/internal/tokenbucket/tokenbucket.go
+++ b/internal/tokenbucket/tokenbucket.go
@@ -3,8 +3,8 @@
 
 import "time"
 
-// Bucket is a token bucket. It gains tokens at a steady rate and holds one second's worth at
-// most, at least one token. It is not safe for concurrent use.
+// Bucket is a token bucket. It gains tokens at a steady rate. It has room for the tokens of one second, and for one
+// token at least. It is not safe for concurrent use.
 type Bucket struct {
 	perSecond  float64
 	tokens     float64
@@ -19,7 +19,8 @@
 
 // Take removes a token and reports whether there was one.
 func (b *Bucket) Take(now time.Duration) bool {
-	b.tokens = min(max(b.perSecond, 1), b.tokens+b.perSecond*(now-b.refilledAt).Seconds())
+	capacity := max(b.perSecond, 1)
+	b.tokens = min(capacity, b.tokens+b.perSecond*(now-b.refilledAt).Seconds())
 	b.refilledAt = now
 	if b.perSecond > 0 && b.tokens < 1 {
 		return false
