--- a/policy/circuit_breaker_test.go
+++ b/policy/circuit_breaker_test.go
@@ -9,9 +9,7 @@
 func TestBreakerOpensAdmitsOneTrialAndCloses(t *testing.T) {
 	h := newHarness(t, testSettings(), 4)
 	bad := h.balancer.endpoints.ready[0]
-	for range failureThreshold {
-		h.balancer.recordBreakerFailure(h.now, &attempt{server: bad}, ServerError)
-	}
+	h.recordBreakerFailures(bad, failureThreshold, ServerError)
 	if bad.breaker.state != breakerOpen {
 		t.Fatalf("breaker %v after %d failures, want open", bad.breaker.state, failureThreshold)
 	}
@@ -46,17 +44,15 @@
 func TestOnlyConsecutiveFailuresWithinTheWindowOpenTheBreaker(t *testing.T) {
 	h := newHarness(t, testSettings(), 4)
 	s := h.balancer.endpoints.ready[0]
-	for range failureThreshold - 1 {
-		h.balancer.recordBreakerFailure(h.now, &attempt{server: s}, ServerError)
-	}
+	h.recordBreakerFailures(s, failureThreshold-1, ServerError)
 	s.recordSuccess(h.now, nil)
-	h.balancer.recordBreakerFailure(h.now, &attempt{server: s}, ServerError)
+	h.recordBreakerFailures(s, 1, ServerError)
 	if s.breaker.state != breakerClosed {
 		t.Fatal("failures with a success between them opened the breaker")
 	}
 	for range 2 * failureThreshold {
 		h.now += failureWindow / 3
-		h.balancer.recordBreakerFailure(h.now, &attempt{server: s}, ServerError)
+		h.recordBreakerFailures(s, 1, ServerError)
 	}
 	if s.breaker.state != breakerClosed {
 		t.Fatal("failures spread wider than the window opened the breaker")
@@ -69,9 +65,7 @@
 	h.balancer.arrivals.rate.Add(h.now, 100) // enough for all servers to be in the subset
 	h.balancer.refresh(h.now)
 	for _, s := range h.balancer.endpoints.ready {
-		for range 2 * failureThreshold {
-			h.balancer.recordBreakerFailure(h.now, &attempt{server: s}, Timeout)
-		}
+		h.recordBreakerFailures(s, 2*failureThreshold, Timeout)
 	}
 	if got := h.breakers(); got[breakerOpen] != 3 {
 		t.Fatalf("%d of 6 breakers opened by time-outs, want 3", got[breakerOpen])
@@ -81,9 +75,7 @@
 func TestAllBreakersOpenRejectsAtOnceWithRetryAfter(t *testing.T) {
 	h := newHarness(t, testSettings(), 3)
 	for _, s := range h.balancer.endpoints.ready {
-		for range failureThreshold {
-			h.balancer.recordBreakerFailure(h.now, &attempt{server: s}, ServerError)
-		}
+		h.recordBreakerFailures(s, failureThreshold, ServerError)
 	}
 	id := h.request(2)
 	after, ok := h.host.rejected[id]
@@ -100,9 +92,7 @@
 func TestNonIdempotentRequestIsTrialOnlyIfNoOtherCame(t *testing.T) {
 	h := newHarness(t, testSettings(), 1)
 	s := h.balancer.endpoints.ready[0]
-	for range failureThreshold {
-		h.balancer.recordBreakerFailure(h.now, &attempt{server: s}, ServerError)
-	}
+	h.recordBreakerFailures(s, failureThreshold, ServerError)
 	h.now = s.breaker.halfOpenAt + ms
 	if id := h.request(2); len(h.sendsOf(id)) != 0 {
 		t.Fatal("a request that is not idempotent was the trial at once, though another could come")
--- a/policy/concurrency_limit_test.go
+++ b/policy/concurrency_limit_test.go
@@ -139,9 +139,7 @@
 		h.request(0)
 	}
 	for _, s := range h.balancer.endpoints.ready[:2] {
-		for range failureThreshold {
-			h.balancer.recordBreakerFailure(h.now, &attempt{server: s}, ServerError)
-		}
+		h.recordBreakerFailures(s, failureThreshold, ServerError)
 	}
 	for _, s := range h.balancer.endpoints.ready[2:] {
 		for _, a := range append([]*attempt(nil), s.inFlight...) {
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -231,6 +231,13 @@
 	limiter.meanInFlight = 2 * limiter.limit / subset.nodesPerServer * float64(subset.closed)
 }
 
+// recordBreakerFailures counts failed attempts for the breaker of their server, all of them now.
+func (h *harness) recordBreakerFailures(s *server, failures int, status Status) {
+	for range failures {
+		h.balancer.recordBreakerFailure(h.now, &attempt{server: s}, status)
+	}
+}
+
 // openAllBreakers ejects every server for good.
 func (h *harness) openAllBreakers() {
 	for _, s := range h.balancer.endpoints.ready {
