--- a/policy/balancer_test.go
+++ b/policy/balancer_test.go
@@ -12,6 +12,7 @@
 	id := h.request(0)
 	h.endAttempt(id, OK, 10*ms)
 	before := len(h.host.log)
+
 	h.balancer.Outcome(h.now, Outcome{ID: id, Attempt: 0, Status: OK})
 	h.balancer.Outcome(h.now, Outcome{ID: 999, Attempt: 3, Status: ServerError})
 	h.balancer.Outcome(h.now, Outcome{ID: id, Attempt: -1, Status: ServerError})
@@ -19,10 +20,17 @@
 	h.balancer.StreamStarted(h.now, id, 0)
 	h.balancer.Timer(h.now, 77)
 	h.update(UpdateDelta, Endpoint{Server: 55, State: Removed})
+
 	if len(h.host.log) != before {
 		t.Fatalf("stale events led to %v", h.host.log[before:])
 	}
+}
+
+func TestRequestOfUnknownClassIsRejected(t *testing.T) {
+	h := newHarness(t, testSettings(), 2)
+
 	h.balancer.Request(h.now, Request{ID: 1000, Class: 9, Timeout: time.Second})
+
 	if _, ok := h.host.rejected[1000]; !ok {
 		t.Fatal("a request of an unknown class got no final response")
 	}
@@ -33,8 +41,10 @@
 	settings.Classes[0].Streaming = true
 	h := newHarness(t, settings, 4)
 	id := h.request(0)
+
 	h.balancer.StreamStarted(h.now, id, 0)
 	h.advance(10 * time.Second) // long after the deadline
+
 	if len(h.sendsOf(id)) != 1 || h.host.failed[id] || h.host.cancels > 0 {
 		t.Fatalf("a running stream was touched: %v", h.host.log)
 	}
@@ -55,7 +65,9 @@
 	for _, id := range ids {
 		safe[id] = h.balancer.requests.byID[id].safeToReject()
 	}
+
 	h.balancer.TerminateAll(h.now)
+
 	for _, id := range ids {
 		_, rejected := h.host.rejected[id]
 		if rejected == h.host.failed[id] || rejected != safe[id] {
@@ -80,7 +92,7 @@
 		for range 40 {
 			h.request(0) // far more than there is capacity for
 		}
-		// So short that the request is worth queueing to the last.
+		// The baseline is so short that the request stays in the queue until its deadline.
 		h.balancer.classes[2].baseline = runningmean.NewWithGuess(0.0001, maxLatencySamples)
 		h.lastID++
 		deadline := h.now + timeout
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -76,7 +76,7 @@
 	}
 }
 
-func TestBackoffGrowsAndMustFitTheTimeLeft(t *testing.T) {
+func TestBackoffGrowsWithEachAttempt(t *testing.T) {
 	settings := testSettings()
 	settings.Limits.Hedging = false
 	h := newHarness(t, settings, 9)
@@ -93,15 +93,31 @@
 	if waits[0] >= waits[1] || waits[1] >= waits[2] || waits[0] < 20*ms {
 		t.Fatalf("waits %v do not grow", waits)
 	}
+}
+
+func TestRequestIsRejectedAtOnceIfNoRetryFitsTheTimeLeft(t *testing.T) {
+	settings := testSettings()
+	settings.Limits.Hedging = false
+	h := newHarness(t, settings, 9)
 	late := h.request(0)
 	h.advance(790 * ms)
+
 	h.endAttempt(late, ServerError, 790*ms)
+
 	if _, ok := h.host.rejected[late]; !ok {
 		t.Fatal("a retry that cannot be in time must be rejected at once")
 	}
-	h.balancer.retry.limits.MaxAttempts = 1
+}
+
+func TestRequestIsRejectedAtOnceAfterAllOfItsAttempts(t *testing.T) {
+	settings := testSettings()
+	settings.Limits.Hedging = false
+	settings.Limits.MaxAttempts = 1
+	h := newHarness(t, settings, 9)
 	last := h.request(0)
+
 	h.endAttempt(last, ServerError, ms)
+
 	if _, ok := h.host.rejected[last]; !ok {
 		t.Fatal("a request that has had all of its attempts must be rejected at once")
 	}
