--- a/policy/disconnect_test.go
+++ b/policy/disconnect_test.go
@@ -9,8 +9,8 @@
 // disconnectCase is a request whose next attempt is due.
 type disconnectCase struct {
 	name   string
-	before func(h *harness) RequestID // up to the moment
-	due    func(h *harness)           // the event that starts the attempt
+	before func(h *harness) RequestID // runs until the attempt is due
+	due    func(h *harness)           // is the event that starts the attempt
 }
 
 // The order of a client's disconnection and the event that starts the next attempt of its request.
@@ -20,33 +20,45 @@
 	disconnectsAfter = "disconnects right after"
 )
 
-// A client disconnects at the very time of the next attempt. Reported first, there is none; reported right
-// after, the attempt is cancelled. Nothing follows.
+// A client disconnects at the very time of the next attempt. If its disconnection is reported first, there is no
+// attempt. If it is reported right after, the attempt is cancelled. Nothing follows in either case.
 func TestClientDisconnectsAsTheNextAttemptIsDue(t *testing.T) {
 	check := func(h *harness) {
 		h.now = max(h.now, h.balancer.checks.due)
 		h.balancer.Timer(h.now, timerCheck)
 	}
 	for _, c := range []disconnectCase{
-		{"queued", func(h *harness) RequestID {
-			for range h.balancer.endpoints.ready {
-				h.request(2)
-			}
-			return h.request(0)
-		}, func(h *harness) { h.endAttempt(h.lastID-1, OK, 20*ms) }},
-		{"retry", func(h *harness) RequestID {
-			id := h.request(0)
-			h.endAttempt(id, ServerError, 10*ms)
-			h.now = max(h.now, h.balancer.requests.byID[id].retryAt)
-			return id
-		}, check},
-		{"hedged request", func(h *harness) RequestID {
-			h.serve(100, 20*ms)
-			h.host.timers = nil // the node is busy: none is handled up to the moment
-			id := h.request(0)
-			h.now += 400 * ms
-			return id
-		}, check},
+		{
+			name: "queued",
+			before: func(h *harness) RequestID {
+				for range h.balancer.endpoints.ready {
+					h.request(2)
+				}
+				return h.request(0)
+			},
+			due: func(h *harness) { h.endAttempt(h.lastID-1, OK, 20*ms) },
+		},
+		{
+			name: "retry",
+			before: func(h *harness) RequestID {
+				id := h.request(0)
+				h.endAttempt(id, ServerError, 10*ms)
+				h.now = max(h.now, h.balancer.requests.byID[id].retryAt)
+				return id
+			},
+			due: check,
+		},
+		{
+			name: "hedged request",
+			before: func(h *harness) RequestID {
+				h.serve(100, 20*ms)
+				h.host.timers = nil // the node is busy and handles no timer until the check
+				id := h.request(0)
+				h.now += 400 * ms
+				return id
+			},
+			due: check,
+		},
 	} {
 		for _, order := range []string{staysConnected, disconnectsFirst, disconnectsAfter} {
 			for _, cancel := range []bool{true, false} {
@@ -87,7 +99,7 @@
 	if n := h.host.cancels - cancels; settings.Limits.Cancel && n != inFlight {
 		t.Errorf("%d of %d attempts are cancelled", n, inFlight)
 	}
-	for i := range sends + wantSends { // the attempts end in the way that would cause a retry
+	for i := range sends + wantSends { // would lead to a retry of a connected client
 		h.balancer.Outcome(h.now, Outcome{ID: id, Attempt: i, Status: ServerError})
 	}
 	h.advance(10 * time.Second)
--- a/policy/retry_key_retention_test.go
+++ b/policy/retry_key_retention_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Each case ends the first attempt of a request whose idempotency key is kept for a short time, lets time
-// pass, and says how often the request is sent and whether it is terminated.
+// The servers keep the idempotency key of a request for a short time. Each case ends the first attempt and lets
+// time pass. It says how often the request is sent in all, and whether it is terminated.
 func TestShortKeyRetentionBoundsRetries(t *testing.T) {
 	due := func(after time.Duration) func(h *harness, id RequestID) {
 		return func(h *harness, id RequestID) {
@@ -22,7 +22,7 @@
 	}
 	for name, tc := range map[string]struct {
 		retention  time.Duration
-		play       func(h *harness, id RequestID)
+		run        func(h *harness, id RequestID) // from the first attempt on
 		sends      int
 		terminated bool
 	}{
@@ -56,7 +56,7 @@
 				h.update(UpdateSnapshot, Endpoint{Server: 1, State: Ready}, Endpoint{Server: 2, State: Ready},
 					Endpoint{Server: 3, State: Ready})
 				id := h.request(1)
-				tc.play(h, id)
+				tc.run(h, id)
 				_, rejected := h.host.rejected[id]
 				if n := len(h.sendsOf(id)); n != tc.sends {
 					t.Errorf("%d sends, want %d", n, tc.sends)
