--- a/policy/simulated_fleet_test.go
+++ b/policy/simulated_fleet_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// simulatedEvent happens in a simulatedFleet; those of one time run in the order in which they were scheduled.
+// simulatedEvent happens in a simulatedFleet. Events of the same time run in the order of their scheduling.
 type simulatedEvent struct {
 	at       time.Duration
 	sequence int
@@ -40,15 +40,15 @@
 	nodes, servers    int
 	rules             Rules
 	load              float64       // offered work as a share of what all servers can do when warm
-	restarted         float64       // share of the servers that restart,
-	restartSpan       time.Duration // one after another within this time,
-	downtime          time.Duration // each after this time,
-	replaced          bool          // under a new ID instead of the old one
-	burst             float64       // factor on the arrivals once the first has restarted
+	restarted         float64       // share of the servers that restart
+	restartSpan       time.Duration // time within which they stop one after another
+	downtime          time.Duration // time from the stop of a server to its start
+	replaced          bool          // a server starts under a new ID
+	burst             float64       // factor on the arrivals once the first server has restarted
 	othersFail        bool          // a third of the other servers fails or hangs from then on
 	lateNotice        bool          // a third of the nodes is notified of a start 1 to 5 s late
-	nodesRestartAfter time.Duration // if set: all nodes restart this time after the first server stops
-	warmUp            time.Duration
+	nodesRestartAfter time.Duration // time from the first stop to the restart of all nodes; 0: they do not restart
+	warmUp            time.Duration // time with load before the first server stops
 }
 
 // simulatedFleet runs a scenario and measures what the warming servers were sent.
@@ -63,16 +63,16 @@
 	nodes          []*simulatedNode
 	weights        []float64 // cumulative shares of the nodes in the traffic
 	servers        []*simulatedServer
-	arrivalFactor  float64    // of the arrivals
+	arrivalFactor  float64    // on the rate of the arrivals
 	pendingUpdates []Endpoint // that no node is notified of yet
 	lastID         RequestID
 
-	// The largest work in an OverloadWindow over its limit, of sends by nodes that were notified: in requests of
-	// mean work, and by the work drawn for each.
-	worstInformed, worstInformedDrawn float64
+	// The largest work within an OverloadWindow, as a multiple of its limit, in sends of nodes that were notified.
+	// The first value counts each request as mean work, the second counts the work that was drawn for it.
+	worstNotified, worstNotifiedDrawn float64
 
-	overloads              int     // sends over the limit with over two thirds of the window from such nodes
-	workSent, workPossible float64 // work sent to warming servers once listed, and what they could do meanwhile
+	overloads              int     // sends over the limit, with over two thirds of the window from notified nodes
+	workSent, workPossible float64 // work sent to warming servers once listed, and what they could do in that time
 }
 
 // simulatedServer works at one request after another.
@@ -85,11 +85,12 @@
 	sends        []slowStartSend // within OverloadWindow
 }
 
-// slowStartSend is a send to a warming server, by a node that was notified of its start or not.
+// slowStartSend is a send to a warming server. Its work is in requests of mean work.
 type slowStartSend struct {
-	at                  time.Duration
-	meanWork, drawnWork float64 // work, in requests of mean work
-	informed            bool
+	at        time.Duration
+	meanWork  float64 // mean work of the request's class
+	drawnWork float64 // work of the request itself
+	notified  bool    // the node was notified of the server's start
 }
 
 const meanWork = 0.04 // seconds, over all classes
@@ -117,25 +118,25 @@
 	return 1
 }
 
-// recordSlowStartSend takes a send to a warming server into its window.
-func (f *simulatedFleet) recordSlowStartSend(s *simulatedServer, x slowStartSend) {
-	expired := func(x slowStartSend) bool { return f.now-x.at >= f.rules.OverloadWindow }
-	s.sends = append(slices.DeleteFunc(s.sends, expired), x)
-	all, informed, drawn := 0.0, 0.0, 0.0
-	for _, x := range s.sends {
-		all += x.meanWork
-		if x.informed {
-			informed += x.meanWork
-			drawn += x.drawnWork
+// recordSlowStartSend adds a send to the window of a warming server, and compares the window with its limit.
+func (f *simulatedFleet) recordSlowStartSend(s *simulatedServer, added slowStartSend) {
+	expired := func(send slowStartSend) bool { return f.now-send.at >= f.rules.OverloadWindow }
+	s.sends = append(slices.DeleteFunc(s.sends, expired), added)
+	all, notified, drawn := 0.0, 0.0, 0.0
+	for _, send := range s.sends {
+		all += send.meanWork
+		if send.notified {
+			notified += send.meanWork
+			drawn += send.drawnWork
 		}
 	}
 	n := f.rules.OverloadMultiple * s.speed * f.capacityShare(s) * f.rules.OverloadWindow.Seconds() / meanWork
 	limit := n + 2*math.Sqrt(n) + 2
-	f.worstInformed = max(f.worstInformed, informed/limit)
-	if n >= 10 { // below, a few heavy requests exceed the limit by chance, and no node knows their work
-		f.worstInformedDrawn = max(f.worstInformedDrawn, drawn/limit)
+	f.worstNotified = max(f.worstNotified, notified/limit)
+	if n >= 10 { // a few heavy requests exceed a lower limit by chance, and no node knows their work
+		f.worstNotifiedDrawn = max(f.worstNotifiedDrawn, drawn/limit)
 	}
-	if all > limit && informed > all*2/3 {
+	if all > limit && notified > all*2/3 {
 		f.overloads++
 	}
 }
--- a/policy/simulated_node_test.go
+++ b/policy/simulated_node_test.go
@@ -41,10 +41,10 @@
 		if f.now >= s.StartedAt+notificationDelay {
 			f.workSent += request.work
 		}
-		informed := n.balancer.endpoints.byID[server].StartedAt == s.StartedAt
+		notified := n.balancer.endpoints.byID[server].StartedAt == s.StartedAt
 		f.recordSlowStartSend(s, slowStartSend{
 			at: f.now, meanWork: classWork(request.class) / meanWork, drawnWork: request.work / meanWork,
-			informed: informed,
+			notified: notified,
 		})
 	}
 	switch {
--- a/policy/slow_start_fleet_test.go
+++ b/policy/slow_start_fleet_test.go
@@ -8,7 +8,7 @@
 // Guards against warming servers that are overloaded by the sum of what many nodes send, none of which sees the
 // others, and against a slow start that keeps them idle. A server is overloaded by more than
 // N + 2 x root of N + 2 requests of mean work in OverloadWindow, where N is OverloadMultiple x its present
-// capacity. The least uses are two thirds of the least of five seeds, or lower.
+// capacity.
 func TestSlowStartHoldsForManyNodes(t *testing.T) {
 	const s = time.Second
 	usual := Rules{
@@ -33,9 +33,9 @@
 	largeReplaced.servers, largeReplaced.warmUp, largeReplaced.restartSpan = 200, 2*s, 2*s
 	largeZone.servers, largeZone.warmUp, largeZone.downtime = 200, 2*s, 2*s
 	for _, tc := range []struct {
-		name string
-		c    scenario
-		used float64 // least share of what the warming servers can do that has to be sent
+		name     string
+		scenario scenario
+		minUsed  float64 // least share of what the warming servers can do that has to be sent
 	}{
 		{"one restarts under two nodes", scenario{nodes: 2, restarted: 0.05}, 0.05},
 		{"one restarts in a calm fleet", scenario{nodes: 20, restarted: 0.05}, 0.05},
@@ -58,16 +58,16 @@
 		{"300 nodes, a zone returns", largeZone, 0.25},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			f := tc.c.withDefaults(usual).simulate(t, 1)
+			f := tc.scenario.withDefaults(usual).simulate(t, 1)
 			used := f.workSent / f.workPossible
 			t.Logf("worst window %.2f of the limit (drawn work: %.2f), used %.2f",
-				f.worstInformed, f.worstInformedDrawn, used)
-			if f.worstInformed > 1 || f.worstInformedDrawn > 1 || f.overloads > 0 {
+				f.worstNotified, f.worstNotifiedDrawn, used)
+			if f.worstNotified > 1 || f.worstNotifiedDrawn > 1 || f.overloads > 0 {
 				t.Errorf("notified nodes sent %.2f of the limit (drawn work: %.2f), and overloaded a server %d times",
-					f.worstInformed, f.worstInformedDrawn, f.overloads)
+					f.worstNotified, f.worstNotifiedDrawn, f.overloads)
 			}
-			if f.workSent < tc.used*f.workPossible {
-				t.Errorf("warming servers were sent %.2f of what they could do, want %.2f", used, tc.used)
+			if f.workSent < tc.minUsed*f.workPossible {
+				t.Errorf("warming servers were sent %.2f of what they could do, want %.2f", used, tc.minUsed)
 			}
 		})
 	}
