--- a/policy/watch_schedule_fleet_test.go
+++ b/policy/watch_schedule_fleet_test.go
@@ -8,17 +8,17 @@
 )
 
 // discoveryService simulates the service that many Balancers watch. It serves its calls one after another, also
-// abandoned ones, like the service that was measured. While it is down it rejects calls, at once or late, or
-// does not respond.
+// abandoned ones. While it is down, a call fails after rejectAfter: it is rejected at once or late, or its node
+// abandons it without a response.
 type discoveryService struct {
 	perCall      time.Duration
-	callTimeout  time.Duration // a call that waits longer has failed
-	watchTimeout time.Duration // a call waits so long for changes; 0: it returns at once
-	busyUntil    time.Duration // when the last call in the queue returns
+	callTimeout  time.Duration // time after which a call fails
+	watchTimeout time.Duration // time that a call waits for changes; 0: it returns at once
+	busyUntil    time.Duration // time at which the last call in the queue returns
 
-	downAt, upAt    time.Duration   // it is down between these
-	rejectAfter     time.Duration   // how long it takes to reject a call meanwhile
-	unnotifiedCalls []time.Duration // of nodes that are not notified since it recovered
+	downAt, upAt    time.Duration   // it is down from the first to the second
+	rejectAfter     time.Duration   // time after which a call fails while it is down
+	unnotifiedCalls []time.Duration // start times of the calls by nodes not notified since it recovered
 }
 
 // discoveryCall is a call of a node.
@@ -28,8 +28,8 @@
 	succeeds  bool
 }
 
-// call starts a call. The service has changes as of its recovery, of which a node that does not know them is
-// notified at once.
+// call starts a call. The service has changes from its recovery on. A node that does not know them is notified at
+// once.
 func (d *discoveryService) call(now time.Duration, node *watchingNode) discoveryCall {
 	notified := node.notifiedAt > 0
 	if !notified {
@@ -73,7 +73,7 @@
 	current    discoveryCall
 	calling    bool          // current is in flight
 	notifiedAt time.Duration // of the changes since the service recovered
-	watchesOn  bool          // a response is followed by another call
+	repeats    bool          // a response is followed by another call
 }
 
 // step runs one node up to now.
@@ -104,21 +104,19 @@
 		n.notifiedAt = now
 	}
 	n.balancer.UpdateEndpoints(now, UpdateDelta, nil)
-	if n.watchesOn {
+	if n.repeats {
 		n.watches++
 	}
 }
 
 // newWatchingNodes returns nodes that start at the same time with the same cached list.
-func newWatchingNodes(t *testing.T, nodes int, change func(settings *Settings)) []*watchingNode {
+func newWatchingNodes(t *testing.T, nodes int, maxPollInterval time.Duration) []*watchingNode {
 	t.Helper()
 	var fleet []*watchingNode
 	for i := range nodes {
 		settings := testSettings()
 		settings.Nodes, settings.Node, settings.PollEndpoints = nodes, i, true
-		if change != nil {
-			change(&settings)
-		}
+		settings.Rules.MaxPollInterval = maxPollInterval
 		node := &watchingNode{fakeHost: newHost()}
 		balancer, err := New(settings, uint64(i+1), node)
 		if err != nil {
@@ -136,7 +134,7 @@
 func TestAllNodesOfAReleaseGetTheEndpointList(t *testing.T) {
 	const nodes = 80
 	d := &discoveryService{perCall: 65 * ms, callTimeout: 2 * time.Second}
-	fleet := newWatchingNodes(t, nodes, nil)
+	fleet := newWatchingNodes(t, nodes, 10*time.Second)
 	for now := time.Hour; now < time.Hour+12*time.Second; now += 5 * ms {
 		for _, node := range fleet {
 			node.step(t, now, d)
@@ -157,15 +155,17 @@
 type outage struct {
 	name        string
 	duration    time.Duration
-	rejectAfter time.Duration // of a call; a node abandons a call after 4.5 s
+	rejectAfter time.Duration // time after which a call fails; nodeCallTimeout: the node abandons it
 }
 
-// watchTimeout is how long the calls of the real nodes wait for changes.
-const watchTimeout = 3 * time.Second
+const (
+	watchTimeout    = 3 * time.Second      // time that the calls of the real nodes wait for changes
+	nodeCallTimeout = watchTimeout * 3 / 2 // time after which the real nodes abandon a call
+)
 
-// The discovery service is down for a while, in several ways, and recovers with changes: every node must be
-// notified 6 s later, however its calls have failed. The calls must not peak: a service that serves the watches
-// of 650 nodes, 217 calls per second, has to serve their calls after its recovery with half as many again. Each
+// The discovery service is down for a while, in several ways, and recovers with changes. Every node must be
+// notified within NotificationDeadline, however its calls have failed. The calls must not peak: a service that
+// serves the watches of all nodes has to serve their calls after its recovery with half as many again. Each
 // node makes two calls then: one that notifies it, and the next watch.
 func TestEveryNodeIsNotifiedAfterDiscoveryReturns(t *testing.T) {
 	t.Parallel()
@@ -173,7 +173,7 @@
 		{"rejects", 9 * time.Second, 0},
 		{"rejects for a moment", 10 * ms, 0},
 		{"rejects late", 9 * time.Second, 3 * time.Second},
-		{"unresponsive", 9 * time.Second, watchTimeout * 3 / 2},
+		{"unresponsive", 9 * time.Second, nodeCallTimeout},
 	} {
 		for _, nodes := range []int{1, 3, 20, 300, 650} {
 			t.Run(fmt.Sprintf("%s/%d", down.name, nodes), func(t *testing.T) {
@@ -188,25 +188,26 @@
 func checkRecovery(t *testing.T, down outage, nodes int) {
 	t.Helper()
 	d := &discoveryService{
-		perCall: 3 * ms, callTimeout: watchTimeout * 3 / 2, watchTimeout: watchTimeout,
+		perCall: 3 * ms, callTimeout: nodeCallTimeout, watchTimeout: watchTimeout,
 		downAt: time.Hour + 8*time.Second, rejectAfter: down.rejectAfter,
 	}
 	d.upAt = d.downAt + down.duration
-	fleet := newWatchingNodes(t, nodes, func(settings *Settings) {
-		settings.Rules.MaxPollInterval = 30 * time.Second
-	})
+	fleet := newWatchingNodes(t, nodes, 30*time.Second)
+	for _, node := range fleet {
+		node.repeats = true
+	}
 	for now := time.Hour; now < d.upAt+8*time.Second; now += 5 * ms {
 		for _, node := range fleet {
-			node.watchesOn = true
 			node.step(t, now, d)
 		}
 	}
 	lags := notificationLags(fleet, d.upAt)
 	worst := lags[nodes-1]
-	idle := nodes * int(time.Second) / int(watchTimeout)
-	peak, maxPeak := d.peakCalls(d.upAt), 3*max(idle, int(time.Second/watchSpreadPerNode))/2
+	idleWatches := nodes * int(time.Second) / int(watchTimeout) // per second
+	peak := d.peakCalls(d.upAt)
+	maxPeak := 3 * max(idleWatches, int(time.Second/watchSpreadPerNode)) / 2
 	t.Logf("lag: median %v, worst %v; peak %d calls of nodes not notified per second, idle watches %d",
-		lags[nodes/2], worst, peak, idle)
+		lags[nodes/2], worst, peak, idleWatches)
 	if worst >= NotificationDeadline {
 		t.Errorf("the last node is notified %v after the recovery", worst)
 	}
