--- a/policy/invariants_test.go
+++ b/policy/invariants_test.go
@@ -16,12 +16,16 @@
 	rng            *rand.Rand
 	balancer       *Balancer
 	classes        []Class
+	maxAttempts    int
 	now            time.Duration
 	requests       map[RequestID]*checkedRequest
 	finalResponses map[RequestID]int
 	endpoints      map[ServerID]Endpoint
 }
 
+// maxLateness is the time after its deadline at which a request is completed at the latest.
+const maxLateness = 20 * ms
+
 // checkedRequest is a request as the checker knows it.
 type checkedRequest struct {
 	class     Class
@@ -37,67 +41,74 @@
 	notExecuted bool
 }
 
-func (w *invariantChecker) Send(id RequestID, server ServerID, timeout time.Duration) {
-	w.fakeHost.Send(id, server, timeout)
-	checked, s := w.requests[id], w.endpoints[server]
+func (c *invariantChecker) Send(id RequestID, server ServerID, timeout time.Duration) {
+	c.fakeHost.Send(id, server, timeout)
+	checked, s := c.requests[id], c.endpoints[server]
 	switch {
 	case checked == nil || checked.completed:
-		w.t.Errorf("%v: sent request %d, which is completed", w.now, id)
+		c.t.Errorf("%v: sent request %d, which is completed", c.now, id)
 		return
 	case s.State != Ready:
-		w.t.Errorf("%v: sent request %d to server %d in state %v", w.now, id, server, s.State)
-	case len(checked.attempts) >= 4:
-		w.t.Errorf("%v: request %d has too many attempts", w.now, id)
+		c.t.Errorf("%v: sent request %d to server %d in state %v", c.now, id, server, s.State)
+	case len(checked.attempts) >= c.maxAttempts:
+		c.t.Errorf("%v: request %d has too many attempts", c.now, id)
 	}
+	c.checkRepetition(id, checked, s)
+	checked.attempts = append(checked.attempts, &checkedAttempt{server: s, sentAt: c.now, inFlight: true})
+}
+
+// checkRepetition checks that a request may be sent to a server after the attempts that it has had.
+func (c *invariantChecker) checkRepetition(id RequestID, checked *checkedRequest, s Endpoint) {
 	for _, a := range checked.attempts {
 		if a.notExecuted {
 			continue
 		}
 		if checked.class.Idempotency == NotIdempotent {
-			w.t.Errorf("%v: request %d, not idempotent, sent again though it may have been executed", w.now, id)
+			c.t.Errorf("%v: request %d, not idempotent, sent again though it may have been executed", c.now, id)
 		}
-		keyKnown := a.server.Cell == s.Cell && w.now-a.sentAt < checked.class.KeyRetention
+		keyKnown := a.server.Cell == s.Cell && c.now-a.sentAt < checked.class.KeyRetention
 		if checked.class.Idempotency == IdempotentWithKey && !keyKnown {
-			w.t.Errorf("%v: request %d retried where or when its key is not known", w.now, id)
+			c.t.Errorf("%v: request %d retried where or when its key is not known", c.now, id)
 		}
 	}
-	checked.attempts = append(checked.attempts, &checkedAttempt{server: s, sentAt: w.now, inFlight: true})
 }
 
-func (w *invariantChecker) recordFinalResponse(id RequestID) *checkedRequest {
-	w.finalResponses[id]++
-	checked := w.requests[id]
+// recordFinalResponse checks that a request gets its only final response in time. It returns the request.
+func (c *invariantChecker) recordFinalResponse(id RequestID) *checkedRequest {
+	c.finalResponses[id]++
+	checked := c.requests[id]
 	if checked == nil || checked.completed {
-		w.t.Errorf("%v: request %d completed twice", w.now, id)
+		c.t.Errorf("%v: request %d completed twice", c.now, id)
 		return &checkedRequest{}
 	}
-	if w.now > checked.deadline+20*ms {
-		w.t.Errorf("%v: request %d completed after its deadline at %v", w.now, id, checked.deadline)
+	if c.now > checked.deadline+maxLateness {
+		c.t.Errorf("%v: request %d completed after its deadline at %v", c.now, id, checked.deadline)
 	}
 	checked.completed = true
 	return checked
 }
 
-func (w *invariantChecker) Reject(id RequestID, after time.Duration) {
-	w.fakeHost.Reject(id, after)
-	checked := w.recordFinalResponse(id)
+func (c *invariantChecker) Reject(id RequestID, after time.Duration) {
+	c.fakeHost.Reject(id, after)
+	checked := c.recordFinalResponse(id)
 	for _, a := range checked.attempts {
 		if !a.notExecuted && checked.class.Idempotency != Idempotent {
-			w.t.Errorf("%v: request %d rejected though it may have been executed", w.now, id)
+			c.t.Errorf("%v: request %d rejected though it may have been executed", c.now, id)
 		}
 	}
 }
 
-func (w *invariantChecker) Fail(id RequestID) {
-	w.fakeHost.Fail(id)
-	w.recordFinalResponse(id)
+func (c *invariantChecker) Fail(id RequestID) {
+	c.fakeHost.Fail(id)
+	c.recordFinalResponse(id)
 }
 
-// outcome ends attempt i of a request with a random status, or by its deadline.
-func (w *invariantChecker) outcome(id RequestID, checked *checkedRequest, i int) {
+// endAttempt ends attempt i of a request with a random status. The status is Timeout from the deadline on, and
+// Cancelled if the request is completed.
+func (c *invariantChecker) endAttempt(id RequestID, checked *checkedRequest, i int) {
 	a := checked.attempts[i]
-	status := []Status{OK, OK, OK, ServerError, Rejected, Timeout, ConnectFailed, Reset}[w.rng.IntN(8)]
-	if w.now >= checked.deadline {
+	status := []Status{OK, OK, OK, ServerError, Rejected, Timeout, ConnectFailed, Reset}[c.rng.IntN(8)]
+	if c.now >= checked.deadline {
 		status = Timeout
 	}
 	if checked.completed {
@@ -106,38 +117,39 @@
 	a.inFlight = false
 	a.notExecuted = status == Rejected || status == ConnectFailed
 	if status == OK {
-		w.recordFinalResponse(id)
+		c.recordFinalResponse(id)
 	}
-	w.balancer.Outcome(w.now, Outcome{ID: id, Attempt: i, Server: a.server.Server, Status: status,
-		Latency: w.now - a.sentAt, RequestCompleted: checked.completed})
+	c.balancer.Outcome(c.now, Outcome{ID: id, Attempt: i, Server: a.server.Server, Status: status,
+		Latency: c.now - a.sentAt, RequestCompleted: checked.completed})
 }
 
-func (w *invariantChecker) step(ids []RequestID) {
+// step ends some attempts, disconnects a few clients and runs the timers that are due.
+func (c *invariantChecker) step(ids []RequestID) {
 	for _, id := range ids {
-		checked := w.requests[id]
+		checked := c.requests[id]
 		for i, a := range checked.attempts {
-			if a.inFlight && (w.now >= checked.deadline || checked.completed || w.rng.IntN(12) == 0) {
-				w.outcome(id, checked, i)
+			if a.inFlight && (c.now >= checked.deadline || checked.completed || c.rng.IntN(12) == 0) {
+				c.endAttempt(id, checked, i)
 			}
 		}
-		if !checked.completed && w.rng.IntN(400) == 0 {
+		if !checked.completed && c.rng.IntN(400) == 0 {
 			checked.completed = true
-			w.finalResponses[id]++
-			w.balancer.ClientDisconnected(w.now, id)
+			c.finalResponses[id]++
+			c.balancer.ClientDisconnected(c.now, id)
 		}
 	}
-	w.fire(w.balancer, w.now)
+	c.fire(c.balancer, c.now)
 }
 
 // changeEndpoint drains, removes, restarts or adds a server.
-func (w *invariantChecker) changeEndpoint(start time.Duration) {
-	id := ServerID(1 + w.rng.IntN(12))
-	e := Endpoint{Server: id, Cell: int(id) / 3, Weight: 1, State: EndpointState(w.rng.IntN(3))}
-	if w.rng.IntN(3) == 0 {
-		e.State, e.StartedAt = Ready, start
+func (c *invariantChecker) changeEndpoint() {
+	id := ServerID(1 + c.rng.IntN(12))
+	e := Endpoint{Server: id, Cell: int(id) / 3, Weight: 1, State: EndpointState(c.rng.IntN(3))}
+	if c.rng.IntN(3) == 0 {
+		e.State, e.StartedAt = Ready, c.now
 	}
-	w.endpoints[id] = e
-	w.balancer.UpdateEndpoints(w.now, UpdateDelta, []Endpoint{e})
+	c.endpoints[id] = e
+	c.balancer.UpdateEndpoints(c.now, UpdateDelta, []Endpoint{e})
 }
 
 // newInvariantChecker starts a Balancer with eight servers.
@@ -146,49 +158,50 @@
 	settings := testSettings()
 	settings.Classes[0].LateFraction = 0.5
 	settings.Tenants = []Tenant{{QuotaPerS: 50}}
-	w := &invariantChecker{
+	c := &invariantChecker{
 		fakeHost:       newHost(),
 		t:              t,
 		rng:            rand.New(rand.NewPCG(seed, 1)),
 		classes:        settings.Classes,
+		maxAttempts:    settings.Limits.MaxAttempts,
 		now:            time.Hour,
 		requests:       map[RequestID]*checkedRequest{},
 		finalResponses: map[RequestID]int{},
 		endpoints:      map[ServerID]Endpoint{},
 	}
-	balancer, err := New(settings, seed, w)
+	balancer, err := New(settings, seed, c)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.balancer = balancer
+	c.balancer = balancer
 	entries := ready(1, 8)
 	for i := range entries {
 		entries[i].Cell = int(entries[i].Server) / 3
-		w.endpoints[entries[i].Server] = entries[i]
+		c.endpoints[entries[i].Server] = entries[i]
 	}
-	balancer.UpdateEndpoints(w.now, UpdateCached, entries)
-	return w
+	balancer.UpdateEndpoints(c.now, UpdateCached, entries)
+	return c
 }
 
 // arrive sends a request of a random class and timeout.
-func (w *invariantChecker) arrive(id RequestID) {
-	class := w.rng.IntN(3)
-	left := time.Duration(300+w.rng.IntN(1700)) * ms
-	w.requests[id] = &checkedRequest{class: w.classes[class], deadline: w.now + left}
-	w.balancer.Request(w.now, Request{ID: id, Class: class, Timeout: left})
+func (c *invariantChecker) arrive(id RequestID) {
+	class := c.rng.IntN(3)
+	timeout := time.Duration(300+c.rng.IntN(1700)) * ms
+	c.requests[id] = &checkedRequest{class: c.classes[class], deadline: c.now + timeout}
+	c.balancer.Request(c.now, Request{ID: id, Class: class, Timeout: timeout})
 }
 
 // checkEnd checks that every request got one final response, and that none is known any more.
-func (w *invariantChecker) checkEnd(ids []RequestID) {
-	w.t.Helper()
+func (c *invariantChecker) checkEnd(ids []RequestID) {
+	c.t.Helper()
 	for _, id := range ids {
-		if w.finalResponses[id] != 1 {
-			w.t.Errorf("request %d got %d final responses", id, w.finalResponses[id])
+		if c.finalResponses[id] != 1 {
+			c.t.Errorf("request %d got %d final responses", id, c.finalResponses[id])
 		}
 	}
-	known, active := len(w.balancer.requests.byID), len(w.balancer.requests.active)
+	known, active := len(c.balancer.requests.byID), len(c.balancer.requests.active)
 	if known > 0 || active > 0 {
-		w.t.Errorf("%d requests and %d active ones known at the end", known, active)
+		c.t.Errorf("%d requests and %d active ones known at the end", known, active)
 	}
 }
 
@@ -196,25 +209,25 @@
 func runRandomEvents(t *testing.T, seed uint64) []string {
 	t.Helper()
 	const steps, stepsWithArrivals = 4000, 3500 // then the requests end
-	w := newInvariantChecker(t, seed)
+	c := newInvariantChecker(t, seed)
 	var ids []RequestID
 	for step := range steps {
-		w.now += 5 * ms
-		for range w.rng.IntN(4) {
+		c.now += 5 * ms
+		for range c.rng.IntN(4) {
 			if step >= stepsWithArrivals {
 				break
 			}
 			id := RequestID(len(ids) + 1)
 			ids = append(ids, id)
-			w.arrive(id)
+			c.arrive(id)
 		}
-		if w.rng.IntN(60) == 0 {
-			w.changeEndpoint(w.now)
+		if c.rng.IntN(60) == 0 {
+			c.changeEndpoint()
 		}
-		w.step(ids)
+		c.step(ids)
 	}
-	w.checkEnd(ids)
-	return w.log
+	c.checkEnd(ids)
+	return c.log
 }
 
 func TestInvariantsHoldUnderRandomEvents(t *testing.T) {
