--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -19,11 +19,13 @@
 	requestOf(0)
 	requestOf(0)
 	over, within := requestOf(0), requestOf(1)
-	for i := RequestID(1); i < within; i++ {
-		if i != over && len(h.sendsOf(i)) > h.outcomesGiven[i] {
-			h.endAttempt(i, OK, 10*ms)
+
+	for id := RequestID(1); id < within; id++ {
+		if id != over && len(h.sendsOf(id)) > h.outcomesGiven[id] {
+			h.endAttempt(id, OK, 10*ms)
 		}
 	}
+
 	if len(h.sendsOf(over)) != 0 || len(h.sendsOf(within)) != 1 {
 		t.Fatal("a request over its tenant's quota was sent first")
 	}
@@ -32,26 +34,42 @@
 // Guards against counting every retry of a rejected client: in a retry storm all of a tenant's requests would
 // be over its quota and lose most of their weight.
 func TestRejectedRequestReturnsItsQuotaToken(t *testing.T) {
-	for _, rejected := range []bool{true, false} {
-		settings := testSettings()
-		settings.Nodes = 80
-		settings.Tenants = []Tenant{{QuotaPerS: 800}}
-		settings.OverQuotaFraction = 0.2
-		h := newHarness(t, settings, 20)
-		for range 30 {
-			if rejected {
-				h.openAllBreakers()
-			}
-			id := h.request(0)
-			if _, was := h.host.rejected[id]; was != rejected {
-				t.Fatalf("rejected %v, want %v", was, rejected)
-			}
-			if !rejected {
-				h.endAttempt(id, OK, 0)
-			}
+	h := newHarness(t, smallQuotaSettings(), 20)
+
+	for range 30 {
+		h.openAllBreakers()
+		id := h.request(0)
+		if _, rejected := h.host.rejected[id]; !rejected {
+			t.Fatal("a request is not rejected though all breakers are open")
 		}
-		if within := h.balancer.quotas.buckets[0].Take(h.now); within != rejected {
-			t.Errorf("after 30 requests, rejected %v: within the quota %v", rejected, within)
+	}
+
+	if !h.balancer.quotas.buckets[0].Take(h.now) {
+		t.Error("the tenant is over its quota after 30 rejected requests")
+	}
+}
+
+func TestServedRequestUsesUpItsQuotaToken(t *testing.T) {
+	h := newHarness(t, smallQuotaSettings(), 20)
+
+	for range 30 {
+		id := h.request(0)
+		if _, rejected := h.host.rejected[id]; rejected {
+			t.Fatal("a request is rejected though the servers have capacity")
 		}
+		h.endAttempt(id, OK, 0)
+	}
+
+	if h.balancer.quotas.buckets[0].Take(h.now) {
+		t.Error("the tenant is within its quota after 30 served requests")
 	}
 }
+
+// smallQuotaSettings has a tenant whose quota is 10 requests per second on this undersampled node.
+func smallQuotaSettings() Settings {
+	settings := testSettings()
+	settings.Nodes = 80
+	settings.Tenants = []Tenant{{QuotaPerS: 800}}
+	settings.OverQuotaFraction = 0.2
+	return settings
+}
