--- a/policy/endpoint_set_test.go
+++ b/policy/endpoint_set_test.go
@@ -14,10 +14,12 @@
 	}
 	first := h.host.sends[0]
 	h.endAttempt(first.id, ServerError, ms) // waits for its backoff
+
 	h.update(UpdateDelta, Endpoint{Server: 1, State: Draining})
 	h.update(UpdateDelta, Endpoint{Server: 2, State: Removed})
 	before := len(h.host.sends)
 	h.advance(3 * time.Second)
+
 	if len(h.host.sends) != before {
 		t.Fatalf("sent %v after the updates", h.host.sends[before:])
 	}
@@ -54,7 +56,9 @@
 		restarted[i].StartedAt = h.now
 	}
 	h.now += ms
+
 	h.update(UpdateDelta, restarted...)
+
 	servers := h.balancer.endpoints.byID
 	if h.balancer.limiter.inFlight != 0 || len(servers[1].inFlight)+len(servers[2].inFlight) != 0 {
 		t.Fatalf("%d attempts use up the capacity of the new processes", h.balancer.limiter.inFlight)
@@ -71,8 +75,10 @@
 func TestRelistedServerAndStaleEventsKeepCountsConsistent(t *testing.T) {
 	h := newHarness(t, testSettings(), 2)
 	first, second := h.request(0), h.request(2)
+
 	h.update(UpdateSnapshot, ready(2, 2)...)
 	h.update(UpdateSnapshot, ready(1, 2)...)
+
 	if len(h.balancer.endpoints.ready) != 2 {
 		t.Fatalf("%d servers ready after one came back, want 2", len(h.balancer.endpoints.ready))
 	}
--- a/policy/load_shedding_test.go
+++ b/policy/load_shedding_test.go
@@ -21,7 +21,9 @@
 		h.endAttempt(id, Rejected, ms) // not executed: a retry may follow
 		h.balancer.queue.add(record)
 		record.objectiveDeadline = h.now + 2*record.expectedLatency(h.balancer.means.relativeLatency)
+
 		h.balancer.shedLoad(h.now)
+
 		if _, shed := h.host.rejected[id]; shed != tc.shed {
 			t.Errorf("%d nodes: shed %v, want %v", tc.nodes, shed, tc.shed)
 		}
--- a/policy/score_test.go
+++ b/policy/score_test.go
@@ -7,13 +7,15 @@
 	h := newHarness(t, testSettings(), 3)
 	h.serve(30, 20*ms)
 	id := h.request(0)
-	full := h.sendsOf(id)[0]
+	full := h.balancer.endpoints.byID[h.sendsOf(id)[0]]
+
 	h.endAttempt(id, Rejected, 0)
 	h.advance(ms)
 	h.balancer.refresh(h.now)
+
 	for _, s := range h.balancer.subset.servers {
-		if s.Server != full && s.score.value <= h.balancer.endpoints.byID[full].score.value {
-			t.Fatalf("the rejecting server scores %.2f, another %.2f", h.balancer.endpoints.byID[full].score.value, s.score.value)
+		if s != full && s.score.value <= full.score.value {
+			t.Fatalf("the rejecting server scores %.2f, another %.2f", full.score.value, s.score.value)
 		}
 	}
 }
@@ -28,7 +30,9 @@
 		failing.score.outcomes.AddSuccess(h.now, 1)
 		failing.score.outcomes.AddFailure(h.now)
 	}
+
 	h.balancer.refresh(h.now)
+
 	if !descending(good.score.value, slow.score.value) || !descending(good.score.value, failing.score.value) {
 		t.Fatalf("scores: good %.2f slow %.2f failing %.2f", good.score.value, slow.score.value, failing.score.value)
 	}
@@ -42,7 +46,7 @@
 	}
 }
 
-// descending reports whether each score is above the next. No score that is not a number is.
+// descending reports whether each score is above the next. A score that is not a number is above none.
 func descending(scores ...float64) bool {
 	for i := range len(scores) - 1 {
 		if above := scores[i] > scores[i+1]; !above {
@@ -54,23 +58,42 @@
 
 func TestServerWithoutOutcomesScoresTheMean(t *testing.T) {
 	h := newHarness(t, testSettings(), 3)
-	for range 20 {
-		h.balancer.endpoints.ready[0].score.outcomes.AddSuccess(h.now, 1)
-		h.balancer.endpoints.ready[1].score.outcomes.AddSuccess(h.now, 3)
-	}
+	fast, slow, unmeasured := h.addFastAndSlowOutcomes()
+
 	h.balancer.refresh(h.now)
-	s := h.balancer.endpoints.ready
-	if !descending(s[0].score.value, s[2].score.value, s[1].score.value) {
-		t.Fatalf("scores %.2f %.2f, unmeasured %.2f: not between", s[0].score.value, s[1].score.value, s[2].score.value)
+
+	if !descending(fast.score.value, unmeasured.score.value, slow.score.value) {
+		t.Fatalf("scores %.2f and %.2f, unmeasured %.2f: not between",
+			fast.score.value, slow.score.value, unmeasured.score.value)
 	}
+}
+
+// Guards against servers that were bad once and are never tried again.
+func TestOldOutcomesNoLongerCountForTheScore(t *testing.T) {
+	h := newHarness(t, testSettings(), 3)
+	fast, slow, _ := h.addFastAndSlowOutcomes()
+	h.balancer.refresh(h.now)
+
 	h.balancer.refresh(h.now + 2*wellSampled().maxOutcomeAge)
-	if s[0].score.value != s[1].score.value {
-		t.Fatal("old outcomes still count: a server that was bad once is never tried again")
+
+	if fast.score.value != slow.score.value {
+		t.Fatalf("scores %.2f and %.2f: old outcomes still count", fast.score.value, slow.score.value)
+	}
+}
+
+// addFastAndSlowOutcomes adds outcomes to two servers, the second of which is slow, and none to a third.
+func (h *harness) addFastAndSlowOutcomes() (*server, *server, *server) {
+	servers := h.balancer.endpoints.ready
+	fast, slow, unmeasured := servers[0], servers[1], servers[2]
+	for range 20 {
+		fast.score.outcomes.AddSuccess(h.now, 1)
+		slow.score.outcomes.AddSuccess(h.now, 3)
 	}
+	return fast, slow, unmeasured
 }
 
-// Guards against scores that favour a server seconds after it became congested: many nodes move a server's
-// load faster than one of them measures it.
+// Guards against scores that favour a server seconds after it became congested. Many nodes change a server's load
+// faster than one of them measures it.
 func TestUndersampledNodeForgetsOutcomesSooner(t *testing.T) {
 	for _, tc := range []struct {
 		nodes int
