--- a/policy/admission.go
+++ b/policy/admission.go
@@ -7,8 +7,7 @@
 	"sort"
 )
 
-// admissionQueue holds the requests that wait for capacity, sorted by precedes. Each of them is marked as
-// queued.
+// admissionQueue holds the requests that wait for capacity, sorted by precedes. Each is marked as queued.
 type admissionQueue struct{ waiting []*request }
 
 // add inserts a request at its place in the order.
@@ -33,6 +32,5 @@
 	return x > y || (x == y && r.objectiveDeadline < other.objectiveDeadline)
 }
 
-// weightPerWork returns the priority weight for each unit of the work that is estimated for the request's
-// class.
+// weightPerWork returns the priority weight per unit of the work that is estimated for the class.
 func (r *request) weightPerWork() float64 { return r.weight / r.class.workEstimate.Value() }
--- a/policy/arrivals.go
+++ b/policy/arrivals.go
@@ -39,7 +39,7 @@
 	return a.weightPerWork.Value() * class.workEstimate.Value()
 }
 
-// isHighPriority reports whether a request weighs far more than the mean request with the work of its class.
+// isHighPriority reports whether a request weighs far more than the mean for the work of its class.
 func (a *arrivalStats) isHighPriority(request *request) bool {
 	return request.weight > highPriorityMultiple*a.meanWeight(request.class)
 }
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -139,7 +139,7 @@
 	switch {
 	case outcome.RequestCompleted || outcome.Status == OK:
 		b.complete(request)
-	case request.completed: // earlier; this may have been its last attempt in flight
+	case request.completed: // before this outcome, which may be that of its last attempt
 		b.requests.release(request)
 	case request.inFlight == 0:
 		b.scheduleRetry(now, request)
--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -26,7 +26,7 @@
 		return
 	}
 	b.refresh(now)
-	noCapacity := false // for any queued request
+	noCapacity := false // for a first attempt, so that the requests behind it are not tried
 	b.queue.removeFunc(func(request *request) bool {
 		if request.completed {
 			return true
@@ -39,8 +39,8 @@
 			b.terminateUnserved(request)
 			return true
 		}
-		// A first attempt may go to any server, so that no other request finds one either. A retry may be
-		// bound to the scope of its key.
+		// A first attempt may go to any ready server. A retry may be bound to the scope of its key, and does
+		// not stand for the requests behind it.
 		isFirstAttempt := len(request.attempts) == 0
 		noCapacity = noCapacity || isFirstAttempt
 		return false
@@ -70,7 +70,7 @@
 	})
 }
 
-// selectServer returns a server for the next attempt, or nil if there is no capacity. A server that awaits
+// selectServer returns a server for the next attempt, or nil if no server has capacity. One that awaits
 // its trial comes first. Otherwise a first attempt gets the better of two random candidates, and a retry or
 // hedged request the best of all.
 func (b *Balancer) selectServer(now time.Duration, request *request) *server {
--- a/policy/load_shedding.go
+++ b/policy/load_shedding.go
@@ -34,7 +34,7 @@
 }
 
 // servingDeadline returns the time by which a queued request must be served: its deadline or its objective.
-// An undersampled node has capacity rarely. A late response of high weight may earn more there than another
+// An undersampled node rarely has capacity. A late response of high weight may earn more there than another
 // response in time.
 func (l *loadShedder) servingDeadline(request *request) time.Duration {
 	lateWeight := request.weight * request.class.LateFraction
