--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"testing"
 	"time"
 )
@@ -79,6 +80,25 @@
 	}
 }
 
+// takeTimer removes and returns the first timer that is due by a time, or nil.
+func (h *fakeHost) takeTimer(by time.Duration) *timer {
+	if len(h.timers) == 0 {
+		return nil
+	}
+	first := 0
+	for i, t := range h.timers {
+		if t.at < h.timers[first].at {
+			first = i
+		}
+	}
+	taken := h.timers[first]
+	if taken.at > by {
+		return nil
+	}
+	h.timers = slices.Delete(h.timers, first, first+1)
+	return &taken
+}
+
 func (h *fakeHost) WatchEndpoints() {
 	h.logAction("watch")
 	h.watches++
@@ -154,36 +174,27 @@
 	return servers
 }
 
-// endAttempt gives the outcome of the next attempt of a request.
+// endAttempt ends the first attempt of a request that has not ended yet.
 func (h *harness) endAttempt(id RequestID, status Status, latency time.Duration) {
-	i := h.outcomesGiven[id]
+	index := h.outcomesGiven[id]
 	h.outcomesGiven[id]++
 	h.balancer.Outcome(h.now, Outcome{
-		ID: id, Attempt: i, Server: h.sendsOf(id)[i], Status: status, Latency: latency, RequestCompleted: status == OK,
+		ID: id, Attempt: index, Server: h.sendsOf(id)[index], Status: status, Latency: latency,
+		RequestCompleted: status == OK,
 	})
 }
 
-// advance moves the clock and runs the timers that fall due.
+// advance moves the clock and runs the timers that become due, also those that are set meanwhile.
 func (h *harness) advance(d time.Duration) {
-	for end := h.now + d; ; {
-		due := -1
-		for i, t := range h.host.timers {
-			if t.at <= end && (due < 0 || t.at < h.host.timers[due].at) {
-				due = i
-			}
-		}
-		if due < 0 {
-			h.now = end
-			return
-		}
-		t := h.host.timers[due]
-		h.host.timers = append(h.host.timers[:due], h.host.timers[due+1:]...)
-		h.now = max(h.now, t.at)
-		h.balancer.Timer(h.now, t.token)
+	end := h.now + d
+	for due := h.host.takeTimer(end); due != nil; due = h.host.takeTimer(end) {
+		h.now = max(h.now, due.at)
+		h.balancer.Timer(h.now, due.token)
 	}
+	h.now = end
 }
 
-// serve has n requests of class 0 succeed with the same latency, one after another.
+// serve makes n requests of class 0 succeed with the same latency, one after another.
 func (h *harness) serve(n int, latency time.Duration) {
 	for range n {
 		id := h.request(0)
@@ -245,7 +256,7 @@
 	}
 }
 
-// succeedOlderThan ends all attempts of the requests that were first sent so long ago.
+// succeedOlderThan makes all attempts succeed of those requests that were first sent at least this long ago.
 func (h *harness) succeedOlderThan(age time.Duration) {
 	for id := range h.lastID {
 		record := h.balancer.requests.byID[id]
