--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -52,16 +52,16 @@
 			s.budget.work -= work
 			sends = append(sends, h.now)
 		}
-		within := 0
+		sendsInWindow := 0
 		for _, at := range sends {
 			if h.now-at < rules.OverloadWindow {
-				within++
+				sendsInWindow++
 			}
 		}
-		most := warmServerRate * rules.OverloadWindow.Seconds() * rules.OverloadMultiple *
+		maxWork := warmServerRate * rules.OverloadWindow.Seconds() * rules.OverloadMultiple *
 			s.capacityShare(&rules, h.now)
-		if work := float64(within) * baseline; work > most+baseline {
-			h.t.Fatalf("sent %.3f s of work within a window, more than %.3f", work, most)
+		if sentWork := float64(sendsInWindow) * baseline; sentWork > maxWork+baseline {
+			h.t.Fatalf("sent %.3f s of work within a window, more than %.3f", sentWork, maxWork)
 		}
 	}
 	return len(sends)
@@ -70,7 +70,7 @@
 // Guards against one send from each of many nodes at once, as soon as they are notified of a start.
 func TestFirstSendsToWarmingServerAreSpread(t *testing.T) {
 	const nodes = 40
-	inTenth := map[time.Duration]int{}
+	firstSends := map[time.Duration]int{} // by tenth of a second after the start
 	for seed := range uint64(nodes) {
 		balancer, err := New(testSettings(), seed, newHost())
 		if err != nil {
@@ -90,9 +90,9 @@
 				break
 			}
 		}
-		inTenth[wait/(100*ms)]++
+		firstSends[wait/(100*ms)]++
 	}
-	for tenth, n := range inTenth {
+	for tenth, n := range firstSends {
 		if n > nodes/4 {
 			t.Errorf("%d of %d nodes sent first in tenth %d of a second after the start", n, nodes, tenth)
 		}
--- a/policy/subset_test.go
+++ b/policy/subset_test.go
@@ -14,7 +14,7 @@
 	}
 	h.balancer.subset.servers[0].breaker.state = breakerOpen
 	h.balancer.subset.servers[1].StartedAt = h.now // warming up
-	h.balancer.subset.stale = true
+	h.balancer.subset.invalidate()
 	h.now += ms
 	h.balancer.refresh(h.now)
 	if n := len(h.balancer.subset.servers); n != minSubsetSize+2 {
