--- a/policy/concurrency_limit_test.go
+++ b/policy/concurrency_limit_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// adjustLimitFor adjusts the limit for some time at a steady congestion.
+// adjustLimitFor adjusts the limit every 10 ms for some time, at a steady congestion.
 func adjustLimitFor(balancer *Balancer, from, d time.Duration, congestion float64) {
 	for t := from; t < from+d; t += 10 * ms {
 		balancer.latency.congestion = congestion
@@ -76,8 +76,8 @@
 	}
 }
 
-// Guards against nodes with unequal parts of the same servers: those whose limit had once fallen to its floor
-// rejected most requests, while others had eight times their capacity.
+// Guards against nodes with unequal parts of the same servers: a node whose limit has fallen once would reject
+// most of its requests, while others have several times its capacity.
 func TestUndersampledNodesThatShareServersConvergeToEqualLimits(t *testing.T) {
 	var nodes []*Balancer
 	for _, limit := range []float64{0.5, 4} {
@@ -88,9 +88,10 @@
 		h.balancer.queue.waiting = append(h.balancer.queue.waiting, &request{})
 		nodes = append(nodes, h.balancer)
 	}
+
 	now := time.Hour
-	for range 400 { // both see the same servers, which are congested once they send too much together
-		congestion := 0.0
+	for range 400 {
+		congestion := 0.0 // of the servers, which both nodes use
 		if nodes[0].limiter.limit+nodes[1].limiter.limit > 5 {
 			congestion = 1
 		}
@@ -99,36 +100,42 @@
 		}
 		now += 100 * ms
 	}
+
 	if less, more := nodes[0].limiter.limit, nodes[1].limiter.limit; more > 2*less {
 		t.Fatalf("limits %.2f and %.2f after 40 s with the same servers", less, more)
 	}
 }
 
-// Guards against one request for each server from each of many nodes, which is congestion, and against a node
-// that waits at its own chance peaks though all nodes together are far from the limit.
+// Guards against congestion by many nodes that each send one request to each server. Also guards against a node
+// that queues requests at a chance peak, though all nodes together are far from the limit.
 func TestUndersampledNodeHoldsItsMeanInFlightToTheLimit(t *testing.T) {
 	settings := testSettings()
 	settings.Nodes = 80
 	h := newHarness(t, settings, 20)
-	limit := h.balancer.limiter.limit * 20 / 80 // in flight, this node's part of the whole
+	nodeLimit := h.balancer.limiter.limit * 20 / 80 // this node's part of the attempts in flight at all servers
+
 	for range 3 {
 		h.request(0)
 	}
+
 	if n := len(h.host.sends); n < 2 {
-		t.Fatalf("%d of 3 requests that came at once were sent, the limit is %.1f", n, limit)
+		t.Fatalf("%d of 3 requests that came at once were sent, the limit is %.1f", n, nodeLimit)
 	}
-	queued, sum := 0, 0
-	for range 300 { // requests that get no response for half a second each
+
+	const requests = 300
+	queued, inFlightSum := 0, 0
+	for range requests { // each gets no response for half a second
 		id := h.request(0)
 		h.advance(10 * ms)
-		sum += h.balancer.limiter.inFlight
+		inFlightSum += h.balancer.limiter.inFlight
 		if len(h.sendsOf(id)) == 0 {
 			queued++
 		}
 		h.succeedOlderThan(500 * ms)
 	}
-	if mean := float64(sum) / 300; queued == 0 || mean > 2*limit+1 {
-		t.Fatalf("%d queued, %.1f in flight on the average; the node's part is %.1f", queued, mean, limit)
+
+	if mean := float64(inFlightSum) / requests; queued == 0 || mean > 2*nodeLimit+1 {
+		t.Fatalf("%d queued, %.1f in flight on the average; the node's part is %.1f", queued, mean, nodeLimit)
 	}
 }
 
@@ -156,7 +163,9 @@
 func TestHighPriorityRequestIsSentWhileOthersWaitForTheMean(t *testing.T) {
 	h := newUndersampledHarness(t)
 	h.fillToLimit()
+
 	lowPriority, highPriority := h.request(0), h.request(1)
+
 	if n := len(h.sendsOf(lowPriority)); n != 0 {
 		t.Errorf("the request of low priority was sent %d times though the node is at its limit", n)
 	}
