--- a/policy/load_shedding_test.go
+++ b/policy/load_shedding_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Guards against waiting so long that the response comes late, where a node does not see how long the requests
-// of others wait: the work is done for nothing and congests the servers.
+// Guards against requests that wait so long that their responses come late: the work is done for nothing and
+// congests the servers. An undersampled node does not see how long the requests of other nodes wait.
 func TestUndersampledNodeShedsWithAMargin(t *testing.T) {
 	for _, tc := range []struct {
 		nodes int
@@ -37,21 +37,23 @@
 		other := h.balancer.requests.add(Request{ID: 1000 + RequestID(s.Server)}, &h.balancer.classes[0])
 		h.balancer.startAttempt(h.now, other, s)
 	}
-	began := h.now
+	arrivedAt := h.now
 	h.lastID++
 	id := h.lastID
+
 	h.balancer.Request(h.now, Request{ID: id, Class: 1, Timeout: 500 * ms})
 	h.advance(180 * ms)
+
 	if _, rejected := h.host.rejected[id]; rejected {
 		t.Fatal("rejected at its objective, though a late response earns more than another one in time")
 	}
 	for _, rejected := h.host.rejected[id]; !rejected; _, rejected = h.host.rejected[id] {
 		h.advance(ms)
-		if h.now > began+time.Second {
+		if h.now > arrivedAt+time.Second {
 			t.Fatal("neither sent nor rejected")
 		}
 	}
-	if waited := h.now - began; waited > 250*ms {
+	if waited := h.now - arrivedAt; waited > 250*ms {
 		t.Errorf("rejected after %v of 500 ms: its client could have retried elsewhere", waited)
 	}
 	if after := h.host.rejected[id]; after <= 0 {
--- a/policy/watch_schedule_test.go
+++ b/policy/watch_schedule_test.go
@@ -14,10 +14,12 @@
 	if h.host.watches != 1 {
 		t.Fatalf("%d calls at the start, want 1", h.host.watches)
 	}
+
 	for range 2 {
 		h.balancer.WatchFailed(h.now, h.now+NotificationDeadline)
 	}
 	h.advance(settings.Rules.MaxPollInterval / 2)
+
 	if h.host.watches < 2 {
 		t.Fatal("no new call after a failure")
 	}
@@ -26,14 +28,14 @@
 	}
 }
 
-// A watch that becomes unresponsive is repeated in the time left until the notification deadline, by the nodes
-// of a fleet at different times, and the backoff does not grow beyond that.
+// A watch that becomes unresponsive is repeated in the time left until the notification deadline. The nodes of a
+// fleet repeat it at different times, and the backoff does not grow beyond the time left.
 func TestUnresponsiveWatchIsRepeatedBeforeNotificationDeadline(t *testing.T) {
-	const left = NotificationDeadline / 4 // until the notification deadline
-	const span = NotificationDeadline / 8 // for the next call
+	const left = NotificationDeadline / 4 // time until the notification deadline
+	const span = NotificationDeadline / 8 // time within which the next call must start
 	settings := testSettings()
 	settings.PollEndpoints, settings.Nodes = true, 300
-	apart := map[time.Duration]bool{}
+	tenths := map[time.Duration]bool{} // of the span, in which calls start
 	for node := range 100 {
 		settings.Node = node
 		host := newHost()
@@ -47,11 +49,11 @@
 			if len(host.timers) != 1 || host.timers[0].token != timerWatch || host.timers[0].at > time.Hour+span {
 				t.Fatalf("timers %v", host.timers)
 			}
-			apart[host.timers[0].at.Truncate(span/10)] = true
+			tenths[host.timers[0].at.Truncate(span/10)] = true
 		}
 	}
-	if len(apart) < 8 {
-		t.Errorf("the calls fall into %d tenths of the span", len(apart))
+	if len(tenths) < 8 {
+		t.Errorf("the calls fall into %d tenths of the span", len(tenths))
 	}
 }
 
@@ -59,7 +61,7 @@
 	for _, tc := range []struct {
 		nodes   int
 		entries []Endpoint
-		at      bool
+		atOnce  bool
 	}{{3, ready(1, 10), true}, {80, nil, true}, {80, ready(1, 10), false}} {
 		settings := testSettings()
 		settings.Nodes, settings.PollEndpoints = tc.nodes, true
@@ -68,13 +70,15 @@
 		if err != nil {
 			t.Fatal(err)
 		}
+
 		balancer.UpdateEndpoints(time.Hour, UpdateCached, tc.entries)
-		if at := host.watches == 1; at != tc.at {
+
+		if atOnce := host.watches == 1; atOnce != tc.atOnce {
 			t.Errorf("%d nodes, %d servers known: watches at once: %v, want %v",
-				tc.nodes, len(tc.entries), at, tc.at)
+				tc.nodes, len(tc.entries), atOnce, tc.atOnce)
 		}
 		latest := time.Hour + settings.Rules.MaxPollInterval/2
-		if !tc.at && (len(host.timers) != 1 || host.timers[0].at > latest) {
+		if !tc.atOnce && (len(host.timers) != 1 || host.timers[0].at > latest) {
 			t.Errorf("timers %v, want one by %v", host.timers, latest)
 		}
 	}
