--- a/internal/upstream/call.go
+++ b/internal/upstream/call.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// The reasons for which an attempt is not written although it has its connection.
+// The reasons why an attempt that has its connection is not written.
 var (
 	errClientDisconnected = errors.New("client disconnected")
 	errWriteDeadline      = errors.New("write deadline has passed")
@@ -26,8 +26,7 @@
 }
 
 // NewCall prepares an attempt that ends with ctx or Cancel. clientDisconnected is
-// called just before the first byte is written: nothing is written if it reports
-// that nobody waits for the response any more.
+// called just before the first byte is written: nothing is written if it returns true.
 func NewCall(ctx context.Context, clientDisconnected func() bool) *Call {
 	call := &Call{clientDisconnected: clientDisconnected}
 	call.ctx, call.cancel = context.WithCancel(ctx)
@@ -59,12 +58,12 @@
 	return time.Time{}
 }
 
-// start permits the first byte to be written, or returns why nothing may be written. The
-// caller of Send may have revoked the attempt, or be late to do so at the write deadline.
+// start permits the first byte to be written, or returns why nothing may be written. It checks
+// the write deadline itself: the owner of the attempt may revoke it too late.
 //
-// The client is checked after the clock, as the event of its disconnect may still be queued.
-// An attempt must not begin 0.1 s after its client has disconnected, and the process may be
-// paused for longer between reading the clock and a write.
+// It also checks the client itself: the event of a disconnect may still be queued. An attempt
+// must not begin 0.1 s after its client has disconnected, and the process may be paused for
+// longer after it has read the clock. So the client is checked after the clock.
 func (c *Call) start() error {
 	if deadline := c.writeDeadlineOrZero(); !deadline.IsZero() && !time.Now().Before(deadline) {
 		return errWriteDeadline
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -16,9 +16,9 @@
 	reader         *bufio.Reader // reads through connection.Read
 	responseBudget int           // bytes that the present response may still take
 	readErr        error         // result of the last read from the socket
-	reusable       bool          // it may carry a further request
-	reused         bool          // it has been released before
-	idleSince      time.Time     // its last release
+	reusable       bool          // the pool may keep it for a further request
+	reused         bool          // the pool has kept it before
+	idleSince      time.Time     // when the pool last kept it
 }
 
 func newConnection(socket net.Conn, target *server) *connection {
@@ -39,8 +39,8 @@
 	return n, err
 }
 
-// quiet reports whether the connection is open and has nothing to read. Bytes
-// that arrive before a request is written belong to no response of ours.
+// quiet reports whether the connection is open and has nothing to read. Bytes that arrive
+// before a request is written cannot belong to its response.
 func (c *connection) quiet() bool { return sockstate.Peek(c.Conn) == sockstate.Quiet }
 
 // limitRead sets the time at which reads fail; zero is none.
--- a/internal/upstream/dial_test.go
+++ b/internal/upstream/dial_test.go
@@ -14,8 +14,8 @@
 	"calicohinge/policy"
 )
 
-// A dial that fails on this machine was not sent, and no server is at fault but one that
-// cannot be reached. Its capacity is free again.
+// If this machine lacks something for a connection, no server is at fault: the status is
+// NotSent. If the server cannot be reached it is ConnectFailed. Either frees the capacity.
 func TestStatusOfAFailedDial(t *testing.T) {
 	for errno, want := range map[syscall.Errno]policy.Status{
 		syscall.EMFILE: policy.NotSent, syscall.ENOBUFS: policy.NotSent, syscall.EADDRNOTAVAIL: policy.NotSent,
--- a/internal/upstream/endpoints.go
+++ b/internal/upstream/endpoints.go
@@ -5,8 +5,8 @@
 	"calicohinge/policy"
 )
 
-// RevokedServers is the set of servers to which, after an update of the endpoint
-// list, no attempt decided before may be written any more.
+// RevokedServers is the set of servers for which an update of the endpoint list revokes
+// attempts: one that was decided before the update may not be written any more.
 type RevokedServers map[policy.ServerID]struct{}
 
 // Contains reports whether id is in the set.
@@ -17,11 +17,11 @@
 
 func (s RevokedServers) add(id policy.ServerID) { s[id] = struct{}{} }
 
-// UpdateEndpoints applies an update of the endpoint list: the endpoints that changed, if it
-// is a delta, and the complete list otherwise. A server with a new address or a new start time is
-// another incarnation: idle connections to the previous one are closed, and those in use
-// once they are released. It returns the servers that were added or removed, that
-// are not ready, or that are another incarnation now.
+// UpdateEndpoints applies an update of the endpoint list: a delta holds the endpoints that
+// changed, any other update the complete list. A server with a new address or a new start time
+// is another incarnation. UpdateEndpoints closes the idle connections to the previous one;
+// those in use are closed when they are released. It returns the servers that were added or
+// removed, that are not ready, or that are another incarnation now.
 func (p *Pool) UpdateEndpoints(kind policy.UpdateKind, endpoints []endpoint.Endpoint) RevokedServers {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -19,9 +19,9 @@
 	notProcessedHeader = "X-Not-Processed"
 )
 
-// exchange writes a request and reads its response. A request may have been
-// executed once its last byte is written, and not before. The connection is reusable
-// afterwards only if the response is complete and nothing follows it.
+// exchange writes a request and reads its response. The server may have executed the request
+// once its last byte is written, and not before. The connection is reusable afterwards only
+// if the response is complete and nothing follows it.
 func (c *connection) exchange(request *encodedRequest) Result {
 	c.reusable = false
 	if _, err := c.Write(request.message); err != nil {
@@ -42,8 +42,8 @@
 	return classify(response, body)
 }
 
-// readFinalHeader reads interim responses and returns the final response, of which
-// the header has been read.
+// readFinalHeader skips interim responses, reads the header of the final response and returns
+// that response.
 func (c *connection) readFinalHeader(request *encodedRequest) (*http.Response, error) {
 	for range maxInterimResponses + 1 {
 		response, err := c.readHeader(request)
@@ -59,10 +59,9 @@
 	return nil, errInterimResponses
 }
 
-// readHeader reads the header of one response. Its first byte may take as long as
-// the attempt lasts; from then on the response has responseReadTimeout to arrive.
-// Otherwise a server that stops within a response and leaves the connection open
-// would take up the time of a retry.
+// readHeader reads the header of one response. It waits for the first byte without a limit.
+// The rest of the response has to arrive within responseReadTimeout after that: otherwise a
+// server that stops within a response would use up the time for a retry.
 func (c *connection) readHeader(request *encodedRequest) (*http.Response, error) {
 	c.limitRead(time.Time{})
 	if _, err := c.reader.Peek(1); err != nil {
@@ -79,10 +78,10 @@
 	return http.ReadResponse(c.reader, request.http)
 }
 
-// readBody reads the body of a response. One without a length is complete when the server
-// closes the connection in order (RFC 9112, 6.3); a reset is an error, as any other. It never
-// closes the body, as that would read a body of any length to its end: the connection is
-// closed instead, unless the body has been read.
+// readBody reads the body of a response. A body without a length is complete when the server
+// closes the connection (RFC 9112, 6.3); after a reset it is incomplete. readBody does not
+// close response.Body, which would read a body of any length to its end: if the body is not
+// read, the connection is closed.
 func readBody(response *http.Response) ([]byte, error) {
 	if response.ContentLength > maxBody {
 		return nil, errBodyTooLarge
@@ -110,8 +109,8 @@
 	return Result{Status: policy.ServerError}
 }
 
-// failureStatus returns the status of an attempt whose response failed with err. It
-// distinguishes a connection that ended from a response that is invalid or stopped.
+// failureStatus returns the status of an attempt whose response failed with err: Reset if the
+// connection ended, ServerError if the response is invalid, too large or stopped.
 func (c *connection) failureStatus(err error) policy.Status {
 	switch {
 	case errors.Is(err, errBodyTooLarge),
--- a/internal/upstream/exchange_test.go
+++ b/internal/upstream/exchange_test.go
@@ -13,12 +13,12 @@
 	"calicohinge/policy"
 )
 
-// responseCase is a response and what two attempts make of it.
+// responseCase is a response and what is expected of two attempts that get it.
 type responseCase struct {
 	response    string
 	persistence testkit.Persistence
-	status      policy.Status
-	connections int // that two attempts take
+	status      policy.Status // of each attempt
+	connections int           // that the attempts use together
 }
 
 func TestCompleteResponseDeterminesStatusAndReuse(t *testing.T) {
@@ -98,8 +98,8 @@
 	}
 }
 
-// testResponse makes an attempt. Its context bounds the test only: an invalid
-// response has to be recognized without the deadline of the attempt.
+// testResponse makes an attempt and checks its result. The timeout only bounds the test: Send
+// has to recognize an invalid response by itself.
 func testResponse(t *testing.T, pool *Pool, id policy.ServerID, want policy.Status) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), testkit.WaitTimeout)
@@ -152,8 +152,8 @@
 	}
 }
 
-// A response that never ends costs its attempt and its connection, neither the
-// time of the request nor memory.
+// A response that never ends fails its attempt and closes its connection. It does not use up
+// the client's timeout, or memory without a bound.
 func TestEndlessResponseIsServerErrorAndClosesItsConnection(t *testing.T) {
 	t.Parallel()
 	for name, start := range map[string]string{
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// responseReadTimeout is as long as a node gives a response.
+	// responseReadTimeout bounds a response of these tests, as a node's does.
 	responseReadTimeout = 150 * time.Millisecond
 	// clientTimeout is far longer than an attempt of these tests may take.
 	clientTimeout = time.Minute
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -29,9 +29,7 @@
 
 // DefaultSettleDelay is the shortest time between a response and the next request
 // on its connection. A server may close its connection after a response, or send
-// more than the response, and that takes a moment to show. A longer delay leaves
-// connections idle for longer, and then servers reset more of them at their next
-// request.
+// more than the response, and that takes a moment to show.
 const DefaultSettleDelay = time.Millisecond
 
 var (
@@ -113,10 +111,9 @@
 	p.open--
 }
 
-// takeIdleLocked removes and returns the connection that was released last among
-// those that have settled, or nil. A request written before its connection has
-// settled may be lost, or get bytes that belong to the previous response: nothing in
-// a response names its request.
+// takeIdleLocked removes an idle connection from the pool and returns it, or nil: of those that
+// have settled, the one that was released last. On a connection that has not settled a request
+// may be lost, or get bytes of the previous response: nothing in a response names its request.
 func (p *Pool) takeIdleLocked(target *server) *connection {
 	for i, conn := range slices.Backward(target.idle) {
 		idleFor := time.Since(conn.idleSince)
@@ -135,7 +132,7 @@
 }
 
 // evictLocked closes the connection that has been idle for the longest time. It
-// reports false if none is idle.
+// returns false if none is idle.
 func (p *Pool) evictLocked() bool {
 	var owner *server
 	for _, s := range p.servers {
--- a/internal/upstream/send.go
+++ b/internal/upstream/send.go
@@ -17,10 +17,10 @@
 	Body               []byte      // of the response, if Status is policy.OK
 }
 
-// Send makes one attempt on a server and returns its outcome. What is left until the
-// deadline as the request is written is sent to the server as the time that the client
-// still waits; nothing is written after it. The deadline does not end Send. Cancelling the
-// call does, and the result has no meaning then.
+// Send makes one attempt on a server and returns its outcome. The deadline is when the client
+// stops waiting. The request carries the time that is left until then, and is not sent if none
+// is left. Send may return after the deadline: only Call.Cancel ends it early, and its result
+// has no meaning then.
 func (p *Pool) Send(call *Call, id policy.ServerID, request *Request, deadline time.Time) Result {
 	for {
 		conn, err := p.acquire(call.ctx, id)
@@ -38,13 +38,13 @@
 		}
 		conn.reusable = false
 		p.release(conn)
-		if !conn.reused {
+		if !conn.reused { // a server may close an idle connection: only then is another one tried
 			return Result{Status: policy.ConnectFailed}
 		}
 	}
 }
 
-// sendOn carries out an attempt on an acquired connection and releases that.
+// sendOn carries out an attempt on an acquired connection and releases the connection.
 func (p *Pool) sendOn(conn *connection, call *Call, request *encodedRequest) Result {
 	stopAbort := context.AfterFunc(call.ctx, conn.abort)
 	// A server does not begin a request before its last byte, so a deadline within
--- a/internal/upstream/send_test.go
+++ b/internal/upstream/send_test.go
@@ -58,7 +58,8 @@
 	}
 }
 
-// A connection that ends before anything was written to it has carried nothing.
+// Nothing was written to a new connection that the server has closed: the attempt may be
+// repeated on another server.
 func TestNewConnectionThatWasClosedIsConnectFailed(t *testing.T) {
 	listener := testkit.Listen(t)
 	pool, id := poolTo(poolConfig(), listener.Addr().String())
@@ -73,7 +74,7 @@
 	closeQuietly(accepted)
 	testkit.Until(t, "the close to show", func() bool { return sockstate.Peek(conn.Conn) != sockstate.Quiet })
 
-	conn.server.idle = append(conn.server.idle, conn) // for the next attempt, though never used
+	conn.server.idle = append(conn.server.idle, conn) // the next attempt gets it as a new connection
 	conn.idleSince = time.Now()
 	expectStatus(t, pool, id, policy.ConnectFailed)
 }
