--- a/internal/downstream/accept_pause.go
+++ b/internal/downstream/accept_pause.go
@@ -6,22 +6,21 @@
 	// minAcceptPause is the shortest time without an accept that counts as a pause. It is
 	// far below the accuracy that deadlines need.
 	minAcceptPause = time.Millisecond
-	// acceptPauseEffect is how long after a pause the connections that it has delayed are
-	// accepted: some thousand can be in that time.
+	// acceptPauseEffect is how long after a pause an accepted connection may still be one
+	// that the pause has delayed.
 	acceptPauseEffect = 100 * time.Millisecond
 )
 
-// acceptPause is the latest time in which a listener accepted no connection, because the
-// system failed to, or because one that it had accepted waited for its admission. It has
-// delayed those that the system established meanwhile, with the requests that their
-// clients sent.
+// acceptPause is the latest time in which a listener accepted no connection: accept failed,
+// or the connection accepted last waited for its admission. The pause delays the connections
+// that the system establishes meanwhile, and the requests that their clients send.
 type acceptPause struct {
 	began time.Time // zero: there was none
 	ended time.Time // zero while it lasts
 }
 
-// begin records that nothing is accepted from now on. A pause soon after another goes on
-// with it.
+// begin records that nothing is accepted from now on. A pause that begins soon after another
+// continues that one.
 func (p *acceptPause) begin(now time.Time) {
 	if p.began.IsZero() || !p.delays(now) {
 		p.began = now
@@ -36,7 +35,7 @@
 	}
 }
 
-// reset records that no delayed connection waits any more.
+// reset records that no delayed connection is left in the accept queue.
 func (p *acceptPause) reset() { *p = acceptPause{} }
 
 // delays reports whether a connection that is accepted now may have been delayed.
@@ -44,8 +43,8 @@
 	return !p.began.IsZero() && (p.ended.IsZero() || now.Sub(p.ended) < acceptPauseEffect)
 }
 
-// maxDelay returns for how long a connection that is accepted now may have been delayed at
-// most.
+// maxDelay returns the longest time for which a connection that is accepted now may have been
+// delayed.
 func (p *acceptPause) maxDelay(now time.Time) time.Duration {
 	if !p.delays(now) {
 		return 0
--- a/internal/downstream/accept_queue.go
+++ b/internal/downstream/accept_queue.go
@@ -16,8 +16,8 @@
 	return conn.SyscallConn()
 }
 
-// dropHandshakes has the system drop every further packet that is addressed to a listening
-// socket. Connections that are established have sockets of their own.
+// dropHandshakes makes the system drop every further packet to a listening socket, so that no
+// new connection is established. Established connections have sockets of their own.
 func dropHandshakes(raw syscall.RawConn) error {
 	dropAll := unix.SockFilter{Code: unix.BPF_RET | unix.BPF_K, K: 0}
 	program := unix.SockFprog{Len: 1, Filter: &dropAll}
@@ -26,9 +26,9 @@
 	})
 }
 
-// acceptQueue accepts all connections that wait at a listening socket. Once there is none
-// it ends the listening at once: a connection that is established in between is reset,
-// unless dropHandshakes has prevented it. An error leaves the socket listening.
+// acceptQueue accepts all connections in the accept queue of a listening socket. When the queue
+// is empty it ends the listening at once. A connection that is established between the two is
+// reset; dropHandshakes prevents that. After an error the socket still listens.
 func acceptQueue(raw syscall.RawConn) ([]int, error) {
 	var descriptors []int
 	err := control(raw, func(fd int) error {
@@ -49,8 +49,8 @@
 }
 
 // acceptOrShutdown accepts a connection or, if there is none, ends the listening and returns
-// EAGAIN. It makes raw system calls: between others the scheduler might let other goroutines
-// run, and connections could be established meanwhile.
+// EAGAIN. It makes raw system calls, so that the scheduler runs no other goroutine between the
+// two: connections could be established meanwhile.
 func acceptOrShutdown(fd int) (int, unix.Errno) {
 	const flags = unix.SOCK_NONBLOCK | unix.SOCK_CLOEXEC
 	accepted, _, errno := unix.RawSyscall6(unix.SYS_ACCEPT4, uintptr(fd), 0, 0, flags, 0, 0)
--- a/internal/downstream/admission.go
+++ b/internal/downstream/admission.go
@@ -36,9 +36,10 @@
 }
 
 // admit makes c one of the set's connections and returns true, or returns false if the
-// listener was closed. It blocks while the first connection that may be evicted is in its
-// grace period, and while all are active, the reserve included: those of the reserve get
-// their response at once. Closing c instead could drop a request that its client has sent.
+// listener was closed. It blocks while every connection that might be evicted is in its grace
+// period, and while all connections are active, those of the reserve included. It does not
+// close c instead, as its client may have sent a request. Connections of the reserve get
+// their response at once, so that the wait is short.
 func (cs *Conns) admit(c *Conn) bool {
 	for {
 		step := cs.tryAdmit(c)
@@ -83,8 +84,8 @@
 	return admissionStep{decision: decisionEvict, victim: candidate}
 }
 
-// awaitCapacity waits until a connection changes or the time of the step is over. It
-// returns false if the listener was closed.
+// awaitCapacity waits until a connection changes or one may be evicted. It returns false if
+// the listener was closed.
 func (cs *Conns) awaitCapacity(step admissionStep) bool {
 	var evictable <-chan time.Time // never ready if no connection becomes evictable by itself
 	if step.wait > 0 {
--- a/internal/downstream/conn_close.go
+++ b/internal/downstream/conn_close.go
@@ -28,8 +28,8 @@
 
 // LingeringClose ends the sending direction after a last response and waits for the
 // client to close the connection: until ctx ends, but for Config.LingerTimeout at
-// most. A close while bytes arrive would reset the connection, and the client would
-// lose what is in transit of the response.
+// most. A close while bytes arrive would reset the connection, and the client could
+// lose a part of the response.
 func (c *Conn) LingeringClose(ctx context.Context) {
 	c.conns.mu.Lock()
 	c.conns.beginLingering(c)
--- a/internal/downstream/conn_read.go
+++ b/internal/downstream/conn_read.go
@@ -38,15 +38,16 @@
 	}
 }
 
-// resumeForRequest is called when Read stops waiting for bytes. It returns true if that
-// was the idle or read timeout of a connection without a request, and a request has arrived
-// by now: a busy node finds both at once, and its client waits for a response. The request
-// has the partial grace period to be complete.
+// resumeForRequest is called when the wait of Read ends with an error. It begins a request and
+// returns true if a connection without a request has timed out and a request has arrived all
+// the same: a busy node may find both at once. The request has to be complete within the
+// partial grace period.
 func (c *Conn) resumeForRequest(waitErr error) bool {
 	c.conns.mu.Lock()
 	defer c.conns.mu.Unlock()
-	c.awaiting = false
-	if !errors.Is(waitErr, os.ErrDeadlineExceeded) || !c.state.awaitsRequest() || !c.hasUnreadBytes() {
+	c.readBlocks = false
+	timedOutIdle := errors.Is(waitErr, os.ErrDeadlineExceeded) && c.state.awaitsRequest()
+	if !timedOutIdle || !c.hasUnreadBytes() {
 		return false
 	}
 	c.conns.beginRequest(c)
@@ -58,7 +59,7 @@
 func (c *Conn) receive(fd int, p []byte) (int, error) {
 	c.conns.mu.Lock()
 	defer c.conns.mu.Unlock()
-	c.awaiting = false
+	c.readBlocks = false
 	switch {
 	case c.state == stateClosed:
 		return 0, errClosed
@@ -70,7 +71,7 @@
 		c.conns.beginRequest(c)
 	}
 	if n == 0 && err == nil {
-		c.awaiting = true
+		c.readBlocks = true
 		c.conns.notify()
 	}
 	return n, err
@@ -81,7 +82,10 @@
 // single byte, possibly before RequestComplete is called; a body is read in larger
 // pieces. The caller holds conns.mu.
 func (c *Conn) isBackgroundRead(p []byte) bool {
-	return c.state == stateActive || c.state == stateLingering || len(p) == 1 && c.state != stateReadingHead
+	if c.state == stateActive || c.state == stateLingering {
+		return true
+	}
+	return len(p) == 1 && c.state != stateReadingHead
 }
 
 // receiveInBackground returns an error if the client has disconnected. The caller
--- a/internal/downstream/conn_state.go
+++ b/internal/downstream/conn_state.go
@@ -91,8 +91,9 @@
 	}
 }
 
-// completeResponse records that the response to the present request is complete. It returns
-// true if it has marked c closed, see markClosed. The caller holds cs.mu.
+// completeResponse records that the response to the present request is complete. If it returns
+// true it has marked c closed, and the caller closes the socket, see markClosed. The caller
+// holds cs.mu.
 func (cs *Conns) completeResponse(c *Conn) bool {
 	c.queueTime = 0
 	switch {
@@ -116,9 +117,9 @@
 	}
 }
 
-// markClosed has c not read any more and stops counting it. It returns false if c was
-// marked before. The caller holds cs.mu and closes the socket after releasing it: closing
-// waits for a reader, which may be waiting for cs.mu.
+// markClosed ends the reading and the counting of c. It returns false if c was marked before.
+// The caller holds cs.mu. It closes the socket only after releasing cs.mu: closing waits for a
+// reader, which may be waiting for cs.mu.
 func (cs *Conns) markClosed(c *Conn) bool {
 	if c.state == stateClosed {
 		return false
--- a/internal/downstream/disconnect.go
+++ b/internal/downstream/disconnect.go
@@ -3,11 +3,10 @@
 import "calicohinge/internal/sockstate"
 
 // ClientDisconnected reports whether the client of the active request has
-// disconnected, by the present state of the socket and not by what net/http has
-// noticed so far. It returns true also if the client has sent more than fits the
-// read-ahead buffer, which it fills with what has arrived. Between two requests, and
-// once the connections are being closed, it reads nothing: what arrives then belongs to
-// a request that may be sent to another node.
+// disconnected. It inspects the socket, as net/http may not have noticed yet, and reads what
+// has arrived into the read-ahead buffer. A client that has sent more than fits counts as
+// disconnected. Between two requests, and from stageClosing on, it reads nothing: what
+// arrives then belongs to a request that the client may send to another node.
 func (c *Conn) ClientDisconnected() bool {
 	c.conns.mu.Lock()
 	defer c.conns.mu.Unlock()
@@ -15,7 +14,7 @@
 	case c.state == stateClosed || c.readErr != nil:
 		return true
 	case c.state != stateActive:
-		return false // the request has its response, its attempts are revoked
+		return false // the request has its response, and its attempts are revoked
 	case c.conns.stage == stageClosing:
 		return sockstate.Peek(c.Conn) == sockstate.Closed
 	}
--- a/internal/downstream/drain.go
+++ b/internal/downstream/drain.go
@@ -2,18 +2,18 @@
 
 import "context"
 
-// shutdownStage says which connections a set closes by itself. It only advances; Conns.mu
-// guards it.
+// shutdownStage is how far the shutdown of a set of connections has come. It only advances;
+// Conns.mu guards it.
 type shutdownStage int
 
-// The stages of a set of connections.
+// The stages, and the connections that the set closes in each.
 const (
-	stageServing  shutdownStage = iota // those that are evicted
-	stageDraining                      // from Conns.Drain on: idle ones too, each as it falls idle
-	stageClosing                       // from Conns.Shutdown on: all whose clients wait for no response
+	stageServing  shutdownStage = iota // until Conns.Drain: those that it evicts
+	stageDraining                      // from Conns.Drain on: also each that becomes idle
+	stageClosing                       // from Conns.Shutdown on: also each whose client waits for no response
 )
 
-// Drain closes idle connections, and from now on every other as soon as it falls
+// Drain closes idle connections, and from now on every other one as soon as it becomes
 // idle. It returns when no connection is open or ctx ends, and may be called again.
 func (cs *Conns) Drain(ctx context.Context) {
 	cs.advanceTo(stageDraining)
@@ -26,12 +26,11 @@
 	}
 }
 
-// Shutdown closes every connection as soon as its client waits for no response: those on
-// which nothing has come, those with a part of a request of which nothing more has
-// arrived, and those whose last response is sent. It returns when each request that was
-// read has its response, or ctx ends. The caller has closed the listener and called Drain.
-// If the next request on a connection has arrived, the connection stays open and the
-// request gets a response.
+// Shutdown closes every connection as soon as its client waits for no response: new ones
+// without data, idle ones, and those on which a request is incomplete and no more of it has
+// arrived. It returns when each request that was read has its response, or ctx ends. The
+// caller has closed the listener and called Drain. If the next request on a connection has
+// arrived, the connection stays open and the request gets a response.
 func (cs *Conns) Shutdown(ctx context.Context) {
 	cs.advanceTo(stageClosing)
 	for {
@@ -72,8 +71,8 @@
 	return nil
 }
 
-// takeWithoutRequest marks a connection closed that has no request and returns it; nil if
-// there is none.
+// takeWithoutRequest marks a connection closed on which no complete request has arrived, and
+// returns it; nil if there is none.
 func (cs *Conns) takeWithoutRequest() *Conn {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
@@ -102,11 +101,9 @@
 }
 
 // hasNoRequest reports whether no complete request has arrived on a connection that is
-// not active. A part of one is with net/http, which waits for the rest. The caller holds
-// conns.mu.
+// not active. net/http may have read a part of one: if Read blocks, it waits for the rest.
+// The caller holds conns.mu.
 func (c *Conn) hasNoRequest() bool {
-	if !c.state.awaitsRequest() && !c.awaiting {
-		return false
-	}
-	return len(c.readAhead) == 0 && !c.hasUnreadBytes()
+	incomplete := c.state.awaitsRequest() || c.readBlocks
+	return incomplete && len(c.readAhead) == 0 && !c.hasUnreadBytes()
 }
--- a/internal/downstream/eviction.go
+++ b/internal/downstream/eviction.go
@@ -15,21 +15,20 @@
 	// partialGracePeriod applies to one that has sent a part of a request. It is
 	// longer: the rest may take some round trips.
 	partialGracePeriod = 150 * time.Millisecond
-	// idleGracePeriod applies between two requests. With any longer one, a new
-	// client would wait in the accept queue while idle connections age, and all
-	// clients behind it would wait too.
+	// idleGracePeriod applies between two requests. With a longer one, new clients would
+	// wait in the accept queue until an idle connection may be evicted.
 	idleGracePeriod = 0
 	// lingerGracePeriod applies after a last response, which its client may still be reading.
 	lingerGracePeriod = 150 * time.Millisecond
 )
 
 // evictionCandidate returns the connection to evict for a new one, and how long it is
-// still in its grace period; nil if all connections are active. New connections without
-// data come first, then idle ones, then those with a part of a request, each the oldest
-// first: a flood of connections that never complete a request must not deny
-// capacity to clients that do. Last come those that wait for their clients to close them.
-// If none is past its grace period, the next to be so is returned. beginUnreadRequests
-// has to be called before. The caller holds cs.mu.
+// still in its grace period; nil if all connections are active. It prefers new connections
+// without data, then idle ones, then those with a part of a request, then those that wait for
+// their clients to close them, and of each kind the oldest: many connections that never
+// complete a request must not deny capacity to clients that do. If all are in their grace
+// period, it returns the one that leaves it first. The caller holds cs.mu and has called
+// beginUnreadRequests.
 func (cs *Conns) evictionCandidate(now time.Time) (*Conn, time.Duration) {
 	var candidate *Conn
 	var wait time.Duration
@@ -51,15 +50,15 @@
 			candidate, wait = oldest, remaining
 		}
 		if wait <= 0 {
-			break
+			break // the kinds that follow are less preferred
 		}
 	}
 	return candidate, wait
 }
 
 // beginUnreadRequests begins the request of each connection that would be evicted as a new
-// or an idle one although its client has sent something that a busy node has not read yet.
-// It stops at the first connection that is to stay in its queue. The caller holds cs.mu.
+// or an idle one although its client has sent bytes: a busy node may not have read them yet.
+// In each queue it stops at the first connection that stays there. The caller holds cs.mu.
 func (cs *Conns) beginUnreadRequests(now time.Time) {
 	for c := cs.noData.oldest(); c != nil; c = cs.noData.oldest() {
 		if now.Sub(c.since) < noDataGracePeriod || sockstate.Peek(c.Conn) == sockstate.Quiet {
--- a/internal/downstream/listener.go
+++ b/internal/downstream/listener.go
@@ -42,8 +42,8 @@
 // Addr implements net.Listener.
 func (l *Listener) Addr() net.Addr { return l.inner.Addr() }
 
-// Accept implements net.Listener. It retries after every error that the system may
-// return for a moment, so that a failure of the system does not end the node.
+// Accept implements net.Listener. It retries after every temporary error, so that a shortage
+// of the system does not end the node.
 func (l *Listener) Accept() (net.Conn, error) {
 	backoff := minAcceptBackoff
 	for {
@@ -63,8 +63,8 @@
 	}
 }
 
-// acceptOne accepts a connection and admits it. After StopAccepting it returns what had
-// been in the queue, then net.ErrClosed.
+// acceptOne accepts a connection and admits it. After StopAccepting it returns the connections
+// that were in the accept queue, then net.ErrClosed.
 func (l *Listener) acceptOne() (*Conn, error) {
 	netConn, err := l.acceptInner()
 	if err != nil && l.stopping.Load() {
@@ -89,7 +89,8 @@
 	return c, nil
 }
 
-// acceptInner accepts a connection. If it has to wait for one, no delayed one is left.
+// acceptInner accepts a connection. If it has to wait for one, the accept queue was empty, and
+// no connection in it is delayed any more.
 func (l *Listener) acceptInner() (net.Conn, error) {
 	calledAt := time.Now()
 	netConn, err := l.inner.Accept()
@@ -115,7 +116,8 @@
 	return true
 }
 
-// logFailure logs a failed accept, with how many there were since the last such line.
+// logFailure logs a failed accept and the number of failures since the last such line, at most
+// once in acceptLogInterval.
 func (l *Listener) logFailure(err error) {
 	l.failures++
 	if !l.loggedAt.IsZero() && time.Since(l.loggedAt) < acceptLogInterval {
@@ -125,7 +127,7 @@
 	l.failures, l.loggedAt = 0, time.Now()
 }
 
-// wait waits before another accept. It returns false if the listener was closed.
+// wait waits for a backoff. It returns false if the listener was closed.
 func (l *Listener) wait(d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/downstream/read_ahead.go
+++ b/internal/downstream/read_ahead.go
@@ -11,13 +11,13 @@
 // Clients rarely send anything at that time.
 const readAheadChunk = 4096
 
-// errReadAheadFull ends the reading of a client that sends on without waiting for
-// its responses. It counts as disconnected.
+// errReadAheadFull is the read error of a client that sends too much without waiting for
+// its responses. The client counts as disconnected.
 var errReadAheadFull = errors.New("client sent more than one request ahead of a response")
 
 // fillReadAhead buffers what has arrived while a request is active, until the socket
-// is empty, the buffer is full or reading fails. It records the latter two in
-// c.readErr. The caller holds conns.mu.
+// is empty, the buffer is full or reading fails. In the last two cases it sets c.readErr. The
+// caller holds conns.mu.
 func (c *Conn) fillReadAhead(fd int) {
 	var chunk [readAheadChunk]byte
 	for c.readErr == nil {
--- a/internal/downstream/stop_accepting.go
+++ b/internal/downstream/stop_accepting.go
@@ -9,10 +9,10 @@
 	"calicohinge/internal/syserror"
 )
 
-// StopAccepting refuses new connections and closes the listener. Connections that the
-// system has established by then are returned by Accept before it fails: closing a listener
-// resets those in its queue, whose clients may have sent requests. It gives up on a
-// connection that cannot be accepted when ctx ends.
+// StopAccepting refuses new connections and closes the listener. Accept returns the connections
+// that the system has established by then before it fails. Closing the listener at once would
+// reset them, although their clients may have sent requests. When ctx ends, StopAccepting gives
+// up on connections that it could not accept.
 func (l *Listener) StopAccepting(ctx context.Context) {
 	l.stopping.Store(true)
 	defer close(l.queued)
@@ -36,7 +36,8 @@
 	}
 }
 
-// enqueue has Accept return the connection of a descriptor, if it is called before ctx ends.
+// enqueue passes the connection of a descriptor to Accept. If Accept does not take it before
+// ctx ends, enqueue closes it.
 func (l *Listener) enqueue(ctx context.Context, descriptor int) {
 	file := os.NewFile(uintptr(descriptor), "accepted connection")
 	defer func() { _ = file.Close() }() // the connection has a copy, nothing is written here
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -59,7 +59,7 @@
 	return nil, errInterimResponses
 }
 
-// readHeader reads the header of one response. It waits for the first byte without a limit.
+// readHeader reads the header of one response. It waits for the first byte without a limit of its own.
 // The rest of the response has to arrive within responseReadTimeout after that: otherwise a
 // server that stops within a response would use up the time for a retry.
 func (c *connection) readHeader(request *encodedRequest) (*http.Response, error) {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -29,7 +29,8 @@
 
 // DefaultSettleDelay is the shortest time between a response and the next request
 // on its connection. A server may close its connection after a response, or send
-// more than the response, and that takes a moment to show.
+// more than the response, and that takes a moment to show. With a longer delay more
+// connections stay idle, and servers reset more of them.
 const DefaultSettleDelay = time.Millisecond
 
 var (
--- a/internal/upstream/send.go
+++ b/internal/upstream/send.go
@@ -19,8 +19,8 @@
 
 // Send makes one attempt on a server and returns its outcome. The deadline is when the client
 // stops waiting. The request carries the time that is left until then, and is not sent if none
-// is left. Send may return after the deadline: only Call.Cancel ends it early, and its result
-// has no meaning then.
+// is left. The deadline does not end Send. Cancelling the call does; its result has no meaning
+// then.
 func (p *Pool) Send(call *Call, id policy.ServerID, request *Request, deadline time.Time) Result {
 	for {
 		conn, err := p.acquire(call.ctx, id)
