--- a/internal/downstream/admission_test.go
+++ b/internal/downstream/admission_test.go
@@ -10,9 +10,9 @@
 	"calicohinge/internal/testkit"
 )
 
-// While all connections are active, a new one is accepted from the reserve and marked;
-// beyond the reserve it waits, with the request that its client has sent, until another
-// ends.
+// While all connections are active, a new one is accepted from the reserve and marked. One
+// beyond the reserve waits until another is closed; the request that its client has sent is
+// kept.
 func TestNewConnWhileAllAreActiveUsesReserve(t *testing.T) {
 	conns := NewConns(Config{MaxOpen: 1, Reserve: 1, MaxReadAhead: testMaxReadAhead, ReadTimeout: testReadTimeout})
 	listener := listen(t, conns)
@@ -26,6 +26,7 @@
 			t.Errorf("over the limit: %v, want %v", c.OverLimit(), wantOverLimit)
 		}
 	}
+
 	waiting := dial(t, listener)
 	send(t, waiting, "GET")
 	accepted := acceptInBackground(t, listener)
@@ -33,6 +34,7 @@
 	if sockstate.Peek(waiting) != sockstate.Quiet || conns.Open() != 2 {
 		t.Errorf("the client sees its connection as %v, %d are open", sockstate.Peek(waiting), conns.Open())
 	}
+
 	if err := last.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -49,9 +51,11 @@
 	waiting := dial(t, listener)
 	accepted := startAccept(listener)
 	testkit.Until(t, "the connection beyond the reserve to wait", conns.isAwaited)
+
 	if err := listener.Close(); err != nil {
 		t.Fatal(err)
 	}
+
 	if err := testkit.Wait(t, accepted, "the listener to end"); !errors.Is(err, net.ErrClosed) {
 		t.Errorf("accepting ended with %v", err)
 	}
--- a/internal/downstream/conn_test.go
+++ b/internal/downstream/conn_test.go
@@ -17,7 +17,9 @@
 	conns := newTestConns(1)
 	client, c := acceptConn(t, conns)
 	underLock(conns, func() { c.state = stateClosed }) // as by a concurrent caller of Conns.markClosed
+
 	send(t, client, "GET")
+
 	expectReadError(t, c)
 	if err := c.Close(); err != nil {
 		t.Errorf("second close: %v", err)
@@ -30,7 +32,7 @@
 	}
 }
 
-// expireRead has a read of c wait until its deadline has passed. The deadline stays.
+// expireRead starts a read of c and sets a deadline that has passed. The deadline stays set.
 func expireRead(t *testing.T, c *Conn) {
 	t.Helper()
 	ended := startRead(c)
@@ -40,8 +42,8 @@
 	}
 }
 
-// The read deadline of a request may pass just as bytes arrive. They stay unread: the
-// connection is closed. None is read and dropped.
+// The read deadline of a request may pass just as bytes arrive. net/http closes the connection
+// then, and the bytes stay unread.
 func TestReadAfterDeadlineLeavesBytesUnread(t *testing.T) {
 	conns := newTestConns(5)
 	client, c := acceptConn(t, conns)
@@ -56,9 +58,8 @@
 	expectRead(t, c, "GET")
 }
 
-// The time of a connection without a request may be over just as one arrives, or be found
-// to be over by a node that was busy as it arrived. The request is read: its client would
-// get a reset connection otherwise.
+// A connection without a request may time out just as one arrives, or a busy node may find the
+// timeout and the request at once. The request is read: otherwise its connection would be reset.
 func TestRequestAtTheEndOfTheIdleTimeoutIsRead(t *testing.T) {
 	forEachConnAwaitingRequest(t, func(t *testing.T, _ *Conns, client net.Conn, c *Conn) {
 		t.Helper()
@@ -71,9 +72,8 @@
 	})
 }
 
-// On an idle connection net/http applies the read timeout once four bytes have
-// arrived. Until then the deadline would be that of the idle timeout, too early or
-// too late for a request.
+// On an idle connection net/http applies the read timeout only once four bytes have arrived.
+// Until then the deadline of the idle timeout would stay: too early or too late for a request.
 func TestFirstByteOfRequestStartsReadTimeout(t *testing.T) {
 	t.Parallel()
 	conns := newTestConns(5)
@@ -108,7 +108,9 @@
 	if n, err := c.Read(make([]byte, 4)); n != 4 || err != nil {
 		t.Fatalf("read %d bytes of the body, %v", n, err)
 	}
+
 	closeClient(t, client)
+
 	// Compared without errors.Is: an io.Reader has to return io.EOF itself.
 	if n, err := io.Reader(c).Read(buffer[:1]); n != 0 || err != io.EOF {
 		t.Errorf("the background read got %d bytes, %v", n, err)
--- a/internal/downstream/disconnect_test.go
+++ b/internal/downstream/disconnect_test.go
@@ -7,8 +7,8 @@
 	"calicohinge/internal/sockstate"
 )
 
-// A client sends a request on its idle connection and closes it at once: the request
-// is read, and before its first attempt ClientDisconnected returns true.
+// A client sends a request on its idle connection and closes it at once. The request is read,
+// and ClientDisconnected returns true.
 func TestClientDisconnectedAfterRequestAndClose(t *testing.T) {
 	conns := newTestConns(5)
 	client, c := acceptConn(t, conns)
@@ -24,9 +24,9 @@
 	}
 }
 
-// An attempt may check whether its client has disconnected when the request already has
-// a response (a hedged request whose connection comes up just then) or after
-// Shutdown. What the client sends next stays unread then.
+// An attempt may check whether its client has disconnected after the request has its response
+// (a hedged request whose connection is established late), or after Shutdown. What the client
+// sends next stays unread then.
 func TestClientDisconnectedLeavesNextRequestUnread(t *testing.T) {
 	for name, prepare := range map[string]func(conns *Conns, c *Conn){
 		"between two requests": func(conns *Conns, c *Conn) { conns.ConnState(c, http.StateIdle) },
@@ -37,6 +37,7 @@
 			client, c := acceptConn(t, conns)
 			c.RequestComplete()
 			prepare(conns, c)
+
 			if c.ClientDisconnected() {
 				t.Error("a client that sends nothing counts as disconnected")
 			}
--- a/internal/downstream/drain_test.go
+++ b/internal/downstream/drain_test.go
@@ -14,7 +14,7 @@
 // Idle connections are closed by a drain and by an eviction. One whose client has
 // just sent a request is not idle any more, although no byte of it has been read.
 func TestIdleConnWithUnreadRequestStaysOpen(t *testing.T) {
-	for name, attempt := range map[string]func(t *testing.T, conns *Conns, c *Conn){
+	for name, closeIdle := range map[string]func(t *testing.T, conns *Conns, c *Conn){
 		"drain": func(_ *testing.T, conns *Conns, _ *Conn) { conns.Drain(canceledContext()) },
 		"response complete while draining": func(_ *testing.T, conns *Conns, c *Conn) {
 			c.RequestComplete()
@@ -28,7 +28,9 @@
 			client, c := acceptConn(t, conns)
 			makeIdle(conns, c)
 			sendUnread(t, client, c, "GET")
-			attempt(t, conns, c)
+
+			closeIdle(t, conns, c)
+
 			expectRead(t, c, "GET")
 		})
 	}
@@ -57,7 +59,7 @@
 	}
 }
 
-// Once connections are closed for good, those that wait for a request are closed. One that
+// In the last stage of a shutdown connections without a request are closed. A request that
 // arrives after that stays unread, so that its client retries at another node.
 func TestRequestAfterShutdownStaysUnread(t *testing.T) {
 	forEachConnAwaitingRequest(t, func(t *testing.T, conns *Conns, client net.Conn, c *Conn) {
@@ -75,8 +77,8 @@
 	})
 }
 
-// A request that has arrived by the time at which connections are closed for good is read,
-// whatever its connection did before, and its connection stays open for the response.
+// A request that has arrived before the last stage of a shutdown is read, and its connection
+// stays open for the response.
 func TestRequestBeforeShutdownIsRead(t *testing.T) {
 	for name, prepare := range map[string]func(conns *Conns, c *Conn){
 		"on a new connection":    func(*Conns, *Conn) {},
@@ -99,8 +101,8 @@
 	}
 }
 
-// A client that has sent a part of a request and stops is not waited for. Until net/http
-// waits for more the request may be complete, and its connection stays open.
+// Shutdown does not wait for a client that has sent a part of a request and stops. Until
+// net/http reads on, the request may be complete, and its connection stays open.
 func TestShutdownClosesIncompleteRequest(t *testing.T) {
 	conns := newTestConns(5)
 	client, c := acceptConn(t, conns)
@@ -110,7 +112,7 @@
 	if c.Closed() {
 		t.Fatal("a request that may be complete was dropped")
 	}
-	ended := startRead(c) // as net/http does if it is not
+	ended := startRead(c) // as net/http does if the request is incomplete
 	conns.Shutdown(t.Context())
 	if err := testkit.Wait(t, ended, "the reader"); err == nil || !c.Closed() {
 		t.Errorf("reading ended with %v, closed %v", err, c.Closed())
@@ -154,8 +156,8 @@
 	expectBufferedRequestReturned(t, func(conns *Conns) { conns.advanceTo(stageDraining) })
 }
 
-// expectBufferedRequestReturned has the next request in the read-ahead buffer when a step
-// of the shutdown comes, and expects it to be read once the present request is over.
+// expectBufferedRequestReturned puts the next request into the read-ahead buffer, runs a step
+// of the shutdown and expects the request to be read once the present one has its response.
 func expectBufferedRequestReturned(t *testing.T, shutdownStep func(conns *Conns)) {
 	t.Helper()
 	conns := newTestConns(5)
@@ -165,7 +167,9 @@
 	if c.ClientDisconnected() { // this fills the read-ahead buffer
 		t.Fatal("the client counts as disconnected")
 	}
+
 	shutdownStep(conns)
+
 	conns.ConnState(c, http.StateIdle)
 	expectRead(t, c, "GET")
 }
--- a/internal/downstream/eviction_test.go
+++ b/internal/downstream/eviction_test.go
@@ -14,11 +14,13 @@
 		accept(t, listener)
 	}
 	connect("GET /read")
+
 	began := time.Now()
 	connect("")
 	if took := time.Since(began); took < partialGracePeriod {
 		t.Errorf("a connection with unread bytes was evicted after %v like one without data", took)
 	}
+
 	began = time.Now()
 	connect("")
 	if took := time.Since(began); took < noDataGracePeriod {
--- a/internal/downstream/listener_test.go
+++ b/internal/downstream/listener_test.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// Connections in the accept queue, and what their clients sent, outlast the listener's end.
+// Connections in the accept queue are returned, with what their clients sent.
 func TestStopAcceptingReturnsQueuedConnections(t *testing.T) {
 	const queued = 20
 	conns := newTestConns(queued)
@@ -107,8 +107,8 @@
 	listener.StopAccepting(canceledContext())
 }
 
-// What a client sends as it connects may wait for a failing accept to succeed, and for the
-// admission of its connection and of those before it. The connection reports for how long.
+// A client's first request may wait until accept succeeds after failures, and until its
+// connection is admitted. The connection reports the time of this wait.
 func TestQueueTimeCoversFailuresAndAdmission(t *testing.T) {
 	const failures = 4
 	const backoff = minAcceptBackoff * (1<<failures - 1)
@@ -117,10 +117,12 @@
 	listener := conns.Listener(inner)
 	dial(t, listener)
 	inner.failures = failures
+
 	c := accept(t, listener)
 	if c.QueueTime() < backoff {
 		t.Errorf("%v in the queue after failures for %v", c.QueueTime(), backoff)
 	}
+
 	c.RequestComplete()
 	dial(t, listener)
 	accepted := acceptInBackground(t, listener)
@@ -133,6 +135,7 @@
 	if waited.QueueTime() < backoff {
 		t.Errorf("%v in the queue after an admission of %v", waited.QueueTime(), backoff)
 	}
+
 	makeIdle(conns, waited)
 	if waited.QueueTime() > 0 {
 		t.Errorf("%v in the queue for the second request", waited.QueueTime())
--- a/internal/downstream/read_ahead_test.go
+++ b/internal/downstream/read_ahead_test.go
@@ -21,6 +21,7 @@
 	}
 	conns.ConnState(c, http.StateIdle)
 	expectRead(t, c, "next")
+
 	c.RequestComplete()
 	go func() { // ends when the test closes the client, if it could not send everything
 		_, _ = io.WriteString(client, strings.Repeat("x", 4*testMaxReadAhead))
