--- a/internal/soak/apply.go
+++ b/internal/soak/apply.go
@@ -16,7 +16,7 @@
 	case scenario.RemoveServer:
 		r.delistServer(a.Server, lifecycleRemoved)
 	case scenario.StartServer:
-		r.startServer(a.ID)
+		r.addServer(a.ID)
 	case scenario.HangServer:
 		r.history.Logf("%s hangs", scenario.ServerID(a.Server))
 		r.servers[a.Server].record.Hanging.Store(true)
@@ -46,13 +46,15 @@
 	}
 }
 
-// setDiscoveryFault begins a fault before the timeline shows it, and ends one after.
+// setDiscoveryFault begins or ends a fault. The timeline shows its begin before it takes effect, and its end
+// afterwards.
 func (r *runner) setDiscoveryFault(action scenario.SetDiscoveryFault) {
-	if action.Fault != scenario.DiscoveryHealthy {
+	ends := action.Fault == scenario.DiscoveryHealthy
+	if !ends {
 		r.history.Logf("%v", action)
 	}
 	r.discovery.setFault(action.Fault)
-	if action.Fault == scenario.DiscoveryHealthy {
+	if ends {
 		r.history.Logf("%v", action)
 	}
 }
@@ -67,8 +69,8 @@
 	r.history.Logf("generation %d: %s is %s", generation, delisted.InstanceID, lifecycle)
 }
 
-// startServer starts a process of a server and publishes it.
-func (r *runner) startServer(id string) {
+// addServer starts a process of a server and publishes it.
+func (r *runner) addServer(id string) {
 	server := startServer(r.t, r.history, id, time.Now())
 	r.history.Logf("generation %d: %s starts", r.discovery.publish(server.endpoint), id)
 }
--- a/internal/soak/check/attempts.go
+++ b/internal/soak/check/attempts.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// checkDrain checks that nothing was sent to a server that is draining or removed, after the grace.
+// checkDrain checks that an attempt was not sent to a draining or removed server after the drain grace.
 func (c *checker) checkDrain(request *history.Request, attempt *history.Attempt) {
 	discovery := &c.History.Discovery
 	generation := attempt.Server.DelistedIn.Load()
@@ -61,7 +61,7 @@
 	}
 }
 
-// checkRetry checks an attempt of a request that may have been executed before.
+// checkRetry checks that an attempt may be sent although an earlier one may have been executed.
 func (c *checker) checkRetry(request *history.Request, index int) {
 	attempt, class := &request.Attempts[index], &request.Class
 	for _, earlier := range request.Attempts[:index] {
--- a/internal/soak/check/check.go
+++ b/internal/soak/check/check.go
@@ -1,6 +1,6 @@
 // Package check holds the rules of the soak: it reads the history of a run and returns each violation of a
-// rule about attempts and about slow start. The rules that a client or node sees broken at once, a lost
-// request or a late shutdown, are recorded by package soak.
+// rule about attempts and about slow start. Package soak itself records the violations that a client, a
+// server or a node notices at once, such as a lost request or a late shutdown.
 package check
 
 import (
--- a/internal/soak/check/check_test.go
+++ b/internal/soak/check/check_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"testing"
 	"time"
 
@@ -9,12 +10,13 @@
 	"calicohinge/internal/soak/scenario"
 )
 
-// run is a run that ends some time after its history began, with one node and two servers.
+// run is a run of a minute with one node and two servers.
 type run struct {
 	Run
-	node             *history.Incarnation
-	server, delisted *history.Server // the second is removed by generation 2, published as the run began
-	began            time.Time
+	node     *history.Incarnation
+	server   *history.Server // listed all the time
+	delisted *history.Server // removed by generation 2, which is published as the run begins
+	began    time.Time
 }
 
 func newRun() *run {
@@ -141,11 +143,14 @@
 // expectRule checks that one violation of a rule was found, or none if the rule is empty.
 func expectRule(t *testing.T, got []history.Violation, rule string) {
 	t.Helper()
-	var rules []string
+	var rules, want []string
 	for _, violation := range got {
 		rules = append(rules, violation.Rule)
 	}
-	if rule == "" && len(rules) > 0 || rule != "" && (len(rules) != 1 || rules[0] != rule) {
-		t.Errorf("violations of %q, want %q", rules, rule)
+	if rule != "" {
+		want = []string{rule}
+	}
+	if !slices.Equal(rules, want) {
+		t.Errorf("violations of %q, want %q", rules, want)
 	}
 }
--- a/internal/soak/check/slow_start.go
+++ b/internal/soak/check/slow_start.go
@@ -8,7 +8,8 @@
 	"calicohinge/internal/soak/history"
 )
 
-// checkSlowStart checks that no server that was warming up got more than it bears from all nodes together.
+// checkSlowStart checks that no server got more requests from all nodes together than it bears while it warms
+// up.
 func (c *checker) checkSlowStart() {
 	for _, server := range c.History.Servers() {
 		if !server.JoinedAt.IsZero() {
@@ -17,7 +18,7 @@
 	}
 }
 
-// checkWarmUp checks a server that has joined, up to its first overload.
+// checkWarmUp checks a server that joined during the run. It reports the first overload only.
 func (c *checker) checkWarmUp(server *history.Server) {
 	const step = 100 * time.Millisecond
 	warmAt := server.JoinedAt.Add(c.Settings.SlowStart)
@@ -42,7 +43,7 @@
 	return s.OverloadMultiple * share * c.warmServerRate(from, to) * s.OverloadWindow.Seconds()
 }
 
-// withChance adds to a budget of requests what the operators' terms allow for chance.
+// withChance returns a budget of requests with the excess that the operators' terms allow for chance.
 func withChance(budget float64) float64 {
 	const few = 30
 	if budget < few {
@@ -51,16 +52,17 @@
 	return budget + 2*math.Sqrt(budget) + 2
 }
 
-// warmServerRate returns the most requests a second that one of the first servers got in a second of the
-// time that the nodes go by.
+// warmServerRate returns the highest rate of a warm server, in requests a second. The nodes estimate this rate
+// from their recent past, so that the time before the given one counts too.
 func (c *checker) warmServerRate(from, to time.Time) float64 {
-	const memory = 3 * time.Second // of the nodes, before the time itself
+	const lookBack = 3 * time.Second
 	most := 0
 	for _, server := range c.History.Servers() {
-		if !server.JoinedAt.IsZero() || server.Hanging.Load() {
+		warm := server.JoinedAt.IsZero()
+		if !warm || server.Hanging.Load() {
 			continue
 		}
-		for at := from.Add(-memory); at.Before(to); at = at.Add(time.Second) {
+		for at := from.Add(-lookBack); at.Before(to); at = at.Add(time.Second) {
 			most = max(most, server.ArrivalsBetween(at, at.Add(time.Second)))
 		}
 	}
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -16,14 +16,14 @@
 // refusedPause is the pause of a client whose connection was refused.
 const refusedPause = 20 * time.Millisecond
 
-// What ends a request or a connection other than a failure.
+// The errors that are no failure of the node.
 var (
 	errDisconnected = errors.New("the client disconnected")
 	errRestarted    = errors.New("the node was restarted")
 )
 
-// client sends requests to a node one after another, on an open connection for as long as that stays open,
-// also to a node that shuts down.
+// client sends requests to a node one after another, also while the node shuts down. It uses a connection
+// for as long as that stays open.
 type client struct {
 	name      string
 	node      *node
@@ -53,14 +53,16 @@
 	}
 }
 
-// sendOne sends a request, and another one on a new connection if its connection was closed under it
-// unread.
+// sendOne sends a request. If the node closes the connection without reading the request, as it may close
+// an idle one, sendOne sends another on a new connection.
 func (c *client) sendOne() {
-	for c.sendOnce() {
+	for again := true; again; {
+		again = c.sendOnce()
 	}
 }
 
-// sendOnce sends a request and records how it ended. It reports whether another one is to be sent.
+// sendOnce sends a request and records how it ended. It returns true if the request crossed the close of an
+// idle connection.
 func (c *client) sendOnce() bool {
 	reused := c.conn != nil
 	if err := c.connect(); err != nil {
@@ -73,10 +75,11 @@
 		return false
 	}
 	c.disconnect()
+	crossedClose := reused && !responded && !testkit.IsTimeout(err)
 	switch {
 	case errors.Is(err, errDisconnected):
-	case reused && !responded && !testkit.IsTimeout(err):
-		return true // crossed the close of an idle connection
+	case crossedClose:
+		return true
 	case c.resetInQueue(responded, err):
 		c.history.CountUnread()
 	default:
--- a/internal/soak/client_exchange.go
+++ b/internal/soak/client_exchange.go
@@ -14,11 +14,10 @@
 const (
 	disconnectShare   = 0.05 // of the requests whose clients disconnect early
 	shortTimeoutShare = 0.2  // of the requests whose clients wait for less than the class's deadline
-	// responseGrace is how long after its deadline a response may still come: it earns nothing, and is not
-	// lost.
+	// responseGrace is how long after its deadline a response may still come.
 	responseGrace = 500 * time.Millisecond
-	// lagAllowance is how much longer a client reads, which may itself be late on a busy machine. Whether
-	// the response was late is decided by how late the client was.
+	// lagAllowance is how much longer a client reads than a response may take: on a busy machine the client
+	// may read late itself. checkResponseTime decides whether the response was late.
 	lagAllowance = 2 * time.Second
 )
 
@@ -37,8 +36,7 @@
 	}
 }
 
-// exchange sends a request and reads its response. On an error it reports whether a part of the response
-// had come.
+// exchange sends a request and reads its response. It returns whether a part of the response came.
 func (c *client) exchange() (bool, error) {
 	request := c.nextRequest()
 	disconnects := c.random.Float64() < disconnectShare
@@ -49,7 +47,7 @@
 	c.history.RequestSent(request)
 	if err := c.write(request, readTimeout); err != nil {
 		if disconnects && testkit.IsTimeout(err) {
-			err = errDisconnected // before it has sent anything
+			err = errDisconnected // before it has sent the request
 		}
 		return false, err
 	}
@@ -76,7 +74,8 @@
 	return nil
 }
 
-// checkResponseTime checks that the response to a request, or the end of its connection, came in time.
+// checkResponseTime checks that the response to a request, or the close of its connection, came in time. It
+// allows for the scheduling lag of this process.
 func (c *client) checkResponseTime(request *history.Request) {
 	late := time.Since(request.SentAt) - request.Timeout - responseGrace
 	if late > c.history.Lag.Around(time.Now()) {
--- a/internal/soak/discovery.go
+++ b/internal/soak/discovery.go
@@ -17,18 +17,18 @@
 )
 
 const (
-	slowResponse           = 700 * time.Millisecond // at most, of a slow service
-	completeShare          = 0.3                    // of the responses to watches
-	completeWithoutDrained = 0.5                    // of the complete lists leave out servers that drain
+	maxSlowDelay         = 700 * time.Millisecond // of a response, while the service is slow
+	completeShare        = 0.3                    // of the responses to watches that are complete lists
+	withoutDrainingShare = 0.5                    // of the complete lists that leave out draining servers
 )
 
-// discovery is the discovery service, at one address for each configuration of each node.
+// discovery is the discovery service. It has a new address for each configuration of each node.
 type discovery struct {
 	t      *testing.T
 	record *history.Discovery
 
 	mu        sync.Mutex
-	changes   [][]endpointjson.Endpoint        // that came with each generation, from 1 on
+	changes   [][]endpointjson.Endpoint        // the endpoints that changed in each generation, from 1 on
 	current   map[string]endpointjson.Endpoint // by ID
 	changed   chan struct{}                    // closed at the next change or fault
 	fault     scenario.DiscoveryFault
@@ -72,7 +72,7 @@
 	return uint64(len(d.changes))
 }
 
-// wake ends the waits of all calls. The caller holds d.mu.
+// wake completes all pending watches. The caller holds d.mu.
 func (d *discovery) wake() {
 	close(d.changed)
 	d.changed = make(chan struct{})
@@ -98,7 +98,8 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	previous := d.fault
-	if previous != scenario.DiscoveryHealthy && previous != scenario.DiscoverySlow {
+	reachable := previous == scenario.DiscoveryHealthy || previous == scenario.DiscoverySlow
+	if !reachable {
 		d.record.OutageEnded(d.faultFrom)
 	}
 	d.fault, d.faultFrom = fault, time.Now()
@@ -108,10 +109,10 @@
 	return previous, slices.Clone(d.machines)
 }
 
-// query is what a call names.
+// query is the query of a call.
 type query struct {
-	watch bool   // it waits for a list that is newer than the generation
-	after uint64 // that generation
+	watch bool   // the call waits for a list newer than generation after
+	after uint64 // with watch
 }
 
 func parseQuery(r *http.Request) query {
@@ -121,8 +122,8 @@
 
 // respond responds to a call of an incarnation of a node.
 func (d *discovery) respond(incarnation *history.Incarnation, r *http.Request) testkit.Response {
-	query := parseQuery(r)
-	d.awaitChange(query, r)
+	requested := parseQuery(r)
+	d.awaitChange(requested, r)
 	d.mu.Lock()
 	fault := d.fault
 	d.mu.Unlock()
@@ -132,10 +133,10 @@
 	case scenario.DiscoveryReset:
 		return testkit.Response{}
 	case scenario.DiscoverySlow:
-		time.Sleep(time.Duration(rand.Float64() * float64(slowResponse)))
+		time.Sleep(time.Duration(rand.Float64() * float64(maxSlowDelay)))
 	case scenario.DiscoveryHealthy, scenario.DiscoveryUnresponsive:
 	}
-	list := d.list(query)
+	list := d.list(requested)
 	text, err := json.Marshal(list)
 	if err != nil {
 		d.t.Error(err)
@@ -146,26 +147,28 @@
 }
 
 // awaitChange blocks a watch of a healthy service until there is a newer list, or its wait is over.
-func (d *discovery) awaitChange(query query, r *http.Request) {
+func (d *discovery) awaitChange(requested query, r *http.Request) {
 	d.mu.Lock()
 	changed, generation, fault := d.changed, uint64(len(d.changes)), d.fault
 	d.mu.Unlock()
-	if query.watch && query.after >= generation && fault == scenario.DiscoveryHealthy {
+	upToDate := requested.watch && requested.after >= generation
+	if upToDate && fault == scenario.DiscoveryHealthy {
 		testkit.LongPoll(r, changed)
 	}
 }
 
 // list returns the response to a query: the complete list, or what changed after a generation.
-func (d *discovery) list(query query) endpointjson.List {
+func (d *discovery) list(requested query) endpointjson.List {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if query.watch && rand.Float64() >= completeShare {
-		return d.changesAfter(query.after)
+	if requested.watch && rand.Float64() >= completeShare {
+		return d.changesAfter(requested.after)
 	}
 	return d.completeList()
 }
 
-// changesAfter returns the latest state of what changed after a generation. The caller holds d.mu.
+// changesAfter returns a delta: the endpoints that changed after a generation, in their latest state. The
+// caller holds d.mu.
 func (d *discovery) changesAfter(after uint64) endpointjson.List {
 	list := endpointjson.List{Generation: uint64(len(d.changes))}
 	latest := map[string]endpointjson.Endpoint{}
@@ -180,10 +183,10 @@
 	return list
 }
 
-// completeList returns the complete list, at times without the servers that drain. The caller holds d.mu.
+// completeList returns the complete list, at times without the draining servers. The caller holds d.mu.
 func (d *discovery) completeList() endpointjson.List {
 	list := endpointjson.List{Generation: uint64(len(d.changes)), Reset: true}
-	withoutDraining := rand.Float64() < completeWithoutDrained
+	withoutDraining := rand.Float64() < withoutDrainingShare
 	for _, e := range d.current {
 		if e.Lifecycle == lifecycleReady || !withoutDraining {
 			list.Endpoints = append(list.Endpoints, e)
--- a/internal/soak/history/discovery.go
+++ b/internal/soak/history/discovery.go
@@ -13,7 +13,7 @@
 type Discovery struct {
 	mu        sync.Mutex
 	published []time.Time // by generation, from 1 on
-	outages   []outage    // in order of time, those that are over
+	outages   []outage    // those that have ended, in order of time
 }
 
 // outage is a span of time in which the service could not be reached.
@@ -40,8 +40,8 @@
 	return d.published[generation-1]
 }
 
-// reachableFrom returns the first time, not before from, at which a span begins in which the service could
-// be reached all the time.
+// reachableFrom returns the first time, from the given one on, after which the service could be reached
+// without a break for a span.
 func (d *Discovery) reachableFrom(from time.Time, span time.Duration) time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -53,8 +53,8 @@
 	return from
 }
 
-// NotifiedAt returns when a process counts as notified of a generation: when the list was written to it, or
-// at the end of the notification deadline or of the address change deadline if that is earlier.
+// NotifiedAt returns when a process counts as notified of a generation: when the list was written to it, but
+// at the end of the notification deadline or of the address change deadline at the latest.
 func (d *Discovery) NotifiedAt(incarnation *Incarnation, generation uint64) time.Time {
 	known := d.PublishedAt(generation)
 	if known.Before(incarnation.StartedAt) {
@@ -69,7 +69,9 @@
 	}
 	for _, reload := range reloads {
 		due := reload.Add(testkit.AddressChangeDeadline)
-		if !reload.Before(known) && due.Before(notified) && d.reachableFrom(reload, testkit.AddressChangeDeadline).Equal(reload) {
+		reloadFollows := !reload.Before(known)
+		reachable := d.reachableFrom(reload, testkit.AddressChangeDeadline).Equal(reload)
+		if reloadFollows && reachable && due.Before(notified) {
 			notified = due
 		}
 	}
--- a/internal/soak/history/history.go
+++ b/internal/soak/history/history.go
@@ -38,7 +38,7 @@
 	return &History{Lag: lag, began: time.Now(), requests: map[string]*Request{}}
 }
 
-// Begin sets the time from which the times of a run count to the present.
+// Begin makes the present the time from which the times of a run count.
 func (h *History) Begin() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -89,7 +89,8 @@
 	h.responses++
 }
 
-// CountUnread counts a request whose connection was reset in the accept queue of a node that shut down.
+// CountUnread counts a request that no node read: its connection was reset in the accept queue of a node
+// that shut down.
 func (h *History) CountUnread() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/soak/history/incarnation.go
+++ b/internal/soak/history/incarnation.go
@@ -67,7 +67,7 @@
 	return strings.Join(i.log[max(0, len(i.log)-count):], "\n")
 }
 
-// notifications returns the lists that the process was given and its reloads.
+// notifications returns the lists that were delivered to the process, and its reloads.
 func (i *Incarnation) notifications() ([]delivery, []time.Time) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
--- a/internal/soak/history/request.go
+++ b/internal/soak/history/request.go
@@ -22,6 +22,6 @@
 type Attempt struct {
 	Server      *Server
 	At          time.Time
-	Timeout     time.Duration // that the server was given
-	NotExecuted bool          // the server said so
+	Timeout     time.Duration // in the request that the server received
+	NotExecuted bool          // the server guarantees that it did not execute the request
 }
--- a/internal/soak/history/scheduling_lag.go
+++ b/internal/soak/history/scheduling_lag.go
@@ -9,17 +9,19 @@
 const (
 	// lagInterval is how often the lag is measured.
 	lagInterval = 5 * time.Millisecond
-	// lagReach is how far from a time its lag is looked for.
+	// lagReach is how far from a time Around considers the lag.
 	lagReach = 500 * time.Millisecond
 )
 
-// SchedulingLag measures how late this process itself was scheduled: what it recorded is late by as much.
+// SchedulingLag measures how late the system scheduled this process. What the process recorded is late by as
+// much.
 type SchedulingLag struct {
 	mu      sync.Mutex
 	samples []lagSample // in order of time
 	stop    chan struct{}
 }
 
+// lagSample is one measured lag.
 type lagSample struct {
 	at  time.Time
 	lag time.Duration
@@ -35,6 +37,7 @@
 // Stop ends the measurement.
 func (l *SchedulingLag) Stop() { close(l.stop) }
 
+// measure records each lag that is longer than the interval itself, until Stop is called.
 func (l *SchedulingLag) measure() {
 	for {
 		before := time.Now()
@@ -55,7 +58,9 @@
 func (l *SchedulingLag) Around(at time.Time) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	first, _ := slices.BinarySearchFunc(l.samples, at.Add(-lagReach), func(s lagSample, t time.Time) int { return s.at.Compare(t) })
+	first, _ := slices.BinarySearchFunc(l.samples, at.Add(-lagReach), func(sample lagSample, from time.Time) int {
+		return sample.at.Compare(from)
+	})
 	greatest := time.Duration(0)
 	for _, sample := range l.samples[first:] {
 		if sample.at.Sub(at) > lagReach+sample.lag {
--- a/internal/soak/history/server.go
+++ b/internal/soak/history/server.go
@@ -9,7 +9,7 @@
 // Server is one process of a server.
 type Server struct {
 	ID       string
-	JoinedAt time.Time   // when it was listed first; zero: it was there from the start
+	JoinedAt time.Time   // when it was listed first; zero: from the start of the run
 	Hanging  atomic.Bool // it responds to no request
 
 	// DelistedIn is the generation of the list that first showed the server as draining or removed; 0: none.
--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -13,7 +13,7 @@
 	"calicohinge/internal/testkit"
 )
 
-// node is a node with all processes that it has in a run, one after the other at the same address. One
+// node is one node of a run. Its processes run one after the other at the same address. At any time only one
 // goroutine starts, signals and ends them.
 type node struct {
 	t         *testing.T
@@ -23,7 +23,7 @@
 	settings  json.RawMessage
 	discovery *discovery
 	history   *history.History
-	killDelay time.Duration // after SIGTERM
+	killDelay time.Duration // from SIGTERM to SIGKILL
 
 	process balancertest.Process
 	clock   balancertest.WallClock
@@ -40,7 +40,8 @@
 	}
 }
 
-// start starts a process of the node on a machine whose wall clock is ahead.
+// start starts a process of the node, the first or, after a restart, the second, on a machine whose wall
+// clock is ahead.
 func (n *node) start(number int, ahead time.Duration) {
 	n.t.Helper()
 	n.clock = balancertest.NewWallClock(n.t, ahead)
@@ -53,7 +54,7 @@
 	testkit.Wait(n.t, n.process.Addr, "the process of "+next.Name)
 }
 
-// incarnation returns the process that the node's address leads to.
+// incarnation returns the process that serves at the node's address.
 func (n *node) incarnation() *history.Incarnation {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -84,8 +85,8 @@
 	balancertest.Signal(n.t, n.process.PID, syscall.SIGCONT)
 }
 
-// terminate shuts the node down by SIGTERM and further signals, and kills it as early as the operators'
-// terms allow. The process has to have exited by then.
+// terminate shuts the node down by SIGTERM, followed by further signals. It kills the process as early as the
+// operators' terms allow; a process that has not exited by then breaks a rule.
 func (n *node) terminate(signals []syscall.Signal) {
 	const signalInterval = 40 * time.Millisecond
 	current := n.incarnation()
--- a/internal/soak/report.go
+++ b/internal/soak/report.go
@@ -13,7 +13,8 @@
 	logLinesShown   = 40 // of each process with a violation
 )
 
-// report fails the test for each violation, up to a few of each rule, with the run's timeline.
+// report fails the test for each violation, up to violationsShown of each rule. It logs the timeline of the run
+// and the logs of the processes that broke a rule.
 func (r *runner) report(t *testing.T) {
 	t.Helper()
 	summary := r.history.Summary()
@@ -21,12 +22,14 @@
 		r.scenario.Seed, r.describe(), summary.Requests, summary.Responses, summary.Unread, len(summary.Violations))
 	counts, incarnations := map[string]int{}, map[*history.Incarnation]bool{}
 	for _, violation := range summary.Violations {
-		if counts[violation.Rule]++; counts[violation.Rule] > violationsShown {
+		counts[violation.Rule]++
+		if counts[violation.Rule] > violationsShown {
 			continue
 		}
 		name := ""
 		if violation.Incarnation != nil {
-			name, incarnations[violation.Incarnation] = violation.Incarnation.Name, true
+			name = violation.Incarnation.Name
+			incarnations[violation.Incarnation] = true
 		}
 		t.Errorf("rule %s at %.3f, %s: %s (lag %v)", violation.Rule, violation.At.Sub(r.history.Began()).Seconds(), name,
 			violation.Text, r.history.Lag.Around(violation.At))
--- a/internal/soak/scenario/action.go
+++ b/internal/soak/scenario/action.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Action is what is done in a run at a time of its schedule. Nodes and servers are given by index.
+// Action is one step of a fault schedule. It names nodes and servers by index.
 type Action interface{ fmt.Stringer }
 
 // DiscoveryFault is how the discovery service fails for a while.
@@ -43,13 +43,13 @@
 	SetDiscoveryFault struct{ Fault DiscoveryFault }
 	// DrainServer lists a server as draining.
 	DrainServer struct{ Server int }
-	// RemoveServer takes a server off the list.
+	// RemoveServer removes a server from the list.
 	RemoveServer struct{ Server int }
 	// StartServer starts a process of a server and lists it.
 	StartServer struct{ ID string }
-	// HangServer has a server respond to no request.
+	// HangServer makes a server hang: it responds to no request.
 	HangServer struct{ Server int }
-	// ResumeServer has it respond again.
+	// ResumeServer ends the hang of a server.
 	ResumeServer struct{ Server int }
 )
 
--- a/internal/soak/scenario/scenario.go
+++ b/internal/soak/scenario/scenario.go
@@ -12,11 +12,11 @@
 const (
 	// Duration is how long the schedules last. Then all nodes are shut down.
 	Duration = 16 * time.Second
-	// Servers is how many servers there are from the start.
+	// Servers is how many servers are listed from the start.
 	Servers = 6
 )
 
-// Scenario is all that a run of the soak is given.
+// Scenario is a run of the soak as its seed determines it.
 type Scenario struct {
 	Seed            uint64
 	HighConcurrency bool // many clients that send seldom, in place of few that send often
@@ -43,7 +43,7 @@
 	return rand.New(rand.NewChaCha8(bytes))
 }
 
-// between generates a time.
+// between generates a duration in a range.
 func between(random *rand.Rand, from, to time.Duration) time.Duration {
 	return from + time.Duration(random.Float64()*float64(to-from))
 }
--- a/internal/soak/scenario/schedule.go
+++ b/internal/soak/scenario/schedule.go
@@ -14,11 +14,11 @@
 	Action Action
 }
 
-// Schedule is all that happens in a run.
+// Schedule is the faults of a run and the signals at its end.
 type Schedule struct {
 	InitialClocks []time.Duration  // by how much each node's wall clock is ahead at its start
-	Concurrent    [][]Event        // fault schedules that run beside each other; the events of one follow each other
-	FinalSignals  []syscall.Signal // follow the SIGTERM that ends each node
+	Concurrent    [][]Event        // fault schedules that run concurrently, each in order of time
+	FinalSignals  []syscall.Signal // sent to each node after the SIGTERM that ends it
 }
 
 // generateSchedule generates a schedule. The order in which the parts are generated must stay: the parts
@@ -82,8 +82,8 @@
 	return events
 }
 
-// generateServerChanges generates servers that drain and are removed, and others that start: one under the
-// ID of a removed server, the rest under new IDs.
+// generateServerChanges generates servers that drain and are removed, and a server that starts after each of
+// them: the first under the ID of the removed one, the others under new IDs.
 func generateServerChanges(random *rand.Rand) []Event {
 	const changes = 3
 	var events []Event
--- a/internal/soak/scenario/settings.go
+++ b/internal/soak/scenario/settings.go
@@ -24,15 +24,15 @@
 	EffectSideEffect Effect = "side_effect" // not idempotent
 )
 
-// Settings are the settings of the nodes of a run, as far as they differ between runs.
+// Settings holds those settings of the nodes that differ between runs.
 type Settings struct {
 	Mode             string // of discovery
 	Classes          []Class
 	DrainGrace       time.Duration
 	SlowStartShare   float64
 	SlowStart        time.Duration
-	OverloadMultiple float64
-	OverloadWindow   time.Duration
+	OverloadMultiple float64       // of its share that a server bears while it warms up
+	OverloadWindow   time.Duration // over which its requests are counted
 	Hedging          bool
 }
 
@@ -73,6 +73,7 @@
 	})
 }
 
+// settings returns the class in the form of the configuration file.
 func (c *Class) settings() map[string]any {
 	settings := map[string]any{
 		"Name": c.Name, "Effect": c.Effect, "DeadlineMs": c.Deadline.Milliseconds(),
@@ -90,7 +91,7 @@
 	return s.LongestDeadline() + extra
 }
 
-// LongestDeadline returns the longest deadline of the classes, of which 3 s count at most.
+// LongestDeadline returns the longest deadline of the classes, but 3 s at most.
 func (s *Settings) LongestDeadline() time.Duration {
 	const limit = 3 * time.Second
 	longest := time.Duration(0)
--- a/internal/soak/server.go
+++ b/internal/soak/server.go
@@ -12,13 +12,37 @@
 	"calicohinge/internal/testkit"
 )
 
-// The parts of the requests to which a server responds with a fault.
+// The shares of the requests to which a server responds with a fault.
 const (
 	errorShare        = 0.02
 	resetShare        = 0.02
 	notProcessedShare = 0.02
 )
 
+// serverFault is the fault with which a server responds to a request.
+type serverFault int
+
+const (
+	faultNone serverFault = iota
+	faultNotProcessed
+	faultError
+	faultReset
+)
+
+// randomFault chooses a fault, according to the shares.
+func randomFault() serverFault {
+	chosen := rand.Float64()
+	switch {
+	case chosen < notProcessedShare:
+		return faultNotProcessed
+	case chosen < notProcessedShare+errorShare:
+		return faultError
+	case chosen < notProcessedShare+errorShare+resetShare:
+		return faultReset
+	}
+	return faultNone
+}
+
 // meanWork is the mean time that a server takes for a request.
 const meanWork = 3 * time.Millisecond
 
@@ -29,15 +53,15 @@
 	lifecycleRemoved  = "Gone"
 )
 
-// server is one process of a server. It goes on serving when it is draining or removed, so that it sees who
-// still sends to it.
+// server is one process of a server. It goes on serving when it is draining or removed, so that requests which
+// a node sends to it after that are recorded.
 type server struct {
 	record   *history.Server
 	history  *history.History
 	endpoint endpointjson.Endpoint
 }
 
-// startServer starts a server. A zero joinedAt says that it is there from the start.
+// startServer starts a server. A zero joinedAt means that it is listed from the start of the run.
 func startServer(t *testing.T, records *history.History, id string, joinedAt time.Time) *server {
 	t.Helper()
 	s := &server{record: &history.Server{ID: id, JoinedAt: joinedAt}, history: records}
@@ -61,24 +85,24 @@
 	if err != nil {
 		s.history.Violate("deadline", nil, "server %s was given the time %q", s.record.ID, timeoutText)
 	}
-	fault := rand.Float64()
-	notExecuted := fault < notProcessedShare
+	fault := randomFault()
 	s.history.AttemptArrived(r.Header.Get("X-Request-Id"), history.Attempt{
-		Server: s.record, At: now, Timeout: time.Duration(timeoutMs) * time.Millisecond, NotExecuted: notExecuted,
+		Server: s.record, At: now, Timeout: time.Duration(timeoutMs) * time.Millisecond,
+		NotExecuted: fault == faultNotProcessed,
 	})
 	if s.record.Hanging.Load() {
 		<-r.Context().Done()
 		return
 	}
 	time.Sleep(time.Duration(rand.ExpFloat64() * float64(meanWork)))
-	switch {
-	case notExecuted:
+	switch fault {
+	case faultNotProcessed:
 		testkit.NotProcessed(w, r)
-	case fault < notProcessedShare+errorShare:
+	case faultError:
 		testkit.ServerError(w, r)
-	case fault < notProcessedShare+errorShare+resetShare:
+	case faultReset:
 		testkit.Reset(w, r)
-	default:
+	case faultNone:
 		testkit.OK(w, r)
 	}
 }
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -38,7 +38,7 @@
 	scenario  scenario.Scenario
 	history   *history.History
 	discovery *discovery
-	servers   []*server // the first ones
+	servers   []*server // those that are listed from the start
 	nodes     []*node
 	endedAt   time.Time
 }
@@ -108,7 +108,7 @@
 	time.Sleep(time.Until(began.Add(scenario.Duration)))
 }
 
-// Clients of each node, with the mean pause between two requests of one.
+// The number of clients of each node, and the mean pause of a client between two requests.
 const (
 	clientsPerNode             = 8
 	clientPause                = 8 * time.Millisecond
@@ -116,9 +116,14 @@
 	highConcurrencyClientPause = 50 * time.Millisecond
 )
 
+// closingClientInterval is how many clients of a node there are to each one that opens a new connection for
+// every request.
+const closingClientInterval = 4
+
 // startClients starts the clients of all nodes, which send until ended is closed.
 func (r *runner) startClients(ended <-chan struct{}) *sync.WaitGroup {
-	clients, number, pause := &sync.WaitGroup{}, clientsPerNode, clientPause
+	clients := &sync.WaitGroup{}
+	number, pause := clientsPerNode, clientPause
 	if r.scenario.HighConcurrency {
 		number, pause = highConcurrencyClients, highConcurrencyClientPause
 	}
@@ -127,7 +132,7 @@
 			client := &client{
 				name: fmt.Sprintf("%s-c%d", node.name, i), node: node, history: r.history,
 				classes: r.scenario.Settings.Classes, random: scenario.NewRandom(r.scenario.Seed, uint64(i+1)),
-				keepAlive: i%4 != 0, pause: pause, ended: ended,
+				keepAlive: i%closingClientInterval != 0, pause: pause, ended: ended,
 			}
 			clients.Go(client.run)
 		}
