--- a/cmd/balancer/address_change_test.go
+++ b/cmd/balancer/address_change_test.go
@@ -14,8 +14,8 @@
 // hangupInterval separates the SIGHUPs of a series.
 const hangupInterval = 300 * time.Millisecond
 
-// A node is given a new address of the discovery service, or several in a row, while the service takes its
-// time for each call, also for those that were abandoned: the node has the list in time.
+// A node gets a new address of the discovery service, or several in a row. The service takes long for each
+// call, even for an abandoned one. The node has the list within the address change deadline.
 func TestListOfASlowDiscoveryArrivesInTimeAfterSIGHUP(t *testing.T) {
 	program := balancertest.Build(t)
 	for _, mode := range discoveryModes() {
@@ -32,7 +32,7 @@
 	}
 }
 
-// addressChanges is a series of changes of discovery's address.
+// addressChanges is a series of changes of the discovery service's address.
 type addressChanges struct {
 	program     string
 	mode        string
--- a/cmd/balancer/benchmark_test.go
+++ b/cmd/balancer/benchmark_test.go
@@ -1,7 +1,7 @@
 package main
 
-// What a node costs, as a process: processor time for each request, and memory before a large
-// fleet. With -baseline BINARY another version is measured in the same run, in turns:
+// The benchmarks measure a node as a process: its processor time for each request, and its memory
+// with a large fleet. With -baseline BINARY they measure another version in the same run, in turns:
 //
 //	go test -run '^$' -bench . -benchtime 20000x ./cmd/balancer -baseline /path/to/balancer
 
@@ -27,7 +27,7 @@
 const (
 	// baselineFlag names the flag with the binary to compare with.
 	baselineFlag = "baseline"
-	rounds       = 5 // in each of which every binary is measured once
+	rounds       = 5 // every binary is measured once in each
 	// ticksPerSecond is the unit of processor time under /proc, the same on all Linux machines.
 	ticksPerSecond = 100
 	benchClients   = 16
@@ -147,8 +147,8 @@
 	return time.Duration(ticks) * time.Second / ticksPerSecond
 }
 
-// BenchmarkPeakMemory reports the peak resident memory of a node before a large fleet over that
-// of one before a small fleet, each after some complete lists, with many tenants.
+// BenchmarkPeakMemory reports the peak resident memory of a node with a small fleet and with a
+// large one, and the difference, each after some complete lists and with many tenants.
 func BenchmarkPeakMemory(b *testing.B) {
 	measureInTurns(b, func(b *testing.B, path string) {
 		b.Helper()
@@ -178,8 +178,8 @@
 	return peakResident(b, process.PID)
 }
 
-// serveLists serves complete lists, one for each call, and lets the call after the last wait. It returns its
-// address.
+// serveLists starts a discovery service and returns its address. It serves complete lists, one for each call,
+// and then closes applied and leaves further calls without a response.
 func serveLists(b *testing.B, servers int, applied chan<- struct{}) string {
 	b.Helper()
 	addresses := make([]string, servers)
--- a/cmd/balancer/client_test.go
+++ b/cmd/balancer/client_test.go
@@ -56,17 +56,20 @@
 	return string(body), err
 }
 
-// A process under shutdown closes connections unused from the end of its grace period on, and leaves each new one
-// open for newConnGrace at least.
 const (
+	// unusedClosedFrom is the time after SIGTERM from which on a process closes connections on which no
+	// request was sent: the end of its grace period.
 	unusedClosedFrom = shutdownDeadline + 450*time.Millisecond
-	newConnGrace     = 50 * time.Millisecond
+	// newConnGrace is the shortest time for which the process then leaves a new connection open.
+	newConnGrace = 50 * time.Millisecond
 )
 
-// loadClient sends requests one after another. A request has to get a complete response if its connection
-// was established, unless that ends without a byte of a response, and had carried a request before or had
-// been unused for more than newConnGrace, as the client's process was paused, and the process closes unused
-// connections by then: the request crossed the close and is sent once more.
+// loadClient sends requests one after another. A request whose connection was established has to get a
+// complete response, unless it crossed the close of its connection. It can do so in two cases, and gets no
+// byte of a response then:
+//   - the connection had carried a request before;
+//   - the process closes unused connections by then, and the connection had been unused for more than
+//     newConnGrace, as the client itself was paused.
 type loadClient struct {
 	addr      string
 	name      string
@@ -77,18 +80,17 @@
 	reader    *bufio.Reader
 	sent      int
 	connected time.Time     // when the connection was established
-	unused    time.Duration // from then until the last request on it was written
+	unused    time.Duration // from connected until the last request on the connection was written
 }
 
 // loadResult is how the requests of clients ended.
 type loadResult struct {
 	responses int
 	lost      []*lostRequestError
-	// resetInQueue counts the last requests of clients which found the listener closed right after, and
-	// which got nothing but a reset: their connections were established between the process's last accept
-	// and its close of the listener.
+	// resetInQueue counts the requests whose connections were established between the process's last accept
+	// and its close of the listener. They got a reset, and their clients were refused next.
 	resetInQueue int
-	// unusedClosed counts the requests that crossed the close of a connection without a request before.
+	// unusedClosed counts the first requests on a connection that crossed its close.
 	unusedClosed int
 }
 
@@ -121,12 +123,15 @@
 		c.sent++
 		sentAt := sinceSignal()
 		began, err := c.exchange()
-		switch {
-		case err == nil:
+		if err == nil {
 			result.responses++
-		case reused && !began:
-			continue // on a new connection
-		case !began && c.unused > newConnGrace && sinceSignal() >= unusedClosedFrom:
+			continue
+		}
+		crossedIdleClose := reused && !began
+		crossedUnusedClose := !began && c.unused > newConnGrace && sinceSignal() >= unusedClosedFrom
+		switch {
+		case crossedIdleClose: // the next request uses a new connection
+		case crossedUnusedClose:
 			result.unusedClosed++
 		default:
 			result.lost = append(result.lost, &lostRequestError{
@@ -165,13 +170,13 @@
 	return c.conn.SetDeadline(time.Now().Add(testkit.WaitTimeout))
 }
 
-// exchange sends a request and reads its response. On an error it reports whether a byte of the response
-// had come.
+// exchange sends a request and reads its response. It returns whether a byte of the response came. It closes
+// the connection unless that is kept for another request.
 func (c *loadClient) exchange() (bool, error) {
 	keep := false
 	defer func() {
 		if !keep {
-			_ = c.conn.Close() // nothing is expected of it any more
+			_ = c.conn.Close() // nothing more is read from it
 			c.conn = nil
 		}
 	}()
@@ -194,8 +199,8 @@
 	return true, nil
 }
 
-// separateQueued counts the last lost request of a client that was refused next under resetInQueue, if it
-// is one of these.
+// separateQueued moves the last lost request to resetInQueue if its connection was reset in the accept queue.
+// The client was refused next.
 func (r *loadResult) separateQueued() {
 	if len(r.lost) == 0 {
 		return
--- a/cmd/balancer/descriptor_shortage_test.go
+++ b/cmd/balancer/descriptor_shortage_test.go
@@ -13,8 +13,7 @@
 )
 
 const (
-	// shortage is how long a process gets no descriptor. It is shorter than the deadline of
-	// the requests that come meanwhile.
+	// shortage is how long a process gets no descriptor. It is shorter than the requests' deadline.
 	shortage = 300 * time.Millisecond
 	// scarceDescriptors is fewer than any process has open.
 	scarceDescriptors = 3
@@ -32,7 +31,7 @@
 	return previous, unix.Prlimit(pid, unix.RLIMIT_NOFILE, &limit, nil)
 }
 
-// limitDescriptors is setDescriptorLimit for a process that runs.
+// limitDescriptors is setDescriptorLimit for a process that must not have exited.
 func limitDescriptors(t *testing.T, pid int, descriptors uint64) uint64 {
 	t.Helper()
 	previous, err := setDescriptorLimit(pid, descriptors)
@@ -42,9 +41,8 @@
 	return previous
 }
 
-// For a while accept and socket fail in a process, as they do where a system has no descriptors left.
-// Clients that connect meanwhile are served, on old connections too, and the process goes on; also if it
-// gets SIGTERM just then.
+// For a while a process gets no descriptors, so that accept and socket fail. Requests on new and on old
+// connections are served all the same, also if the process gets SIGTERM during the shortage.
 func TestRequestsOutlastAShortageOfDescriptors(t *testing.T) {
 	program := balancertest.Build(t)
 	for name, signal := range map[string]unix.Signal{"serving": 0, "shutting down": unix.SIGTERM} {
@@ -55,8 +53,8 @@
 	}
 }
 
-// testDescriptorShortage takes the descriptors of a process, sends it a signal, of which 0 does nothing, and
-// makes requests on a new connection and on an old one.
+// testDescriptorShortage takes the descriptors of a process, sends it a signal (0 for none) and makes requests
+// on a new connection and on an old one.
 func testDescriptorShortage(t *testing.T, program string, signal unix.Signal) {
 	t.Helper()
 	server := testkit.NewBackend(t, testkit.OK)
@@ -98,7 +96,7 @@
 	}
 }
 
-// A new configuration that cannot be opened for a moment takes effect all the same.
+// A new configuration takes effect although its file cannot be opened for a moment.
 func TestSIGHUPOutlastsAShortageOfDescriptors(t *testing.T) {
 	t.Parallel()
 	calls := make(chan string, 1000)
--- a/cmd/balancer/discovery_stub_test.go
+++ b/cmd/balancer/discovery_stub_test.go
@@ -43,18 +43,18 @@
 	return outage
 }
 
-// overloadedDiscovery serves a list after its outage. It takes calls for the complete list one after the
-// other, each for timePerCall, those that their client has abandoned included.
+// overloadedDiscovery is a discovery service that serves a list after its outage. It handles calls for the
+// complete list one after the other. Each takes timePerCall, even if its client has abandoned it.
 type overloadedDiscovery struct {
 	t           *testing.T
 	list        endpointjson.List
 	outage      outage
 	timePerCall time.Duration
-	queue       chan chan struct{} // one for each call, closed when it has had its time
+	queue       chan chan struct{} // one channel for each call, closed when its turn is over
 	watches     chan string        // the addresses at which a node with the list watches for changes
 }
 
-// newDiscovery makes one that serves at no address yet.
+// newDiscovery returns a service that has no address yet.
 func newDiscovery(t *testing.T, list endpointjson.List, outage outage, timePerCall time.Duration) *overloadedDiscovery {
 	t.Helper()
 	stub := &overloadedDiscovery{
@@ -65,7 +65,7 @@
 	return stub
 }
 
-// startDiscovery starts one and returns its address.
+// startDiscovery starts a service and returns its address.
 func startDiscovery(t *testing.T, list endpointjson.List, outage outage, timePerCall time.Duration) string {
 	t.Helper()
 	stub := newDiscovery(t, list, outage, timePerCall)
@@ -78,7 +78,7 @@
 	return reserved.Address
 }
 
-// newAddress has it serve at a further address.
+// newAddress makes the service available at a further address and returns that.
 func (d *overloadedDiscovery) newAddress() string {
 	d.t.Helper()
 	reserved := testkit.ReserveAddr(d.t)
@@ -86,7 +86,7 @@
 	return reserved.Address
 }
 
-// serve begins to accept calls, to the end of the test.
+// serve accepts calls at an address until the end of the test.
 func (d *overloadedDiscovery) serve(reserved *testkit.ReservedAddr) {
 	listener, err := reserved.Listen()
 	if err != nil {
@@ -107,7 +107,7 @@
 	}
 }
 
-// work takes the calls for the complete list in turn.
+// work handles the calls for the complete list in turn.
 func (d *overloadedDiscovery) work() {
 	for {
 		select {
--- a/cmd/balancer/idle_clients_test.go
+++ b/cmd/balancer/idle_clients_test.go
@@ -16,14 +16,14 @@
 	"calicohinge/policy"
 )
 
-// connectedNode is a process, with few descriptors, and the connections of its clients.
+// connectedNode is a process with few descriptors, and the connections of its clients.
 type connectedNode struct {
 	t        *testing.T
 	pid      int
 	addr     string
 	limit    int // descriptors that the system grants
-	peak     int // descriptors that were open at most
-	requests int
+	peak     int // highest number of open descriptors
+	requests int // made so far
 }
 
 // dial opens a client connection that lasts to the end of the test.
@@ -57,7 +57,7 @@
 	return body
 }
 
-// countDescriptors takes the open descriptors into the peak.
+// countDescriptors counts the open descriptors and updates the peak.
 func (n *connectedNode) countDescriptors() {
 	n.t.Helper()
 	open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", n.pid))
@@ -67,7 +67,7 @@
 	n.peak = max(n.peak, len(slices.DeleteFunc(open, n.inherited)))
 }
 
-// inherited reports whether a descriptor comes from whoever runs the tests.
+// inherited reports whether the process has a descriptor from the one that runs the tests.
 func (n *connectedNode) inherited(entry os.DirEntry) bool {
 	fd, err := strconv.Atoi(entry.Name())
 	return err != nil || fd >= n.limit
@@ -80,32 +80,33 @@
 	for i := range connections {
 		conn := n.dial()
 		if i%2 == 0 {
-			_, _ = n.request(conn) // its server may not be reached; the place is taken all the same
+			_, _ = n.request(conn) // the connection stays open even if the request fails
 		}
 		n.countDescriptors()
 	}
 }
 
-// awaitNewServers makes requests until the list of the discovery service is in force after its outage, in
-// time, and then some more.
+// awaitNewServers makes requests until the node uses the list that discovery serves after its outage. That has
+// to be within the notification deadline. Some further requests have to be served by that list too.
 func (n *connectedNode) awaitNewServers() {
 	n.t.Helper()
+	const furtherRequests = 20
 	outageEnded := time.Now()
 	for body := n.requestOnce(); body != "new"; body = n.requestOnce() {
 		if time.Since(outageEnded) > policy.NotificationDeadline {
 			n.t.Fatalf("discovery is not followed: %q", body)
 		}
 	}
-	for range 20 {
+	for range furtherRequests {
 		if body := n.requestOnce(); body != "new" {
 			n.t.Fatalf("response %q", body)
 		}
 	}
 }
 
-// A process has as many descriptors as its configuration says, or is granted fewer, and idle clients take
-// what they can get during an outage of discovery: the process stays within them, follows discovery after
-// the outage, and serves whoever makes a request.
+// During an outage of discovery idle clients open more connections than a process may have. The process keeps
+// descriptors free, within its configuration and the system's limit. After the outage it follows discovery
+// and serves requests.
 func TestIdleClientsLeaveDescriptorsFree(t *testing.T) {
 	program := balancertest.Build(t)
 	for _, c := range []struct {
--- a/cmd/balancer/logging_test.go
+++ b/cmd/balancer/logging_test.go
@@ -10,8 +10,7 @@
 	"calicohinge/internal/testkit"
 )
 
-// Whoever reads the log may have exited, or read no more: the process serves, completes the requests that
-// it has and exits as usual.
+// The reader of the log has exited, or reads no more. The process serves requests and exits without an error.
 func TestProcessServesWithoutAReaderOfItsLog(t *testing.T) {
 	program := balancertest.Build(t)
 	for name, breakPipe := range map[string]func(t *testing.T, reader, writer *os.File){
@@ -31,7 +30,7 @@
 	}
 }
 
-// testServingWithLog has a process that logs to a pipe serve a request and exit.
+// testServingWithLog starts a process that logs to a pipe, makes a request and shuts the process down.
 func testServingWithLog(t *testing.T, program string, log *os.File) {
 	t.Helper()
 	server := testkit.NewBackend(t, testkit.OK)
--- a/cmd/balancer/readiness_test.go
+++ b/cmd/balancer/readiness_test.go
@@ -13,7 +13,7 @@
 const (
 	// readinessTerm is the operators' term: nine in ten restarted processes are ready by then.
 	readinessTerm = 10 * time.Second
-	// readinessLimit ends the wait for a process; it is logged as the time of one that never was.
+	// readinessLimit ends the wait for a process. It is logged as the time of one that was not ready by then.
 	readinessLimit = 14 * time.Second
 )
 
@@ -44,18 +44,24 @@
 			t.Run(mode+", "+c.name, func(t *testing.T) {
 				t.Parallel()
 				times := restartTogether(t, program, processes, mode, c)
-				ninety := times[(9*len(times)+9)/10-1]
+				readyAfter := nineInTen(times)
 				t.Logf("%d processes: median %v, nine in ten %v, worst %v (%v is never)", len(times),
-					times[len(times)/2].Round(time.Millisecond), ninety.Round(time.Millisecond),
+					times[len(times)/2].Round(time.Millisecond), readyAfter.Round(time.Millisecond),
 					times[len(times)-1].Round(time.Millisecond), readinessLimit)
-				if ninety > readinessTerm {
-					t.Errorf("nine in ten are ready after %v, want %v", ninety, readinessTerm)
+				if readyAfter > readinessTerm {
+					t.Errorf("nine in ten are ready after %v, want %v", readyAfter, readinessTerm)
 				}
 			})
 		}
 	}
 }
 
+// nineInTen returns the least of sorted times that nine in ten of them do not exceed.
+func nineInTen(times []time.Duration) time.Duration {
+	count := (9*len(times) + 9) / 10 // nine tenths, rounded up
+	return times[count-1]
+}
+
 // restartTogether starts processes at once and returns their times to readiness, sorted.
 func restartTogether(t *testing.T, program string, processes int, mode string, c restartCase) []time.Duration {
 	t.Helper()
--- a/cmd/balancer/shutdown_test.go
+++ b/cmd/balancer/shutdown_test.go
@@ -42,9 +42,9 @@
 	after time.Duration // since SIGTERM
 }
 
-// shutDownUnderLoad starts a process before a server that responds and one that does not, has clients send
-// to it, and sends it SIGTERM. Then it calls disturb, which may stop and continue the process, and returns
-// once no connection is accepted any more and the process has exited.
+// shutDownUnderLoad starts a process and clients that send to it, and sends it SIGTERM. Then it calls disturb,
+// which may pause the process or take its descriptors. It returns when the process has exited and accepts no
+// connection any more.
 func shutDownUnderLoad(t *testing.T, program string, disturb func(pid int)) shutdownResult {
 	t.Helper()
 	process, addr := startShutdownProcess(t, program)
@@ -56,7 +56,7 @@
 		return -1
 	}
 	results := startShutdownClients(addr, sinceSignal)
-	time.Sleep(shutdownDeadline) // the clients are on their way
+	time.Sleep(shutdownDeadline) // until the clients send at their full rate
 	now := time.Now()
 	signaledAt.Store(&now)
 	balancertest.Signal(t, process.PID, syscall.SIGTERM)
@@ -69,8 +69,8 @@
 	return shutdownResult{results(), testkit.Wait(t, exits, "the exit of the process")}
 }
 
-// startShutdownProcess starts a process before three entries of a server that responds and one of a server
-// that does not, and returns where it serves.
+// startShutdownProcess starts a process and returns the address at which it serves. Its endpoint list has three
+// entries for a server that responds and one for a server that hangs.
 func startShutdownProcess(t *testing.T, program string) (balancertest.Process, string) {
 	t.Helper()
 	server := testkit.NewBackend(t, testkit.OK)
@@ -86,8 +86,8 @@
 	return process, addr
 }
 
-// startShutdownClients starts clients that send until they are refused. The returned function waits for
-// that and returns their result.
+// startShutdownClients starts clients that send until their connections are refused. The returned function
+// waits for the clients and returns their result.
 func startShutdownClients(addr string, sinceSignal func() time.Duration) func() loadResult {
 	results := make(chan loadResult, shutdownClients)
 	var clients sync.WaitGroup
@@ -154,19 +154,18 @@
 	return shutdownClients
 }
 
-// Clients send on connections old and new until the process accepts none. Each request whose connection
+// Clients send on old and new connections until the process accepts none. Each request whose connection
 // was established gets a complete response.
 func TestEveryRequestGetsAResponseUntilTheProcessExits(t *testing.T) {
 	shutDownUnderLoad(t, balancertest.Build(t), func(int) {}).check(t)
 }
 
-// The process is paused for 150 ms around each step of the end of its shutdown, as the operators' terms
-// allow.
+// The process is paused around each step of its shutdown, for as long as the operators' terms allow.
 func TestEveryRequestGetsAResponseFromAPausedProcess(t *testing.T) {
 	const pause = 150 * time.Millisecond
 	program := balancertest.Build(t)
-	for _, after := range []time.Duration{300, 400, 500, 560, 600, 640, 680} {
-		after *= time.Millisecond
+	for _, afterMs := range []int{300, 400, 500, 560, 600, 640, 680} {
+		after := time.Duration(afterMs) * time.Millisecond
 		t.Run(fmt.Sprintf("%v after SIGTERM", after), func(t *testing.T) {
 			t.Parallel()
 			shutDownUnderLoad(t, program, func(pid int) {
@@ -179,12 +178,13 @@
 	}
 }
 
-// The process gets no descriptor for 100 ms, also as it accepts the last connections.
+// The process gets no descriptor for a while, at several times of its shutdown: one of them is the time at
+// which it accepts the last connections.
 func TestEveryRequestGetsAResponseFromAProcessShortOfDescriptors(t *testing.T) {
 	const short = 100 * time.Millisecond
 	program := balancertest.Build(t)
-	for _, after := range []time.Duration{100, 300, 450, 520, 560, 590} {
-		after *= time.Millisecond
+	for _, afterMs := range []int{100, 300, 450, 520, 560, 590} {
+		after := time.Duration(afterMs) * time.Millisecond
 		t.Run(fmt.Sprintf("%v after SIGTERM", after), func(t *testing.T) {
 			t.Parallel()
 			shutDownUnderLoad(t, program, func(pid int) {
@@ -195,8 +195,8 @@
 	}
 }
 
-// takeDescriptors lets a process open no descriptor for a time. The process may have exited before or
-// meanwhile; whether it was right to, shutdownResult.check tells.
+// takeDescriptors prevents a process from opening descriptors for a time. The process may exit before the end
+// of that time: shutdownResult.check finds out whether it exited too early.
 func takeDescriptors(t *testing.T, pid int, duration time.Duration) {
 	t.Helper()
 	previous, err := setDescriptorLimit(pid, scarceDescriptors)
--- a/cmd/balancer/signals_test.go
+++ b/cmd/balancer/signals_test.go
@@ -61,9 +61,9 @@
 	})
 }
 
-// SIGHUP takes up discovery's address from the file, more than once and past files that
-// cannot be read, and the program goes on. The file goes before the environment, which
-// cannot have changed.
+// SIGHUP changes the address of the discovery service to the one in the file, each time. A file
+// that cannot be used changes nothing. The file takes precedence over the environment, which
+// cannot change while the program runs.
 func TestSIGHUPChangesDiscoveryAddressAndSurvivesBadFiles(t *testing.T) {
 	calls := make(chan string, 1000)
 	expectCall := func(name string) {
@@ -103,7 +103,7 @@
 	awaitExit(t, exited)
 }
 
-// lineWriter hands on what is written, a line at a time.
+// lineWriter sends each line that is written to a channel.
 type lineWriter chan<- string
 
 func (w lineWriter) Write(line []byte) (int, error) {
--- a/cmd/balancer/soak_test.go
+++ b/cmd/balancer/soak_test.go
@@ -14,10 +14,10 @@
 	soakSeedFlag = "soak-seed"
 )
 
-// Every rule holds on real processes under the faults that a seed gives: wall clocks that are wrong and
-// stepped, a discovery service that is unresponsive, failing or slow, SIGHUPs in series, servers that drain,
-// are removed, come back and hang, nodes that are paused and restarted; clients send on open connections
-// until the kill. A seed that fails is run again with -soak-seed.
+// Every rule holds on real processes under the faults that a seed gives. Wall clocks are wrong and stepped.
+// The discovery service is unresponsive, failing or slow, and its address changes. Servers drain, are
+// removed, start again and hang. Nodes are paused and restarted, while clients go on sending on open
+// connections. A seed that fails is run again with -soak-seed.
 func TestSoak(t *testing.T) {
 	program := balancertest.BuildSteppable(t)
 	first := flagValue[int](soakSeedFlag)
--- a/cmd/balancer/unresponsive_discovery_test.go
+++ b/cmd/balancer/unresponsive_discovery_test.go
@@ -11,9 +11,9 @@
 	"calicohinge/policy"
 )
 
-// The machine of the discovery service is partitioned for a while, and a server has begun to drain when the
-// partition is healed: the node follows within the notification deadline, however long it could reach
-// nobody.
+// The machine of the discovery service is partitioned for a while, and a server begins to drain meanwhile.
+// After the partition the node gets the new list within the notification deadline, however long the partition
+// lasted.
 func TestDiscoveryIsFollowedAfterANetworkPartition(t *testing.T) {
 	program := balancertest.Build(t)
 	for _, mode := range discoveryModes() {
--- a/cmd/balancer/wall_clock_test.go
+++ b/cmd/balancer/wall_clock_test.go
@@ -17,14 +17,14 @@
 	warmServers      = 7
 	slowStartShare   = 0.1
 	slowStartTime    = 9 * time.Second
-	firstMoments     = 800 * time.Millisecond // of the new server
+	firstMoments     = 800 * time.Millisecond // in which the requests to the new server are counted
 	warmUpClients    = 4
 	warmUpClientTime = 500 * time.Millisecond // of sending before the new server starts
 	warmUpTimeout    = 200 * time.Millisecond // of each request
 )
 
-// A process starts on a machine whose wall clock is wrong, and a server starts later: it gets what slow
-// start allows, whatever that clock shows.
+// A process starts on a machine whose wall clock is wrong, and a server starts later. The server gets at most
+// what slow start allows, whatever that clock shows.
 func TestNewServerWarmsUpWhateverTheWallClockShows(t *testing.T) {
 	program := balancertest.BuildSteppable(t)
 	for _, ahead := range []time.Duration{0, 5 * time.Second, 30 * time.Second, time.Hour, -30 * time.Second, -time.Hour} {
--- a/cmd/balancer/watched_list_test.go
+++ b/cmd/balancer/watched_list_test.go
@@ -16,7 +16,7 @@
 	mu      sync.Mutex
 	list    endpointjson.List
 	changed chan struct{} // closed at the next change
-	watched chan string   // the generation that each call names: its caller has that list
+	watched chan string   // for each call, the generation of the list that its caller has
 }
 
 func newWatchedList(endpoints ...endpointjson.Endpoint) *watchedList {
