--- a/internal/balancertest/build.go
+++ b/internal/balancertest/build.go
@@ -1,7 +1,6 @@
-// Package balancertest builds the program of the load balancer's node and runs it as processes of their
-// own: it writes their configuration, signals them, and steps the wall clock that they see. Whatever it
-// starts ends with the test that it was given. The tests of cmd/balancer and the soak use it; no program
-// imports it.
+// Package balancertest builds the program of the load balancer's node and runs it as processes. It writes
+// their configuration, signals them, and steps the wall clock that they see. Whatever it starts ends with the
+// test that it was given. The tests of cmd/balancer and the soak use it; no program imports it.
 package balancertest
 
 import (
@@ -31,7 +30,7 @@
 	return path
 }
 
-// stepSource is a source file of the program that steps its wall clock when a WallClock says so.
+// stepSource is a source file that makes the program step its wall clock as a WallClock says.
 //
 //go:embed testdata/wallclock/step.go
 var stepSource []byte
--- a/internal/balancertest/process.go
+++ b/internal/balancertest/process.go
@@ -14,8 +14,8 @@
 // Process is a node that runs as a process of its own.
 type Process struct {
 	PID        int
-	Addr       <-chan string // receives the address at which it serves; closed without one if it exits before
-	Exited     <-chan error  // receives the result of its end, as of exec.Cmd.Wait
+	Addr       <-chan string // receives the address at which it serves; closed when it exits
+	Exited     <-chan error  // receives the result of exec.Cmd.Wait
 	ConfigFile ConfigFile
 }
 
@@ -25,8 +25,8 @@
 	Logged      func(line string) // called for each line that the process logs; may be nil
 }
 
-// Start starts a command with a configuration. It listens at a free port unless the configuration says
-// where. The process is killed at the end of the test.
+// Start starts a command with a configuration. The process listens at a free port unless the configuration
+// has an address. It is killed at the end of the test.
 func Start(tb testing.TB, config map[string]any, command ...string) Process {
 	tb.Helper()
 	return StartWith(tb, Options{}, config, command...)
@@ -59,7 +59,7 @@
 		readLog(stderr, options.Logged, addr)
 		exited <- cmd.Wait()
 	}()
-	tb.Cleanup(func() { <-waited }) // it was killed
+	tb.Cleanup(func() { <-waited }) // the end of the context has killed the process
 	return Process{PID: cmd.Process.Pid, Addr: addr, Exited: exited, ConfigFile: file}
 }
 
--- a/internal/balancertest/wall_clock.go
+++ b/internal/balancertest/wall_clock.go
@@ -11,7 +11,7 @@
 // WallClock steps the wall clock of one process of a program that BuildSteppable has built.
 type WallClock struct{ path string }
 
-// NewWallClock returns a clock that is ahead by some time from the start of its process on.
+// NewWallClock returns a clock that is ahead by some time when its process starts.
 func NewWallClock(tb testing.TB, ahead time.Duration) WallClock {
 	tb.Helper()
 	clock := WallClock{filepath.Join(tb.TempDir(), "step")}
@@ -22,13 +22,14 @@
 // Environment returns the variable that a process with this clock is started with.
 func (c WallClock) Environment() string { return "WALL_CLOCK_STEP_FILE=" + c.path }
 
-// Step steps the clock of a process that runs. It is ahead by some time then.
+// Step steps the clock of a running process, so that it is ahead by some time.
 func (c WallClock) Step(tb testing.TB, pid int, ahead time.Duration) {
 	tb.Helper()
 	c.set(tb, ahead)
 	Signal(tb, pid, syscall.SIGUSR1)
 }
 
+// set writes the step to the file that the process reads.
 func (c WallClock) set(tb testing.TB, ahead time.Duration) {
 	tb.Helper()
 	replaceFile(tb, c.path, []byte(strconv.FormatInt(int64(ahead/time.Second), 10)))
--- a/internal/testkit/handlers.go
+++ b/internal/testkit/handlers.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// Unresponsive returns a handler that never responds. It sends to the channel, unless that is full, once
-// the client has disconnected.
+// Unresponsive returns a handler that never responds. When the client disconnects, the handler sends to the
+// channel, unless that is full.
 func Unresponsive(disconnected chan<- struct{}) http.HandlerFunc {
 	return func(_ http.ResponseWriter, r *http.Request) {
 		<-r.Context().Done()
@@ -42,7 +42,7 @@
 	}
 }
 
-// resetConnection ends the connection of a request with a reset, also if something was written to it.
+// resetConnection ends the connection of a request with a reset, even if something was written to it.
 func resetConnection(w http.ResponseWriter) {
 	conn, _, err := w.(http.Hijacker).Hijack()
 	if err != nil {
@@ -54,8 +54,8 @@
 	_ = conn.Close() // the peer sees the reset
 }
 
-// LongPoll blocks a call of the endpoint list for as long as it requests, until changed is closed or
-// until its caller disconnects.
+// LongPoll blocks a call of the endpoint list for the time that it requests. It returns earlier if changed is
+// closed or the caller disconnects.
 func LongPoll(r *http.Request, changed <-chan struct{}) {
 	wait, err := time.ParseDuration(r.URL.Query().Get("wait_ms") + "ms")
 	if err != nil {
--- a/internal/testkit/listener.go
+++ b/internal/testkit/listener.go
@@ -13,9 +13,9 @@
 // hosts counts the loopback hosts that were given out.
 var hosts atomic.Uint32 //nolint:gochecknoglobals // shared by all tests of a process, so that no host is given out twice
 
-// newHost returns a loopback host that nobody else in this process has or had. A node may go on calling a
-// stand-in that has stopped; its calls must not arrive at another one. The second octet tells processes
-// apart that test at the same time.
+// newHost returns a loopback host that it has returned to nobody else in this process. A node may go on
+// calling a stand-in that has stopped, and its calls must not arrive at another one. The second octet
+// separates test processes that run at the same time.
 func newHost() string {
 	const firstOctet, octets = 16, 111
 	number := hosts.Add(1)
--- a/internal/testkit/machine.go
+++ b/internal/testkit/machine.go
@@ -19,7 +19,7 @@
 
 	mu          sync.Mutex
 	partitioned bool
-	epoch       int           // counts the times that the machine was healed
+	epoch       int           // how often the machine was healed
 	changed     chan struct{} // closed at the next Partition or Heal
 	fillers     []net.Conn    // connections that fill the accept queue during a partition
 
@@ -49,7 +49,7 @@
 	return m
 }
 
-// serve serves connections, which it accepts by way of a listener, until the end of the test.
+// serve serves the connections that a listener accepts, until the end of the test.
 func (m *Machine) serve(tb testing.TB, listener net.Listener) {
 	tb.Helper()
 	server := &http.Server{Handler: m}
@@ -63,9 +63,11 @@
 // ServeHTTP implements http.Handler. A call that is open when the machine is partitioned is reset when the
 // machine is healed.
 func (m *Machine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	began, _ := m.awaitReachable(r)
+	startEpoch, _ := m.awaitReachable(r)
 	response := m.respond(r)
-	if now, ok := m.awaitReachable(r); !ok || now != began || response.Status == 0 {
+	epoch, connected := m.awaitReachable(r)
+	partitionedMeanwhile := epoch != startEpoch
+	if !connected || partitionedMeanwhile || response.Status == 0 {
 		resetConnection(w)
 		return
 	}
@@ -76,8 +78,8 @@
 	_, _ = io.WriteString(w, response.Body) // the client may have disconnected
 }
 
-// awaitReachable waits until the machine is reachable and returns its epoch. It reports false if the client
-// disconnects before.
+// awaitReachable waits until the machine is reachable and returns its epoch. It returns false if the client
+// disconnects before that.
 func (m *Machine) awaitReachable(r *http.Request) (int, bool) {
 	for {
 		m.mu.Lock()
--- a/internal/testkit/machine_partition.go
+++ b/internal/testkit/machine_partition.go
@@ -12,13 +12,7 @@
 	m.beginPartition()
 	m.setBacklog(tb, 0)
 	m.completePendingAccept()
-	for hanging := 0; hanging < hangingAttempts; {
-		if m.addFiller() {
-			hanging = 0
-		} else {
-			hanging++
-		}
-	}
+	fillBacklog(m.addFiller)
 }
 
 // Heal ends the partition.
@@ -28,6 +22,7 @@
 	m.endPartition()
 }
 
+// beginPartition makes the machine unreachable, unless it is already.
 func (m *Machine) beginPartition() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -38,6 +33,7 @@
 	m.notifyChange()
 }
 
+// endPartition makes the machine reachable again and begins an epoch, if it is partitioned.
 func (m *Machine) endPartition() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -53,15 +49,15 @@
 	m.notifyChange()
 }
 
-// notifyChange wakes whoever waits for a partition to begin or end. The caller holds m.mu.
+// notifyChange wakes the goroutines that wait for a partition to begin or end. The caller holds m.mu.
 func (m *Machine) notifyChange() {
 	close(m.changed)
 	m.changed = make(chan struct{})
 }
 
-// completePendingAccept returns once no Accept is pending, or the machine is healed. An Accept that was
-// pending when the partition began takes one more connection out of the accept queue, and so makes room
-// for another; a later one takes none during the partition.
+// completePendingAccept waits until no Accept is pending, or until the machine is healed. An Accept that was
+// pending when the partition began takes one more connection out of the accept queue, so that another can be
+// established. An Accept that is called later takes none during the partition.
 func (m *Machine) completePendingAccept() {
 	m.mu.Lock()
 	pending, changed, partitioned := m.pendingAccept, m.changed, m.partitioned
@@ -76,7 +72,7 @@
 	}
 }
 
-// addFiller opens a connection that stays in the accept queue. It reports false if the queue is full or
+// addFiller opens a connection that stays in the accept queue. It returns false if the queue is full or
 // the machine is healed.
 func (m *Machine) addFiller() bool {
 	conn, err := net.DialTimeout("tcp", m.Address, connectTimeout)
--- a/internal/testkit/registry.go
+++ b/internal/testkit/registry.go
@@ -9,7 +9,6 @@
 	"strings"
 	"sync"
 	"testing"
-	"time"
 
 	"calicohinge/internal/endpointjson"
 )
@@ -36,7 +35,7 @@
 		endpoints: endpoints, changed: make(chan struct{}), Queries: make(chan string, maxRecordedCalls),
 	}
 	registry.Server = NewServer(t, registry)
-	t.Cleanup(func() { registry.update(func() {}) }) // so that Close need not wait for watches
+	t.Cleanup(func() { registry.update(func() {}) }) // completes the watches, for which Close would wait
 	return registry
 }
 
@@ -95,16 +94,11 @@
 // is over.
 func (r *Registry) awaitChange(request *http.Request) {
 	after, err := strconv.Atoi(request.URL.Query().Get("after"))
-	waitMs, _ := strconv.Atoi(request.URL.Query().Get("wait_ms")) // a call with none does not wait
+	isWatch := err == nil
 	r.mu.Lock()
-	changed, current := r.changed, err == nil && after >= r.generation && !r.down
+	changed, current := r.changed, after >= r.generation && !r.down
 	r.mu.Unlock()
-	if !current {
-		return
-	}
-	select {
-	case <-changed:
-	case <-request.Context().Done():
-	case <-time.After(time.Duration(waitMs) * time.Millisecond):
+	if isWatch && current {
+		LongPoll(request, changed)
 	}
 }
--- a/internal/testkit/stuck_server.go
+++ b/internal/testkit/stuck_server.go
@@ -12,9 +12,21 @@
 // loopback.
 const connectTimeout = 100 * time.Millisecond
 
-// hangingAttempts is how many attempts in a row have to hang: one may only have been paused for that long.
+// hangingAttempts is how many attempts in a row have to fail: a single one may fail on a paused process too.
 const hangingAttempts = 3
 
+// fillBacklog calls open, which opens a connection and returns false if the attempt fails, until the backlog
+// is full.
+func fillBacklog(open func() bool) {
+	for hanging := 0; hanging < hangingAttempts; {
+		if open() {
+			hanging = 0
+		} else {
+			hanging++
+		}
+	}
+}
+
 // admittedBytes is how many bytes of a connection StuckServer.Admit reports at most.
 const admittedBytes = 64
 
@@ -31,15 +43,14 @@
 	if err := setBacklog(listener.(*net.TCPListener), 0); err != nil {
 		t.Fatal(err)
 	}
-	for hanging := 0; hanging < hangingAttempts; {
+	fillBacklog(func() bool {
 		conn, err := net.DialTimeout("tcp", listener.Addr().String(), connectTimeout)
 		if err != nil {
-			hanging++
-			continue
+			return false
 		}
-		hanging = 0
 		t.Cleanup(func() { _ = conn.Close() })
-	}
+		return true
+	})
 	return &StuckServer{listener}
 }
 
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -15,8 +15,8 @@
 // delays one that passes.
 const WaitTimeout = 20 * time.Second
 
-// AddressChangeDeadline is the operators' term: a node counts as notified of the list at a new address of
-// the discovery service so long after SIGHUP.
+// AddressChangeDeadline is the operators' term: this long after SIGHUP a node counts as notified of the list
+// at a new address of the discovery service.
 const AddressChangeDeadline = 4 * time.Second
 
 // Wait returns the next value of a channel, or fails the test. The description completes the words
