--- a/cmd/simadapter/adapter.go
+++ b/cmd/simadapter/adapter.go
@@ -12,8 +12,8 @@
 	"calicohinge/policy"
 )
 
-// errNoInstance is the cause of a *simproto.FormatError for an event that no open instance
-// is selected for.
+// errNoInstance is the cause of a *simproto.FormatError for an event when no open instance is
+// selected.
 var errNoInstance = errors.New("the selected instance is not open")
 
 // adapter passes the events of batches to the instances and collects their actions. The
@@ -29,8 +29,8 @@
 	return &adapter{instances: map[uint16]*policy.Balancer{}}
 }
 
-// handleBatch replaces the reply by the actions that reply to the batch. An error is a
-// *simproto.FormatError.
+// handleBatch passes on the events of a batch and replaces the reply. It returns a
+// *simproto.FormatError if an event is malformed or no instance can get it.
 func (a *adapter) handleBatch(batch *simproto.Batch) error {
 	a.reply.Reset()
 	instanceSelected := false // a selection does not last beyond its batch
@@ -59,8 +59,8 @@
 	a.reply.SelectInstance(instance)
 }
 
-// accepts reports whether the selected instance may get an event. One that is not open can
-// only be opened.
+// accepts reports whether the selected instance may get an event. An instance that is not open
+// may only be opened.
 func (a *adapter) accepts(code simproto.EventCode) bool {
 	return code == simproto.EventOpen || a.instances[a.selected] != nil
 }
@@ -77,7 +77,7 @@
 	a.dispatch(batch.Now, event)
 }
 
-// dispatch calls the method of the selected instance that an event is for.
+// dispatch calls the method of the selected instance that handles an event.
 func (a *adapter) dispatch(now time.Duration, event *simproto.Event) {
 	balancer := a.instances[a.selected]
 	switch event.Code {
@@ -98,11 +98,11 @@
 	case simproto.EventTimer:
 		balancer.Timer(now, event.Token)
 	case simproto.EventProbeResult, simproto.EventPeerMessage, simproto.EventInstance:
-		// The instances use neither of the first two; handleBatch has selected the instance.
+		// The instances use no probe results or peer messages; handleBatch selects instances.
 	}
 }
 
-// updateEndpoints passes on an update of the endpoint list, or that a watch has failed.
+// updateEndpoints passes on an update of the endpoint list or the failure of a watch.
 func updateEndpoints(balancer *policy.Balancer, now time.Duration, event *simproto.Event) {
 	if event.WatchFailed {
 		balancer.WatchFailed(now, now+policy.NotificationDeadline)
@@ -111,7 +111,7 @@
 	balancer.UpdateEndpoints(now, event.Kind, event.Endpoints)
 }
 
-// open starts the selected instance anew. Impossible settings are reported as fatal.
+// open starts the selected instance anew. Settings that cannot be used are reported as fatal.
 func (a *adapter) open(event *simproto.Event) {
 	settings, err := config.ParseSettings(event.Settings)
 	if err != nil {
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,6 +1,6 @@
 // Command simadapter runs instances of the decision module in the simulator: it reads batches
 // of events from standard input and writes one reply of actions to each to standard output.
-// It ends with its input. Standard error is for faults only.
+// It exits when its input ends. It writes only errors to standard error.
 package main
 
 import (
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -13,8 +13,8 @@
 
 const settings = `{"Classes": [{"DeadlineMs": 1000, "Effect": "pure"}], "Limits": {"MaxAttempts": 2}}`
 
-// The sizes and codes of the protocol, written here once more so that the tests do not depend
-// on the code that they test.
+// The sizes and codes of the protocol. They are not taken from package simproto, so that the
+// tests do not depend on the code that they test.
 const (
 	replyHeaderSize = 12
 	eventSize       = 48
@@ -63,7 +63,8 @@
 
 func selectInstance() []byte { return eventRecord(eventInstance, testInstance) }
 
-// openInstance has its settings at the start of the tail.
+// openInstance encodes the event that opens an instance. Its settings are at the start of the
+// tail.
 func openInstance(settings string) []byte {
 	return eventRecord(eventOpen, uint64(1), uint32(0), uint32(len(settings)))
 }
--- a/internal/simproto/codes.go
+++ b/internal/simproto/codes.go
@@ -49,8 +49,8 @@
 	updateWatchFailed updateCode = 3 // no update: a watch of the endpoint list has failed
 )
 
-// policyKind translates the code; it returns false for an unknown one, and for a failed
-// watch.
+// policyKind translates the code; it returns false for an unknown one, and for
+// updateWatchFailed, which is no update.
 func (c updateCode) policyKind() (policy.UpdateKind, bool) {
 	switch c {
 	case updateDelta:
--- a/internal/simproto/decode.go
+++ b/internal/simproto/decode.go
@@ -2,7 +2,8 @@
 
 import "fmt"
 
-// Event decodes record i of the batch into event. An error is a *FormatError.
+// Event decodes record i of the batch into event. It returns a *FormatError if the record is
+// malformed.
 func (b *Batch) Event(i int, event *Event) error {
 	if err := b.decode(record(b.records[i*eventSize:(i+1)*eventSize]), event); err != nil {
 		return &FormatError{Batch: b.Number, Record: i, Err: err}
@@ -10,6 +11,7 @@
 	return nil
 }
 
+// decode decodes a record into event. Its errors have no position in the input.
 func (b *Batch) decode(rec record, event *Event) error {
 	const timerTokenAt = 1
 	event.Code = EventCode(rec[codeAt])
@@ -26,7 +28,7 @@
 		event.Token = rec.uint64(timerTokenAt)
 	case EventPeerMessage:
 		return b.checkPeerMessage(rec)
-	case EventProbeResult, EventStop: // no field of them is used
+	case EventProbeResult, EventStop: // Event has no field for them
 	default:
 		return fmt.Errorf("unknown %v", event.Code)
 	}
@@ -47,8 +49,8 @@
 	return nil
 }
 
-// checkPeerMessage checks that the message is in the frame. Instances send none, and those of
-// others are ignored.
+// checkPeerMessage checks that the message is in the frame. It does not decode the message:
+// the instances use none.
 func (b *Batch) checkPeerMessage(rec record) error {
 	const messageAt = 5
 	if _, ok := b.tailItems(rec, messageAt, 1); !ok {
@@ -57,8 +59,9 @@
 	return nil
 }
 
-// tailItems returns the items in the tail to which a record refers by their offset, in bytes,
-// and their number.
+// tailItems returns the items in the tail to which a record refers. The reference is the
+// offset of the first item, in bytes, and the number of items. It returns false if they are
+// not all in the tail.
 func (b *Batch) tailItems(rec record, referenceAt, itemSize int) ([]byte, bool) {
 	offset, count := uint64(rec.uint32(referenceAt)), uint64(rec.uint32(referenceAt+offsetSize))
 	end := offset + count*uint64(itemSize)
--- a/internal/simproto/decode_endpoints.go
+++ b/internal/simproto/decode_endpoints.go
@@ -14,8 +14,8 @@
 	)
 	code := updateCode(rec[kindAt])
 	event.WatchFailed = code == updateWatchFailed
-	kind, ok := code.policyKind()
-	if !ok && !event.WatchFailed {
+	kind, isUpdate := code.policyKind()
+	if !isUpdate && !event.WatchFailed {
 		return fmt.Errorf("unknown kind of update %d", code)
 	}
 	items, ok := b.tailItems(rec, endpointsAt, endpointSize)
@@ -23,7 +23,7 @@
 		return fmt.Errorf("endpoints outside the tail: offset %d", rec.uint32(endpointsAt))
 	}
 	event.Kind = kind
-	event.Endpoints = event.Endpoints[:0]
+	event.Endpoints = event.Endpoints[:0] // reuses the memory
 	for ; len(items) > 0; items = items[endpointSize:] {
 		endpoint, err := decodeEndpoint(record(items[:endpointSize]))
 		if err != nil {
@@ -48,7 +48,7 @@
 		return policy.Endpoint{}, fmt.Errorf("unknown state of a server %d", rec[stateAt])
 	}
 	weight := rec.float32(weightAt)
-	if !(weight >= 0) || math.IsInf(weight, 1) { // also excludes NaN
+	if !(weight >= 0) || math.IsInf(weight, 1) { // NaN is not >= 0 either
 		return policy.Endpoint{}, fmt.Errorf("weight of a server %v", weight)
 	}
 	startedAt, err := rec.duration(startedAtAt, "start time of a server")
--- a/internal/simproto/encode.go
+++ b/internal/simproto/encode.go
@@ -39,7 +39,7 @@
 	tail     []byte
 	count    uint32 // records so far
 	selected uint16 // the instance of the next action
-	inEffect int    // the instance of the last context record, or noInstance
+	written  int    // the instance of the last context record, or noInstance
 }
 
 var _ policy.Host = (*Reply)(nil)
@@ -52,7 +52,7 @@
 	r.frame = r.frame[:replyHeaderSize]
 	r.tail = r.tail[:0]
 	r.count = 0
-	r.inEffect = noInstance
+	r.written = noInstance
 }
 
 // SelectInstance sets the instance to which the following actions belong.
@@ -60,13 +60,15 @@
 
 // action appends an action record, after a context record if the instance has changed.
 func (r *Reply) action(code actionCode) record {
-	if r.inEffect != int(r.selected) {
-		r.inEffect = int(r.selected)
+	if r.written != int(r.selected) {
+		r.written = int(r.selected)
 		r.appendRecord(actionContext).putUint16(instanceAt, r.selected)
 	}
 	return r.appendRecord(code)
 }
 
+// appendRecord appends an empty record with a code. The record is valid until the next one is
+// appended.
 func (r *Reply) appendRecord(code actionCode) record {
 	var blank [actionSize]byte
 	r.frame = append(r.frame, blank[:]...)
@@ -76,6 +78,7 @@
 	return rec
 }
 
+// requestAction appends an action record that concerns a request.
 func (r *Reply) requestAction(code actionCode, id policy.RequestID) record {
 	rec := r.action(code)
 	rec.putRequestID(id)
--- a/internal/simproto/error.go
+++ b/internal/simproto/error.go
@@ -5,14 +5,13 @@
 	"fmt"
 )
 
-// ErrFormat is in the tree of every error about a malformed frame, see FormatError.
+// ErrFormat is wrapped by every error about a malformed frame, see FormatError.
 var ErrFormat = errors.New("malformed frame")
 
 // WholeFrame is the Record of a FormatError that does not concern a single record.
 const WholeFrame = -1
 
-// FormatError reports a malformed frame or record. errors.Is finds ErrFormat and the cause
-// in it.
+// FormatError reports a malformed frame or record. It wraps ErrFormat and the cause.
 type FormatError struct {
 	Batch  uint32 // number of the batch
 	Record int    // index of the record in the batch, from 0, or WholeFrame
--- a/internal/simproto/frame_test.go
+++ b/internal/simproto/frame_test.go
@@ -19,7 +19,7 @@
 	return raw
 }
 
-// padded returns the bytes of a record, written as hexadecimal digits, padded to its size.
+// padded returns a record of a size that begins with the given bytes, in hexadecimal digits.
 func padded(tb testing.TB, size int, text string) []byte {
 	tb.Helper()
 	raw := unhex(tb, text)
@@ -43,7 +43,7 @@
 
 func join(parts ...[]byte) []byte { return bytes.Join(parts, nil) }
 
-// decodeAll decodes batches until an error, which io.EOF is too.
+// decodeAll decodes batches until the first error, which is io.EOF at the end of the input.
 func decodeAll(raw []byte) ([]Event, error) {
 	reader := NewReader(bytes.NewReader(raw))
 	var events []Event
--- a/internal/simproto/malformed_test.go
+++ b/internal/simproto/malformed_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// malformedFrames returns frames of which each must give an error of one line with its batch,
-// and no panic.
+// malformedFrames returns frames that must each give an error of one line, which names the
+// batch.
 func malformedFrames(tb testing.TB) map[string][]byte {
 	tb.Helper()
 	return map[string][]byte{
@@ -33,7 +33,7 @@
 	}
 }
 
-// replaced writes other bytes into a frame, from the given position on.
+// replaced overwrites bytes of a frame, from the given position on.
 func replaced(frame []byte, at int, other ...byte) []byte {
 	copy(frame[at:], other)
 	return frame
--- a/internal/simproto/reader.go
+++ b/internal/simproto/reader.go
@@ -10,8 +10,8 @@
 
 const (
 	readBufferSize = 1 << 16
-	// bodyGrowth is the number of bytes by which the body grows at most before they have been
-	// read: memory grows with the input and not with what a malformed header claims.
+	// bodyGrowth is the number of bytes by which the body grows ahead of the input: memory
+	// grows with what is read, and not with the length that a malformed header claims.
 	bodyGrowth = 1 << 20
 )
 
@@ -75,6 +75,7 @@
 	return &r.batch, nil
 }
 
+// formatError returns an error about the present frame as a whole.
 func (r *Reader) formatError(cause error) error {
 	return &FormatError{Batch: r.batch.Number, Record: WholeFrame, Err: cause}
 }
--- a/internal/simproto/record.go
+++ b/internal/simproto/record.go
@@ -21,10 +21,10 @@
 	instanceAt  = 1 // if the record selects an instance
 )
 
-// The sizes of what precedes the second part of a value, in bytes.
+// The sizes of parts of a value, in bytes.
 const (
-	addressSize = 4 // of a server, before its port
-	offsetSize  = 4 // of a reference to the tail, before the length
+	addressSize = 4 // of a server's address, which precedes its port
+	offsetSize  = 4 // of an offset in the tail, which precedes the number of items
 )
 
 // record is the bytes of a header, an event, an action or an endpoint. Positions count from
@@ -38,8 +38,8 @@
 func (r record) float32(at int) float64 { return float64(math.Float32frombits(r.uint32(at))) }
 func (r record) float64(at int) float64 { return math.Float64frombits(r.uint64(at)) }
 
-// duration reads a time. It returns an error that names the field for one that is not a number
-// or out of range.
+// duration reads a time in milliseconds. If it is not a number or out of range, duration returns
+// an error that names the field.
 func (r record) duration(at int, field string) (time.Duration, error) {
 	value := r.float64(at)
 	duration, ok := milliseconds.ToDuration(value)
--- a/internal/simproto/simproto.go
+++ b/internal/simproto/simproto.go
@@ -1,6 +1,6 @@
 // Package simproto decodes and encodes the frames of the simulator's binary protocol: batches
 // of event records from the simulator and replies of action records to it. Frames are
-// big-endian and have a header, records of a fixed size, and a tail for what varies in size.
+// big-endian. They have a header, records of a fixed size, and a tail for data of any size.
 //
 // It translates between records and the types of package policy, makes no decisions and keeps
 // no state between batches but its buffers. The protocol's names and codes occur only here.
@@ -18,5 +18,5 @@
 	maxBodySize     = 1 << 30 // a longer body is taken for a malformed header
 )
 
-// noInstance is no number of an instance, which have 16 bits.
+// noInstance stands for no instance. The numbers of instances have 16 bits.
 const noInstance = -1
