--- a/internal/asyncwriter/asyncwriter.go
+++ b/internal/asyncwriter/asyncwriter.go
@@ -1,7 +1,7 @@
 // Package asyncwriter writes log lines without making their writers wait. A node must not stop serving,
 // or fail to shut down, because the reader of its log is slow or has exited. The balancer program creates
-// a Writer for its standard error and closes it at its end. The package owns the lines that are queued; any
-// of them may be dropped if the target blocks.
+// a Writer for its standard error and closes it when it exits. The package owns the queued lines; lines may
+// be lost while the target blocks.
 package asyncwriter
 
 import (
@@ -23,7 +23,7 @@
 
 	mu      sync.Mutex
 	lines   chan []byte
-	dropped int // lines since the last that was queued
+	dropped int // since a line was last queued
 	closed  bool
 }
 
@@ -34,8 +34,8 @@
 	return w
 }
 
-// Write queues a line. It never blocks and never fails: a line that does not fit the queue is dropped,
-// and a later line says how many were.
+// Write queues a line. It never blocks and never fails. If the queue is full it drops the line; the next
+// line that fits is preceded by the number of dropped lines.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -55,7 +55,8 @@
 	return len(line), nil
 }
 
-// Close waits until the queued lines are written, for timeout at most. Later lines are dropped.
+// Close waits until the queued lines are written, for timeout at most. Lines that are written after Close
+// are dropped.
 func (w *Writer) Close(timeout time.Duration) {
 	w.mu.Lock()
 	if !w.closed {
@@ -69,6 +70,7 @@
 	}
 }
 
+// run writes the queued lines until the queue is closed and empty.
 func (w *Writer) run() {
 	defer close(w.done)
 	for line := range w.lines {
--- a/internal/asyncwriter/asyncwriter_test.go
+++ b/internal/asyncwriter/asyncwriter_test.go
@@ -19,6 +19,7 @@
 	return w.text.Write(line)
 }
 
+// writeLines writes numbered lines.
 func writeLines(t *testing.T, w *Writer, count int) {
 	t.Helper()
 	for i := range count {
@@ -40,11 +41,11 @@
 	if got, want := target.text.String(), "line 0\nline 1\nline 2\n"; got != want {
 		t.Errorf("wrote %q, want %q", got, want)
 	}
-	writeLines(t, w, 1) // after the end
+	writeLines(t, w, 1) // does not fail after Close
 }
 
-// A target that blocks delays neither those that log nor Close, and a later line says how
-// many lines were dropped.
+// A target that blocks delays neither Write nor Close, and a later line gives the number of
+// dropped lines.
 func TestBlockedTargetDelaysNeitherWriteNorClose(t *testing.T) {
 	target := &gatedWriter{permits: make(chan struct{}, maxQueuedLines+2)}
 	w := New(target)
--- a/internal/httpheader/httpheader.go
+++ b/internal/httpheader/httpheader.go
@@ -1,6 +1,6 @@
-// Package httpheader separates the header fields of a message from those of the
-// connection it came on (RFC 9110, section 7.6.1). It keeps no state. Package node
-// calls it for requests and package upstream for responses.
+// Package httpheader separates the header fields that are forwarded with a message
+// from those that concern a single connection (RFC 9110, section 7.6.1). It keeps no
+// state. Package node calls it for requests and package upstream for responses.
 package httpheader
 
 import (
@@ -8,9 +8,9 @@
 	"strings"
 )
 
-// EndToEnd returns a copy of header without the hop-by-hop fields, the fields
-// that Connection lists, Expect (which the receiver has met) and Content-Length
-// (which the sender sets anew).
+// EndToEnd returns a copy of header without the hop-by-hop fields and the fields that
+// Connection lists. It also leaves out Expect, which the receiver has already met, and
+// Content-Length, which the sender sets itself.
 func EndToEnd(header http.Header) http.Header {
 	forwarded := header.Clone()
 	for _, line := range header["Connection"] {
--- a/internal/sockstate/sockstate.go
+++ b/internal/sockstate/sockstate.go
@@ -1,8 +1,7 @@
-// Package sockstate inspects a connected socket without reading from it: that a
-// peer closed the connection, or wrote to it, shows on the socket before anything
-// is read. Packages downstream and upstream call it, for the connections of clients
-// and for pooled connections to servers. It keeps no state and changes none of the
-// socket.
+// Package sockstate finds out without reading whether the peer of a connected socket
+// has written to it or has closed it. Packages downstream and upstream call it, for
+// the connections of clients and for pooled connections to servers. It keeps no state
+// and does not change that of the socket.
 package sockstate
 
 import (
@@ -18,7 +17,7 @@
 const (
 	Quiet    State = iota // open, with nothing to read
 	Readable              // unread bytes have arrived
-	Closed                // ended by the peer, broken, or not a socket
+	Closed                // closed by the peer or here, broken, or not a socket
 )
 
 // String names the state.
@@ -65,7 +64,7 @@
 	}
 }
 
-// stateOf returns the state that the result of a receive call shows.
+// stateOf returns the state that follows from the result of a receive call.
 func stateOf(n int, err error) State {
 	switch {
 	case errors.Is(err, syscall.EAGAIN), errors.Is(err, syscall.ENOMEM), errors.Is(err, syscall.ENOBUFS):
--- a/internal/sockstate/sockstate_test.go
+++ b/internal/sockstate/sockstate_test.go
@@ -36,6 +36,7 @@
 	return err
 }
 
+// check fails the test unless err is nil.
 func check(t *testing.T, err error) {
 	t.Helper()
 	if err != nil {
@@ -130,8 +131,8 @@
 	}
 }
 
-// A receive call that fails for a reason of this machine says nothing about the peer, whose
-// connection must not count as closed.
+// If a receive call fails for a reason of this machine, the connection must not count as
+// closed: the peer has not closed it.
 func TestStateOfFailedReceive(t *testing.T) {
 	for errno, want := range map[syscall.Errno]State{
 		syscall.EAGAIN: Quiet, syscall.ENOMEM: Quiet, syscall.ENOBUFS: Quiet,
--- a/internal/syserror/syserror.go
+++ b/internal/syserror/syserror.go
@@ -1,4 +1,4 @@
-// Package syserror classifies errors of system calls and retries operations that failed for a moment.
+// Package syserror classifies errors of system calls and retries operations after temporary ones.
 // Packages config, node, netdial and downstream call it. It keeps no state.
 package syserror
 
@@ -29,14 +29,14 @@
 	return IsShortage(err) || isAny(err, syscall.EIO, syscall.ESTALE, syscall.EADDRNOTAVAIL, syscall.ENETDOWN)
 }
 
-// isAny reports whether an error is one of the given ones of the system.
+// isAny reports whether an error is, or wraps, one of the candidates.
 func isAny(err error, candidates ...syscall.Errno) bool {
 	errno, ok := errors.AsType[syscall.Errno](err)
 	return ok && slices.Contains(candidates, errno)
 }
 
-// Retry calls an operation until it succeeds, fails for a reason that is not momentary, or has had
-// all its attempts, with a backoff between the calls. It returns the error of the last one.
+// Retry calls an operation until it succeeds or fails with an error that is not momentary, but
+// maxAttempts times at most, with a backoff between the calls. It returns the last error.
 func Retry(operation func() error) error {
 	backoff := initialBackoff
 	for attempt := 1; ; attempt++ {
--- a/internal/syserror/syserror_test.go
+++ b/internal/syserror/syserror_test.go
@@ -38,9 +38,9 @@
 func TestRetryEndsWithSuccessOrLastingFailure(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		errors []error // of the calls; further ones succeed
-		calls  int
-		failed bool
+		errors []error // of the first calls; further calls succeed
+		calls  int     // expected
+		failed bool    // expected of the last call
 	}{
 		{"success", nil, 1, false},
 		{"momentary failures", []error{syscall.EMFILE, syscall.EIO}, 3, false},
--- a/internal/wireformat/examples_test.go
+++ b/internal/wireformat/examples_test.go
@@ -2,11 +2,11 @@
 
 import "strconv"
 
-// forwardedRequest is a request that a server gets, as the client and as the node writes it. LEFT stands for the
-// time that is left to the client.
+// forwardedRequest is a request that the node forwards: as the client writes it, and as the node writes it to a
+// server. LEFT stands for the time for which the client still waits.
 type forwardedRequest struct{ name, request, forwarded string }
 
-// forwardedResponse is what the client gets of the server's response to each of them.
+// forwardedResponse is the server's response to each forwarded request, as the node writes it to the client.
 const forwardedResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Type: text/x\r\nX-Server: s-1\r\n" +
 	"Date: DATE\r\n\r\nok"
 
@@ -36,7 +36,7 @@
 	}
 }
 
-// localRequest is a request that the node responds to itself.
+// localRequest is a request to which the node responds itself.
 type localRequest struct{ name, request, response string }
 
 // text returns a response with a body of one line. The headers precede the usual ones.
--- a/internal/wireformat/simulator_test.go
+++ b/internal/wireformat/simulator_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// simulatorBatches returns the frames of the input, in hexadecimal digits. A batch has a header of 20 bytes (size of
-// the body, clock in ms, number of records, number of the batch), records of 48 bytes, and a tail.
+// simulatorBatches returns the frames of the input in hexadecimal digits. Each batch has a header of 20 bytes (size
+// of the body, clock in ms, number of records, number of the batch), records of 48 bytes, and a tail.
 func simulatorBatches() []string {
 	return []string{
 		// an empty batch
@@ -69,7 +69,8 @@
 	}
 }
 
-// simulatorReplies are the replies: for each batch the number of its actions, the actions of 24 bytes, and the tail.
+// simulatorReplies is the expected output as framesAsText writes it: for each batch the number of its actions, the
+// actions of 24 bytes, and the tail.
 const simulatorReplies = `batch 1: 0 actions
 batch 2: 0 actions
 batch 3: 2 actions
@@ -105,7 +106,7 @@
 	return raw
 }
 
-// framesAsText writes the replies as simulatorReplies holds them.
+// framesAsText returns the text of reply frames in the form of simulatorReplies.
 func framesAsText(replies []byte) string {
 	const headerSize, actionSize = 12, 24
 	var text strings.Builder
--- a/internal/wireformat/wireformat_test.go
+++ b/internal/wireformat/wireformat_test.go
@@ -1,6 +1,6 @@
-// Package wireformat holds the programs to fixed text on everything that other systems read or write: calls to
-// discovery and the lists that it sends, requests to servers, responses to clients, the keys of the settings and
-// the frames of the simulator. Its tests run the programs and use no other package of this module.
+// Package wireformat compares with fixed texts what the programs exchange with other systems: calls to discovery
+// and the lists that it sends, requests to servers, responses to clients, the keys of the settings and the frames
+// of the simulator. Its tests run the programs and use no other package of this module.
 package wireformat
 
 import (
@@ -34,13 +34,13 @@
 	return path
 }
 
-// rawService accepts connections, records each request as it came and responds with the next text of a list.
+// rawService is a service that records the bytes of each request and responds with the next text of a list.
 type rawService struct {
 	address  string
 	requests chan string
 }
 
-// newRawService starts a service. It leaves requests without a response once the list of responses has ended.
+// newRawService starts a service. After the last of the responses it leaves requests without a response.
 func newRawService(t *testing.T, responses ...string) *rawService {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -65,6 +65,7 @@
 	return service
 }
 
+// serve reads requests from a connection until it ends.
 func (s *rawService) serve(conn net.Conn, responses <-chan string) {
 	defer func() { _ = conn.Close() }() // the test is over
 	reader := bufio.NewReader(conn)
@@ -96,7 +97,7 @@
 
 var contentLength = regexp.MustCompile(`(?i)\r\nContent-Length: (\d+)\r\n`)
 
-// readMessage reads one HTTP message as it came: the head, and a body with a Content-Length.
+// readMessage reads the bytes of one HTTP message: its head, and its body if it has a Content-Length.
 func readMessage(reader *bufio.Reader) (string, error) {
 	var message strings.Builder
 	for !strings.HasSuffix(message.String(), "\r\n\r\n") {
@@ -173,7 +174,8 @@
 	}
 }
 
-// exchange sends a request as it is over a connection of its own and returns the response as it came.
+// exchange sends a request over a connection of its own and returns the bytes of the response, with the value of
+// its Date replaced.
 func exchange(t *testing.T, address, request string) string {
 	t.Helper()
 	conn, err := net.DialTimeout("tcp", address, waitTimeout)
@@ -205,7 +207,7 @@
 	}
 }
 
-// equalText reports a difference between two texts, quoted.
+// equalText checks that two texts are equal. It quotes both if they differ.
 func equalText(t *testing.T, name, got, want string) {
 	t.Helper()
 	if got != want {
@@ -219,7 +221,7 @@
 	{"Name": "order", "Effect": "token", "DedupScope": "all", "KeyTtlMs": 6000, "DeadlineMs": 8000},
 	{"Name": "notify", "Effect": "side_effect", "DeadlineMs": 8000}]}`
 
-// list returns an endpoint list in the form of discovery, indented as it may come.
+// list returns an endpoint list in the form in which discovery sends it. The indentation is arbitrary.
 func list(generation int, reset bool, server string) string {
 	return `{
   "generation": ` + strconv.Itoa(generation) + `,
@@ -262,7 +264,7 @@
 	}
 }
 
-// The cached list of a configuration has the form of discovery's.
+// The node gets its endpoint list from the configuration, in the form in which discovery sends it.
 func TestRequestsAndResponsesKeepTheirBytes(t *testing.T) {
 	program := buildProgram(t, "balancer")
 	const response = "HTTP/1.1 200 OK\r\nContent-Type: text/x\r\nX-Server: s-1\r\nConnection: keep-alive\r\nContent-Length: 2\r\n\r\nok"
@@ -283,7 +285,8 @@
 	}
 }
 
-// Each key of the configuration refuses a value of another type with its name. An unknown key is ignored.
+// A value that a key of the configuration cannot have is rejected with the name of the key. An unknown key is
+// ignored.
 func TestKeysOfTheConfigurationKeepTheirNames(t *testing.T) {
 	program := buildProgram(t, "balancer")
 	for _, c := range invalidValues() {
@@ -298,7 +301,7 @@
 	}
 }
 
-// configuration returns a configuration with the value in place of a valid one.
+// configuration returns a configuration in which the value replaces a valid one.
 func (v invalidValue) configuration(t *testing.T) map[string]any {
 	t.Helper()
 	values := map[string]any{}
@@ -316,7 +319,8 @@
 	return config
 }
 
-// The simulator's batches hold each kind of event; the replies are determined by their single server.
+// The batches hold each kind of event. At most one server is ready at any time, so that the replies do not
+// depend on chance.
 func TestFramesOfTheSimulatorKeepTheirBytes(t *testing.T) {
 	cmd := exec.CommandContext(t.Context(), buildProgram(t, "simadapter"))
 	cmd.Stdin = bytes.NewReader(simulatorInput(t))
