--- a/cmd/balancer/address_change_test.go
+++ b/cmd/balancer/address_change_test.go
@@ -40,6 +40,7 @@
 	timePerCall time.Duration // at the new addresses
 }
 
+// test changes the address and measures how soon the node has the list from the last one.
 func (c addressChanges) test(t *testing.T) {
 	t.Helper()
 	service := newDiscovery(t, listOf(2, noDiscovery), noOutage(), c.timePerCall)
--- a/cmd/balancer/harness_test.go
+++ b/cmd/balancer/harness_test.go
@@ -34,6 +34,7 @@
 // settings has one class; a test adds keys ahead of it with moreSettings.
 const settings = `{"Classes": [{"Name": "pay", "Effect": "side_effect", "DeadlineMs": 8000}], "Zones": ["a"]}`
 
+// moreSettings returns settings with further keys.
 func moreSettings(keys string) json.RawMessage {
 	return json.RawMessage("{" + keys + ", " + strings.TrimPrefix(settings, "{"))
 }
--- a/cmd/balancer/signals_test.go
+++ b/cmd/balancer/signals_test.go
@@ -44,6 +44,7 @@
 	awaitExit(t, exited)
 }
 
+// configText returns a configuration with an address of the discovery service.
 func configText(discovery string) []byte {
 	return []byte(`{"listen": "127.0.0.1:0", "discovery": "` + discovery + `", "settings": ` + settings + `}`)
 }
--- a/cmd/balancer/unresponsive_discovery_test.go
+++ b/cmd/balancer/unresponsive_discovery_test.go
@@ -26,6 +26,7 @@
 	}
 }
 
+// testPartition partitions the discovery service for a time and measures how soon the node follows it again.
 func testPartition(t *testing.T, program, mode string, duration time.Duration) {
 	t.Helper()
 	first, second := testkit.NewBackend(t, testkit.OK), testkit.NewBackend(t, testkit.OK)
--- a/cmd/balancer/wall_clock_test.go
+++ b/cmd/balancer/wall_clock_test.go
@@ -35,6 +35,7 @@
 	}
 }
 
+// testNewServerWarmsUp checks the share of a new server's requests in its first moments.
 func testNewServerWarmsUp(t *testing.T, program string, ahead time.Duration) {
 	t.Helper()
 	servers := newCountingServers(t, warmServers+1)
--- a/internal/balancertest/config_file.go
+++ b/internal/balancertest/config_file.go
@@ -24,6 +24,7 @@
 // Environment returns the variable that names the file to a process.
 func (f ConfigFile) Environment() string { return "BALANCER_CONFIG=" + f.Path }
 
+// replaceFile replaces a file in one step.
 func replaceFile(tb testing.TB, path string, text []byte) {
 	tb.Helper()
 	if err := os.Rename(writeFile(tb, path+".new", text), path); err != nil {
--- a/internal/downstream/conn.go
+++ b/internal/downstream/conn.go
@@ -55,6 +55,7 @@
 	return c.queueTime
 }
 
+// setQueueTime sets what QueueTime returns for the first request.
 func (c *Conn) setQueueTime(d time.Duration) {
 	c.conns.mu.Lock()
 	defer c.conns.mu.Unlock()
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -89,7 +89,8 @@
 	return false
 }
 
-// resetInQueue reports whether a connection was reset in the accept queue of a node that shuts down.
+// resetInQueue reports whether err means that the connection was reset in the accept queue of a node that
+// shuts down.
 func (c *client) resetInQueue(responded bool, err error) bool {
 	return errors.Is(err, syscall.ECONNRESET) && !responded && c.incarnation.Terminated()
 }
@@ -112,6 +113,7 @@
 	return nil
 }
 
+// disconnect closes the connection, if there is one.
 func (c *client) disconnect() {
 	if c.conn != nil {
 		_ = c.conn.Close() // nothing more is expected of it
--- a/internal/soak/discovery.go
+++ b/internal/soak/discovery.go
@@ -115,9 +115,10 @@
 	after uint64 // with watch
 }
 
+// parseQuery returns the query of a call. A call that names no generation is no watch.
 func parseQuery(r *http.Request) query {
 	after, err := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
-	return query{err == nil, after}
+	return query{watch: err == nil, after: after}
 }
 
 // respond responds to a call of an incarnation of a node.
--- a/internal/soak/history/history.go
+++ b/internal/soak/history/history.go
@@ -103,7 +103,7 @@
 	defer h.mu.Unlock()
 	request := h.requests[id]
 	if request == nil {
-		h.violations = append(h.violations, Violation{"unknown", attempt.At, nil, "no client sent " + id})
+		h.violations = append(h.violations, Violation{Rule: "unknown", At: attempt.At, Text: "no client sent " + id})
 		return
 	}
 	request.Attempts = append(request.Attempts, attempt)
@@ -136,7 +136,9 @@
 
 // Violate records a violation that is seen now.
 func (h *History) Violate(rule string, incarnation *Incarnation, format string, arguments ...any) {
-	h.AddViolation(Violation{rule, time.Now(), incarnation, fmt.Sprintf(format, arguments...)})
+	h.AddViolation(Violation{
+		Rule: rule, At: time.Now(), Incarnation: incarnation, Text: fmt.Sprintf(format, arguments...),
+	})
 }
 
 // AddViolation records a violation.
@@ -158,5 +160,7 @@
 func (h *History) Summary() Summary {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return Summary{len(h.requests), h.responses, h.unread, slices.Clone(h.violations)}
+	return Summary{
+		Requests: len(h.requests), Responses: h.responses, Unread: h.unread, Violations: slices.Clone(h.violations),
+	}
 }
--- a/internal/soak/scenario/settings.go
+++ b/internal/soak/scenario/settings.go
@@ -36,6 +36,7 @@
 	Hedging          bool
 }
 
+// generateSettings generates the settings of a run.
 func generateSettings(random *rand.Rand) Settings {
 	deadline := func() time.Duration { return time.Duration(200+random.IntN(600)) * time.Millisecond }
 	return Settings{
--- a/internal/soak/server.go
+++ b/internal/soak/server.go
@@ -23,10 +23,10 @@
 type serverFault int
 
 const (
-	faultNone serverFault = iota
-	faultNotProcessed
-	faultError
-	faultReset
+	faultNone         serverFault = iota // status 200
+	faultNotProcessed                    // not executed, with status 503
+	faultError                           // status 500
+	faultReset                           // the connection is closed without a response
 )
 
 // randomFault chooses a fault, according to the shares.
--- a/internal/testkit/backend.go
+++ b/internal/testkit/backend.go
@@ -61,6 +61,7 @@
 // Endpoint returns the server's entry in an endpoint list.
 func (b *Backend) Endpoint(id string) endpointjson.Endpoint { return readyEndpoint(id, b.Address()) }
 
+// readyEndpoint returns the entry of a ready server in an endpoint list.
 func readyEndpoint(id, address string) endpointjson.Endpoint {
 	return endpointjson.Endpoint{InstanceID: id, Address: address, Zone: "a", Lifecycle: "Ready", Weight: 1}
 }
--- a/internal/testkit/scripted_discovery.go
+++ b/internal/testkit/scripted_discovery.go
@@ -35,6 +35,7 @@
 	return scripted
 }
 
+// writeScripted writes one of the Responses of a ScriptedDiscovery.
 func writeScripted(w http.ResponseWriter, r *http.Request, text string) {
 	switch text {
 	case ResponseReset:
--- a/internal/upstream/call_state.go
+++ b/internal/upstream/call_state.go
@@ -33,6 +33,7 @@
 // started or was revoked before.
 func (s *atomicCallState) revoke() bool { return s.leaveWaiting(callRevoked) }
 
+// leaveWaiting changes the state from callWaiting to next. It returns false in any other state.
 func (s *atomicCallState) leaveWaiting(next callState) bool {
 	return s.value.CompareAndSwap(int32(callWaiting), int32(next))
 }
--- a/internal/upstream/dial_test.go
+++ b/internal/upstream/dial_test.go
@@ -42,6 +42,7 @@
 		time.Sleep(connecting)
 		return dialer.DialContext(ctx, network, address)
 	}
+
 	result := pool.Send(NewCall(t.Context(), connected), id, anyRequest(), time.Now().Add(timeout))
 	if result.Status != policy.OK {
 		t.Fatalf("status %v", result.Status)
@@ -53,19 +54,21 @@
 	}
 }
 
-// Nothing is written for a client whose time is over as the connection comes up.
+// Nothing is written if the client's deadline has passed when the connection is established.
 func TestRequestIsNotWrittenAfterTheDeadline(t *testing.T) {
 	backend := testkit.NewBackend(t, testkit.OK)
 	pool, id := poolTo(poolConfig(), backend.Address())
 	call := NewCall(t.Context(), connected)
+
 	result := pool.Send(call, id, anyRequest(), time.Now())
+
 	if result.Status != policy.NotSent || call.Started() || len(backend.Requests) > 0 {
 		t.Errorf("status %v, started %v, %d requests received", result.Status, call.Started(), len(backend.Requests))
 	}
 }
 
-// The client is checked after the last reading of the clock. The process may be paused between
-// that and a write, for longer than an attempt may begin after its client has disconnected.
+// The client is checked after the clock is read for the last time. The process may be paused
+// there, and an attempt must not begin long after its client has disconnected.
 func TestClientIsCheckedAfterTheWriteDeadline(t *testing.T) {
 	call := NewCall(t.Context(), func() bool {
 		t.Error("the client was checked although the deadline has passed")
--- a/internal/upstream/endpoints_test.go
+++ b/internal/upstream/endpoints_test.go
@@ -36,7 +36,9 @@
 			if revoked := pool.UpdateEndpoints(policy.UpdateSnapshot, []endpoint.Endpoint{known}); !revoked.Contains(known.ID) {
 				t.Error("a new server is not in the set")
 			}
+
 			revoked := pool.UpdateEndpoints(c.kind, c.endpoints)
+
 			if got := revoked.Contains(known.ID); got != c.revoked {
 				t.Errorf("revoked %v, want %v", got, c.revoked)
 			}
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -164,6 +164,7 @@
 	target.idle = append(target.idle, conn)
 }
 
+// closeLocked closes a connection that counts as open and frees its capacity.
 func (p *Pool) closeLocked(conn *connection) {
 	p.open--
 	conn.abort()
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -48,7 +48,9 @@
 	pool, id := poolTo(poolConfig(), server.Address)
 	pool.maxIdle = 20 * time.Millisecond
 	go pool.RetireIdle(t.Context())
+
 	send(t.Context(), pool, id, anyRequest())
+
 	testkit.Wait(t, server.Conns, "a connection")
 	testkit.Until(t, "the idle connection to be closed", func() bool { return pool.Stats().Open == 0 })
 }
@@ -60,6 +62,7 @@
 	config.MaxOpen = 1
 	pool, id := poolTo(config, backend.Address())
 	pool.open = 1 // in use
+
 	expectStatus(t, pool, id, policy.NotSent)
 }
 
@@ -90,6 +93,7 @@
 	}
 }
 
+// testSettleDelay checks that a connection is not reused before afterResponse shows on it.
 func testSettleDelay(t *testing.T, afterResponse func(conn net.Conn)) {
 	t.Helper()
 	served := make(chan struct{}, 10)
@@ -110,11 +114,14 @@
 			t.Errorf("status %v, body %q", result.Status, result.Body)
 		}
 	}
+
 	expectServed()
 	expectServed() // on a new connection: the first has not settled
+
 	testkit.Wait(t, served, "the end of the first handler")
 	testkit.Wait(t, served, "the end of the second handler")
 	pool.config.SettleDelay = 0
+
 	expectServed()         // on a new connection: both have settled and are not quiet
 	expectOpen(t, pool, 1) // the last one
 }
--- a/internal/upstream/send.go
+++ b/internal/upstream/send.go
@@ -52,7 +52,7 @@
 	writeDeadline := call.writeDeadlineOrZero()
 	conn.limitWrite(writeDeadline)
 	if err := call.start(); err != nil {
-		conn.reusable = stopAbort()
+		conn.reusable = stopAbort() // false: the call was cancelled, and the connection is closed
 		p.release(conn)
 		return Result{Status: policy.NotSent, ClientDisconnected: errors.Is(err, errClientDisconnected)}
 	}
--- a/internal/upstream/send_test.go
+++ b/internal/upstream/send_test.go
@@ -15,13 +15,14 @@
 	"calicohinge/policy"
 )
 
-// A request whose final response was sent while an attempt still waited for its
-// connection must not be written any more.
+// While an attempt waits for its connection, the request may get its final response from
+// another one. The attempt must not be written any more.
 func TestRevokedCallIsNotSent(t *testing.T) {
 	backend := testkit.NewBackend(t, testkit.OK)
 	pool, id := poolTo(poolConfig(), backend.Address())
 	call := NewCall(t.Context(), connected)
 	call.Revoke()
+
 	if result := pool.Send(call, id, anyRequest(), clientDeadline()); result.Status != policy.NotSent {
 		t.Errorf("status %v", result.Status)
 	}
@@ -35,7 +36,9 @@
 	backend := testkit.NewBackend(t, testkit.OK)
 	pool, id := poolTo(poolConfig(), backend.Address())
 	call := NewCall(t.Context(), func() bool { return true })
+
 	result := pool.Send(call, id, anyRequest(), clientDeadline())
+
 	if result.Status != policy.NotSent || !result.ClientDisconnected {
 		t.Errorf("status %v, client disconnected %v", result.Status, result.ClientDisconnected)
 	}
@@ -79,9 +82,8 @@
 	expectStatus(t, pool, id, policy.ConnectFailed)
 }
 
-// A server reads a long request so slowly that its last byte would be written
-// after the write deadline: it never gets that byte, and so does not begin the
-// request.
+// A server reads a long request so slowly that its last byte would be written after the
+// write deadline. The server never gets that byte, and so does not begin the request.
 func TestRequestIsNotCompletedPastTheWriteDeadline(t *testing.T) {
 	t.Parallel()
 	listener := listenWithSmallBuffers(t)
