--- a/internal/balancertest/build.go
+++ b/internal/balancertest/build.go
@@ -11,7 +11,7 @@
 	"strings"
 	"testing"
 
-	_ "embed" // of the source that steps the wall clock
+	_ "embed" // of the sources that are added to the program
 )
 
 // programPackage is the package of the program under test.
@@ -35,17 +35,27 @@
 //go:embed testdata/wallclock/step.go
 var stepSource []byte
 
-// BuildSteppable builds the program with a wall clock that a WallClock steps without privileges. The
-// monotonic clock and the program's own sources stay as they are: package time is replaced by a copy whose
-// Now adds an offset, and stepSource is added.
-func BuildSteppable(tb testing.TB) string {
+// pauseSource is a source file that makes the program report how long the system has paused it.
+//
+//go:embed testdata/pauses/report.go
+var pauseSource []byte
+
+// BuildInstrumented builds the program with a wall clock that a WallClock steps without privileges, and with
+// a report of each long pause of the process. The monotonic clock and the program's own sources stay as they
+// are: package time is replaced by a copy whose Now adds an offset, and stepSource and pauseSource are added.
+func BuildInstrumented(tb testing.TB) string {
 	tb.Helper()
 	dir := tb.TempDir()
 	originalTime := filepath.Join(goOutput(tb, "env", "GOROOT"), "src", "time", "time.go")
 	steppableTime := writeFile(tb, filepath.Join(dir, "time.go"), steppableTimeSource(tb, originalTime))
 	step := writeFile(tb, filepath.Join(dir, "step.go"), stepSource)
-	added := filepath.Join(goOutput(tb, "list", "-f", "{{.Dir}}", programPackage), "wall_clock_step.go")
-	overlay, err := json.Marshal(map[string]any{"Replace": map[string]string{originalTime: steppableTime, added: step}})
+	pauses := writeFile(tb, filepath.Join(dir, "pauses.go"), pauseSource)
+	program := goOutput(tb, "list", "-f", "{{.Dir}}", programPackage)
+	overlay, err := json.Marshal(map[string]any{"Replace": map[string]string{
+		originalTime: steppableTime,
+		filepath.Join(program, "wall_clock_step.go"): step,
+		filepath.Join(program, "pauses.go"):          pauses,
+	}})
 	if err != nil {
 		tb.Fatal(err)
 	}
--- a/internal/balancertest/testdata/wallclock/step.go
+++ b/internal/balancertest/testdata/wallclock/step.go
@@ -1,4 +1,4 @@
-// This file is built into the program under test only, by buildSteppableProgram. It steps the wall clock of
+// This file is built into the program under test only, by BuildInstrumented. It steps the wall clock of
 // the process: at its start, and at each SIGUSR1.
 package main
 
--- a/internal/balancertest/wall_clock.go
+++ b/internal/balancertest/wall_clock.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// WallClock steps the wall clock of one process of a program that BuildSteppable has built.
+// WallClock steps the wall clock of one process of a program that BuildInstrumented has built.
 type WallClock struct{ path string }
 
 // NewWallClock returns a clock that is ahead by some time when its process starts.
--- a/internal/soak/check/check_test.go
+++ b/internal/soak/check/check_test.go
@@ -84,6 +84,18 @@
 		"with more time than is left": {func(r *run) {
 			r.request(scenario.EffectPure, r.attempt(r.server, 1200*time.Millisecond)).Timeout = 2 * time.Second
 		}, "deadline"},
+		"with more time than is left, by a pause of the node": {func(r *run) {
+			r.node.Logged("paused for 210ms")
+			r.request(scenario.EffectPure, r.attempt(r.server, 200*time.Millisecond)).Timeout = time.Second
+		}, ""},
+		"with more time than is left, by more than a pause of the node": {func(r *run) {
+			r.node.Logged("paused for 190ms")
+			r.request(scenario.EffectPure, r.attempt(r.server, 200*time.Millisecond)).Timeout = time.Second
+		}, "deadline"},
+		"with more time than is left, long after a pause of the node": {func(r *run) {
+			r.node.Logged("paused for 210ms")
+			r.request(scenario.EffectPure, r.attempt(r.server, time.Second)).Timeout = 1800 * time.Millisecond
+		}, "deadline"},
 		"just after a disconnection": {func(r *run) {
 			r.request(scenario.EffectPure, r.attempt(r.server, time.Second)).DisconnectedAt = r.began.Add(950 * time.Millisecond)
 		}, ""},
--- a/internal/soak/history/incarnation.go
+++ b/internal/soak/history/incarnation.go
@@ -17,8 +17,14 @@
 	reloads      []time.Time // SIGHUPs
 	terminatedAt time.Time   // SIGTERM; zero: not yet
 	log          []string
+
+	pauses lagSeries // that the process has reported
 }
 
+// pauseReport precedes the length of a pause in the log of a process that balancertest.BuildInstrumented has
+// built.
+const pauseReport = "paused for "
+
 // delivery is an endpoint list that the discovery service wrote to a node.
 type delivery struct {
 	generation uint64
@@ -55,11 +61,20 @@
 
 // Logged records a line of the process's log.
 func (i *Incarnation) Logged(line string) {
+	if text, ok := strings.CutPrefix(line, pauseReport); ok {
+		if pause, err := time.ParseDuration(text); err == nil {
+			i.pauses.add(pause)
+		}
+	}
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.log = append(i.log, line)
 }
 
+// PauseAround returns the longest time around a time for which the system kept the process from running, as the
+// process has reported it.
+func (i *Incarnation) PauseAround(at time.Time) time.Duration { return i.pauses.Around(at) }
+
 // LastLines returns the end of the process's log.
 func (i *Incarnation) LastLines(count int) string {
 	i.mu.Lock()
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -20,7 +20,7 @@
 	"calicohinge/internal/testkit"
 )
 
-// Run runs the scenario of a seed on a program that balancertest.BuildSteppable has built, and fails the
+// Run runs the scenario of a seed on a program that balancertest.BuildInstrumented has built, and fails the
 // test for each rule that was broken.
 func Run(t *testing.T, program string, seed uint64) {
 	t.Helper()
