--- a/internal/soak/check/attempts.go
+++ b/internal/soak/check/attempts.go
@@ -45,7 +45,7 @@
 		return
 	}
 	notified := discovery.NotifiedAt(request.Incarnation, generation)
-	late := attempt.At.Sub(notified) - c.Settings.DrainGrace - ruleSlack - allowedPause(request, attempt)
+	late := attempt.At.Sub(notified) - c.Settings.DrainGrace - ruleSlack - pauseSlack
 	if late > c.lag(attempt.At) {
 		c.violate("drain", attempt.At, request, "sent to %s %v after the notification of generation %d at %v, grace %v",
 			attempt.Server.ID, attempt.At.Sub(notified), generation, notified.Sub(c.History.Began()), c.Settings.DrainGrace)
