--- a/internal/downstream/accept_pause.go
+++ b/internal/downstream/accept_pause.go
@@ -6,9 +6,9 @@
 	// minAcceptPause is the shortest time without an accept that counts as a pause. It is
 	// far below the accuracy that deadlines need.
 	minAcceptPause = time.Millisecond
-	// acceptPauseEffect is how long after a pause an accepted connection may still be one
+	// backlogClearTime is how long after a pause an accepted connection may still be one
 	// that the pause has delayed.
-	acceptPauseEffect = 100 * time.Millisecond
+	backlogClearTime = 100 * time.Millisecond
 )
 
 // acceptPause is the latest time in which a listener accepted no connection: accept failed,
@@ -22,7 +22,7 @@
 // begin records that nothing is accepted from now on. A pause that begins soon after another
 // continues that one.
 func (p *acceptPause) begin(now time.Time) {
-	if p.began.IsZero() || !p.delays(now) {
+	if p.began.IsZero() || !p.mayHaveDelayed(now) {
 		p.began = now
 	}
 	p.ended = time.Time{}
@@ -38,15 +38,15 @@
 // reset records that no delayed connection is left in the accept queue.
 func (p *acceptPause) reset() { *p = acceptPause{} }
 
-// delays reports whether a connection that is accepted now may have been delayed.
-func (p *acceptPause) delays(now time.Time) bool {
-	return !p.began.IsZero() && (p.ended.IsZero() || now.Sub(p.ended) < acceptPauseEffect)
+// mayHaveDelayed reports whether a connection that is accepted now may have been delayed.
+func (p *acceptPause) mayHaveDelayed(now time.Time) bool {
+	return !p.began.IsZero() && (p.ended.IsZero() || now.Sub(p.ended) < backlogClearTime)
 }
 
 // maxDelay returns the longest time for which a connection that is accepted now may have been
 // delayed.
 func (p *acceptPause) maxDelay(now time.Time) time.Duration {
-	if !p.delays(now) {
+	if !p.mayHaveDelayed(now) {
 		return 0
 	}
 	return now.Sub(p.began)
--- a/internal/downstream/accept_pause_test.go
+++ b/internal/downstream/accept_pause_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestPauseDelaysConnectionsForItsTimeAndSoonAfter(t *testing.T) {
+func TestAcceptPauseDelaysConnections(t *testing.T) {
 	const ms = time.Millisecond
 	at := func(after time.Duration) time.Time { return time.Unix(1000, 0).Add(after) }
 	var pause acceptPause
@@ -22,8 +22,8 @@
 	pause.end(at(50 * ms))
 	pause.end(at(60 * ms)) // another success
 	expect(50*ms, 50*ms)
-	expect(50*ms+acceptPauseEffect-ms, 50*ms+acceptPauseEffect-ms)
-	expect(50*ms+acceptPauseEffect, 0)
+	expect(50*ms+backlogClearTime-ms, 50*ms+backlogClearTime-ms)
+	expect(50*ms+backlogClearTime, 0)
 	pause.begin(at(time.Second))
 	pause.end(at(time.Second + 10*ms))
 	pause.begin(at(time.Second + 20*ms)) // soon after the other
--- a/internal/downstream/accept_queue.go
+++ b/internal/downstream/accept_queue.go
@@ -26,10 +26,10 @@
 	})
 }
 
-// acceptQueue accepts all connections in the accept queue of a listening socket. When the queue
+// acceptAllQueued accepts all connections in the accept queue of a listening socket. When the queue
 // is empty it ends the listening at once. A connection that is established between the two is
 // reset; dropHandshakes prevents that. After an error the socket still listens.
-func acceptQueue(raw syscall.RawConn) ([]int, error) {
+func acceptAllQueued(raw syscall.RawConn) ([]int, error) {
 	var descriptors []int
 	err := control(raw, func(fd int) error {
 		for {
--- a/internal/downstream/admission_test.go
+++ b/internal/downstream/admission_test.go
@@ -30,7 +30,7 @@
 	waiting := dial(t, listener)
 	send(t, waiting, "GET")
 	accepted := acceptInBackground(t, listener)
-	testkit.Until(t, "the connection beyond the reserve to wait", conns.isAwaited)
+	testkit.Until(t, "the connection beyond the reserve to wait", conns.hasWaiters)
 	if sockstate.Peek(waiting) != sockstate.Quiet || conns.Open() != 2 {
 		t.Errorf("the client sees its connection as %v, %d are open", sockstate.Peek(waiting), conns.Open())
 	}
@@ -49,8 +49,8 @@
 	dial(t, listener)
 	accept(t, listener).RequestComplete()
 	waiting := dial(t, listener)
-	accepted := startAccept(listener)
-	testkit.Until(t, "the connection beyond the reserve to wait", conns.isAwaited)
+	accepted := acceptErrInBackground(listener)
+	testkit.Until(t, "the connection beyond the reserve to wait", conns.hasWaiters)
 
 	if err := listener.Close(); err != nil {
 		t.Fatal(err)
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestListenerCloseEndsWaitOfAdmission(t *testing.T) {
+func TestListenerCloseEndsAwaitCapacity(t *testing.T) {
 	conns := newTestConns(1)
 	if err := listen(t, conns).Close(); err != nil {
 		t.Fatal(err)
--- a/internal/downstream/changes.go
+++ b/internal/downstream/changes.go
@@ -2,8 +2,8 @@
 
 import "context"
 
-// notify wakes all that wait for a change. The caller holds cs.mu.
-func (cs *Conns) notify() {
+// wakeWaiters wakes all that wait for a change. The caller holds cs.mu.
+func (cs *Conns) wakeWaiters() {
 	if cs.changed != nil {
 		close(cs.changed)
 		cs.changed = nil
@@ -19,9 +19,9 @@
 	return cs.changed
 }
 
-// check reports whether a condition holds, which it checks under cs.mu. The channel is
+// checkCondition reports whether a condition holds, which it checks under cs.mu. The channel is
 // closed at the next change after that.
-func (cs *Conns) check(condition func() bool) (bool, <-chan struct{}) {
+func (cs *Conns) checkCondition(condition func() bool) (bool, <-chan struct{}) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	return condition(), cs.nextChange()
--- a/internal/downstream/conn.go
+++ b/internal/downstream/conn.go
@@ -17,13 +17,13 @@
 	overLimit bool // set at its admission
 
 	// The fields below are guarded by conns.mu.
-	state      connState
-	since      time.Time     // when it was put at the end of its queue
-	element    *list.Element // in the queue of its state; nil if the state has none
-	readAhead  []byte        // received while a request was active, not yet returned by Read
-	readErr    error         // the error that ended reading
-	queueTime  time.Duration // see QueueTime
-	readBlocks bool          // Read has returned all that arrived of a request, and waits for more
+	state        connState
+	graceStart   time.Time     // when it was put at the end of its queue
+	queueElement *list.Element // in the queue of its state; nil if the state has none
+	readAhead    []byte        // received while a request was active, not yet returned by Read
+	readErr      error         // the error that ended reading
+	queueTime    time.Duration // see QueueTime
+	readBlocked  bool          // Read has returned all that arrived of a request, and waits for more
 }
 
 // newConn returns a connection that is not admitted yet, or a *connError.
--- a/internal/downstream/conn_queue.go
+++ b/internal/downstream/conn_queue.go
@@ -33,12 +33,12 @@
 }
 
 // add puts c at the end of the queue.
-func (q *connQueue) add(c *Conn) { c.element = q.conns.PushBack(c) }
+func (q *connQueue) add(c *Conn) { c.queueElement = q.conns.PushBack(c) }
 
 // remove takes c out of the queue that it is in.
 func (q *connQueue) remove(c *Conn) {
-	q.conns.Remove(c.element)
-	c.element = nil
+	q.conns.Remove(c.queueElement)
+	c.queueElement = nil
 }
 
 // queue returns the queue of the connections that are in a state; nil if the state has
--- a/internal/downstream/conn_read.go
+++ b/internal/downstream/conn_read.go
@@ -45,7 +45,7 @@
 func (c *Conn) resumeForRequest(waitErr error) bool {
 	c.conns.mu.Lock()
 	defer c.conns.mu.Unlock()
-	c.readBlocks = false
+	c.readBlocked = false
 	timedOutIdle := errors.Is(waitErr, os.ErrDeadlineExceeded) && c.state.awaitsRequest()
 	if !timedOutIdle || !c.hasUnreadBytes() {
 		return false
@@ -59,7 +59,7 @@
 func (c *Conn) receive(fd int, p []byte) (int, error) {
 	c.conns.mu.Lock()
 	defer c.conns.mu.Unlock()
-	c.readBlocks = false
+	c.readBlocked = false
 	switch {
 	case c.state == stateClosed:
 		return 0, errClosed
@@ -71,8 +71,8 @@
 		c.conns.beginRequest(c)
 	}
 	if n == 0 && err == nil {
-		c.readBlocks = true
-		c.conns.notify()
+		c.readBlocked = true
+		c.conns.wakeWaiters()
 	}
 	return n, err
 }
--- a/internal/downstream/conn_state.go
+++ b/internal/downstream/conn_state.go
@@ -144,7 +144,7 @@
 // setState puts c into a state, at the end of that state's queue, and wakes those that
 // wait for a change. The caller holds cs.mu.
 func (cs *Conns) setState(c *Conn, next connState) {
-	if c.element != nil {
+	if c.queueElement != nil {
 		cs.queue(c.state).remove(c)
 	}
 	if c.state == stateActive {
@@ -153,9 +153,9 @@
 	if next == stateActive {
 		cs.active++
 	}
-	c.state, c.since = next, time.Now()
+	c.state, c.graceStart = next, time.Now()
 	if queue := cs.queue(next); queue != nil {
 		queue.add(c)
 	}
-	cs.notify()
+	cs.wakeWaiters()
 }
--- a/internal/downstream/conn_test.go
+++ b/internal/downstream/conn_test.go
@@ -16,7 +16,7 @@
 func TestReadAfterConcurrentCloseReturnsNothing(t *testing.T) {
 	conns := newTestConns(1)
 	client, c := acceptConn(t, conns)
-	underLock(conns, func() { c.state = stateClosed }) // as by a concurrent caller of Conns.markClosed
+	withLock(conns, func() { c.state = stateClosed }) // as by a concurrent caller of Conns.markClosed
 
 	send(t, client, "GET")
 
@@ -35,7 +35,7 @@
 // expireRead starts a read of c and sets a deadline that has passed. The deadline stays set.
 func expireRead(t *testing.T, c *Conn) {
 	t.Helper()
-	ended := startRead(c)
+	ended := readErrInBackground(c)
 	setReadDeadline(t, c, time.Unix(1, 0))
 	if err := testkit.Wait(t, ended, "the reader"); !testkit.IsTimeout(err) {
 		t.Fatalf("reading ended with %v", err)
@@ -47,7 +47,7 @@
 func TestReadAfterDeadlineLeavesBytesUnread(t *testing.T) {
 	conns := newTestConns(5)
 	client, c := acceptConn(t, conns)
-	underLock(conns, func() { conns.beginRequest(c) })
+	withLock(conns, func() { conns.beginRequest(c) })
 	expireRead(t, c)
 	sendUnread(t, client, c, "GET")
 	n, err := c.Read(make([]byte, 10))
@@ -66,7 +66,7 @@
 		expireRead(t, c)
 		sendUnread(t, client, c, "GET")
 		expectRead(t, c, "GET")
-		if err := testkit.Wait(t, startRead(c), "the read timeout"); !testkit.IsTimeout(err) {
+		if err := testkit.Wait(t, readErrInBackground(c), "the read timeout"); !testkit.IsTimeout(err) {
 			t.Errorf("reading the rest ended with %v", err)
 		}
 	})
@@ -84,7 +84,7 @@
 	if n, err := c.Read(make([]byte, 10)); n != 1 || err != nil {
 		t.Fatalf("read %d bytes, %v", n, err)
 	}
-	if err := testkit.Wait(t, startRead(c), "the read timeout"); !testkit.IsTimeout(err) {
+	if err := testkit.Wait(t, readErrInBackground(c), "the read timeout"); !testkit.IsTimeout(err) {
 		t.Errorf("reading ended with %v", err)
 	}
 }
--- a/internal/downstream/disconnect_test.go
+++ b/internal/downstream/disconnect_test.go
@@ -15,10 +15,10 @@
 	makeIdle(conns, c)
 	send(t, client, "GET")
 	closeClient(t, client)
-	waitForState(t, c, sockstate.Readable)
+	waitForSocketState(t, c, sockstate.Readable)
 	expectRead(t, c, "GET")
 	c.RequestComplete()
-	waitForState(t, c, sockstate.Closed)
+	waitForSocketState(t, c, sockstate.Closed)
 	if !c.ClientDisconnected() {
 		t.Error("the disconnect is not noticed")
 	}
@@ -59,7 +59,7 @@
 	c.RequestComplete()
 	conns.Shutdown(canceledContext())
 	closeClient(t, client)
-	waitForState(t, c, sockstate.Closed)
+	waitForSocketState(t, c, sockstate.Closed)
 	if !c.ClientDisconnected() {
 		t.Error("the disconnect is not noticed")
 	}
--- a/internal/downstream/drain.go
+++ b/internal/downstream/drain.go
@@ -19,7 +19,7 @@
 	cs.advanceTo(stageDraining)
 	cs.closeEach(cs.takeIdle)
 	for {
-		done, changed := cs.check(cs.isEmpty)
+		done, changed := cs.checkCondition(cs.isEmpty)
 		if done || !awaitChange(ctx, changed) {
 			return
 		}
@@ -35,7 +35,7 @@
 	cs.advanceTo(stageClosing)
 	for {
 		cs.closeEach(cs.takeWithoutRequest)
-		done, changed := cs.check(cs.allResponsesComplete)
+		done, changed := cs.checkCondition(cs.allResponsesComplete)
 		if done || !awaitChange(ctx, changed) {
 			return
 		}
@@ -104,6 +104,6 @@
 // not active. net/http may have read a part of one: if Read blocks, it waits for the rest.
 // The caller holds conns.mu.
 func (c *Conn) hasNoRequest() bool {
-	incomplete := c.state.awaitsRequest() || c.readBlocks
+	incomplete := c.state.awaitsRequest() || c.readBlocked
 	return incomplete && len(c.readAhead) == 0 && !c.hasUnreadBytes()
 }
--- a/internal/downstream/drain_test.go
+++ b/internal/downstream/drain_test.go
@@ -112,7 +112,7 @@
 	if c.Closed() {
 		t.Fatal("a request that may be complete was dropped")
 	}
-	ended := startRead(c) // as net/http does if the request is incomplete
+	ended := readErrInBackground(c) // as net/http does if the request is incomplete
 	conns.Shutdown(t.Context())
 	if err := testkit.Wait(t, ended, "the reader"); err == nil || !c.Closed() {
 		t.Errorf("reading ended with %v, closed %v", err, c.Closed())
@@ -133,13 +133,13 @@
 		conns.Shutdown(context.WithoutCancel(t.Context()))
 		close(returned)
 	}()
-	testkit.Until(t, "Shutdown to wait", conns.isAwaited)
+	testkit.Until(t, "Shutdown to wait", conns.hasWaiters)
 	select {
 	case <-returned:
 		t.Fatal("Shutdown returned before the response")
 	default:
 	}
-	underLock(conns, func() { conns.beginLingering(c) })
+	withLock(conns, func() { conns.beginLingering(c) })
 	testkit.Wait(t, returned, "Shutdown to return")
 	if c.Closed() {
 		t.Error("closed before the client has read the response")
--- a/internal/downstream/eviction.go
+++ b/internal/downstream/eviction.go
@@ -32,7 +32,7 @@
 func (cs *Conns) evictionCandidate(now time.Time) (*Conn, time.Duration) {
 	var candidate *Conn
 	var wait time.Duration
-	for _, class := range []struct {
+	for _, kind := range []struct {
 		queue       *connQueue
 		gracePeriod time.Duration
 	}{
@@ -41,11 +41,11 @@
 		{&cs.partial, partialGracePeriod},
 		{&cs.lingering, lingerGracePeriod},
 	} {
-		oldest := class.queue.oldest()
+		oldest := kind.queue.oldest()
 		if oldest == nil {
 			continue
 		}
-		remaining := class.gracePeriod - now.Sub(oldest.since)
+		remaining := kind.gracePeriod - now.Sub(oldest.graceStart)
 		if candidate == nil || remaining < wait {
 			candidate, wait = oldest, remaining
 		}
@@ -61,7 +61,7 @@
 // In each queue it stops at the first connection that stays there. The caller holds cs.mu.
 func (cs *Conns) beginUnreadRequests(now time.Time) {
 	for c := cs.noData.oldest(); c != nil; c = cs.noData.oldest() {
-		if now.Sub(c.since) < noDataGracePeriod || sockstate.Peek(c.Conn) == sockstate.Quiet {
+		if now.Sub(c.graceStart) < noDataGracePeriod || sockstate.Peek(c.Conn) == sockstate.Quiet {
 			break
 		}
 		cs.beginRequest(c)
--- a/internal/downstream/helpers_test.go
+++ b/internal/downstream/helpers_test.go
@@ -81,8 +81,8 @@
 	return accepted
 }
 
-// startAccept accepts a connection in the background and sends the error to the channel.
-func startAccept(listener net.Listener) <-chan error {
+// acceptErrInBackground accepts a connection in the background and sends the error to the channel.
+func acceptErrInBackground(listener net.Listener) <-chan error {
 	ended := make(chan error, 1)
 	go func() {
 		_, err := listener.Accept()
@@ -108,15 +108,15 @@
 	}
 }
 
-// underLock calls a function that needs the lock of the set.
-func underLock(conns *Conns, call func()) {
+// withLock calls a function that needs the lock of the set.
+func withLock(conns *Conns, call func()) {
 	conns.mu.Lock()
 	defer conns.mu.Unlock()
 	call()
 }
 
-// isAwaited reports whether somebody waits for a change of the set's connections.
-func (cs *Conns) isAwaited() bool {
+// hasWaiters reports whether somebody waits for a change of the set's connections.
+func (cs *Conns) hasWaiters() bool {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	return cs.changed != nil
@@ -137,10 +137,10 @@
 }
 
 // sendUnread writes text to the client's end and waits until it has arrived at node.
-func sendUnread(t *testing.T, client net.Conn, node *Conn, text string) {
+func sendUnread(t *testing.T, client net.Conn, c *Conn, text string) {
 	t.Helper()
 	send(t, client, text)
-	waitForState(t, node, sockstate.Readable)
+	waitForSocketState(t, c, sockstate.Readable)
 }
 
 // closeClient closes the client's end of a connection.
@@ -151,8 +151,8 @@
 	}
 }
 
-// waitForState waits until the socket of c shows a state.
-func waitForState(t *testing.T, c *Conn, want sockstate.State) {
+// waitForSocketState waits until the socket of c shows a state.
+func waitForSocketState(t *testing.T, c *Conn, want sockstate.State) {
 	t.Helper()
 	testkit.Until(t, "the connection to be "+want.String(), func() bool { return sockstate.Peek(c.Conn) == want })
 }
@@ -165,9 +165,9 @@
 	}
 }
 
-// startRead reads from c in the background and sends the error when Read returns.
+// readErrInBackground reads from c in the background and sends the error when Read returns.
 // Closing c ends it.
-func startRead(c *Conn) <-chan error {
+func readErrInBackground(c *Conn) <-chan error {
 	ended := make(chan error, 1)
 	go func() {
 		_, err := c.Read(make([]byte, 10))
--- a/internal/downstream/listener.go
+++ b/internal/downstream/listener.go
@@ -28,9 +28,9 @@
 	queued   chan net.Conn // connections that it took from the queue; closed with the last
 
 	// Only Accept uses the fields below; net/http calls it from one goroutine.
-	failures int       // of accept that are not logged yet
-	loggedAt time.Time // the last log line about them
-	pause    acceptPause
+	unloggedFailures int       // of accept that are not logged yet
+	lastLogged       time.Time // the last log line about them
+	pause            acceptPause
 }
 
 // Listener returns a listener whose connections are admitted to the set. A set has one
@@ -54,9 +54,9 @@
 		case !temporaryAcceptError(err):
 			return nil, err
 		}
-		l.logFailure(err)
+		l.logAcceptFailure(err)
 		l.pause.begin(time.Now())
-		if !l.wait(backoff) {
+		if !l.waitBackoff(backoff) {
 			return nil, net.ErrClosed
 		}
 		backoff = min(2*backoff, maxAcceptBackoff)
@@ -116,19 +116,19 @@
 	return true
 }
 
-// logFailure logs a failed accept and the number of failures since the last such line, at most
+// logAcceptFailure logs a failed accept and the number of failures since the last such line, at most
 // once in acceptLogInterval.
-func (l *Listener) logFailure(err error) {
-	l.failures++
-	if !l.loggedAt.IsZero() && time.Since(l.loggedAt) < acceptLogInterval {
+func (l *Listener) logAcceptFailure(err error) {
+	l.unloggedFailures++
+	if !l.lastLogged.IsZero() && time.Since(l.lastLogged) < acceptLogInterval {
 		return
 	}
-	slog.Warn("accept failed", "err", err, "failures", l.failures)
-	l.failures, l.loggedAt = 0, time.Now()
+	slog.Warn("accept failed", "err", err, "failures", l.unloggedFailures)
+	l.unloggedFailures, l.lastLogged = 0, time.Now()
 }
 
-// wait waits for a backoff. It returns false if the listener was closed.
-func (l *Listener) wait(d time.Duration) bool {
+// waitBackoff waits for a backoff. It returns false if the listener was closed.
+func (l *Listener) waitBackoff(d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/internal/downstream/listener_test.go
+++ b/internal/downstream/listener_test.go
@@ -50,7 +50,7 @@
 }
 
 // A descriptor that cannot be used, and the listener's close, end the accepting.
-func TestAcceptEndsWithLastingFailure(t *testing.T) {
+func TestAcceptEndsAfterPermanentFailure(t *testing.T) {
 	for _, want := range []error{
 		acceptError(syscall.EBADF), acceptError(syscall.EINVAL), acceptError(syscall.ENOTSOCK), net.ErrClosed,
 	} {
@@ -62,10 +62,10 @@
 }
 
 // Closing the listener ends the backoff after a failure.
-func TestCloseEndsTheBackoffAfterAFailure(t *testing.T) {
-	const endless = 1 << 30
-	listener := newTestConns(5).Listener(&failingListener{testkit.Listen(t), endless, acceptError(syscall.ENFILE)})
-	ended := startAccept(listener)
+func TestCloseEndsAcceptBackoff(t *testing.T) {
+	const unlimited = 1 << 30
+	listener := newTestConns(5).Listener(&failingListener{testkit.Listen(t), unlimited, acceptError(syscall.ENFILE)})
+	ended := acceptErrInBackground(listener)
 	if err := listener.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -76,10 +76,10 @@
 
 // Connections in the accept queue are returned, with what their clients sent.
 func TestStopAcceptingReturnsQueuedConnections(t *testing.T) {
-	const queued = 20
-	conns := newTestConns(queued)
+	const queuedConns = 20
+	conns := newTestConns(queuedConns)
 	listener := listen(t, conns)
-	for range queued {
+	for range queuedConns {
 		send(t, dial(t, listener), "GET")
 	}
 	stopped := make(chan struct{})
@@ -87,7 +87,7 @@
 		listener.StopAccepting(t.Context())
 		close(stopped)
 	}()
-	for range queued {
+	for range queuedConns {
 		expectRead(t, accept(t, listener), "GET")
 	}
 	if _, err := listener.Accept(); !errors.Is(err, net.ErrClosed) {
@@ -109,7 +109,7 @@
 
 // A client's first request may wait until accept succeeds after failures, and until its
 // connection is admitted. The connection reports the time of this wait.
-func TestQueueTimeCoversFailuresAndAdmission(t *testing.T) {
+func TestQueueTimeCoversAcceptFailuresAndAdmission(t *testing.T) {
 	const failures = 4
 	const backoff = minAcceptBackoff * (1<<failures - 1)
 	conns := newTestConns(1)
@@ -126,7 +126,7 @@
 	c.RequestComplete()
 	dial(t, listener)
 	accepted := acceptInBackground(t, listener)
-	testkit.Until(t, "the admission to wait", conns.isAwaited)
+	testkit.Until(t, "the admission to wait", conns.hasWaiters)
 	time.Sleep(backoff)
 	if err := c.Close(); err != nil {
 		t.Fatal(err)
--- a/internal/downstream/read_ahead.go
+++ b/internal/downstream/read_ahead.go
@@ -7,9 +7,9 @@
 	"syscall"
 )
 
-// readAheadChunk is how much is read at once while a request is active, in bytes.
+// readAheadChunkSize is how much is read at once while a request is active, in bytes.
 // Clients rarely send anything at that time.
-const readAheadChunk = 4096
+const readAheadChunkSize = 4096
 
 // errReadAheadFull is the read error of a client that sends too much without waiting for
 // its responses. The client counts as disconnected.
@@ -19,7 +19,7 @@
 // is empty, the buffer is full or reading fails. In the last two cases it sets c.readErr. The
 // caller holds conns.mu.
 func (c *Conn) fillReadAhead(fd int) {
-	var chunk [readAheadChunk]byte
+	var chunk [readAheadChunkSize]byte
 	for c.readErr == nil {
 		n, err := readNonBlocking(fd, chunk[:])
 		c.readAhead = append(c.readAhead, chunk[:n]...)
--- a/internal/downstream/read_ahead_test.go
+++ b/internal/downstream/read_ahead_test.go
@@ -27,7 +27,7 @@
 		_, _ = io.WriteString(client, strings.Repeat("x", 4*testMaxReadAhead))
 	}()
 	testkit.Until(t, "the read-ahead buffer to be full", c.ClientDisconnected)
-	if len(c.readAhead) > testMaxReadAhead+readAheadChunk {
+	if len(c.readAhead) > testMaxReadAhead+readAheadChunkSize {
 		t.Errorf("%d bytes are buffered", len(c.readAhead))
 	}
 }
--- a/internal/downstream/stop_accepting.go
+++ b/internal/downstream/stop_accepting.go
@@ -25,14 +25,14 @@
 		slog.Debug("cannot refuse connections ahead of the listener's close", "err", err)
 	}
 	for {
-		descriptors, err := acceptQueue(raw)
+		descriptors, err := acceptAllQueued(raw)
 		for _, descriptor := range descriptors {
 			l.enqueue(ctx, descriptor)
 		}
 		if err == nil || !temporaryAcceptError(err) || ctx.Err() != nil {
 			return
 		}
-		l.wait(minAcceptBackoff)
+		l.waitBackoff(minAcceptBackoff)
 	}
 }
 
@@ -42,7 +42,7 @@
 	file := os.NewFile(uintptr(descriptor), "accepted connection")
 	defer func() { _ = file.Close() }() // the connection has a copy, nothing is written here
 	netConn, err := net.FileConn(file)
-	for err != nil && syserror.IsShortage(err) && ctx.Err() == nil && l.wait(minAcceptBackoff) {
+	for err != nil && syserror.IsShortage(err) && ctx.Err() == nil && l.waitBackoff(minAcceptBackoff) {
 		netConn, err = net.FileConn(file)
 	}
 	if err != nil {
