--- a/internal/downstream/conns.go
+++ b/internal/downstream/conns.go
@@ -1,13 +1,13 @@
-// Package downstream owns the client connections of a node: how many are open,
-// which of them are evicted for new ones, when their sockets are read, and whether
-// a client has disconnected. It parses no request and decides about none; all it knows
-// of a request is where it begins and ends.
+// Package downstream manages the client connections of a node: it limits the number of open
+// connections, evicts connections to make room for new ones, controls when sockets are read, and
+// detects client disconnects. It does not parse requests or decide how they are handled; it only
+// tracks where each request begins and ends.
 //
-// Package node calls it. It serves HTTP on the Listener of a Conns, passes on net/http's
-// callback ConnState, calls Conn.RequestComplete once a request is read, and calls
-// Listener.StopAccepting, Conns.Drain and Conns.Shutdown at the node's end. In between each
-// Conn passes through the states of connState; Read, an eviction and a shutdown may
-// change a connection at any time, always under the lock of its Conns.
+// Package node serves HTTP on the Listener of a Conns, forwards net/http's ConnState callback,
+// calls Conn.RequestComplete when a request has been read, and calls Listener.StopAccepting,
+// Conns.Drain and Conns.Shutdown when the node shuts down. Each Conn moves through the states of
+// connState. Reads, evictions and the shutdown may change a connection at any time, always with
+// the lock of its Conns held.
 package downstream
 
 import (
@@ -17,41 +17,41 @@
 	"time"
 )
 
-// DefaultLingerTimeout is how long a client may take to close a connection after
-// its last response.
+// DefaultLingerTimeout is the time allowed for a client to close its connection after the last
+// response.
 const DefaultLingerTimeout = 500 * time.Millisecond
 
 // Config holds the limits of a set of connections.
 type Config struct {
-	// MaxOpen is the number of connections from which on a new one evicts another.
+	// MaxOpen is the number of open connections at which accepting a new one evicts another.
 	MaxOpen int
-	// Reserve is the number of connections accepted beyond MaxOpen while all others
-	// are active. Their requests are to be rejected, see Conn.OverLimit.
+	// Reserve is the number of connections accepted beyond MaxOpen while all open connections
+	// are active. Their requests must be rejected, see Conn.OverLimit.
 	Reserve int
-	// MaxReadAhead bounds what is buffered of a client that sends on while its
-	// request is active, in bytes. It has to hold one more request of the largest
-	// kind; a client that sends more is treated as disconnected.
+	// MaxReadAhead is the maximum number of bytes buffered for a client that keeps sending while
+	// its request is active. It must be large enough for one request of maximum size; a client
+	// that sends more is treated as disconnected.
 	MaxReadAhead int
-	// ReadTimeout is the time from the first to the last byte of a request.
+	// ReadTimeout is the time allowed between the first and the last byte of a request.
 	ReadTimeout time.Duration
-	// LingerTimeout bounds Conn.LingeringClose, see DefaultLingerTimeout.
+	// LingerTimeout is the longest time that Conn.LingeringClose waits, see DefaultLingerTimeout.
 	LingerTimeout time.Duration
 }
 
 // Conns is the set of a node's client connections. It is safe for concurrent use.
 type Conns struct {
 	config         Config
-	listenerClosed chan struct{} // closed with the listener
+	listenerClosed chan struct{} // closed when the listener is closed
 
 	mu        sync.Mutex
-	open      int       // connections that are admitted and not closed
-	active    int       // those in stateActive
-	noData    connQueue // those in stateNoData
-	partial   connQueue // those in stateReadingHead or stateReadingBody
-	idle      connQueue // those in stateIdle
-	lingering connQueue // those in stateLingering
+	open      int       // number of connections that are admitted and not closed
+	active    int       // number of connections in stateActive
+	noData    connQueue // connections in stateNoData
+	partial   connQueue // connections in stateReadingHead or stateReadingBody
+	idle      connQueue // connections in stateIdle
+	lingering connQueue // connections in stateLingering
 	stage     shutdownStage
-	changed   chan struct{} // closed at the next change; nil if nobody waits for it
+	changed   chan struct{} // closed at the next change of a connection; nil if there is no waiter
 
 	evicted, incomplete int // see Stats
 }
@@ -68,8 +68,8 @@
 	return cs.open
 }
 
-// ConnState is the callback for http.Server.ConnState. From it the set learns when
-// the head of a request has been read and when a response is complete.
+// ConnState is the callback for http.Server.ConnState, which reports when the head of a request
+// has been read and when a response is complete.
 func (cs *Conns) ConnState(netConn net.Conn, state http.ConnState) {
 	c, ok := netConn.(*Conn)
 	if !ok {
@@ -85,8 +85,8 @@
 		closed := cs.completeResponse(c)
 		cs.mu.Unlock()
 		if closed {
-			_ = c.Conn.Close() // net/http finds out when it reads
+			_ = c.Conn.Close() // net/http gets an error from its next read
 		}
-	case http.StateNew, http.StateClosed, http.StateHijacked: // the set does not need them
+	case http.StateNew, http.StateClosed, http.StateHijacked: // no effect on connState
 	}
 }
