--- a/internal/downstream/listener.go
+++ b/internal/downstream/listener.go
@@ -10,31 +10,31 @@
 
 const (
 	// minAcceptBackoff and maxAcceptBackoff bound the backoff after a failed accept, which
-	// doubles with each consecutive failure. A client waits for its response meanwhile, so that
-	// the longest backoff has to be short beside any deadline.
+	// doubles with each consecutive failure. Clients wait for their responses in the meantime, so
+	// the maximum must be short compared with any deadline.
 	minAcceptBackoff = time.Millisecond
 	maxAcceptBackoff = 20 * time.Millisecond
-	// acceptLogInterval is the shortest time between two log lines about failed accepts.
+	// acceptLogInterval is the minimum time between two log lines about failed accepts.
 	acceptLogInterval = time.Second
 )
 
-// Listener admits the connections that it accepts to a set; they are of type *Conn.
+// Listener admits the connections that it accepts to a Conns. Accept returns them as *Conn.
 type Listener struct {
 	inner     net.Listener
 	conns     *Conns
-	closeOnce sync.Once // guards the close of conns.listenerClosed
+	closeOnce sync.Once // guards closing conns.listenerClosed
 
 	stopping atomic.Bool   // StopAccepting was called
-	queued   chan net.Conn // connections that it took from the queue; closed with the last
+	queued   chan net.Conn // connections that StopAccepting took from the accept queue; closed after the last one
 
-	// Only Accept uses the fields below; net/http calls it from one goroutine.
-	unloggedFailures int       // of accept that are not logged yet
-	lastLogged       time.Time // the last log line about them
+	// The fields below are used by Accept only, which net/http calls from a single goroutine.
+	unloggedFailures int       // failed accepts since the last log line about them
+	lastLogged       time.Time // time of that log line
 	pause            acceptPause
 }
 
-// Listener returns a listener whose connections are admitted to the set. A set has one
-// listener; closing it also ends an admission that waits.
+// Listener returns a listener that admits its connections to the set. A set has one listener;
+// closing it also ends an admission that is waiting for capacity.
 func (cs *Conns) Listener(inner net.Listener) *Listener {
 	return &Listener{inner: inner, conns: cs, queued: make(chan net.Conn)}
 }
@@ -42,8 +42,8 @@
 // Addr implements net.Listener.
 func (l *Listener) Addr() net.Addr { return l.inner.Addr() }
 
-// Accept implements net.Listener. It retries after every temporary error, so that a shortage
-// of the system does not end the node.
+// Accept implements net.Listener. It retries after temporary errors, so that a shortage of system
+// resources does not terminate the node.
 func (l *Listener) Accept() (net.Conn, error) {
 	backoff := minAcceptBackoff
 	for {
@@ -63,8 +63,8 @@
 	}
 }
 
-// acceptOne accepts a connection and admits it. After StopAccepting it returns the connections
-// that were in the accept queue, then net.ErrClosed.
+// acceptOne accepts a connection and admits it. After StopAccepting has been called, it returns
+// the connections that were in the accept queue, then net.ErrClosed.
 func (l *Listener) acceptOne() (*Conn, error) {
 	netConn, err := l.acceptInner()
 	if err != nil && l.stopping.Load() {
@@ -79,18 +79,18 @@
 	}
 	c, err := newConn(netConn, l.conns)
 	if err != nil {
-		_ = netConn.Close() // nothing can be done about a failure
+		_ = netConn.Close() // the connection is unusable, a failed close is ignored
 		return nil, err
 	}
 	if !l.admit(c) {
-		_ = netConn.Close() // as above
+		_ = netConn.Close() // the listener is closed, a failed close is ignored
 		return nil, net.ErrClosed
 	}
 	return c, nil
 }
 
-// acceptInner accepts a connection. If it has to wait for one, the accept queue was empty, and
-// no connection in it is delayed any more.
+// acceptInner accepts a connection from the inner listener. If the accept blocked, the accept queue
+// was empty, so no connection that a pause has delayed is left in it.
 func (l *Listener) acceptInner() (net.Conn, error) {
 	calledAt := time.Now()
 	netConn, err := l.inner.Accept()
@@ -100,7 +100,8 @@
 	return netConn, err
 }
 
-// admit admits a connection that was accepted, and records how long it may have been delayed.
+// admit admits an accepted connection and records how long the connection may have been delayed. It
+// returns false if the listener was closed.
 func (l *Listener) admit(c *Conn) bool {
 	acceptedAt := time.Now()
 	l.pause.end(acceptedAt)
@@ -116,8 +117,8 @@
 	return true
 }
 
-// logAcceptFailure logs a failed accept and the number of failures since the last such line, at most
-// once in acceptLogInterval.
+// logAcceptFailure logs a failed accept and the number of failures since the previous such log line,
+// at most once per acceptLogInterval.
 func (l *Listener) logAcceptFailure(err error) {
 	l.unloggedFailures++
 	if !l.lastLogged.IsZero() && time.Since(l.lastLogged) < acceptLogInterval {
@@ -127,7 +128,7 @@
 	l.unloggedFailures, l.lastLogged = 0, time.Now()
 }
 
-// waitBackoff waits for a backoff. It returns false if the listener was closed.
+// waitBackoff waits for d. It returns false if the listener was closed in the meantime.
 func (l *Listener) waitBackoff(d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
