--- a/internal/downstream/conn.go
+++ b/internal/downstream/conn.go
@@ -9,24 +9,24 @@
 	"calicohinge/internal/sockstate"
 )
 
-// Conn is a client connection in a set. It implements net.Conn.
+// Conn is a client connection that belongs to a Conns. It implements net.Conn.
 type Conn struct {
 	net.Conn
 	raw       syscall.RawConn // of the embedded connection
 	conns     *Conns
-	overLimit bool // set at its admission
+	overLimit bool // see OverLimit; set on admission
 
 	// The fields below are guarded by conns.mu.
 	state        connState
-	graceStart   time.Time     // when it was put at the end of its queue
-	queueElement *list.Element // in the queue of its state; nil if the state has none
+	graceStart   time.Time     // start of the grace period: when c was added to the queue of its state
+	queueElement *list.Element // position in the queue of its state; nil if the state has no queue
 	readAhead    []byte        // received while a request was active, not yet returned by Read
-	readErr      error         // the error that ended reading
+	readErr      error         // the error after which nothing more is read
 	queueTime    time.Duration // see QueueTime
-	readBlocked  bool          // Read has returned all that arrived of a request, and waits for more
+	readBlocked  bool          // Read has returned all received bytes of a request and waits for more
 }
 
-// newConn returns a connection that is not admitted yet, or a *connError.
+// newConn returns a connection that is not admitted yet. Its error is a *connError.
 func newConn(netConn net.Conn, conns *Conns) (*Conn, error) {
 	raw, err := rawConn(netConn)
 	if err != nil {
@@ -35,46 +35,46 @@
 	return &Conn{Conn: netConn, raw: raw, conns: conns}, nil
 }
 
-// RequestComplete records that a request was read to its last byte. It is active
-// from now on, until ConnState is called with http.StateIdle.
+// RequestComplete records that the last byte of a request has been read. The request is active from
+// then on until Conns.ConnState is called with http.StateIdle.
 func (c *Conn) RequestComplete() {
 	c.conns.mu.Lock()
 	defer c.conns.mu.Unlock()
 	c.conns.completeRequest(c)
 }
 
-// OverLimit reports whether the connection was accepted from the reserve: its
-// request is to be rejected.
+// OverLimit reports whether the connection was accepted from the reserve, see Config.Reserve. Its
+// request must be rejected.
 func (c *Conn) OverLimit() bool { return c.overLimit }
 
-// QueueTime returns how long the present request may have waited for its connection to be
-// accepted and admitted, at most: 0 unless it is the first on the connection.
+// QueueTime returns the longest time that the current request may have waited for its connection to
+// be accepted and admitted. It is 0 unless the request is the first one on the connection.
 func (c *Conn) QueueTime() time.Duration {
 	c.conns.mu.Lock()
 	defer c.conns.mu.Unlock()
 	return c.queueTime
 }
 
-// setQueueTime sets what QueueTime returns for the first request.
+// setQueueTime sets the QueueTime of the first request.
 func (c *Conn) setQueueTime(d time.Duration) {
 	c.conns.mu.Lock()
 	defer c.conns.mu.Unlock()
 	c.queueTime = d
 }
 
-// Closed reports whether the connection has been closed by this node.
+// Closed reports whether this node has closed the connection.
 func (c *Conn) Closed() bool {
 	c.conns.mu.Lock()
 	defer c.conns.mu.Unlock()
 	return c.state == stateClosed
 }
 
-// Lingering reports whether LingeringClose was called.
+// Lingering reports whether LingeringClose was called and the connection is not closed yet.
 func (c *Conn) Lingering() bool {
 	c.conns.mu.Lock()
 	defer c.conns.mu.Unlock()
 	return c.state == stateLingering
 }
 
-// hasUnreadBytes reports whether bytes have arrived that nobody has read.
+// hasUnreadBytes reports whether the socket's receive buffer contains bytes.
 func (c *Conn) hasUnreadBytes() bool { return sockstate.Peek(c.Conn) == sockstate.Readable }
