--- a/internal/downstream/conn_state.go
+++ b/internal/downstream/conn_state.go
@@ -2,38 +2,37 @@
 
 import "time"
 
-// connState is what a connection is doing at the moment. Conns.mu guards it; the methods
-// of Conns in this file make every transition.
+// connState is the state of a connection. It is guarded by Conns.mu, and all transitions are made by
+// the methods of Conns in this file.
 //
 //	transition        from                  to           made when
-//	addConn           accepted              noData       Listener.Accept has admitted the connection
+//	addConn           accepted              noData       Listener.Accept admits the connection
 //	beginRequest      noData, idle          readingHead  bytes of a request have arrived
-//	completeHead      readingHead           readingBody  net/http has the head (Conns.ConnState, StateActive)
-//	completeRequest   any but closed        active       the request is complete (Conn.RequestComplete)
+//	completeHead      readingHead           readingBody  net/http has read the head (Conns.ConnState, StateActive)
+//	completeRequest   any but closed        active       the request has been read (Conn.RequestComplete)
 //	completeResponse  any but closed        idle         the response is complete (Conns.ConnState, StateIdle)
 //	                                        readingHead  the same, and bytes of the next request have arrived
 //	                                        closed       the same, in stageDraining or later
-//	beginLingering    any but closed        lingering    the last response is sent (Conn.LingeringClose)
-//	markClosed        any but closed        closed       net/http closes it (Conn.Close), or it is evicted,
-//	                                                     drained or shut down
+//	beginLingering    any but closed        lingering    the last response has been sent (Conn.LingeringClose)
+//	markClosed        any but closed        closed       net/http closes the connection (Conn.Close), or it is
+//	                                                     evicted, drained or shut down
 //
-// A connection usually passes through readingHead, readingBody, active and idle once for
-// each of its requests.
+// A connection usually passes through readingHead, readingBody, active and idle once per request.
 type connState int
 
 // The states of a connection.
 const (
-	stateAccepted    connState = iota // not admitted yet, and not counted
-	stateNoData                       // admitted; the client has sent no data yet
+	stateAccepted    connState = iota // not admitted yet and not counted in Conns.open
+	stateNoData                       // admitted; the client has not sent any data
 	stateReadingHead                  // the head of a request is being read
-	stateReadingBody                  // net/http has the head; the rest of the request is being read
-	stateActive                       // the request is complete and its response is not
-	stateLingering                    // the last response is sent; nothing is read any more
+	stateReadingBody                  // net/http has read the head; the rest of the request is being read
+	stateActive                       // the request has been read; its response is not complete
+	stateLingering                    // the last response has been sent; nothing more is read
 	stateIdle                         // between two requests
-	stateClosed                       // closed by this node; not counted any more
+	stateClosed                       // closed by this node and no longer counted in Conns.open
 )
 
-// String names the state.
+// String returns a description of the state for messages.
 func (s connState) String() string {
 	switch s {
 	case stateAccepted:
@@ -56,10 +55,10 @@
 	return "unknown"
 }
 
-// awaitsRequest reports whether no byte of the next request has been read.
+// awaitsRequest reports whether no byte of the next request has been read yet.
 func (s connState) awaitsRequest() bool { return s == stateNoData || s == stateIdle }
 
-// addConn makes c one of the set's connections. The caller holds cs.mu.
+// addConn adds c to the set. The caller holds cs.mu.
 func (cs *Conns) addConn(c *Conn) {
 	cs.open++
 	cs.setState(c, stateNoData)
@@ -68,38 +67,38 @@
 // beginRequest records that bytes of a request have arrived. The caller holds cs.mu.
 func (cs *Conns) beginRequest(c *Conn) {
 	if c.state == stateIdle {
-		// net/http applies the read timeout only once it has four bytes of the
-		// request; until then the deadline is still that of the idle timeout. An
-		// error means that the connection is closed, which its reader finds out.
+		// net/http applies its read timeout only after it has received four bytes of the
+		// request; until then the read deadline is still that of the idle timeout. An error
+		// means that the connection is closed, which Read reports.
 		_ = c.SetReadDeadline(time.Now().Add(cs.config.ReadTimeout))
 	}
 	cs.setState(c, stateReadingHead)
 }
 
-// completeHead records that net/http has the head of a request. The grace period of an
-// incomplete request goes on: c keeps its place in the queue. The caller holds cs.mu.
+// completeHead records that net/http has read the head of a request. c keeps its position in the
+// queue, so the grace period of the incomplete request does not restart. The caller holds cs.mu.
 func (cs *Conns) completeHead(c *Conn) {
 	if c.state == stateReadingHead {
 		c.state = stateReadingBody
 	}
 }
 
-// completeRequest records that a request was read to its last byte. The caller holds cs.mu.
+// completeRequest records that the last byte of a request has been read. The caller holds cs.mu.
 func (cs *Conns) completeRequest(c *Conn) {
 	if c.state != stateClosed {
 		cs.setState(c, stateActive)
 	}
 }
 
-// completeResponse records that the response to the present request is complete. If it returns
-// true it has marked c closed, and the caller closes the socket, see markClosed. The caller
-// holds cs.mu.
+// completeResponse records that the response to the current request is complete. It returns true if
+// it has marked c closed; the caller must then close the socket, see markClosed. The caller holds
+// cs.mu.
 func (cs *Conns) completeResponse(c *Conn) bool {
 	c.queueTime = 0
 	switch {
 	case c.state == stateClosed:
 		return false
-	case len(c.readAhead) > 0: // the next request, or a part of it
+	case len(c.readAhead) > 0: // contains the next request or a part of it
 		cs.beginRequest(c)
 		return false
 	case cs.stage >= stageDraining:
@@ -110,16 +109,16 @@
 	}
 }
 
-// beginLingering records that the last response is sent. The caller holds cs.mu.
+// beginLingering records that the last response has been sent. The caller holds cs.mu.
 func (cs *Conns) beginLingering(c *Conn) {
 	if c.state != stateClosed {
 		cs.setState(c, stateLingering)
 	}
 }
 
-// markClosed ends the reading and the counting of c. It returns false if c was marked before.
-// The caller holds cs.mu. It closes the socket only after releasing cs.mu: closing waits for a
-// reader, which may be waiting for cs.mu.
+// markClosed removes c from the set and stops reads from it. It returns false if c was already
+// marked closed. The caller holds cs.mu and must close the socket only after releasing it: closing
+// waits for a concurrent read, which may be waiting for cs.mu.
 func (cs *Conns) markClosed(c *Conn) bool {
 	if c.state == stateClosed {
 		return false
@@ -130,9 +129,8 @@
 	return true
 }
 
-// markIdleClosed is markClosed for a connection between two requests. If the client has
-// sent bytes of its next request, it begins that request instead and returns false. The
-// caller holds cs.mu.
+// markIdleClosed marks an idle connection closed like markClosed. If bytes of the next request have
+// arrived, it begins that request instead and returns false. The caller holds cs.mu.
 func (cs *Conns) markIdleClosed(c *Conn) bool {
 	if c.hasUnreadBytes() {
 		cs.beginRequest(c)
@@ -141,8 +139,8 @@
 	return cs.markClosed(c)
 }
 
-// setState puts c into a state, at the end of that state's queue, and wakes those that
-// wait for a change. The caller holds cs.mu.
+// setState changes the state of c, moves c to the end of the new state's queue, and wakes the
+// goroutines that wait for a change. The caller holds cs.mu.
 func (cs *Conns) setState(c *Conn, next connState) {
 	if c.queueElement != nil {
 		cs.queue(c.state).remove(c)
