--- a/internal/downstream/conn_read.go
+++ b/internal/downstream/conn_read.go
@@ -10,17 +10,16 @@
 	"calicohinge/internal/sockstate"
 )
 
-// errClosed is what Read returns on a connection that this node has closed. net/http
-// writes a response with status 400 after a read error unless the error is of this type.
+// errClosed is the error of Read on a connection that this node has closed. After a read error of
+// any other type, net/http would send a response with status 400.
 var errClosed = &net.OpError{Op: "read", Net: "tcp", Err: net.ErrClosed}
 
-// Read implements net.Conn. It reads the socket under the lock that also guards the
-// closing of the connection: one that was closed is not read any more, and one from
-// which a byte was read is not closed as idle.
+// Read implements net.Conn. It reads from the socket with the lock held that also guards the closing
+// of connections: a connection that is marked closed is not read any more, and a connection from
+// which a byte has been read is not closed as idle.
 //
-// While a request is active, Read returns no bytes but buffers them for the next
-// request. net/http reads in the background at that time and stops at the first
-// byte; it could not notice any more that the client disconnects.
+// While a request is active, Read returns no bytes; it buffers them for the next request. net/http
+// reads in the background during that time to detect a disconnect, and would stop at the first byte.
 func (c *Conn) Read(p []byte) (int, error) {
 	var n int
 	var err error
@@ -38,10 +37,10 @@
 	}
 }
 
-// resumeForRequest is called when the wait of Read ends with an error. It begins a request and
-// returns true if a connection without a request has timed out and a request has arrived all
-// the same: a busy node may find both at once. The request has to be complete within the
-// partial grace period.
+// resumeForRequest is called when Read's wait for the socket ends with an error. If a connection
+// without a request has timed out but bytes of a request have arrived, it begins the request and
+// returns true: a busy node may observe the timeout and the request at the same time. The rest of
+// the request must arrive within partialGracePeriod.
 func (c *Conn) resumeForRequest(waitErr error) bool {
 	c.conns.mu.Lock()
 	defer c.conns.mu.Unlock()
@@ -54,8 +53,8 @@
 	return c.SetReadDeadline(time.Now().Add(partialGracePeriod)) == nil
 }
 
-// receive reads what has arrived without waiting: 0 bytes and no error if Read has to wait
-// for the socket to become readable.
+// receive reads without blocking. It returns 0 bytes and no error if Read must wait until the socket
+// is readable.
 func (c *Conn) receive(fd int, p []byte) (int, error) {
 	c.conns.mu.Lock()
 	defer c.conns.mu.Unlock()
@@ -77,10 +76,9 @@
 	return n, err
 }
 
-// isBackgroundRead reports whether net/http reads into p only to notice that the
-// client disconnects. It does so from the last byte of a request on, by reading a
-// single byte, possibly before RequestComplete is called; a body is read in larger
-// pieces. The caller holds conns.mu.
+// isBackgroundRead reports whether net/http reads into p only to detect a disconnect. It starts this
+// read of a single byte after the last byte of a request, possibly before RequestComplete is called;
+// it reads bodies in larger pieces. The caller holds conns.mu.
 func (c *Conn) isBackgroundRead(p []byte) bool {
 	if c.state == stateActive || c.state == stateLingering {
 		return true
@@ -88,8 +86,9 @@
 	return len(p) == 1 && c.state != stateReadingHead
 }
 
-// receiveInBackground returns an error if the client has disconnected. The caller
-// holds conns.mu.
+// receiveInBackground returns an error if the client has disconnected or reading has failed. Unless
+// the connection is lingering or the set is in stageClosing, it moves received bytes to the
+// read-ahead buffer. The caller holds conns.mu.
 func (c *Conn) receiveInBackground(fd int) error {
 	switch {
 	case c.state == stateLingering:
@@ -102,8 +101,8 @@
 	return c.readErr
 }
 
-// receiveRequest reads a part of a request: 0 bytes and no error if nothing has
-// arrived. The caller holds conns.mu.
+// receiveRequest reads a part of a request, from the read-ahead buffer first. It returns 0 bytes and
+// no error if nothing has arrived. The caller holds conns.mu.
 func (c *Conn) receiveRequest(fd int, p []byte) (int, error) {
 	switch {
 	case len(c.readAhead) > 0:
