--- a/internal/downstream/conn_queue.go
+++ b/internal/downstream/conn_queue.go
@@ -5,14 +5,14 @@
 	"iter"
 )
 
-// connQueue lists connections in the order in which they were added.
+// connQueue holds connections in the order in which they were added.
 type connQueue struct {
 	conns list.List // of *Conn
 }
 
 func (q *connQueue) len() int { return q.conns.Len() }
 
-// oldest returns the connection that was added first; nil if there is none.
+// oldest returns the connection that was added first, or nil if the queue is empty.
 func (q *connQueue) oldest() *Conn {
 	if front := q.conns.Front(); front != nil {
 		return front.Value.(*Conn)
@@ -20,8 +20,7 @@
 	return nil
 }
 
-// all yields the connections, the oldest first. The queue must not change while the caller
-// goes on with the iteration.
+// all iterates over the connections, oldest first. The queue must not change during the iteration.
 func (q *connQueue) all() iter.Seq[*Conn] {
 	return func(yield func(*Conn) bool) {
 		for element := q.conns.Front(); element != nil; element = element.Next() {
@@ -32,17 +31,17 @@
 	}
 }
 
-// add puts c at the end of the queue.
+// add appends c to the queue.
 func (q *connQueue) add(c *Conn) { c.queueElement = q.conns.PushBack(c) }
 
-// remove takes c out of the queue that it is in.
+// remove removes c from the queue, which must contain it.
 func (q *connQueue) remove(c *Conn) {
 	q.conns.Remove(c.queueElement)
 	c.queueElement = nil
 }
 
-// queue returns the queue of the connections that are in a state; nil if the state has
-// none, as such connections are not evicted. The caller holds cs.mu.
+// queue returns the queue of the connections in a state, or nil if connections in that state are
+// never evicted and therefore not queued. The caller holds cs.mu.
 func (cs *Conns) queue(state connState) *connQueue {
 	switch state {
 	case stateNoData:
