--- a/internal/downstream/conn_close.go
+++ b/internal/downstream/conn_close.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Close implements net.Conn. Further calls have no effect and return nil.
+// Close implements net.Conn. Closing a connection that is already marked closed has no effect and
+// returns nil.
 func (c *Conn) Close() error {
 	c.conns.mu.Lock()
 	marked := c.conns.markClosed(c)
@@ -17,8 +18,8 @@
 	return c.Conn.Close()
 }
 
-// CloseWrite ends the sending direction, so that a client that still sends sees the
-// end of its response.
+// CloseWrite shuts down the sending direction, so that a client that is still sending sees the end
+// of its response.
 func (c *Conn) CloseWrite() error {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		return tcp.CloseWrite()
@@ -26,15 +27,14 @@
 	return nil
 }
 
-// LingeringClose ends the sending direction after a last response and waits for the
-// client to close the connection: until ctx ends, but for Config.LingerTimeout at
-// most. A close while bytes arrive would reset the connection, and the client could
-// lose a part of the response.
+// LingeringClose shuts down the sending direction after the last response and gives the client time
+// to close the connection: it returns when ctx is done or after Config.LingerTimeout. Closing the
+// connection while bytes arrive would reset it, and the client could lose a part of the response.
 func (c *Conn) LingeringClose(ctx context.Context) {
 	c.conns.mu.Lock()
 	c.conns.beginLingering(c)
 	c.conns.mu.Unlock()
-	_ = c.CloseWrite() // fails if the client has reset the connection; then ctx ends
+	_ = c.CloseWrite() // fails if the client has reset the connection; ctx is canceled then
 	select {
 	case <-ctx.Done():
 	case <-time.After(c.conns.config.LingerTimeout):
