--- a/internal/downstream/admission.go
+++ b/internal/downstream/admission.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// decision is what to do with a new connection.
+// decision is the result of an attempt to admit a new connection.
 type decision int
 
 const (
-	decisionAdmit decision = iota // it is in the set, in stateNoData
-	decisionEvict                 // close the victim's socket, then decide again
-	decisionWait                  // wait for a change, then decide again
+	decisionAdmit decision = iota // the connection has been added to the set, in stateNoData
+	decisionEvict                 // close the victim's socket, then try again
+	decisionWait                  // wait for a change, then try again
 )
 
-// String names the decision.
+// String returns a description of the decision for messages.
 func (d decision) String() string {
 	switch d {
 	case decisionAdmit:
@@ -24,22 +24,21 @@
 	return "unknown"
 }
 
-// admissionStep is one step of admitting a new connection. The caller of tryAdmit carries it
-// out without holding cs.mu.
+// admissionStep is one step of admitting a new connection. The caller of tryAdmit carries it out
+// without holding cs.mu.
 type admissionStep struct {
 	decision decision
-	victim   *Conn // with decisionEvict: marked closed, its socket is still open
-	// With decisionWait: the time until a connection may be evicted, 0 if all are active,
-	// and a channel that is closed at the next change of one.
+	victim   *Conn // for decisionEvict: marked closed, but its socket is still open
+	// For decisionWait: the time until a connection may be evicted (0 if all are active) and a
+	// channel that is closed at the next change of a connection.
 	wait    time.Duration
 	changed <-chan struct{}
 }
 
-// admit makes c one of the set's connections and returns true, or returns false if the
-// listener was closed. It blocks while every connection that might be evicted is in its grace
-// period, and while all connections are active, those of the reserve included. It does not
-// close c instead, as its client may have sent a request. Connections of the reserve get
-// their response at once, so that the wait is short.
+// admit adds c to the set and returns true, or returns false if the listener was closed. It blocks
+// while all candidates for eviction are in their grace periods, and while all connections including
+// the reserve are active. It does not close c instead, because its client may already have sent a
+// request. Requests on connections of the reserve are answered immediately, so the wait is short.
 func (cs *Conns) admit(c *Conn) bool {
 	for {
 		step := cs.tryAdmit(c)
@@ -47,7 +46,7 @@
 		case decisionAdmit:
 			return true
 		case decisionEvict:
-			_ = step.victim.Conn.Close() // nothing can be done about a failure
+			_ = step.victim.Conn.Close() // a failed close is ignored, there is no recovery
 		case decisionWait:
 			if !cs.awaitCapacity(step) {
 				return false
@@ -56,9 +55,9 @@
 	}
 }
 
-// tryAdmit adds c if there is capacity, and otherwise chooses a connection to evict.
-// The reserve is used only while all connections are active, so that their clients
-// are not affected and the new one gets a response.
+// tryAdmit adds c to the set if there is capacity, and selects a connection to evict otherwise. The
+// reserve is used only while all connections are active: no active client is affected, and the new
+// client gets a response.
 func (cs *Conns) tryAdmit(c *Conn) admissionStep {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
@@ -84,10 +83,10 @@
 	return admissionStep{decision: decisionEvict, victim: candidate}
 }
 
-// awaitCapacity waits until a connection changes or one may be evicted. It returns false if
-// the listener was closed.
+// awaitCapacity waits until a connection changes or may be evicted. It returns false if the listener
+// was closed.
 func (cs *Conns) awaitCapacity(step admissionStep) bool {
-	var evictable <-chan time.Time // never ready if no connection becomes evictable by itself
+	var evictable <-chan time.Time // nil if no grace period is running
 	if step.wait > 0 {
 		timer := time.NewTimer(step.wait)
 		defer timer.Stop()
