--- a/internal/downstream/eviction.go
+++ b/internal/downstream/eviction.go
@@ -6,28 +6,28 @@
 	"calicohinge/internal/sockstate"
 )
 
-// A connection that has not sent a complete request may be evicted only after a grace
-// period, which counts from its last change of state.
+// A connection without a complete request may be evicted only after a grace period. It starts when
+// the connection enters its state; between stateReadingHead and stateReadingBody it does not restart.
 const (
-	// noDataGracePeriod applies to a new connection. A client connects because it
-	// has a request to send, so that its first bytes follow at once.
+	// noDataGracePeriod applies to new connections. A client connects because it has a request
+	// to send, so its first bytes follow immediately.
 	noDataGracePeriod = 20 * time.Millisecond
-	// partialGracePeriod applies to one that has sent a part of a request. It is
-	// longer: the rest may take some round trips.
+	// partialGracePeriod applies to connections on which a part of a request has arrived. It is
+	// longer because the rest may take several round trips.
 	partialGracePeriod = 150 * time.Millisecond
-	// idleGracePeriod applies between two requests. With a longer one, new clients would
-	// wait in the accept queue until an idle connection may be evicted.
+	// idleGracePeriod applies between two requests. If it were longer, new clients would wait in
+	// the accept queue until an idle connection may be evicted.
 	idleGracePeriod = 0
-	// lingerGracePeriod applies after a last response, which its client may still be reading.
+	// lingerGracePeriod applies after the last response, which the client may still be reading.
 	lingerGracePeriod = 150 * time.Millisecond
 )
 
-// evictionCandidate returns the connection to evict for a new one, and how long it is
-// still in its grace period; nil if all connections are active. It prefers new connections
-// without data, then idle ones, then those with a part of a request, then those that wait for
-// their clients to close them, and of each kind the oldest: many connections that never
-// complete a request must not deny capacity to clients that do. If all are in their grace
-// period, it returns the one that leaves it first. The caller holds cs.mu and has called
+// evictionCandidate returns the connection to evict for a new one and the remaining time of its grace
+// period (at most 0 if that has ended), or nil if all connections are active. The order of preference
+// is: new connections without data, idle connections, connections with a partial request, lingering
+// connections; within each kind the oldest comes first. Thus many connections that never complete a
+// request cannot deny capacity to other clients. If all candidates are in their grace periods, it
+// returns the one whose grace period ends first. The caller holds cs.mu and has called
 // beginUnreadRequests.
 func (cs *Conns) evictionCandidate(now time.Time) (*Conn, time.Duration) {
 	var candidate *Conn
@@ -50,15 +50,15 @@
 			candidate, wait = oldest, remaining
 		}
 		if wait <= 0 {
-			break // the kinds that follow are less preferred
+			break // the remaining kinds are less preferred
 		}
 	}
 	return candidate, wait
 }
 
-// beginUnreadRequests begins the request of each connection that would be evicted as a new
-// or an idle one although its client has sent bytes: a busy node may not have read them yet.
-// In each queue it stops at the first connection that stays there. The caller holds cs.mu.
+// beginUnreadRequests begins the request of each connection that would be evicted as new or idle
+// although bytes of a request have arrived: a busy node may not have read them yet. In each queue it
+// stops at the first connection that remains there. The caller holds cs.mu.
 func (cs *Conns) beginUnreadRequests(now time.Time) {
 	for c := cs.noData.oldest(); c != nil; c = cs.noData.oldest() {
 		if now.Sub(c.graceStart) < noDataGracePeriod || sockstate.Peek(c.Conn) == sockstate.Quiet {
