--- a/internal/downstream/disconnect.go
+++ b/internal/downstream/disconnect.go
@@ -2,11 +2,11 @@
 
 import "calicohinge/internal/sockstate"
 
-// ClientDisconnected reports whether the client of the active request has
-// disconnected. It inspects the socket, as net/http may not have noticed yet, and reads what
-// has arrived into the read-ahead buffer. A client that has sent more than fits counts as
-// disconnected. Between two requests, and from stageClosing on, it reads nothing: what
-// arrives then belongs to a request that the client may send to another node.
+// ClientDisconnected reports whether the client of the active request has disconnected. It checks
+// the socket itself, because net/http may not have detected the disconnect yet, and reads received
+// bytes into the read-ahead buffer. A client that exceeds the buffer is treated as disconnected.
+// Between two requests and in stageClosing it reads nothing: bytes that arrive then belong to a
+// request that the client may retry at another node.
 func (c *Conn) ClientDisconnected() bool {
 	c.conns.mu.Lock()
 	defer c.conns.mu.Unlock()
@@ -14,7 +14,7 @@
 	case c.state == stateClosed || c.readErr != nil:
 		return true
 	case c.state != stateActive:
-		return false // the request has its response, and its attempts are revoked
+		return false // the response is complete and the attempts of the request are revoked
 	case c.conns.stage == stageClosing:
 		return sockstate.Peek(c.Conn) == sockstate.Closed
 	}
