--- a/internal/downstream/read_ahead.go
+++ b/internal/downstream/read_ahead.go
@@ -7,17 +7,17 @@
 	"syscall"
 )
 
-// readAheadChunkSize is how much is read at once while a request is active, in bytes.
-// Clients rarely send anything at that time.
+// readAheadChunkSize is the number of bytes per read while a request is active. It is small because
+// clients rarely send anything during that time.
 const readAheadChunkSize = 4096
 
-// errReadAheadFull is the read error of a client that sends too much without waiting for
-// its responses. The client counts as disconnected.
-var errReadAheadFull = errors.New("client sent more than one request ahead of a response")
+// errReadAheadFull is the read error of a client that sends more than Config.MaxReadAhead bytes
+// before its response is complete. The client is treated as disconnected.
+var errReadAheadFull = errors.New("client exceeded the read-ahead limit while its request was active")
 
-// fillReadAhead buffers what has arrived while a request is active, until the socket
-// is empty, the buffer is full or reading fails. In the last two cases it sets c.readErr. The
-// caller holds conns.mu.
+// fillReadAhead reads into the read-ahead buffer until the socket's receive buffer is empty, the
+// read-ahead limit is exceeded, or reading fails. In the last two cases it sets c.readErr. The caller
+// holds conns.mu.
 func (c *Conn) fillReadAhead(fd int) {
 	var chunk [readAheadChunkSize]byte
 	for c.readErr == nil {
@@ -34,17 +34,19 @@
 	}
 }
 
-// takeReadAhead moves buffered bytes to p. The caller holds conns.mu.
+// takeReadAhead moves bytes from the read-ahead buffer to p and returns their number. The caller
+// holds conns.mu.
 func (c *Conn) takeReadAhead(p []byte) int {
 	n := copy(p, c.readAhead)
 	c.readAhead = c.readAhead[n:]
 	if len(c.readAhead) == 0 {
-		c.readAhead = nil // frees the buffer
+		c.readAhead = nil // release the memory
 	}
 	return n
 }
 
-// readNonBlocking reads what has arrived: 0 bytes and no error if there is nothing.
+// readNonBlocking reads from a non-blocking descriptor. It returns 0 bytes and no error if nothing
+// has arrived.
 func readNonBlocking(fd int, p []byte) (int, error) {
 	for {
 		n, err := syscall.Read(fd, p)
