--- a/internal/downstream/drain.go
+++ b/internal/downstream/drain.go
@@ -2,19 +2,19 @@
 
 import "context"
 
-// shutdownStage is how far the shutdown of a set of connections has come. It only advances;
-// Conns.mu guards it.
+// shutdownStage is the progress of the shutdown of a Conns. It only advances and is guarded by
+// Conns.mu.
 type shutdownStage int
 
-// The stages, and the connections that the set closes in each.
+// The stages, and which connections are closed in each of them.
 const (
-	stageServing  shutdownStage = iota // until Conns.Drain: those that it evicts
-	stageDraining                      // from Conns.Drain on: also each that becomes idle
-	stageClosing                       // from Conns.Shutdown on: also each whose client waits for no response
+	stageServing  shutdownStage = iota // until Conns.Drain: evicted connections
+	stageDraining                      // from Conns.Drain on: also connections that are or become idle
+	stageClosing                       // from Conns.Shutdown on: also connections without a complete request
 )
 
-// Drain closes idle connections, and from now on every other one as soon as it becomes
-// idle. It returns when no connection is open or ctx ends, and may be called again.
+// Drain closes all idle connections, and the remaining ones as soon as they become idle. It returns
+// when no connection is open or ctx is done, and may be called again.
 func (cs *Conns) Drain(ctx context.Context) {
 	cs.advanceTo(stageDraining)
 	cs.closeEach(cs.takeIdle)
@@ -26,11 +26,11 @@
 	}
 }
 
-// Shutdown closes every connection as soon as its client waits for no response: new ones
-// without data, idle ones, and those on which a request is incomplete and no more of it has
-// arrived. It returns when each request that was read has its response, or ctx ends. The
-// caller has closed the listener and called Drain. If the next request on a connection has
-// arrived, the connection stays open and the request gets a response.
+// Shutdown closes every connection whose client is not waiting for a response: new connections
+// without data, idle connections, and connections on which a request is incomplete and no further
+// bytes of it have arrived. It returns when the response to each request that was read is complete,
+// or when ctx is done. The caller has closed the listener and called Drain. If the next request on a
+// connection has already arrived, the connection stays open and the request gets a response.
 func (cs *Conns) Shutdown(ctx context.Context) {
 	cs.advanceTo(stageClosing)
 	for {
@@ -42,24 +42,23 @@
 	}
 }
 
-// advanceTo begins a stage, unless it or a later one has begun.
+// advanceTo advances the shutdown to a stage. It has no effect in that stage or a later one.
 func (cs *Conns) advanceTo(stage shutdownStage) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	cs.stage = max(cs.stage, stage)
 }
 
-// closeEach closes the sockets of the connections that take returns, without holding
-// cs.mu, until it returns nil. take marks them closed.
+// closeEach closes the sockets of the connections that take returns until it returns nil. take marks
+// the connections closed; their sockets are closed without holding cs.mu, see markClosed.
 func (cs *Conns) closeEach(take func() *Conn) {
 	for c := take(); c != nil; c = take() {
-		_ = c.Conn.Close() // nothing can be done about a failure
+		_ = c.Conn.Close() // a failed close is ignored, there is no recovery
 	}
 }
 
-// takeIdle marks an idle connection closed and returns it; nil if no connection is
-// idle. One whose client has sent bytes of a further request is not idle any more and
-// stays open.
+// takeIdle marks an idle connection closed and returns it, or returns nil if there is none. A
+// connection on which bytes of a further request have arrived is no longer idle and stays open.
 func (cs *Conns) takeIdle() *Conn {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
@@ -71,8 +70,8 @@
 	return nil
 }
 
-// takeWithoutRequest marks a connection closed on which no complete request has arrived, and
-// returns it; nil if there is none.
+// takeWithoutRequest marks a connection closed on which no complete request has arrived and returns
+// it, or returns nil if there is none.
 func (cs *Conns) takeWithoutRequest() *Conn {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
@@ -94,15 +93,15 @@
 // isEmpty reports whether no connection is open. The caller holds cs.mu.
 func (cs *Conns) isEmpty() bool { return cs.open == 0 }
 
-// allResponsesComplete reports whether no request is being read or waits for its response.
-// The caller holds cs.mu.
+// allResponsesComplete reports whether no request is being read or waiting for its response; open
+// connections may only be lingering. The caller holds cs.mu.
 func (cs *Conns) allResponsesComplete() bool {
 	return cs.active+cs.noData.len()+cs.idle.len()+cs.partial.len() == 0
 }
 
-// hasNoRequest reports whether no complete request has arrived on a connection that is
-// not active. net/http may have read a part of one: if Read blocks, it waits for the rest.
-// The caller holds conns.mu.
+// hasNoRequest reports whether no complete request has arrived on a connection that is not active.
+// net/http may have read a part of a request; a blocked Read shows that the rest is missing. The
+// caller holds conns.mu.
 func (c *Conn) hasNoRequest() bool {
 	incomplete := c.state.awaitsRequest() || c.readBlocked
 	return incomplete && len(c.readAhead) == 0 && !c.hasUnreadBytes()
