--- a/internal/downstream/stats.go
+++ b/internal/downstream/stats.go
@@ -1,14 +1,14 @@
 package downstream
 
-// Stats counts the connections of a set.
+// Stats contains the connection counts of a Conns.
 type Stats struct {
-	Open       int // admitted and not closed
-	Active     int // with a request that has no complete response
-	Evicted    int // closed for a new connection so far
-	Incomplete int // closed by Shutdown with a part of a request
+	Open       int // connections admitted and not closed
+	Active     int // open connections with a request whose response is not complete
+	Evicted    int // total connections closed to admit new ones
+	Incomplete int // total connections closed by Shutdown with a partial request
 }
 
-// Stats returns the present numbers of connections.
+// Stats returns the current connection counts.
 func (cs *Conns) Stats() Stats {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
