--- a/internal/downstream/accept_error.go
+++ b/internal/downstream/accept_error.go
@@ -7,23 +7,23 @@
 	"syscall"
 )
 
-// connError reports that a connection was accepted and cannot be used: it has no socket
-// that could be read. The listener is not at fault.
+// connError reports that an accepted connection cannot be used because its socket is not accessible.
+// The listener itself still works.
 type connError struct {
 	conn net.Conn
-	err  error // why there is no access to the socket
+	err  error // the reason why the socket is not accessible
 }
 
 func (e *connError) Error() string {
-	return fmt.Sprintf("accepted connection: no socket below %T: %v", e.conn, e.err)
+	return fmt.Sprintf("accepted connection of type %T has no accessible socket: %v", e.conn, e.err)
 }
 
-// Unwrap returns why there is no access to the socket.
+// Unwrap returns the reason why the socket is not accessible.
 func (e *connError) Unwrap() error { return e.err }
 
-// temporaryAcceptError reports whether a later accept may succeed. The errors that accept(2)
-// documents are shortages of the system, or errors of the connection that was to be
-// accepted; only some of them mean that the descriptor cannot be used.
+// temporaryAcceptError reports whether a later accept may succeed. Most errors that accept(2)
+// documents are shortages of system resources or failures of the connection to be accepted; only a
+// few mean that the listening descriptor is unusable.
 func temporaryAcceptError(err error) bool {
 	if _, ok := errors.AsType[*connError](err); ok {
 		return true
