--- a/internal/downstream/accept_pause.go
+++ b/internal/downstream/accept_pause.go
@@ -3,24 +3,24 @@
 import "time"
 
 const (
-	// minAcceptPause is the shortest time without an accept that counts as a pause. It is
-	// far below the accuracy that deadlines need.
+	// minAcceptPause is the shortest time without an accept that counts as a pause. It is far
+	// smaller than the accuracy required of deadlines.
 	minAcceptPause = time.Millisecond
-	// backlogClearTime is how long after a pause an accepted connection may still be one
-	// that the pause has delayed.
+	// backlogClearTime is the time after a pause during which an accepted connection may still be
+	// one that was established during the pause.
 	backlogClearTime = 100 * time.Millisecond
 )
 
-// acceptPause is the latest time in which a listener accepted no connection: accept failed,
-// or the connection accepted last waited for its admission. The pause delays the connections
-// that the system establishes meanwhile, and the requests that their clients send.
+// acceptPause is the most recent period in which a listener accepted no connections, because accept
+// failed or the previous connection was waiting for its admission. The pause delays the connections
+// that the kernel establishes during it, and the requests that their clients send.
 type acceptPause struct {
-	began time.Time // zero: there was none
-	ended time.Time // zero while it lasts
+	began time.Time // zero if there was no pause
+	ended time.Time // zero during the pause
 }
 
-// begin records that nothing is accepted from now on. A pause that begins soon after another
-// continues that one.
+// begin records that no connections are accepted from now on. A pause that begins within
+// backlogClearTime after the previous one extends it.
 func (p *acceptPause) begin(now time.Time) {
 	if p.began.IsZero() || !p.mayHaveDelayed(now) {
 		p.began = now
@@ -35,16 +35,16 @@
 	}
 }
 
-// reset records that no delayed connection is left in the accept queue.
+// reset discards the pause because the accept queue contains no delayed connections any more.
 func (p *acceptPause) reset() { *p = acceptPause{} }
 
-// mayHaveDelayed reports whether a connection that is accepted now may have been delayed.
+// mayHaveDelayed reports whether the pause may have delayed a connection that is accepted now.
 func (p *acceptPause) mayHaveDelayed(now time.Time) bool {
 	return !p.began.IsZero() && (p.ended.IsZero() || now.Sub(p.ended) < backlogClearTime)
 }
 
-// maxDelay returns the longest time for which a connection that is accepted now may have been
-// delayed.
+// maxDelay returns the longest time by which the pause may have delayed a connection that is accepted
+// now.
 func (p *acceptPause) maxDelay(now time.Time) time.Duration {
 	if !p.mayHaveDelayed(now) {
 		return 0
