--- a/internal/downstream/stop_accepting.go
+++ b/internal/downstream/stop_accepting.go
@@ -9,14 +9,14 @@
 	"calicohinge/internal/syserror"
 )
 
-// StopAccepting refuses new connections and closes the listener. Accept returns the connections
-// that the system has established by then before it fails. Closing the listener at once would
-// reset them, although their clients may have sent requests. When ctx ends, StopAccepting gives
-// up on connections that it could not accept.
+// StopAccepting refuses new connections and closes the listener. Accept first returns the connections
+// that the kernel has already established, then an error. Closing the listener immediately would
+// reset these connections, although their clients may have sent requests. When ctx is done,
+// StopAccepting gives up on connections that it could not accept or pass to Accept.
 func (l *Listener) StopAccepting(ctx context.Context) {
 	l.stopping.Store(true)
 	defer close(l.queued)
-	defer func() { _ = l.inner.Close() }() // Accept returns the error
+	defer func() { _ = l.inner.Close() }() // Accept returns the error of a closed or failed listener
 	raw, err := rawConn(l.inner)
 	if err != nil {
 		return
@@ -36,11 +36,11 @@
 	}
 }
 
-// enqueue passes the connection of a descriptor to Accept. If Accept does not take it before
-// ctx ends, enqueue closes it.
+// enqueue passes the connection of a descriptor to Accept. If Accept has not received it when ctx is
+// done, enqueue closes the connection.
 func (l *Listener) enqueue(ctx context.Context, descriptor int) {
 	file := os.NewFile(uintptr(descriptor), "accepted connection")
-	defer func() { _ = file.Close() }() // the connection has a copy, nothing is written here
+	defer func() { _ = file.Close() }() // net.FileConn duplicates the descriptor
 	netConn, err := net.FileConn(file)
 	for err != nil && syserror.IsShortage(err) && ctx.Err() == nil && l.waitBackoff(minAcceptBackoff) {
 		netConn, err = net.FileConn(file)
@@ -53,6 +53,6 @@
 	case l.queued <- netConn:
 	case <-ctx.Done():
 		slog.Error("accepted connection lost", "err", ctx.Err())
-		_ = netConn.Close() // as above
+		_ = netConn.Close() // the loss is already logged
 	}
 }
