--- a/internal/downstream/helpers_test.go
+++ b/internal/downstream/helpers_test.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	// testMaxReadAhead bounds the read-ahead buffer of the tests' connections, in bytes.
+	// testMaxReadAhead is the Config.MaxReadAhead of the tests.
 	testMaxReadAhead = 80 << 10
-	// testReadTimeout is short, as a test waits for it.
+	// testReadTimeout is short because tests wait until it expires.
 	testReadTimeout = 2 * time.Second
 )
 
@@ -28,15 +28,15 @@
 	})
 }
 
-// listen returns a listener that admits to conns.
+// listen returns a listener that admits connections to conns.
 func listen(t *testing.T, conns *Conns) *Listener {
 	t.Helper()
 	listener := conns.Listener(testkit.Listen(t))
-	t.Cleanup(func() { _ = listener.Close() }) // the test is over
+	t.Cleanup(func() { _ = listener.Close() }) // a test may have closed it
 	return listener
 }
 
-// dial returns the client's end of a connection that is not accepted yet.
+// dial returns the client end of a connection that is not accepted yet.
 func dial(t *testing.T, listener net.Listener) net.Conn {
 	t.Helper()
 	client, err := net.Dial("tcp", listener.Addr().String())
@@ -47,18 +47,18 @@
 	return client
 }
 
-// accept returns the node's end of the next connection.
+// accept accepts the next connection and returns the node's end of it.
 func accept(t *testing.T, listener net.Listener) *Conn {
 	t.Helper()
 	netConn, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = netConn.Close() }) // the test is over
+	t.Cleanup(func() { _ = netConn.Close() }) // a test may have closed it
 	return netConn.(*Conn)
 }
 
-// acceptConn returns both ends of a connection that was admitted to conns.
+// acceptConn returns the client end and the node end of a connection that is admitted to conns.
 func acceptConn(t *testing.T, conns *Conns) (net.Conn, *Conn) {
 	t.Helper()
 	listener := listen(t, conns)
@@ -66,7 +66,7 @@
 	return client, accept(t, listener)
 }
 
-// acceptInBackground accepts a connection and sends it to the channel.
+// acceptInBackground accepts a connection in the background and sends it to the returned channel.
 func acceptInBackground(t *testing.T, listener net.Listener) <-chan *Conn {
 	t.Helper()
 	accepted := make(chan *Conn, 1)
@@ -81,7 +81,7 @@
 	return accepted
 }
 
-// acceptErrInBackground accepts a connection in the background and sends the error to the channel.
+// acceptErrInBackground calls Accept in the background and sends its error to the returned channel.
 func acceptErrInBackground(listener net.Listener) <-chan error {
 	ended := make(chan error, 1)
 	go func() {
@@ -91,8 +91,8 @@
 	return ended
 }
 
-// forEachConnAwaitingRequest runs a subtest for a new connection, and one for a connection
-// between two requests.
+// forEachConnAwaitingRequest runs a subtest with a new connection and one with a connection between
+// two requests.
 func forEachConnAwaitingRequest(t *testing.T, test func(t *testing.T, conns *Conns, client net.Conn, c *Conn)) {
 	t.Helper()
 	for name, prepare := range map[string]func(conns *Conns, c *Conn){
@@ -108,21 +108,21 @@
 	}
 }
 
-// withLock calls a function that needs the lock of the set.
+// withLock calls a function with conns.mu held.
 func withLock(conns *Conns, call func()) {
 	conns.mu.Lock()
 	defer conns.mu.Unlock()
 	call()
 }
 
-// hasWaiters reports whether somebody waits for a change of the set's connections.
+// hasWaiters reports whether a goroutine waits for a change of the set's connections.
 func (cs *Conns) hasWaiters() bool {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	return cs.changed != nil
 }
 
-// makeIdle passes c through a request, to the time between two requests.
+// makeIdle puts c into stateIdle by completing a request and its response.
 func makeIdle(conns *Conns, c *Conn) {
 	c.RequestComplete()
 	conns.ConnState(c, http.StateIdle)
@@ -136,14 +136,14 @@
 	}
 }
 
-// sendUnread writes text to the client's end and waits until it has arrived at node.
+// sendUnread writes text to the client end and waits until it has arrived at the socket of c.
 func sendUnread(t *testing.T, client net.Conn, c *Conn, text string) {
 	t.Helper()
 	send(t, client, text)
 	waitForSocketState(t, c, sockstate.Readable)
 }
 
-// closeClient closes the client's end of a connection.
+// closeClient closes the client end of a connection.
 func closeClient(t *testing.T, client net.Conn) {
 	t.Helper()
 	if err := client.Close(); err != nil {
@@ -151,13 +151,13 @@
 	}
 }
 
-// waitForSocketState waits until the socket of c shows a state.
+// waitForSocketState waits until the socket of c is in the wanted state.
 func waitForSocketState(t *testing.T, c *Conn, want sockstate.State) {
 	t.Helper()
 	testkit.Until(t, "the connection to be "+want.String(), func() bool { return sockstate.Peek(c.Conn) == want })
 }
 
-// setReadDeadline sets the deadline as net/http does.
+// setReadDeadline sets the read deadline of c, as net/http does.
 func setReadDeadline(t *testing.T, c *Conn, deadline time.Time) {
 	t.Helper()
 	if err := c.SetReadDeadline(deadline); err != nil {
@@ -165,8 +165,8 @@
 	}
 }
 
-// readErrInBackground reads from c in the background and sends the error when Read returns.
-// Closing c ends it.
+// readErrInBackground calls Read in the background and sends its error to the returned channel.
+// Closing c ends the read.
 func readErrInBackground(c *Conn) <-chan error {
 	ended := make(chan error, 1)
 	go func() {
@@ -176,8 +176,8 @@
 	return ended
 }
 
-// expectRead reads once into a buffer larger than want and fails the test unless
-// it gets exactly want.
+// expectRead reads once into a buffer larger than want and fails the test unless exactly want is
+// read.
 func expectRead(t *testing.T, c *Conn, want string) {
 	t.Helper()
 	buffer := make([]byte, 10)
@@ -186,7 +186,7 @@
 	}
 }
 
-// expectReadError reads once and reports a fault unless Read fails without bytes.
+// expectReadError reads once and reports a test error unless Read fails without returning bytes.
 func expectReadError(t *testing.T, c *Conn) {
 	t.Helper()
 	if n, err := c.Read(make([]byte, 10)); n != 0 || err == nil {
@@ -194,6 +194,7 @@
 	}
 }
 
+// canceledContext returns a context that is already done.
 func canceledContext() context.Context {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
