--- a/internal/downstream/listener_test.go
+++ b/internal/downstream/listener_test.go
@@ -12,7 +12,8 @@
 	"calicohinge/internal/testkit"
 )
 
-// failingListener fails a number of accepts, each before a connection leaves the queue.
+// failingListener fails a number of accepts before it accepts connections from the inner listener.
+// Failed accepts remove no connection from the accept queue.
 type failingListener struct {
 	net.Listener
 	failures int
@@ -27,12 +28,12 @@
 	return l.Listener.Accept()
 }
 
-// acceptError is an error as the net package returns it from accept.
+// acceptError returns an error as package net returns it for a failed accept(2).
 func acceptError(errno syscall.Errno) error {
 	return &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", errno)}
 }
 
-// After any temporary error of accept, the connection is accepted by a later one.
+// After each temporary error, the connection is accepted by a later accept.
 func TestAcceptIsRetriedAfterTemporaryFailure(t *testing.T) {
 	for _, errno := range []syscall.Errno{
 		syscall.ECONNABORTED, syscall.EINTR, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
@@ -49,19 +50,19 @@
 	}
 }
 
-// A descriptor that cannot be used, and the listener's close, end the accepting.
+// Accept returns the error if the listening descriptor is unusable or the listener is closed.
 func TestAcceptEndsAfterPermanentFailure(t *testing.T) {
 	for _, want := range []error{
 		acceptError(syscall.EBADF), acceptError(syscall.EINVAL), acceptError(syscall.ENOTSOCK), net.ErrClosed,
 	} {
 		listener := newTestConns(5).Listener(&failingListener{testkit.Listen(t), 1, want})
 		if _, err := listener.Accept(); !errors.Is(err, want) {
-			t.Errorf("ended with %v, want %v", err, want)
+			t.Errorf("Accept returned %v, want %v", err, want)
 		}
 	}
 }
 
-// Closing the listener ends the backoff after a failure.
+// Closing the listener interrupts the backoff after a failed accept.
 func TestCloseEndsAcceptBackoff(t *testing.T) {
 	const unlimited = 1 << 30
 	listener := newTestConns(5).Listener(&failingListener{testkit.Listen(t), unlimited, acceptError(syscall.ENFILE)})
@@ -69,12 +70,13 @@
 	if err := listener.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if err := testkit.Wait(t, ended, "accepting to end"); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("ended with %v", err)
+	if err := testkit.Wait(t, ended, "Accept to return"); !errors.Is(err, net.ErrClosed) {
+		t.Errorf("Accept returned %v, want %v", err, net.ErrClosed)
 	}
 }
 
-// Connections in the accept queue are returned, with what their clients sent.
+// StopAccepting returns the connections in the accept queue together with the data that their
+// clients have sent, and refuses further connections.
 func TestStopAcceptingReturnsQueuedConnections(t *testing.T) {
 	const queuedConns = 20
 	conns := newTestConns(queuedConns)
@@ -91,24 +93,24 @@
 		expectRead(t, accept(t, listener), "GET")
 	}
 	if _, err := listener.Accept(); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("accepting ended with %v", err)
+		t.Errorf("Accept returned %v after the last queued connection, want %v", err, net.ErrClosed)
 	}
-	testkit.Wait(t, stopped, "StopAccepting")
+	testkit.Wait(t, stopped, "StopAccepting to return")
 	if conn, err := net.Dial("tcp", listener.Addr().String()); err == nil {
-		t.Error("a connection was accepted after the end")
-		_ = conn.Close() // nothing was sent on it
+		t.Error("a connection was established after StopAccepting")
+		_ = conn.Close() // the test has failed already
 	}
 }
 
-// Connections that nobody accepts do not delay the shutdown.
+// StopAccepting returns although Accept is not called for a connection in the accept queue.
 func TestStopAcceptingGivesUpWhenItsContextEnds(t *testing.T) {
 	listener := listen(t, newTestConns(5))
 	dial(t, listener)
 	listener.StopAccepting(canceledContext())
 }
 
-// A client's first request may wait until accept succeeds after failures, and until its
-// connection is admitted. The connection reports the time of this wait.
+// The first request on a connection may be delayed by failed accepts and by the wait for admission.
+// QueueTime includes both, and is 0 for the second request.
 func TestQueueTimeCoversAcceptFailuresAndAdmission(t *testing.T) {
 	const failures = 4
 	const backoff = minAcceptBackoff * (1<<failures - 1)
@@ -120,24 +122,24 @@
 
 	c := accept(t, listener)
 	if c.QueueTime() < backoff {
-		t.Errorf("%v in the queue after failures for %v", c.QueueTime(), backoff)
+		t.Errorf("QueueTime is %v after failed accepts, want at least %v", c.QueueTime(), backoff)
 	}
 
 	c.RequestComplete()
 	dial(t, listener)
 	accepted := acceptInBackground(t, listener)
-	testkit.Until(t, "the admission to wait", conns.hasWaiters)
+	testkit.Until(t, "the connection to wait for admission", conns.hasWaiters)
 	time.Sleep(backoff)
 	if err := c.Close(); err != nil {
 		t.Fatal(err)
 	}
 	waited := testkit.Wait(t, accepted, "the admission")
 	if waited.QueueTime() < backoff {
-		t.Errorf("%v in the queue after an admission of %v", waited.QueueTime(), backoff)
+		t.Errorf("QueueTime is %v after a wait for admission, want at least %v", waited.QueueTime(), backoff)
 	}
 
 	makeIdle(conns, waited)
 	if waited.QueueTime() > 0 {
-		t.Errorf("%v in the queue for the second request", waited.QueueTime())
+		t.Errorf("QueueTime of the second request is %v, want 0", waited.QueueTime())
 	}
 }
