--- a/internal/downstream/accept_pause_test.go
+++ b/internal/downstream/accept_pause_test.go
@@ -5,6 +5,8 @@
 	"time"
 )
 
+// A pause delays connections accepted during it and for backlogClearTime after it, by up to the time
+// since it began. A pause that begins within backlogClearTime extends the previous one.
 func TestAcceptPauseDelaysConnections(t *testing.T) {
 	const ms = time.Millisecond
 	at := func(after time.Duration) time.Time { return time.Unix(1000, 0).Add(after) }
@@ -12,21 +14,21 @@
 	expect := func(after, want time.Duration) {
 		t.Helper()
 		if got := pause.maxDelay(at(after)); got != want {
-			t.Errorf("after %v: delayed by %v, want %v", after, got, want)
+			t.Errorf("maxDelay after %v is %v, want %v", after, got, want)
 		}
 	}
 	expect(0, 0)
 	pause.begin(at(0))
-	pause.begin(at(20 * ms)) // another failure
+	pause.begin(at(20 * ms)) // a further failed accept in the same pause
 	expect(40*ms, 40*ms)
 	pause.end(at(50 * ms))
-	pause.end(at(60 * ms)) // another success
+	pause.end(at(60 * ms)) // a further successful accept
 	expect(50*ms, 50*ms)
 	expect(50*ms+backlogClearTime-ms, 50*ms+backlogClearTime-ms)
 	expect(50*ms+backlogClearTime, 0)
 	pause.begin(at(time.Second))
 	pause.end(at(time.Second + 10*ms))
-	pause.begin(at(time.Second + 20*ms)) // soon after the other
+	pause.begin(at(time.Second + 20*ms)) // within backlogClearTime: extends the previous pause
 	expect(time.Second+30*ms, 30*ms)
 	pause.reset()
 	expect(time.Second+30*ms, 0)
