--- a/internal/downstream/admission_test.go
+++ b/internal/downstream/admission_test.go
@@ -10,9 +10,9 @@
 	"calicohinge/internal/testkit"
 )
 
-// While all connections are active, a new one is accepted from the reserve and marked. One
-// beyond the reserve waits until another is closed; the request that its client has sent is
-// kept.
+// While all connections are active, a new connection is accepted from the reserve and reported by
+// OverLimit. A connection beyond the reserve waits until another one is closed; the request that its
+// client has already sent is not lost.
 func TestNewConnWhileAllAreActiveUsesReserve(t *testing.T) {
 	conns := NewConns(Config{MaxOpen: 1, Reserve: 1, MaxReadAhead: testMaxReadAhead, ReadTimeout: testReadTimeout})
 	listener := listen(t, conns)
@@ -23,7 +23,7 @@
 		c.RequestComplete()
 		last = c
 		if c.OverLimit() != wantOverLimit {
-			t.Errorf("over the limit: %v, want %v", c.OverLimit(), wantOverLimit)
+			t.Errorf("OverLimit is %v, want %v", c.OverLimit(), wantOverLimit)
 		}
 	}
 
@@ -32,17 +32,18 @@
 	accepted := acceptInBackground(t, listener)
 	testkit.Until(t, "the connection beyond the reserve to wait", conns.hasWaiters)
 	if sockstate.Peek(waiting) != sockstate.Quiet || conns.Open() != 2 {
-		t.Errorf("the client sees its connection as %v, %d are open", sockstate.Peek(waiting), conns.Open())
+		t.Errorf("the client's socket is %v, %d connections are open; want it %v and 2 open",
+			sockstate.Peek(waiting), conns.Open(), sockstate.Quiet)
 	}
 
 	if err := last.Close(); err != nil {
 		t.Fatal(err)
 	}
-	c := testkit.Wait(t, accepted, "the connection beyond the reserve")
+	c := testkit.Wait(t, accepted, "the connection beyond the reserve to be accepted")
 	expectRead(t, c, "GET")
 }
 
-// A connection that waits beyond the reserve is closed with the listener.
+// A connection that waits for admission is closed when the listener is closed.
 func TestListenerCloseEndsAdmission(t *testing.T) {
 	conns := NewConns(Config{MaxOpen: 1, MaxReadAhead: testMaxReadAhead, ReadTimeout: testReadTimeout})
 	listener := listen(t, conns)
@@ -56,8 +57,8 @@
 		t.Fatal(err)
 	}
 
-	if err := testkit.Wait(t, accepted, "the listener to end"); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("accepting ended with %v", err)
+	if err := testkit.Wait(t, accepted, "Accept to return"); !errors.Is(err, net.ErrClosed) {
+		t.Errorf("Accept returned %v, want %v", err, net.ErrClosed)
 	}
 	if err := waiting.SetReadDeadline(time.Now().Add(testkit.WaitTimeout)); err != nil {
 		t.Fatal(err)
@@ -73,6 +74,6 @@
 		t.Fatal(err)
 	}
 	if conns.awaitCapacity(admissionStep{decision: decisionWait, wait: testkit.WaitTimeout}) {
-		t.Error("the wait went on after the listener was closed")
+		t.Error("awaitCapacity returned true although the listener was closed")
 	}
 }
