--- a/internal/downstream/eviction_test.go
+++ b/internal/downstream/eviction_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// A client whose bytes the node was too busy to read is not evicted as one without data.
+// A connection whose bytes the node was too busy to read has the grace period of a partial request,
+// not the shorter one of a connection without data.
 func TestUnreadBytesExtendGracePeriod(t *testing.T) {
 	listener := listen(t, newTestConns(1))
 	connect := func(text string) {
@@ -18,12 +19,12 @@
 	began := time.Now()
 	connect("")
 	if took := time.Since(began); took < partialGracePeriod {
-		t.Errorf("a connection with unread bytes was evicted after %v like one without data", took)
+		t.Errorf("a connection with unread bytes was evicted after %v, want %v at least", took, partialGracePeriod)
 	}
 
 	began = time.Now()
 	connect("")
 	if took := time.Since(began); took < noDataGracePeriod {
-		t.Errorf("a connection without data was evicted after %v", took)
+		t.Errorf("a connection without data was evicted after %v, want %v at least", took, noDataGracePeriod)
 	}
 }
