--- a/internal/downstream/disconnect_test.go
+++ b/internal/downstream/disconnect_test.go
@@ -7,8 +7,8 @@
 	"calicohinge/internal/sockstate"
 )
 
-// A client sends a request on its idle connection and closes it at once. The request is read,
-// and ClientDisconnected returns true.
+// A client sends a request on an idle connection and immediately closes the connection. The request
+// is read, and ClientDisconnected returns true.
 func TestClientDisconnectedAfterRequestAndClose(t *testing.T) {
 	conns := newTestConns(5)
 	client, c := acceptConn(t, conns)
@@ -20,13 +20,13 @@
 	c.RequestComplete()
 	waitForSocketState(t, c, sockstate.Closed)
 	if !c.ClientDisconnected() {
-		t.Error("the disconnect is not noticed")
+		t.Error("the disconnect was not detected")
 	}
 }
 
-// An attempt may check whether its client has disconnected after the request has its response
-// (a hedged request whose connection is established late), or after Shutdown. What the client
-// sends next stays unread then.
+// An attempt may check for a disconnect after the response to its request is complete (a hedged
+// request whose connection is established late) or after Shutdown. The client's next request must
+// stay unread then.
 func TestClientDisconnectedLeavesNextRequestUnread(t *testing.T) {
 	for name, prepare := range map[string]func(conns *Conns, c *Conn){
 		"between two requests": func(conns *Conns, c *Conn) { conns.ConnState(c, http.StateIdle) },
@@ -39,11 +39,11 @@
 			prepare(conns, c)
 
 			if c.ClientDisconnected() {
-				t.Error("a client that sends nothing counts as disconnected")
+				t.Error("a client that sends nothing is reported as disconnected")
 			}
 			sendUnread(t, client, c, "GET")
 			if c.ClientDisconnected() || sockstate.Peek(c.Conn) != sockstate.Readable {
-				t.Error("the next request was read, or its client counts as disconnected")
+				t.Error("the next request was read, or its client is reported as disconnected")
 			}
 			conns.Drain(canceledContext())
 			if c.Closed() {
@@ -61,6 +61,6 @@
 	closeClient(t, client)
 	waitForSocketState(t, c, sockstate.Closed)
 	if !c.ClientDisconnected() {
-		t.Error("the disconnect is not noticed")
+		t.Error("the disconnect was not detected")
 	}
 }
