--- a/internal/downstream/drain_test.go
+++ b/internal/downstream/drain_test.go
@@ -11,8 +11,8 @@
 	"calicohinge/internal/testkit"
 )
 
-// Idle connections are closed by a drain and by an eviction. One whose client has
-// just sent a request is not idle any more, although no byte of it has been read.
+// Drains and evictions close idle connections. A connection on which a request has just arrived is no
+// longer idle, even if no byte of the request has been read.
 func TestIdleConnWithUnreadRequestStaysOpen(t *testing.T) {
 	for name, closeIdle := range map[string]func(t *testing.T, conns *Conns, c *Conn){
 		"drain": func(_ *testing.T, conns *Conns, _ *Conn) { conns.Drain(canceledContext()) },
@@ -36,8 +36,8 @@
 	}
 }
 
-// expectCandidateReadingHead expects c to be the next to evict, as a connection with
-// a part of a request.
+// expectCandidateReadingHead expects c to be the eviction candidate as a connection with a partial
+// request.
 func expectCandidateReadingHead(t *testing.T, conns *Conns, c *Conn) {
 	t.Helper()
 	conns.mu.Lock()
@@ -45,7 +45,8 @@
 	now := time.Now()
 	conns.beginUnreadRequests(now)
 	if candidate, _ := conns.evictionCandidate(now); candidate != c || c.state != stateReadingHead {
-		t.Errorf("the eviction candidate is %p, want %p; state %v", candidate, c, c.state)
+		t.Errorf("the eviction candidate is %p, want %p; its state is %v, want %v",
+			candidate, c, c.state, stateReadingHead)
 	}
 }
 
@@ -55,18 +56,18 @@
 	makeIdle(conns, c)
 	conns.Drain(canceledContext())
 	if _, err := c.Read(make([]byte, 1)); err == nil {
-		t.Error("an idle connection outlasts a drain")
+		t.Error("Drain left an idle connection open")
 	}
 }
 
-// In the last stage of a shutdown connections without a request are closed. A request that
-// arrives after that stays unread, so that its client retries at another node.
+// In stageClosing, connections without a request are closed. A request that arrives afterwards stays
+// unread, so that its client retries at another node.
 func TestRequestAfterShutdownStaysUnread(t *testing.T) {
 	forEachConnAwaitingRequest(t, func(t *testing.T, conns *Conns, client net.Conn, c *Conn) {
 		t.Helper()
 		conns.advanceTo(stageClosing)
 		if closing := conns.takeWithoutRequest(); closing != c {
-			t.Fatalf("%p is closed next, want %p", closing, c)
+			t.Fatalf("takeWithoutRequest returned %p, want %p", closing, c)
 		}
 		sendUnread(t, client, c, "GET")
 		conns.ConnState(c, http.StateIdle)
@@ -77,8 +78,8 @@
 	})
 }
 
-// A request that has arrived before the last stage of a shutdown is read, and its connection
-// stays open for the response.
+// A request that has arrived before stageClosing is read, and its connection stays open for the
+// response.
 func TestRequestBeforeShutdownIsRead(t *testing.T) {
 	for name, prepare := range map[string]func(conns *Conns, c *Conn){
 		"on a new connection":    func(*Conns, *Conn) {},
@@ -95,14 +96,14 @@
 			expectRead(t, c, "GET")
 			conns.Shutdown(canceledContext())
 			if c.Closed() {
-				t.Error("the connection was closed before the response")
+				t.Error("the connection was closed before the response was complete")
 			}
 		})
 	}
 }
 
-// Shutdown does not wait for a client that has sent a part of a request and stops. Until
-// net/http reads on, the request may be complete, and its connection stays open.
+// Shutdown does not wait for a client that has stopped sending in the middle of a request. Until
+// net/http reads again, the request may be complete, so its connection stays open.
 func TestShutdownClosesIncompleteRequest(t *testing.T) {
 	conns := newTestConns(5)
 	client, c := acceptConn(t, conns)
@@ -110,20 +111,20 @@
 	expectRead(t, c, "GET")
 	conns.Shutdown(canceledContext())
 	if c.Closed() {
-		t.Fatal("a request that may be complete was dropped")
+		t.Fatal("the connection of a request that may be complete was closed")
 	}
 	ended := readErrInBackground(c) // as net/http does if the request is incomplete
 	conns.Shutdown(t.Context())
-	if err := testkit.Wait(t, ended, "the reader"); err == nil || !c.Closed() {
-		t.Errorf("reading ended with %v, closed %v", err, c.Closed())
+	if err := testkit.Wait(t, ended, "Read to return"); err == nil || !c.Closed() {
+		t.Errorf("Read returned %v, closed is %v; want an error and a closed connection", err, c.Closed())
 	}
 	if stats := conns.Stats(); stats != (Stats{Incomplete: 1}) {
-		t.Errorf("counted %+v", stats)
+		t.Errorf("Stats are %+v, want only one incomplete request", stats)
 	}
 }
 
-// Shutdown waits for the response to each request that was read, and not for the client to
-// close its connection after that.
+// Shutdown waits for the response to each request that was read, but not for the client to close the
+// connection afterwards.
 func TestShutdownWaitsForResponses(t *testing.T) {
 	conns := newTestConns(5)
 	_, c := acceptConn(t, conns)
@@ -136,13 +137,13 @@
 	testkit.Until(t, "Shutdown to wait", conns.hasWaiters)
 	select {
 	case <-returned:
-		t.Fatal("Shutdown returned before the response")
+		t.Fatal("Shutdown returned before the response was complete")
 	default:
 	}
 	withLock(conns, func() { conns.beginLingering(c) })
 	testkit.Wait(t, returned, "Shutdown to return")
 	if c.Closed() {
-		t.Error("closed before the client has read the response")
+		t.Error("the lingering connection was closed by Shutdown")
 	}
 }
 
@@ -150,22 +151,22 @@
 	expectBufferedRequestReturned(t, func(conns *Conns) { conns.Shutdown(canceledContext()) })
 }
 
-// A request in the read-ahead buffer does not show on the socket: the connection must
-// not be closed as idle.
+// A request in the read-ahead buffer is not visible on the socket. Its connection must not be closed
+// as idle nevertheless.
 func TestBufferedRequestWhileDrainingIsReturned(t *testing.T) {
 	expectBufferedRequestReturned(t, func(conns *Conns) { conns.advanceTo(stageDraining) })
 }
 
-// expectBufferedRequestReturned puts the next request into the read-ahead buffer, runs a step
-// of the shutdown and expects the request to be read once the present one has its response.
+// expectBufferedRequestReturned puts the next request into the read-ahead buffer, performs a step of
+// the shutdown, and expects Read to return that request after the current response is complete.
 func expectBufferedRequestReturned(t *testing.T, shutdownStep func(conns *Conns)) {
 	t.Helper()
 	conns := newTestConns(5)
 	client, c := acceptConn(t, conns)
 	c.RequestComplete()
 	sendUnread(t, client, c, "GET")
-	if c.ClientDisconnected() { // this fills the read-ahead buffer
-		t.Fatal("the client counts as disconnected")
+	if c.ClientDisconnected() { // the call fills the read-ahead buffer
+		t.Fatal("the client is reported as disconnected")
 	}
 
 	shutdownStep(conns)
