--- a/internal/asyncwriter/asyncwriter.go
+++ b/internal/asyncwriter/asyncwriter.go
@@ -42,12 +42,12 @@
 	if w.closed {
 		return len(line), nil
 	}
-	text := bytes.Clone(line)
+	entry := bytes.Clone(line)
 	if w.dropped > 0 {
-		text = append(fmt.Appendf(nil, "%d log lines dropped\n", w.dropped), text...)
+		entry = append(fmt.Appendf(nil, "%d log lines dropped\n", w.dropped), entry...)
 	}
 	select {
-	case w.lines <- text:
+	case w.lines <- entry:
 		w.dropped = 0
 	default:
 		w.dropped++
--- a/internal/endpointjson/endpointjson_test.go
+++ b/internal/endpointjson/endpointjson_test.go
@@ -32,7 +32,8 @@
 	const text = `{"generation":18446744073709551615,"reset":true,"novel":1,"instances":[{"instanceId":"s-1",` +
 		`"hostPort":"127.0.0.1:8080","zone":"a","cell":3,"lifecycle":"Ready","weight":0.5,"startedAtMs":1.5e12,"novel":[]}]}`
 	want := List{Generation: 1<<64 - 1, Reset: true, Endpoints: []Endpoint{{
-		InstanceID: "s-1", Address: "127.0.0.1:8080", Zone: "a", Cell: 3, Lifecycle: "Ready", Weight: 0.5, StartedUnixMilli: 1.5e12,
+		InstanceID: "s-1", Address: "127.0.0.1:8080", Zone: "a", Cell: 3, Lifecycle: "Ready", Weight: 0.5,
+		StartedUnixMilli: 1.5e12,
 	}}}
 	var list List
 	if err := json.Unmarshal([]byte(text), &list); err != nil {
@@ -45,9 +46,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var again List
-	if err := json.Unmarshal(encoded, &again); err != nil || !reflect.DeepEqual(again, want) {
-		t.Errorf("list %+v after encoding, want %+v: %v", again, want, err)
+	var decoded List
+	if err := json.Unmarshal(encoded, &decoded); err != nil || !reflect.DeepEqual(decoded, want) {
+		t.Errorf("list %+v after encoding, want %+v: %v", decoded, want, err)
 	}
 }
 
@@ -58,8 +59,8 @@
 		StartedUnixMilli: float64(started.UnixMilli()) + 0.25,
 	}}}
 	translated := list.Translate()
-	if at := translated.Endpoints[0].StartedAt; !at.Equal(started) {
-		t.Errorf("started at %v, want %v", at, started)
+	if startedAt := translated.Endpoints[0].StartedAt; !startedAt.Equal(started) {
+		t.Errorf("started at %v, want %v", startedAt, started)
 	}
 	translated.Endpoints[0].StartedAt = time.Time{} // its location depends on the machine
 	want := endpoint.List{Generation: 4, Complete: true, Endpoints: []endpoint.Endpoint{{
@@ -77,8 +78,8 @@
 		1e300: time.UnixMilli(math.MaxInt64),
 	} {
 		e := Endpoint{StartedUnixMilli: unixMilli}
-		if at := e.Translate().StartedAt; !at.Equal(want) {
-			t.Errorf("start at %g ms is %v, want %v", unixMilli, at, want)
+		if startedAt := e.Translate().StartedAt; !startedAt.Equal(want) {
+			t.Errorf("start at %g ms is %v, want %v", unixMilli, startedAt, want)
 		}
 	}
 }
--- a/internal/hashring/hashring_test.go
+++ b/internal/hashring/hashring_test.go
@@ -6,11 +6,11 @@
 	groupOf := map[uint64]uint64{}
 	for group := range uint64(100) {
 		for member := range uint64(10) {
-			half := Position(group, 10*group+member) >> 32
-			if other, used := groupOf[half]; used && other != group {
+			groupHash := Position(group, 10*group+member) >> 32
+			if other, used := groupOf[groupHash]; used && other != group {
 				t.Fatalf("groups %d and %d share a part of the ring", other, group)
 			}
-			groupOf[half] = group
+			groupOf[groupHash] = group
 		}
 	}
 	if len(groupOf) != 100 {
--- a/internal/jitter/jitter_test.go
+++ b/internal/jitter/jitter_test.go
@@ -11,29 +11,29 @@
 	time.Duration, time.Duration,
 ) {
 	random := rand.New(rand.NewPCG(1, 0))
-	least := draw(random, delay)
-	greatest := least
+	shortest := draw(random, delay)
+	longest := shortest
 	for range 10000 {
 		drawn := draw(random, delay)
-		least, greatest = min(least, drawn), max(greatest, drawn)
+		shortest, longest = min(shortest, drawn), max(longest, drawn)
 	}
-	return least, greatest
+	return shortest, longest
 }
 
 func TestFullCoversAllDelaysBelow(t *testing.T) {
-	least, greatest := drawRange(Full, time.Second)
-	if least < 0 || least > 10*time.Millisecond || greatest < 990*time.Millisecond || greatest > time.Second {
-		t.Errorf("delays from %v to %v, want 0 to 1 s", least, greatest)
+	shortest, longest := drawRange(Full, time.Second)
+	if shortest < 0 || shortest > 10*time.Millisecond || longest < 990*time.Millisecond || longest > time.Second {
+		t.Errorf("delays from %v to %v, want 0 to 1 s", shortest, longest)
 	}
 }
 
 func TestProportionalStaysWithinItsShare(t *testing.T) {
-	aFifth := func(random *rand.Rand, delay time.Duration) time.Duration {
+	drawProportional := func(random *rand.Rand, delay time.Duration) time.Duration {
 		return Proportional(random, delay, 0.2)
 	}
-	least, greatest := drawRange(aFifth, time.Second)
-	if least < 800*time.Millisecond || least > 810*time.Millisecond ||
-		greatest < 1190*time.Millisecond || greatest > 1200*time.Millisecond {
-		t.Errorf("delays from %v to %v, want 0.8 s to 1.2 s", least, greatest)
+	shortest, longest := drawRange(drawProportional, time.Second)
+	if shortest < 800*time.Millisecond || shortest > 810*time.Millisecond ||
+		longest < 1190*time.Millisecond || longest > 1200*time.Millisecond {
+		t.Errorf("delays from %v to %v, want 0.8 s to 1.2 s", shortest, longest)
 	}
 }
--- a/internal/netdial/netdial.go
+++ b/internal/netdial/netdial.go
@@ -29,7 +29,7 @@
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		for attempts := 1; ; attempts++ {
 			conn, err := dial(ctx, network, address)
-			if err == nil || attempts == maxAttempts || !isTransient(err) || !awaitRetry(ctx) {
+			if err == nil || attempts == maxAttempts || !isTransient(err) || !waitBeforeRetry(ctx) {
 				return conn, err
 			}
 		}
@@ -48,8 +48,8 @@
 	return IsLocalFailure(err) || errors.Is(err, syscall.ENETUNREACH) || errors.Is(err, syscall.EHOSTUNREACH)
 }
 
-// awaitRetry returns true after retryDelay, or false as soon as ctx ends.
-func awaitRetry(ctx context.Context) bool {
+// waitBeforeRetry returns true after retryDelay, or false as soon as ctx ends.
+func waitBeforeRetry(ctx context.Context) bool {
 	timer := time.NewTimer(retryDelay)
 	defer timer.Stop()
 	select {
--- a/internal/netdial/netdial_test.go
+++ b/internal/netdial/netdial_test.go
@@ -15,15 +15,15 @@
 // failingDialer is a dialer whose first attempts fail with an error of the system.
 type failingDialer struct {
 	net.Dialer
-	failures int // attempts that fail
-	callName string
-	errno    syscall.Errno
-	attempts int
+	failures    int // attempts that fail
+	syscallName string
+	errno       syscall.Errno
+	attempts    int
 }
 
 func (d *failingDialer) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	if d.attempts++; d.attempts <= d.failures {
-		return nil, &net.OpError{Op: "dial", Net: network, Err: os.NewSyscallError(d.callName, d.errno)}
+		return nil, &net.OpError{Op: "dial", Net: network, Err: os.NewSyscallError(d.syscallName, d.errno)}
 	}
 	return d.DialContext(ctx, network, address)
 }
@@ -33,7 +33,7 @@
 func TestDialIsRetriedAfterATransientFailure(t *testing.T) {
 	address := testkit.Listen(t).Addr().String()
 	for _, c := range []struct {
-		callName         string
+		syscallName      string
 		errno            syscall.Errno
 		local, transient bool
 	}{
@@ -50,12 +50,12 @@
 		{"connect", syscall.ECONNREFUSED, false, false},
 		{"connect", syscall.ETIMEDOUT, false, false},
 	} {
-		t.Run(fmt.Sprintf("%s %v", c.callName, c.errno), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%s %v", c.syscallName, c.errno), func(t *testing.T) {
 			wantAttempts := 1
 			if c.transient {
 				wantAttempts = maxAttempts
 			}
-			recovering := &failingDialer{failures: maxAttempts - 1, callName: c.callName, errno: c.errno}
+			recovering := &failingDialer{failures: maxAttempts - 1, syscallName: c.syscallName, errno: c.errno}
 			conn, err := Repeat(recovering.dial)(t.Context(), "tcp", address)
 			if recovering.attempts != wantAttempts || (err == nil) != c.transient {
 				t.Errorf("%d attempts, %v", recovering.attempts, err)
@@ -63,7 +63,7 @@
 			if err == nil {
 				_ = conn.Close() // nothing was sent on it
 			}
-			failing := &failingDialer{failures: maxAttempts, callName: c.callName, errno: c.errno}
+			failing := &failingDialer{failures: maxAttempts, syscallName: c.syscallName, errno: c.errno}
 			_, err = Repeat(failing.dial)(t.Context(), "tcp", address)
 			if !errors.Is(err, c.errno) || IsLocalFailure(err) != c.local {
 				t.Errorf("%v, local %v", err, IsLocalFailure(err))
@@ -75,8 +75,9 @@
 func TestDialIsNotRetriedAfterItsContext(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	failing := &failingDialer{failures: maxAttempts, callName: "socket", errno: syscall.ENFILE}
-	if _, err := Repeat(failing.dial)(ctx, "tcp", "127.0.0.1:1"); !errors.Is(err, syscall.ENFILE) || failing.attempts != 1 {
+	failing := &failingDialer{failures: maxAttempts, syscallName: "socket", errno: syscall.ENFILE}
+	_, err := Repeat(failing.dial)(ctx, "tcp", "127.0.0.1:1")
+	if !errors.Is(err, syscall.ENFILE) || failing.attempts != 1 {
 		t.Errorf("%v after %d attempts", err, failing.attempts)
 	}
 }
--- a/internal/netdial/stagger_test.go
+++ b/internal/netdial/stagger_test.go
@@ -21,14 +21,14 @@
 type partitionedPeer struct {
 	healedAt time.Time
 
-	mu       sync.Mutex
-	attempts int // in progress
-	peak     int // the most attempts that were in progress at once
+	mu            sync.Mutex
+	inProgress    int // attempts in progress
+	maxInProgress int // the most attempts that were in progress at once
 }
 
 func (p *partitionedPeer) dial(ctx context.Context, _, _ string) (net.Conn, error) {
-	p.count(1)
-	defer p.count(-1)
+	p.addInProgress(1)
+	defer p.addInProgress(-1)
 	if time.Now().Before(p.healedAt) { // the packet is lost, and no other one follows
 		<-ctx.Done()
 		return nil, &net.OpError{Op: "dial", Err: ctx.Err()}
@@ -37,12 +37,12 @@
 	return conn, nil
 }
 
-// count adds to the attempts in progress.
-func (p *partitionedPeer) count(attempts int) {
+// addInProgress adds to the attempts in progress.
+func (p *partitionedPeer) addInProgress(delta int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.attempts += attempts
-	p.peak = max(p.peak, p.attempts)
+	p.inProgress += delta
+	p.maxInProgress = max(p.maxInProgress, p.inProgress)
 }
 
 // checkAttempts fails the test if attempts are still in progress, or if there were too many at once.
@@ -51,8 +51,8 @@
 	synctest.Wait()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.attempts != 0 || p.peak > int(testTimeout/testInterval)+1 {
-		t.Errorf("%d attempts are in progress, there were up to %d at once", p.attempts, p.peak)
+	if p.inProgress != 0 || p.maxInProgress > int(testTimeout/testInterval)+1 {
+		t.Errorf("%d attempts are in progress, there were up to %d at once", p.inProgress, p.maxInProgress)
 	}
 }
 
@@ -61,14 +61,14 @@
 func TestStaggeredDialReachesAPeerAfterAPartition(t *testing.T) {
 	for _, partition := range []time.Duration{0, testInterval, 4 * time.Second, time.Minute} {
 		synctest.Test(t, func(t *testing.T) {
-			began := time.Now()
-			peer := &partitionedPeer{healedAt: began.Add(partition)}
+			start := time.Now()
+			peer := &partitionedPeer{healedAt: start.Add(partition)}
 			conn, err := Stagger(peer.dial, testInterval, testTimeout)(t.Context(), "tcp", "peer")
 			if err != nil {
 				t.Fatal(err)
 			}
 			_ = conn.Close() // nothing was sent on it
-			if took := time.Since(began); took > partition+testInterval {
+			if took := time.Since(start); took > partition+testInterval {
 				t.Errorf("connected after %v, the partition took %v", took, partition)
 			}
 			peer.checkAttempts(t)
@@ -78,13 +78,13 @@
 
 func TestStaggeredDialEndsWithItsContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		began := time.Now()
-		peer := &partitionedPeer{healedAt: began.Add(time.Hour)}
+		start := time.Now()
+		peer := &partitionedPeer{healedAt: start.Add(time.Hour)}
 		ctx, cancel := context.WithTimeout(t.Context(), 4*time.Second)
 		defer cancel()
 		_, err := Stagger(peer.dial, testInterval, testTimeout)(ctx, "tcp", "peer")
-		if !errors.Is(err, context.DeadlineExceeded) || time.Since(began) != 4*time.Second {
-			t.Errorf("%v after %v", err, time.Since(began))
+		if !errors.Is(err, context.DeadlineExceeded) || time.Since(start) != 4*time.Second {
+			t.Errorf("%v after %v", err, time.Since(start))
 		}
 		peer.checkAttempts(t)
 	})
--- a/internal/outcomewindow/outcomewindow.go
+++ b/internal/outcomewindow/outcomewindow.go
@@ -37,11 +37,11 @@
 func (w *Window) AddFailure(now time.Duration) { w.add(outcome{at: now}) }
 
 // add writes an outcome, but leaves the running sums to the caller.
-func (w *Window) add(added outcome) {
+func (w *Window) add(entry outcome) {
 	if w.length == len(w.ring) {
 		w.dropOldest()
 	}
-	w.ring[w.next] = added
+	w.ring[w.next] = entry
 	w.next = (w.next + 1) % len(w.ring)
 	w.length++
 }
--- a/internal/outcomewindow/outcomewindow_test.go
+++ b/internal/outcomewindow/outcomewindow_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func check(t *testing.T, w *Window, length, successes int, latencySum float64) {
+func checkWindow(t *testing.T, w *Window, length, successes int, latencySum float64) {
 	t.Helper()
 	if w.Len() != length || w.Successes() != successes || w.Failures() != length-successes ||
 		w.LatencySum() != latencySum {
@@ -16,16 +16,16 @@
 
 func TestNewWindowIsEmpty(t *testing.T) {
 	w := New(3)
-	check(t, &w, 0, 0, 0)
+	checkWindow(t, &w, 0, 0, 0)
 	w.Expire(time.Hour, time.Second)
-	check(t, &w, 0, 0, 0)
+	checkWindow(t, &w, 0, 0, 0)
 }
 
 func TestFailureAddsNoLatency(t *testing.T) {
 	w := New(3)
 	w.AddSuccess(1, 2)
 	w.AddFailure(2)
-	check(t, &w, 2, 1, 2)
+	checkWindow(t, &w, 2, 1, 2)
 }
 
 func TestFullWindowForgetsTheOldest(t *testing.T) {
@@ -37,7 +37,7 @@
 			w.AddFailure(now)
 		}
 	}
-	check(t, &w, 3, 2, 4+6)
+	checkWindow(t, &w, 3, 2, 4+6)
 }
 
 func TestExpireForgetsOutcomesOfTheMaximumAge(t *testing.T) {
@@ -46,9 +46,9 @@
 	w.AddSuccess(2*time.Second, 2)
 	w.AddFailure(3 * time.Second)
 	w.Expire(7*time.Second, 5*time.Second)
-	check(t, &w, 1, 0, 0)
+	checkWindow(t, &w, 1, 0, 0)
 	w.Expire(time.Minute, 5*time.Second)
-	check(t, &w, 0, 0, 0)
+	checkWindow(t, &w, 0, 0, 0)
 	w.AddSuccess(time.Minute, 8)
-	check(t, &w, 1, 1, 8)
+	checkWindow(t, &w, 1, 1, 8)
 }
--- a/internal/processstart/estimator.go
+++ b/internal/processstart/estimator.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	// youngDivisor limits the part of the servers that may be warming up on a node's first list. At up to a
-	// quarter, the node uses the servers' clock: package policy learns the load of a warm server while three
-	// quarters are warm.
-	youngDivisor = 4
+	// minReadyPerWarmingUp limits the part of the servers that may be warming up on a node's first list. At up
+	// to a quarter, the node uses the servers' clock: package policy learns the load of a warm server while
+	// three quarters are warm.
+	minReadyPerWarmingUp = 4
 	// maxAge is longer than any process runs.
 	maxAge = 100 * 365 * 24 * time.Hour
 )
@@ -25,9 +25,9 @@
 //   - the age by the servers' own clock, which their starts show, if useServerClock permits it;
 //   - the time since discovery last responded, when the list did not have the process yet.
 type estimator struct {
-	origin    time.Time     // wall time when the node's clock showed 0
-	slowStart time.Duration // how long a process takes to warm up
-	syncedAt  time.Duration // on the node's clock: when discovery last responded; 0: not yet
+	origin            time.Time     // wall time when the node's clock showed 0
+	slowStartDuration time.Duration // how long a process takes to warm up
+	lastResponseAt    time.Duration // on the node's clock: when discovery last responded; 0: not yet
 
 	serverOrigin   time.Time // the servers' wall time when the node's clock showed 0; zero: unknown
 	useServerClock bool      // the estimates of the present update use the servers' clock
@@ -35,18 +35,18 @@
 
 // newEstimator returns an estimator that knows nothing of the servers' clock. The wall time origin is kept
 // without its monotonic reading, so that it is compared with other wall times.
-func newEstimator(origin time.Time, slowStart time.Duration) estimator {
-	return estimator{origin: origin.Round(0), slowStart: slowStart}
+func newEstimator(origin time.Time, slowStartDuration time.Duration) estimator {
+	return estimator{origin: origin.Round(0), slowStartDuration: slowStartDuration}
 }
 
-// synced records that discovery has just responded.
-func (e *estimator) synced(now time.Duration) { e.syncedAt = now }
+// recordResponse records that discovery has just responded.
+func (e *estimator) recordResponse(now time.Duration) { e.lastResponseAt = now }
 
 // observe learns the servers' clock from the endpoints of an update, and decides whether the estimates
-// for that update use it: always once discovery has responded, before that only if few servers are young.
+// for that update use it: always once discovery has responded, before that only if few servers are warming up.
 func (e *estimator) observe(list []endpoint.Endpoint, now time.Duration) {
 	e.learnServerClock(list, now)
-	e.useServerClock = e.syncedAt > 0 || e.fewAreYoung(list, now)
+	e.useServerClock = e.lastResponseAt > 0 || e.fewAreWarmingUp(list, now)
 }
 
 // estimate returns the start on the node's clock of a process that started at the given wall time of its
@@ -59,8 +59,8 @@
 	if e.useServerClock {
 		age = min(age, e.ageByServerClock(startedAt, now.Clock))
 	}
-	if e.syncedAt > 0 {
-		age = min(age, now.Clock-e.syncedAt)
+	if e.lastResponseAt > 0 {
+		age = min(age, now.Clock-e.lastResponseAt)
 	}
 	return max(0, now.Clock-age)
 }
@@ -70,17 +70,17 @@
 // time of day or from that of the node's start. ageByWallClock returns the lesser age of the two; a negative one
 // is impossible and is left out, and if both are, the age is 0.
 func (e *estimator) ageByWallClock(startedAt time.Time, now Moment) time.Duration {
-	byOrigin := now.Clock - startedAt.Sub(e.origin)
-	byPresent := now.Wall.Round(0).Sub(startedAt)
+	byStartupClock := now.Clock - startedAt.Sub(e.origin)
+	byCurrentClock := now.Wall.Round(0).Sub(startedAt)
 	switch {
-	case byOrigin < 0 && byPresent < 0:
+	case byStartupClock < 0 && byCurrentClock < 0:
 		return 0
-	case byOrigin < 0:
-		return byPresent
-	case byPresent < 0:
-		return byOrigin
+	case byStartupClock < 0:
+		return byCurrentClock
+	case byCurrentClock < 0:
+		return byStartupClock
 	}
-	return min(byOrigin, byPresent)
+	return min(byStartupClock, byCurrentClock)
 }
 
 // learnServerClock learns the servers' time of day from their starts: no process starts after it is listed.
@@ -103,24 +103,24 @@
 	return now + min(e.serverOrigin.Sub(startedAt), maxAge)
 }
 
-// fewAreYoung reports whether few servers of a node's first list are warming up by the servers' own clock. If
+// fewAreWarmingUp reports whether few servers of a node's first list are warming up by the servers' own clock. If
 // many seem to be, the fleet may have been restarted together, however long ago. The node would then shed load
 // for no reason, so it uses its wall clock alone, which is nearly always right.
-func (e *estimator) fewAreYoung(list []endpoint.Endpoint, now time.Duration) bool {
-	ready, young := 0, 0
+func (e *estimator) fewAreWarmingUp(list []endpoint.Endpoint, now time.Duration) bool {
+	ready, warmingUp := 0, 0
 	for i := range list {
 		if list[i].State != policy.Ready {
 			continue
 		}
 		ready++
-		if e.isYoung(list[i].StartedAt, now) {
-			young++
+		if e.isWarmingUp(list[i].StartedAt, now) {
+			warmingUp++
 		}
 	}
-	return young*youngDivisor <= ready
+	return warmingUp*minReadyPerWarmingUp <= ready
 }
 
-// isYoung reports whether a process is warming up by the servers' own clock.
-func (e *estimator) isYoung(startedAt time.Time, now time.Duration) bool {
-	return !startedAt.IsZero() && e.ageByServerClock(startedAt, now) < e.slowStart
+// isWarmingUp reports whether a process is warming up by the servers' own clock.
+func (e *estimator) isWarmingUp(startedAt time.Time, now time.Duration) bool {
+	return !startedAt.IsZero() && e.ageByServerClock(startedAt, now) < e.slowStartDuration
 }
--- a/internal/processstart/registry.go
+++ b/internal/processstart/registry.go
@@ -46,11 +46,11 @@
 }
 
 // NewRegistry returns a registry without processes. The node's clock showed 0 at the wall time origin. A server
-// warms up for slowStart. A process that was removed for longer than slowStart warms up again when it returns.
-func NewRegistry(origin time.Time, slowStart time.Duration) *Registry {
+// warms up for slowStartDuration. A process that was removed for longer warms up again when it returns.
+func NewRegistry(origin time.Time, slowStartDuration time.Duration) *Registry {
 	return &Registry{
-		estimator: newEstimator(origin, slowStart),
-		retention: slowStart,
+		estimator: newEstimator(origin, slowStartDuration),
+		retention: slowStartDuration,
 		listed:    map[policy.ServerID]process{},
 		removed:   map[policy.ServerID]removedProcess{},
 	}
@@ -58,7 +58,7 @@
 
 // Synced records that discovery has just responded, with or without changes. A process that is first listed
 // later counts as started since.
-func (r *Registry) Synced(now time.Duration) { r.estimator.synced(now) }
+func (r *Registry) Synced(now time.Duration) { r.estimator.recordResponse(now) }
 
 // Update applies an endpoint update at the present moment. It returns the starts of the listed processes on
 // the node's clock, in the order of the list; 0 stands for long ago.
--- a/internal/processstart/registry_test.go
+++ b/internal/processstart/registry_test.go
@@ -37,16 +37,16 @@
 	return NewRegistry(wallNow().Add(ahead-clockNow), testSlowStart)
 }
 
-// endpointStarted returns an endpoint of one server whose process started at a wall time of its machine.
-func endpointStarted(startedAt time.Time) []endpoint.Endpoint {
+// endpointStartedAt returns an endpoint of one server whose process started at a wall time of its machine.
+func endpointStartedAt(startedAt time.Time) []endpoint.Endpoint {
 	return []endpoint.Endpoint{{ID: 1, State: policy.Ready, StartedAt: startedAt}}
 }
 
-// endpointsStarted returns the endpoints of several servers.
-func endpointsStarted(startedAt ...time.Time) []endpoint.Endpoint {
+// endpointsStartedAt returns the endpoints of several servers.
+func endpointsStartedAt(startedAt ...time.Time) []endpoint.Endpoint {
 	var list []endpoint.Endpoint
 	for i, at := range startedAt {
-		e := endpointStarted(at)[0]
+		e := endpointStartedAt(at)[0]
 		e.ID = policy.ServerID(i + 1)
 		list = append(list, e)
 	}
@@ -57,28 +57,29 @@
 // start. A process that has just started must not count as warm, nor as started in the future.
 func TestStartOfANewProcessSurvivesClockSteps(t *testing.T) {
 	for _, step := range []time.Duration{0, time.Hour, -time.Hour, 5 * time.Second, -5 * time.Second} {
-		for name, c := range map[string]struct{ own, server time.Duration }{
+		for name, c := range map[string]struct{ nodeStep, serverStep time.Duration }{
 			"all machines": {step, step},
 			"this machine": {step, 0},
 			"the server's": {0, step},
 		} {
 			t.Run(fmt.Sprintf("%s by %v", name, step), func(t *testing.T) {
-				testStartOfANewProcess(t, c.own, c.server)
+				checkNewProcessAfterClockStep(t, c.nodeStep, c.serverStep)
 			})
 		}
 	}
 }
 
-// testStartOfANewProcess steps the wall clocks of the node and of a server before the server is
+// checkNewProcessAfterClockStep steps the wall clocks of the node and of a server before the server is
 // restarted.
-func testStartOfANewProcess(t *testing.T, ownStep, serverStep time.Duration) {
+func checkNewProcessAfterClockStep(t *testing.T, nodeStep, serverStep time.Duration) {
 	t.Helper()
 	registry := newTestRegistry(0)
-	registry.Update(policy.UpdateSnapshot, endpointStarted(wallNow().Add(-time.Hour)), Moment{clockNow - processAge, wallNow()})
+	previous := endpointStartedAt(wallNow().Add(-time.Hour))
+	registry.Update(policy.UpdateSnapshot, previous, Moment{clockNow - processAge, wallNow()})
 	registry.Synced(clockNow - processAge)
-	list := endpointStarted(wallNow().Add(serverStep - processAge))
+	list := endpointStartedAt(wallNow().Add(serverStep - processAge))
 
-	start := registry.Update(policy.UpdateDelta, list, nowWithWallClockAhead(ownStep))[0]
+	start := registry.Update(policy.UpdateDelta, list, nowWithWallClockAhead(nodeStep))[0]
 
 	if age := clockNow - start; age < 0 || age > processAge {
 		t.Errorf("the process counts as %v old, want 0 to %v, when discovery last responded", age, processAge)
@@ -94,7 +95,7 @@
 // If no clock is stepped, the estimate is exact, also for a process older than the node.
 func TestStartIsEstimatedByItsWallTime(t *testing.T) {
 	for _, age := range []time.Duration{0, time.Millisecond, processAge, time.Minute, clockNow - time.Second} {
-		registry, list := newTestRegistry(0), endpointStarted(wallNow().Add(-age))
+		registry, list := newTestRegistry(0), endpointStartedAt(wallNow().Add(-age))
 		if start := registry.Update(policy.UpdateCached, list, nowWithWallClockAhead(0))[0]; start != clockNow-age {
 			t.Errorf("a process %v old counts as %v old", age, clockNow-start)
 		}
@@ -108,7 +109,7 @@
 		-30 * time.Second: clockNow - 30*time.Second,
 		30 * time.Second:  clockNow - time.Minute,
 	} {
-		registry, list := newTestRegistry(0), endpointStarted(wallNow().Add(-time.Minute))
+		registry, list := newTestRegistry(0), endpointStartedAt(wallNow().Add(-time.Minute))
 		if start := registry.Update(policy.UpdateCached, list, nowWithWallClockAhead(step))[0]; start != want {
 			t.Errorf("stepped by %v: a process 1m old counts as %v old, want %v", step, clockNow-start, clockNow-want)
 		}
@@ -119,8 +120,8 @@
 // configuration listed, is as old as discovery says.
 func TestRestartBeforeTheFirstListKeepsItsAge(t *testing.T) {
 	registry, now := newTestRegistry(0), nowWithWallClockAhead(0)
-	registry.Update(policy.UpdateCached, endpointStarted(wallNow().Add(-time.Hour)), now)
-	start := registry.Update(policy.UpdateSnapshot, endpointStarted(wallNow().Add(-time.Minute)), now)[0]
+	registry.Update(policy.UpdateCached, endpointStartedAt(wallNow().Add(-time.Hour)), now)
+	start := registry.Update(policy.UpdateSnapshot, endpointStartedAt(wallNow().Add(-time.Minute)), now)[0]
 	if age := clockNow - start; age != time.Minute {
 		t.Errorf("the process counts as %v old, want 1m", age)
 	}
@@ -133,7 +134,7 @@
 		registry, now := newTestRegistry(ahead), nowWithWallClockAhead(ahead)
 		registry.Update(policy.UpdateSnapshot, nil, Moment{clockNow - processAge, now.Wall})
 		registry.Synced(clockNow - processAge)
-		start := registry.Update(policy.UpdateDelta, endpointStarted(wallNow().Add(-time.Millisecond)), now)[0]
+		start := registry.Update(policy.UpdateDelta, endpointStartedAt(wallNow().Add(-time.Millisecond)), now)[0]
 		if start != clockNow {
 			t.Errorf("wall clock ahead by %v: the process counts as %v old, want 0", ahead, clockNow-start)
 		}
@@ -149,7 +150,7 @@
 		registry, now := newTestRegistry(ahead), nowWithWallClockAhead(ahead)
 		registry.Update(policy.UpdateSnapshot, nil, now.before(outage))
 		registry.Synced(clockNow - outage)
-		list := endpointsStarted(wallNow().Add(-time.Second), wallNow().Add(-6*time.Second), wallNow().Add(-time.Minute))
+		list := endpointsStartedAt(wallNow().Add(-time.Second), wallNow().Add(-6*time.Second), wallNow().Add(-time.Minute))
 
 		starts := registry.Update(policy.UpdateDelta, list, now)
 
@@ -164,20 +165,21 @@
 func TestFirstListBoundsTheAgeOfFewYoungServers(t *testing.T) {
 	const ahead = time.Hour
 	for _, c := range []struct {
-		young, old int
-		wantAge    time.Duration // of the second youngest, a second older than the youngest
+		warmingUp, warm int
+		wantAge         time.Duration // of the second youngest, a second older than the youngest
 	}{{2, 8, time.Second}, {2, 6, time.Second}, {2, 5, ahead + time.Second}, {4, 0, ahead + time.Second}} {
 		startedAt := []time.Time{wallNow()}
-		startedAt = append(startedAt, slices.Repeat([]time.Time{wallNow().Add(-time.Second)}, c.young-1)...)
-		startedAt = append(startedAt, make([]time.Time, c.old)...) // long ago
+		startedAt = append(startedAt, slices.Repeat([]time.Time{wallNow().Add(-time.Second)}, c.warmingUp-1)...)
+		startedAt = append(startedAt, make([]time.Time, c.warm)...) // long ago
 
-		starts := newTestRegistry(ahead).Update(policy.UpdateSnapshot, endpointsStarted(startedAt...), nowWithWallClockAhead(ahead))
+		registry, list := newTestRegistry(ahead), endpointsStartedAt(startedAt...)
+		starts := registry.Update(policy.UpdateSnapshot, list, nowWithWallClockAhead(ahead))
 
 		if age := clockNow - starts[1]; age != c.wantAge {
-			t.Errorf("%d young and %d old servers: age %v, want %v", c.young, c.old, age, c.wantAge)
+			t.Errorf("%d servers warming up and %d warm: age %v, want %v", c.warmingUp, c.warm, age, c.wantAge)
 		}
-		if c.old > 0 && starts[c.young] != 0 {
-			t.Errorf("a server that started long ago counts as started at %v", starts[c.young])
+		if c.warm > 0 && starts[c.warmingUp] != 0 {
+			t.Errorf("a server that started long ago counts as started at %v", starts[c.warmingUp])
 		}
 	}
 }
@@ -191,7 +193,7 @@
 		testSlowStart + 1: clockNow + testSlowStart + 1,
 	} {
 		registry, now := newTestRegistry(0), nowWithWallClockAhead(0)
-		list := endpointStarted(wallNow().Add(-processAge))
+		list := endpointStartedAt(wallNow().Add(-processAge))
 		registry.Update(policy.UpdateSnapshot, list, now)
 		registry.Synced(clockNow)
 		removed := slices.Clone(list)
--- a/internal/runningmean/runningmean_test.go
+++ b/internal/runningmean/runningmean_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func check(t *testing.T, m *Mean, value, samples float64) {
+func checkMean(t *testing.T, m *Mean, value, samples float64) {
 	t.Helper()
 	if m.Value() != value || m.Samples() != samples {
 		t.Errorf("mean %v of %v samples, want %v of %v", m.Value(), m.Samples(), value, samples)
@@ -11,18 +11,18 @@
 
 func TestMeanOfTheSamples(t *testing.T) {
 	m := New(10)
-	check(t, &m, 0, 0)
+	checkMean(t, &m, 0, 0)
 	for _, sample := range []float64{1, 2, 6} {
 		m.Add(sample)
 	}
-	check(t, &m, 3, 3)
+	checkMean(t, &m, 3, 3)
 }
 
 func TestGuessCountsAsOneSample(t *testing.T) {
 	m := NewWithGuess(8, 10)
-	check(t, &m, 8, 1)
+	checkMean(t, &m, 8, 1)
 	m.Add(4)
-	check(t, &m, 6, 2)
+	checkMean(t, &m, 6, 2)
 }
 
 func TestWeightOfThePastIsBounded(t *testing.T) {
@@ -31,13 +31,13 @@
 		m.Add(0)
 	}
 	m.Add(8)
-	check(t, &m, 2, 4)
+	checkMean(t, &m, 2, 4)
 }
 
 func TestPriorKeepsTheMean(t *testing.T) {
 	m := New(10)
 	m.AddWithPrior(8, 3)
-	check(t, &m, 2, 1)
+	checkMean(t, &m, 2, 1)
 	m.AddWithPrior(8, 4)
-	check(t, &m, 3, 2)
+	checkMean(t, &m, 3, 2)
 }
--- a/internal/sockstate/sockstate_test.go
+++ b/internal/sockstate/sockstate_test.go
@@ -10,25 +10,25 @@
 	"calicohinge/internal/testkit"
 )
 
-// connect returns the local end and the peer's end of a loopback connection.
-func connect(t *testing.T) (*net.TCPConn, *net.TCPConn) {
+// connectLoopback returns the local end and the peer's end of a loopback connection.
+func connectLoopback(t *testing.T) (*net.TCPConn, *net.TCPConn) {
 	t.Helper()
 	listener := testkit.Listen(t)
 	dialed, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { closeQuietly(dialed) })
+	t.Cleanup(func() { closeIgnoringError(dialed) })
 	accepted, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { closeQuietly(accepted) })
+	t.Cleanup(func() { closeIgnoringError(accepted) })
 	return dialed.(*net.TCPConn), accepted.(*net.TCPConn)
 }
 
-// closeQuietly closes what the test may have closed already.
-func closeQuietly(closer io.Closer) { _ = closer.Close() }
+// closeIgnoringError closes what the test may have closed already.
+func closeIgnoringError(closer io.Closer) { _ = closer.Close() }
 
 // writeByte writes the byte "x".
 func writeByte(conn *net.TCPConn) error {
@@ -36,8 +36,8 @@
 	return err
 }
 
-// check fails the test unless err is nil.
-func check(t *testing.T, err error) {
+// requireNoError fails the test unless err is nil.
+func requireNoError(t *testing.T, err error) {
 	t.Helper()
 	if err != nil {
 		t.Fatal(err)
@@ -46,8 +46,8 @@
 
 func TestPeekShowsWhatThePeerDid(t *testing.T) {
 	for name, c := range map[string]struct {
-		act  func(peer *net.TCPConn) error
-		want State
+		peerAction func(peer *net.TCPConn) error
+		want       State
 	}{
 		"nothing":            {func(*net.TCPConn) error { return nil }, Quiet},
 		"wrote":              {writeByte, Readable},
@@ -57,17 +57,17 @@
 		"wrote, then closed": {func(peer *net.TCPConn) error { return errors.Join(writeByte(peer), peer.Close()) }, Readable},
 	} {
 		t.Run(name, func(t *testing.T) {
-			local, peer := connect(t)
-			check(t, c.act(peer))
+			local, peer := connectLoopback(t)
+			requireNoError(t, c.peerAction(peer))
 			testkit.Until(t, "the connection to be "+c.want.String(), func() bool { return Peek(local) == c.want })
 		})
 	}
 }
 
 func TestPeekLeavesUnreadBytes(t *testing.T) {
-	local, peer := connect(t)
-	check(t, writeByte(peer))
-	check(t, peer.CloseWrite())
+	local, peer := connectLoopback(t)
+	requireNoError(t, writeByte(peer))
+	requireNoError(t, peer.CloseWrite())
 	testkit.Until(t, "bytes", func() bool { return Peek(local) == Readable })
 	text, err := io.ReadAll(local)
 	if err != nil || string(text) != "x" {
@@ -80,9 +80,9 @@
 
 // A reader that blocks in the connection must not delay Peek.
 func TestPeekDoesNotWaitForABlockedReader(t *testing.T) {
-	local, peer := connect(t)
+	local, peer := connectLoopback(t)
 	raw, err := local.SyscallConn()
-	check(t, err)
+	requireNoError(t, err)
 	blocked := make(chan struct{}, 1)
 	read := make(chan error, 1)
 	go func() {
@@ -103,19 +103,19 @@
 	if state := testkit.Wait(t, states, "the state"); state != Quiet {
 		t.Errorf("%v, want %v", state, Quiet)
 	}
-	check(t, peer.Close())
-	check(t, testkit.Wait(t, read, "the end of the reader"))
+	requireNoError(t, peer.Close())
+	requireNoError(t, testkit.Wait(t, read, "the end of the reader"))
 }
 
 func TestPeekOfAConnectionThatIsNoOpenSocketIsClosed(t *testing.T) {
-	local, _ := connect(t)
-	check(t, local.Close())
+	local, _ := connectLoopback(t)
+	requireNoError(t, local.Close())
 	if state := Peek(local); state != Closed {
 		t.Errorf("closed here: %v", state)
 	}
 	pipe, other := net.Pipe()
-	defer closeQuietly(pipe)
-	defer closeQuietly(other)
+	defer closeIgnoringError(pipe)
+	defer closeIgnoringError(other)
 	if state := Peek(pipe); state != Closed {
 		t.Errorf("a pipe: %v", state)
 	}
--- a/internal/syserror/syserror.go
+++ b/internal/syserror/syserror.go
@@ -23,16 +23,16 @@
 	return isAny(err, syscall.EINTR, syscall.EAGAIN, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM)
 }
 
-// IsMomentary reports whether the call may succeed a moment later: after a shortage, a failed access
+// IsTransient reports whether the call may succeed a moment later: after a shortage, a failed access
 // to a disk, or as long as the network of this machine is not up.
-func IsMomentary(err error) bool {
+func IsTransient(err error) bool {
 	return IsShortage(err) || isAny(err, syscall.EIO, syscall.ESTALE, syscall.EADDRNOTAVAIL, syscall.ENETDOWN)
 }
 
 // isAny reports whether an error is, or wraps, one of the candidates.
-func isAny(err error, candidates ...syscall.Errno) bool {
+func isAny(err error, errnos ...syscall.Errno) bool {
 	errno, ok := errors.AsType[syscall.Errno](err)
-	return ok && slices.Contains(candidates, errno)
+	return ok && slices.Contains(errnos, errno)
 }
 
 // Retry calls an operation until it succeeds or fails with an error that is not momentary, but
@@ -41,7 +41,7 @@
 	backoff := initialBackoff
 	for attempt := 1; ; attempt++ {
 		err := operation()
-		if err == nil || attempt == maxAttempts || !IsMomentary(err) {
+		if err == nil || attempt == maxAttempts || !IsTransient(err) {
 			return err
 		}
 		time.Sleep(backoff)
--- a/internal/syserror/syserror_test.go
+++ b/internal/syserror/syserror_test.go
@@ -15,7 +15,7 @@
 	}
 	for _, c := range []struct {
 		err                 error
-		shortage, momentary bool
+		shortage, transient bool
 	}{
 		{wrapped(syscall.EINTR), true, true},
 		{wrapped(syscall.EMFILE), true, true},
@@ -29,18 +29,18 @@
 		{wrapped(syscall.ENOENT), false, false},
 		{os.ErrDeadlineExceeded, false, false},
 	} {
-		if IsShortage(c.err) != c.shortage || IsMomentary(c.err) != c.momentary {
-			t.Errorf("%v: shortage %v, momentary %v", c.err, IsShortage(c.err), IsMomentary(c.err))
+		if IsShortage(c.err) != c.shortage || IsTransient(c.err) != c.transient {
+			t.Errorf("%v: shortage %v, transient %v", c.err, IsShortage(c.err), IsTransient(c.err))
 		}
 	}
 }
 
 func TestRetryEndsWithSuccessOrLastingFailure(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		errors []error // of the first calls; further calls succeed
-		calls  int     // expected
-		failed bool    // expected of the last call
+		name      string
+		errors    []error // of the first calls; further calls succeed
+		wantCalls int     // expected
+		wantErr   bool    // expected of the last call
 	}{
 		{"success", nil, 1, false},
 		{"momentary failures", []error{syscall.EMFILE, syscall.EIO}, 3, false},
@@ -57,10 +57,10 @@
 			}
 			return nil
 		})
-		if calls != c.calls || (err != nil) != c.failed {
+		if calls != c.wantCalls || (err != nil) != c.wantErr {
 			t.Errorf("%s: %d calls, %v", c.name, calls, err)
 		}
-		if c.failed && !errors.Is(err, c.errors[calls-1]) {
+		if c.wantErr && !errors.Is(err, c.errors[calls-1]) {
 			t.Errorf("%s: %v is not the last error", c.name, err)
 		}
 	}
--- a/internal/tokenbucket/tokenbucket_test.go
+++ b/internal/tokenbucket/tokenbucket_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// takeAll counts the tokens that a bucket gives at one time, up to a most.
-func takeAll(b *Bucket, now time.Duration, most int) int {
+// takeUpTo counts the tokens that a bucket gives at one time, up to limit.
+func takeUpTo(b *Bucket, now time.Duration, limit int) int {
 	taken := 0
-	for taken < most && b.Take(now) {
+	for taken < limit && b.Take(now) {
 		taken++
 	}
 	return taken
@@ -16,17 +16,17 @@
 
 func TestBurstIsOneSecondsWorth(t *testing.T) {
 	b := New(5)
-	if n := takeAll(&b, time.Hour, 100); n != 5 {
+	if n := takeUpTo(&b, time.Hour, 100); n != 5 {
 		t.Errorf("%d tokens after a long pause, want 5", n)
 	}
-	if n := takeAll(&b, time.Hour+400*time.Millisecond, 100); n != 2 {
+	if n := takeUpTo(&b, time.Hour+400*time.Millisecond, 100); n != 2 {
 		t.Errorf("%d tokens after 0.4 s, want 2", n)
 	}
 }
 
 func TestRateBelowOnePerSecondStillSavesOneToken(t *testing.T) {
 	b := New(0.5)
-	if n := takeAll(&b, time.Hour, 100); n != 1 {
+	if n := takeUpTo(&b, time.Hour, 100); n != 1 {
 		t.Errorf("%d tokens, want 1", n)
 	}
 	if b.Take(time.Hour + time.Second) {
@@ -39,16 +39,16 @@
 
 func TestRateZeroIsUnlimited(t *testing.T) {
 	b := New(0)
-	if n := takeAll(&b, time.Hour, 1000); n != 1000 {
+	if n := takeUpTo(&b, time.Hour, 1000); n != 1000 {
 		t.Errorf("%d tokens without a limit, want all 1000", n)
 	}
 }
 
 func TestReturnedTokenCanBeTakenAgain(t *testing.T) {
 	b := New(1)
-	takeAll(&b, time.Hour, 100)
+	takeUpTo(&b, time.Hour, 100)
 	b.Return()
-	if n := takeAll(&b, time.Hour, 100); n != 1 {
+	if n := takeUpTo(&b, time.Hour, 100); n != 1 {
 		t.Errorf("%d tokens after one was returned, want 1", n)
 	}
 }
