--- a/internal/endpoint/endpoint.go
+++ b/internal/endpoint/endpoint.go
@@ -1,6 +1,6 @@
-// Package endpoint defines the endpoint list as the node uses it: the servers of the fleet with their
-// identifiers, states and start times. Package endpointjson translates the JSON form into it; packages
-// config, discovery, node and upstream use it. It keeps no state.
+// Package endpoint defines the node's representation of the endpoint list: the servers of the fleet with their
+// IDs, states and start times. Package endpointjson translates the JSON form into it; packages config, discovery,
+// node and upstream use it. It keeps no state.
 package endpoint
 
 import (
@@ -10,26 +10,26 @@
 	"calicohinge/policy"
 )
 
-// List is the complete endpoint list, or the endpoints that changed since an earlier generation.
+// List is a snapshot of the endpoint list, or a delta with the endpoints that changed since an earlier generation.
 type List struct {
-	Generation uint64 // grows with each change
-	Complete   bool   // an endpoint that is not listed has been removed
+	Generation uint64 // increases with each change
+	Complete   bool   // a snapshot: an endpoint that is not listed has been removed
 	Endpoints  []Endpoint
 }
 
-// Endpoint is one server of a list.
+// Endpoint is the entry of one server in a list.
 type Endpoint struct {
-	ID        policy.ServerID // 0: the list named no instance
-	Address   string          // host and port
+	ID        policy.ServerID // 0: the list gave no instance ID
+	Address   string          // host:port
 	Zone      string
 	Cell      int
 	State     policy.EndpointState
-	Weight    float64   // rough capacity, comparable across servers; 0: unknown
-	StartedAt time.Time // start of the process by the wall clock of its machine; zero: long ago
+	Weight    float64   // approximate capacity relative to other servers; 0: unknown
+	StartedAt time.Time // start of the server process by the wall clock of its machine; zero: long ago
 }
 
-// IDOf returns the ID of the server with an instance ID: its 64-bit FNV-1a hash, or 0 if it is empty.
-// Every node computes the same value, which the ring order of package policy relies on.
+// IDOf returns the server ID for an instance ID: its 64-bit FNV-1a hash, or 0 if the instance ID is empty.
+// All nodes must compute the same value, because the ring order in package policy depends on it.
 func IDOf(instanceID string) policy.ServerID {
 	if instanceID == "" {
 		return 0
