--- a/internal/endpointjson/endpointjson.go
+++ b/internal/endpointjson/endpointjson.go
@@ -1,6 +1,6 @@
-// Package endpointjson defines the JSON form of the endpoint list and translates it into package endpoint. The
-// discovery service publishes the list in this form, and a node's configuration holds it. The names of the wire
-// appear nowhere else. It keeps no state. Packages config and discovery use it.
+// Package endpointjson defines the JSON form of the endpoint list and translates it into the types of package
+// endpoint. The discovery service publishes the list in this form, and a node's configuration file may contain
+// one. No other package depends on the JSON names. Packages config and discovery use it. It keeps no state.
 package endpointjson
 
 import (
@@ -14,11 +14,11 @@
 // List is an endpoint list in its JSON form.
 type List struct {
 	Generation uint64     `json:"generation"`
-	Reset      bool       `json:"reset"` // the list is complete
+	Reset      bool       `json:"reset"` // the list is a snapshot
 	Endpoints  []Endpoint `json:"instances"`
 }
 
-// Endpoint is one server of a list.
+// Endpoint is the entry of one server in a list.
 type Endpoint struct {
 	InstanceID       string  `json:"instanceId"`
 	Address          string  `json:"hostPort"`
@@ -26,21 +26,21 @@
 	Cell             int     `json:"cell"`
 	Lifecycle        string  `json:"lifecycle"`
 	Weight           float64 `json:"weight"`
-	StartedUnixMilli float64 `json:"startedAtMs"` // milliseconds since the Unix epoch; 0 and less: long ago
+	StartedUnixMilli float64 `json:"startedAtMs"` // milliseconds since the Unix epoch; 0 or negative: long ago
 }
 
-// The values of Endpoint.Lifecycle that have a meaning of their own.
+// Values of Endpoint.Lifecycle. Any other value means draining.
 const (
 	lifecycleReady = "Ready"
 	lifecycleGone  = "Gone"
 )
 
-// Translate returns the list that the JSON form stands for.
+// Translate converts the list to an endpoint.List.
 func (l *List) Translate() endpoint.List {
 	return endpoint.List{Generation: l.Generation, Complete: l.Reset, Endpoints: TranslateAll(l.Endpoints)}
 }
 
-// TranslateAll translates the endpoints of a list.
+// TranslateAll converts a slice of endpoints.
 func TranslateAll(endpoints []Endpoint) []endpoint.Endpoint {
 	translated := make([]endpoint.Endpoint, len(endpoints))
 	for i := range endpoints {
@@ -49,7 +49,7 @@
 	return translated
 }
 
-// Translate returns the endpoint that the JSON form stands for.
+// Translate converts the entry to an endpoint.Endpoint.
 func (e *Endpoint) Translate() endpoint.Endpoint {
 	return endpoint.Endpoint{
 		ID:        endpoint.IDOf(e.InstanceID),
@@ -62,7 +62,7 @@
 	}
 }
 
-// stateOf translates a lifecycle. An unknown value counts as draining, so that the server gets no new
+// stateOf translates a lifecycle value. It treats an unknown value as draining, so that the server gets no new
 // requests.
 func stateOf(lifecycle string) policy.EndpointState {
 	switch lifecycle {
@@ -74,8 +74,8 @@
 	return policy.Draining
 }
 
-// startTime converts a Unix time in milliseconds, rounded to the nanosecond. It returns the zero time for 0 and
-// less, and the time of math.MaxInt64 milliseconds for larger values.
+// startTime converts a Unix time in milliseconds, rounding to the nanosecond. It returns the zero time for values
+// up to 0, and limits values to math.MaxInt64 milliseconds.
 func startTime(unixMilli float64) time.Time {
 	if unixMilli <= 0 {
 		return time.Time{}
