--- a/internal/endpointjson/endpointjson_test.go
+++ b/internal/endpointjson/endpointjson_test.go
@@ -11,7 +11,7 @@
 	"calicohinge/policy"
 )
 
-func TestUnknownLifecycleCountsAsDraining(t *testing.T) {
+func TestUnknownLifecycleMeansDraining(t *testing.T) {
 	for lifecycle, want := range map[string]policy.EndpointState{
 		"Ready":       policy.Ready,
 		"Gone":        policy.Removed,
@@ -22,13 +22,13 @@
 	} {
 		server := Endpoint{Lifecycle: lifecycle}
 		if state := server.Translate().State; state != want {
-			t.Errorf("lifecycle %q is %v, want %v", lifecycle, state, want)
+			t.Errorf("lifecycle %q: state %v, want %v", lifecycle, state, want)
 		}
 	}
 }
 
-// The names of the JSON form are given by the discovery service; unknown names are ignored.
-func TestListHasTheNamesOfTheWire(t *testing.T) {
+// The discovery service defines the JSON names. Unknown names must be ignored.
+func TestListUsesWireNames(t *testing.T) {
 	const text = `{"generation":18446744073709551615,"reset":true,"novel":1,"instances":[{"instanceId":"s-1",` +
 		`"hostPort":"127.0.0.1:8080","zone":"a","cell":3,"lifecycle":"Ready","weight":0.5,"startedAtMs":1.5e12,"novel":[]}]}`
 	want := List{Generation: 1<<64 - 1, Reset: true, Endpoints: []Endpoint{{
@@ -40,7 +40,7 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(list, want) {
-		t.Errorf("list %+v, want %+v", list, want)
+		t.Errorf("decoded %+v, want %+v", list, want)
 	}
 	encoded, err := json.Marshal(want)
 	if err != nil {
@@ -48,11 +48,11 @@
 	}
 	var decoded List
 	if err := json.Unmarshal(encoded, &decoded); err != nil || !reflect.DeepEqual(decoded, want) {
-		t.Errorf("list %+v after encoding, want %+v: %v", decoded, want, err)
+		t.Errorf("decoded %+v after encoding, want %+v; error %v", decoded, want, err)
 	}
 }
 
-func TestTranslateMapsEachFieldOfAnEndpoint(t *testing.T) {
+func TestTranslateConvertsEachField(t *testing.T) {
 	started := time.Date(2026, 12, 3, 7, 0, 0, 250_000, time.UTC)
 	list := List{Generation: 4, Reset: true, Endpoints: []Endpoint{{
 		InstanceID: "s-1", Address: "127.0.0.1:8080", Zone: "a", Cell: 3, Lifecycle: "Ready", Weight: 0.5,
@@ -60,18 +60,18 @@
 	}}}
 	translated := list.Translate()
 	if startedAt := translated.Endpoints[0].StartedAt; !startedAt.Equal(started) {
-		t.Errorf("started at %v, want %v", startedAt, started)
+		t.Errorf("StartedAt = %v, want %v", startedAt, started)
 	}
-	translated.Endpoints[0].StartedAt = time.Time{} // its location depends on the machine
+	translated.Endpoints[0].StartedAt = time.Time{} // checked above; its location depends on the machine
 	want := endpoint.List{Generation: 4, Complete: true, Endpoints: []endpoint.Endpoint{{
 		ID: endpoint.IDOf("s-1"), Address: "127.0.0.1:8080", Zone: "a", Cell: 3, State: policy.Ready, Weight: 0.5,
 	}}}
 	if !reflect.DeepEqual(translated, want) {
-		t.Errorf("translated to %+v, want %+v", translated, want)
+		t.Errorf("Translate() = %+v, want %+v", translated, want)
 	}
 }
 
-func TestStartTimeOutOfRangeIsLongAgoOrTheLatest(t *testing.T) {
+func TestStartTimeOutOfRangeIsClamped(t *testing.T) {
 	for unixMilli, want := range map[float64]time.Time{
 		0:     {},
 		-1:    {},
@@ -79,7 +79,7 @@
 	} {
 		e := Endpoint{StartedUnixMilli: unixMilli}
 		if startedAt := e.Translate().StartedAt; !startedAt.Equal(want) {
-			t.Errorf("start at %g ms is %v, want %v", unixMilli, startedAt, want)
+			t.Errorf("start time of %g ms: %v, want %v", unixMilli, startedAt, want)
 		}
 	}
 }
