--- a/internal/processstart/registry.go
+++ b/internal/processstart/registry.go
@@ -1,10 +1,11 @@
-// Package processstart estimates when the server processes of the endpoint list started, on the node's
-// monotonic clock. Discovery gives a start in the wall time of the server's machine. Package policy needs
-// it on the clock of its events, to know which servers are warming up.
+// Package processstart estimates when the server processes in the endpoint list started, on the node's monotonic
+// clock. Discovery reports start times by the wall clock of the server's machine. Package policy needs them on
+// the clock of its events, to know which servers are warming up.
 //
-// A Registry remembers the processes and keeps the start of each; its estimator compares the clocks. Package
-// node calls it with each update of the endpoint list, from one goroutine. A process keeps its start until it
-// has been removed for longer than the slow start; another process of the same server gets a start of its own.
+// A Registry records the processes and their estimated starts; its estimator converts between the clocks. Package
+// node calls it with each update of the endpoint list, from one goroutine. A process keeps its estimated start
+// until it has been removed for longer than the slow start duration. A new process of the same server gets a new
+// estimate.
 package processstart
 
 import (
@@ -15,38 +16,38 @@
 	"calicohinge/policy"
 )
 
-// Moment is one moment on two clocks.
+// Moment is a point in time on two clocks.
 type Moment struct {
 	Clock time.Duration // the node's monotonic clock
 	Wall  time.Time     // the wall clock of the node's machine
 }
 
-// Registry holds the start of each process that the endpoint list names. It estimates a start once, when the
-// process is first listed: to package policy, a start that changes means a restart. It is not safe for
+// Registry holds the estimated start of each process in the endpoint list. It estimates a start only once, when
+// the process is first listed, because package policy takes a changed start for a restart. It is not safe for
 // concurrent use.
 type Registry struct {
 	estimator estimator
-	retention time.Duration // how long a process that was removed is remembered
-	updates   uint32        // the number of updates so far
+	retention time.Duration // how long a removed process is kept
+	updates   uint32        // number of updates so far
 	listed    map[policy.ServerID]process
 	removed   map[policy.ServerID]removedProcess
 }
 
-// process is the process that was last listed for a server.
+// process is a server process, as identified by its server and its start time.
 type process struct {
 	startedAt  time.Time     // by the wall clock of its machine
-	start      time.Duration // the estimate, on the node's clock
-	lastUpdate uint32        // the last update that listed it
+	start      time.Duration // estimated, on the node's clock; 0: long ago
+	lastUpdate uint32        // number of the last update that contained it
 }
 
-// removedProcess is a process that is not listed any more.
+// removedProcess is a process that is no longer listed.
 type removedProcess struct {
 	process
 	removedAt time.Duration // on the node's clock
 }
 
-// NewRegistry returns a registry without processes. The node's clock showed 0 at the wall time origin. A server
-// warms up for slowStartDuration. A process that was removed for longer warms up again when it returns.
+// NewRegistry returns an empty registry. The origin is the wall time at which the node's clock was 0. Processes
+// warm up for slowStartDuration. A process that returns after having been removed for longer warms up again.
 func NewRegistry(origin time.Time, slowStartDuration time.Duration) *Registry {
 	return &Registry{
 		estimator: newEstimator(origin, slowStartDuration),
@@ -57,11 +58,11 @@
 }
 
 // Synced records that discovery has just responded, with or without changes. A process that is first listed
-// later counts as started since.
+// later is assumed to have started since then.
 func (r *Registry) Synced(now time.Duration) { r.estimator.recordResponse(now) }
 
-// Update applies an endpoint update at the present moment. It returns the starts of the listed processes on
-// the node's clock, in the order of the list; 0 stands for long ago.
+// Update applies an update of the endpoint list. It returns the estimated start of each endpoint's process on the
+// node's clock, in the order of the list; 0 means long ago.
 func (r *Registry) Update(kind policy.UpdateKind, list []endpoint.Endpoint, now Moment) []time.Duration {
 	r.updates++
 	r.expireRemoved(now.Clock)
@@ -76,7 +77,7 @@
 	return starts
 }
 
-// updateProcess records the process of an endpoint as listed or removed, and returns its start.
+// updateProcess records an endpoint's process as listed or removed and returns its estimated start.
 func (r *Registry) updateProcess(e *endpoint.Endpoint, now Moment) time.Duration {
 	p, found := r.find(e)
 	if !found {
@@ -92,7 +93,7 @@
 	return p.start
 }
 
-// find returns the process of an endpoint if it is listed, or was removed a short time ago.
+// find returns the record of an endpoint's process if the process is listed or was removed recently.
 func (r *Registry) find(e *endpoint.Endpoint) (process, bool) {
 	if p, ok := r.listed[e.ID]; ok && p.startedAt.Equal(e.StartedAt) {
 		return p, true
@@ -103,7 +104,7 @@
 	return process{}, false
 }
 
-// removeUnlisted removes the processes that the present update does not list.
+// removeUnlisted removes the processes that the current update does not contain.
 func (r *Registry) removeUnlisted(now time.Duration) {
 	for id, p := range r.listed {
 		if p.lastUpdate != r.updates {
@@ -112,13 +113,13 @@
 	}
 }
 
-// remove moves a process from the listed ones to the removed ones.
+// remove moves a process from listed to removed.
 func (r *Registry) remove(id policy.ServerID, p process, now time.Duration) {
 	delete(r.listed, id)
 	r.removed[id] = removedProcess{p, now}
 }
 
-// expireRemoved forgets the processes that were removed longer ago than the retention.
+// expireRemoved deletes the processes that were removed longer ago than the retention.
 func (r *Registry) expireRemoved(now time.Duration) {
 	maps.DeleteFunc(r.removed, func(_ policy.ServerID, p removedProcess) bool {
 		return now-p.removedAt > r.retention
