--- a/internal/processstart/estimator.go
+++ b/internal/processstart/estimator.go
@@ -8,33 +8,33 @@
 )
 
 const (
-	// minReadyPerWarmingUp limits the part of the servers that may be warming up on a node's first list. At up
-	// to a quarter, the node uses the servers' clock: package policy learns the load of a warm server while
-	// three quarters are warm.
+	// minReadyPerWarmingUp limits the fraction of a node's first list that may be warming up by the servers' clock
+	// for the node to use that clock. The limit is a quarter because package policy needs three quarters of the
+	// servers to be warm to learn the load of a warm server.
 	minReadyPerWarmingUp = 4
-	// maxAge is longer than any process runs.
+	// maxAge limits ages by the servers' clock, so that they cannot overflow. No process runs that long.
 	maxAge = 100 * 365 * 24 * time.Hour
 )
 
-// estimator estimates the start of a process on the node's clock, which is monotonic. The wall clocks of the
-// node's machine and of the servers' machines may be wrong from the beginning, or be stepped. A process that
-// counts as older than it is could be overloaded while it warms up. Its age is therefore the least of three,
-// each of which may be wrong:
+// estimator estimates the start of a process on the node's monotonic clock. The wall clocks of the node's machine
+// and of the servers' machines may be wrong from the beginning or be stepped later. A process whose age is
+// overestimated could be overloaded while it warms up. The estimate is therefore the minimum of three ages, each
+// of which may be wrong:
 //
 //   - the age by the wall clock of the node's machine;
-//   - the age by the servers' own clock, which their starts show, if useServerClock permits it;
-//   - the time since discovery last responded, when the list did not have the process yet.
+//   - the age by the servers' clock, which is inferred from their start times, if useServerClock is set;
+//   - the time since discovery last responded, because its list did not contain the process then.
 type estimator struct {
-	origin            time.Time     // wall time when the node's clock showed 0
+	origin            time.Time     // wall time at which the node's clock was 0
 	slowStartDuration time.Duration // how long a process takes to warm up
-	lastResponseAt    time.Duration // on the node's clock: when discovery last responded; 0: not yet
+	lastResponseAt    time.Duration // when discovery last responded, on the node's clock; 0: not yet
 
-	serverOrigin   time.Time // the servers' wall time when the node's clock showed 0; zero: unknown
-	useServerClock bool      // the estimates of the present update use the servers' clock
+	serverOrigin   time.Time // the servers' wall time at which the node's clock was 0; zero: unknown
+	useServerClock bool      // whether estimates for the current update use the servers' clock
 }
 
-// newEstimator returns an estimator that knows nothing of the servers' clock. The wall time origin is kept
-// without its monotonic reading, so that it is compared with other wall times.
+// newEstimator returns an estimator that does not know the servers' clock yet. It strips the monotonic reading
+// from origin, so that differences from origin are differences of wall time.
 func newEstimator(origin time.Time, slowStartDuration time.Duration) estimator {
 	return estimator{origin: origin.Round(0), slowStartDuration: slowStartDuration}
 }
@@ -42,15 +42,15 @@
 // recordResponse records that discovery has just responded.
 func (e *estimator) recordResponse(now time.Duration) { e.lastResponseAt = now }
 
-// observe learns the servers' clock from the endpoints of an update, and decides whether the estimates
-// for that update use it: always once discovery has responded, before that only if few servers are warming up.
+// observe updates the servers' clock from the endpoints of an update and decides whether the estimates for that
+// update use it: always once discovery has responded, before that only if few servers are warming up.
 func (e *estimator) observe(list []endpoint.Endpoint, now time.Duration) {
 	e.learnServerClock(list, now)
 	e.useServerClock = e.lastResponseAt > 0 || e.fewAreWarmingUp(list, now)
 }
 
-// estimate returns the start on the node's clock of a process that started at the given wall time of its
-// machine, 0 for long ago.
+// estimate returns the start, on the node's clock, of a process that started at the given wall time of its
+// machine. 0 means long ago.
 func (e *estimator) estimate(startedAt time.Time, now Moment) time.Duration {
 	if startedAt.IsZero() {
 		return 0
@@ -66,9 +66,10 @@
 }
 
 // ageByWallClock returns the age of a process by the wall clock of the node's machine. That clock may have been
-// stepped since the node's start, alone or with those of all machines. The age counts either from the present
-// time of day or from that of the node's start. ageByWallClock returns the lesser age of the two; a negative one
-// is impossible and is left out, and if both are, the age is 0.
+// stepped since the node started, alone or together with those of all machines. One age follows from the current
+// wall time, another from the wall time at the node's start and the time since on the monotonic clock.
+// ageByWallClock returns the lower one. It ignores a negative age, which is impossible, and returns 0 if both are
+// negative.
 func (e *estimator) ageByWallClock(startedAt time.Time, now Moment) time.Duration {
 	byStartupClock := now.Clock - startedAt.Sub(e.origin)
 	byCurrentClock := now.Wall.Round(0).Sub(startedAt)
@@ -83,10 +84,10 @@
 	return min(byStartupClock, byCurrentClock)
 }
 
-// learnServerClock learns the servers' time of day from their starts: no process starts after it is listed.
-// The time that it learns is too early by the age that the newest process had when it was listed, which makes
-// all processes seem younger by as much. If the clock of one server's machine is ahead, the time is too late, and
-// only the other two ages limit the estimates from then on.
+// learnServerClock infers the servers' wall time from their start times: no process starts after it is listed.
+// The inferred time lags by the age that the newest process had when it was listed, so that all ages are too low
+// by as much. If the clock of one server's machine is ahead, the inferred time is ahead too, and from then on only
+// the other two ages limit the estimates.
 func (e *estimator) learnServerClock(list []endpoint.Endpoint, now time.Duration) {
 	for i := range list {
 		if list[i].StartedAt.IsZero() {
@@ -98,14 +99,14 @@
 	}
 }
 
-// ageByServerClock returns the age of a process by the servers' own clock, as learnServerClock has learned it.
+// ageByServerClock returns the age of a process by the servers' clock, which learnServerClock has inferred.
 func (e *estimator) ageByServerClock(startedAt time.Time, now time.Duration) time.Duration {
 	return now + min(e.serverOrigin.Sub(startedAt), maxAge)
 }
 
-// fewAreWarmingUp reports whether few servers of a node's first list are warming up by the servers' own clock. If
-// many seem to be, the fleet may have been restarted together, however long ago. The node would then shed load
-// for no reason, so it uses its wall clock alone, which is nearly always right.
+// fewAreWarmingUp reports whether few servers of a node's first list are warming up by the servers' clock. If many
+// appear to be, the servers may all have been restarted at about the same time, and that may be long ago. The node
+// would then shed load without need, so it relies on its wall clock alone, which is nearly always right.
 func (e *estimator) fewAreWarmingUp(list []endpoint.Endpoint, now time.Duration) bool {
 	ready, warmingUp := 0, 0
 	for i := range list {
@@ -120,7 +121,7 @@
 	return warmingUp*minReadyPerWarmingUp <= ready
 }
 
-// isWarmingUp reports whether a process is warming up by the servers' own clock.
+// isWarmingUp reports whether a process is warming up by the servers' clock.
 func (e *estimator) isWarmingUp(startedAt time.Time, now time.Duration) bool {
 	return !startedAt.IsZero() && e.ageByServerClock(startedAt, now) < e.slowStartDuration
 }
