--- a/internal/processstart/registry_test.go
+++ b/internal/processstart/registry_test.go
@@ -16,18 +16,18 @@
 	testSlowStart = 9 * time.Second
 )
 
-// wallNow returns the true wall time at the moment at which the node's clock shows clockNow.
+// wallNow returns the true wall time when the node's clock is at clockNow.
 func wallNow() time.Time { return time.Date(2026, 12, 2, 10, 0, 0, 0, time.UTC) }
 
-// nowWithWallClockAhead returns the present moment on a machine whose wall clock is ahead of the true time.
+// nowWithWallClockAhead returns the current moment on a machine whose wall clock is ahead of the true time.
 func nowWithWallClockAhead(ahead time.Duration) Moment {
 	return Moment{Clock: clockNow, Wall: wallNow().Add(ahead)}
 }
 
-// before returns an earlier moment.
+// before returns the moment d earlier.
 func (m Moment) before(d time.Duration) Moment { return m.after(-d) }
 
-// after returns a later moment.
+// after returns the moment d later.
 func (m Moment) after(d time.Duration) Moment {
 	return Moment{Clock: m.Clock + d, Wall: m.Wall.Add(d)}
 }
@@ -37,12 +37,12 @@
 	return NewRegistry(wallNow().Add(ahead-clockNow), testSlowStart)
 }
 
-// endpointStartedAt returns an endpoint of one server whose process started at a wall time of its machine.
+// endpointStartedAt returns a list of one server whose process started at the given wall time of its machine.
 func endpointStartedAt(startedAt time.Time) []endpoint.Endpoint {
 	return []endpoint.Endpoint{{ID: 1, State: policy.Ready, StartedAt: startedAt}}
 }
 
-// endpointsStartedAt returns the endpoints of several servers.
+// endpointsStartedAt returns a list with a server for each start time.
 func endpointsStartedAt(startedAt ...time.Time) []endpoint.Endpoint {
 	var list []endpoint.Endpoint
 	for i, at := range startedAt {
@@ -53,14 +53,14 @@
 	return list
 }
 
-// The wall clocks of all machines, of the node's machine or of the server's machine are stepped after the node's
-// start. A process that has just started must not count as warm, nor as started in the future.
-func TestStartOfANewProcessSurvivesClockSteps(t *testing.T) {
+// After the node's start, the wall clock of its machine, of the server's machine or of both is stepped. A process
+// that has just started must be considered neither warm nor started in the future.
+func TestStartOfANewProcessIsRobustToClockSteps(t *testing.T) {
 	for _, step := range []time.Duration{0, time.Hour, -time.Hour, 5 * time.Second, -5 * time.Second} {
 		for name, c := range map[string]struct{ nodeStep, serverStep time.Duration }{
-			"all machines": {step, step},
-			"this machine": {step, 0},
-			"the server's": {0, step},
+			"both machines":    {step, step},
+			"node's machine":   {step, 0},
+			"server's machine": {0, step},
 		} {
 			t.Run(fmt.Sprintf("%s by %v", name, step), func(t *testing.T) {
 				checkNewProcessAfterClockStep(t, c.nodeStep, c.serverStep)
@@ -69,8 +69,8 @@
 	}
 }
 
-// checkNewProcessAfterClockStep steps the wall clocks of the node and of a server before the server is
-// restarted.
+// checkNewProcessAfterClockStep steps the wall clocks of the node and of a server before the server restarts, and
+// checks the estimated start of the new process.
 func checkNewProcessAfterClockStep(t *testing.T, nodeStep, serverStep time.Duration) {
 	t.Helper()
 	registry := newTestRegistry(0)
@@ -82,68 +82,68 @@
 	start := registry.Update(policy.UpdateDelta, list, nowWithWallClockAhead(nodeStep))[0]
 
 	if age := clockNow - start; age < 0 || age > processAge {
-		t.Errorf("the process counts as %v old, want 0 to %v, when discovery last responded", age, processAge)
+		t.Errorf("age %v, want 0 to %v, the time since discovery last responded", age, processAge)
 	}
 	for range 2 {
 		later := Moment{clockNow + time.Second, wallNow()}
 		if again := registry.Update(policy.UpdateSnapshot, list, later)[0]; again != start {
-			t.Errorf("the start moved from %v to %v", start, again)
+			t.Errorf("the start changed from %v to %v", start, again)
 		}
 	}
 }
 
-// If no clock is stepped, the estimate is exact, also for a process older than the node.
-func TestStartIsEstimatedByItsWallTime(t *testing.T) {
+// If all wall clocks are right, the estimate is exact, also for a process older than the node.
+func TestStartIsExactWithoutClockSteps(t *testing.T) {
 	for _, age := range []time.Duration{0, time.Millisecond, processAge, time.Minute, clockNow - time.Second} {
 		registry, list := newTestRegistry(0), endpointStartedAt(wallNow().Add(-age))
 		if start := registry.Update(policy.UpdateCached, list, nowWithWallClockAhead(0))[0]; start != clockNow-age {
-			t.Errorf("a process %v old counts as %v old", age, clockNow-start)
+			t.Errorf("age %v, want %v", clockNow-start, age)
 		}
 	}
 }
 
-// The wall clock of the node's machine is stepped before the node follows discovery. The time of day was right
-// before the step or is right after it: the process counts as old as the lesser age of the two.
-func TestStartAfterAClockStepIsTheLaterOfBothPossible(t *testing.T) {
+// The wall clock of the node's machine is stepped before discovery first responds. Either the time before the step
+// or the time after it is right: the estimate is the lower of the two ages.
+func TestStartAfterAClockStepIsTheLaterOfTwoEstimates(t *testing.T) {
 	for step, want := range map[time.Duration]time.Duration{
 		-30 * time.Second: clockNow - 30*time.Second,
 		30 * time.Second:  clockNow - time.Minute,
 	} {
 		registry, list := newTestRegistry(0), endpointStartedAt(wallNow().Add(-time.Minute))
 		if start := registry.Update(policy.UpdateCached, list, nowWithWallClockAhead(step))[0]; start != want {
-			t.Errorf("stepped by %v: a process 1m old counts as %v old, want %v", step, clockNow-start, clockNow-want)
+			t.Errorf("step of %v: age %v, want %v", step, clockNow-start, clockNow-want)
 		}
 	}
 }
 
-// A server that was restarted while the node did not follow discovery, or that only the
-// configuration listed, is as old as discovery says.
+// A server restarts before discovery first responds; until then the node knows it from its configuration only. The
+// new process has the age that discovery reports.
 func TestRestartBeforeTheFirstListKeepsItsAge(t *testing.T) {
 	registry, now := newTestRegistry(0), nowWithWallClockAhead(0)
 	registry.Update(policy.UpdateCached, endpointStartedAt(wallNow().Add(-time.Hour)), now)
 	start := registry.Update(policy.UpdateSnapshot, endpointStartedAt(wallNow().Add(-time.Minute)), now)[0]
 	if age := clockNow - start; age != time.Minute {
-		t.Errorf("the process counts as %v old, want 1m", age)
+		t.Errorf("age %v, want 1m", age)
 	}
 }
 
-// A node that follows discovery learns of a server with a new ID: the process counts as just started, also if
-// the node's wall clock was wrong from its start on.
-func TestNewServerHasJustStartedWhateverTheWallClockShows(t *testing.T) {
+// A node that follows discovery is notified of a server with a new ID. Its process is considered just started, also
+// if the node's wall clock has been wrong from the beginning.
+func TestNewServerHasJustStartedRegardlessOfTheWallClock(t *testing.T) {
 	for _, ahead := range []time.Duration{0, time.Second, 5 * time.Second, 30 * time.Second, time.Hour, -time.Hour} {
 		registry, now := newTestRegistry(ahead), nowWithWallClockAhead(ahead)
 		registry.Update(policy.UpdateSnapshot, nil, Moment{clockNow - processAge, now.Wall})
 		registry.Synced(clockNow - processAge)
 		start := registry.Update(policy.UpdateDelta, endpointStartedAt(wallNow().Add(-time.Millisecond)), now)[0]
 		if start != clockNow {
-			t.Errorf("wall clock ahead by %v: the process counts as %v old, want 0", ahead, clockNow-start)
+			t.Errorf("wall clock ahead by %v: age %v, want 0", ahead, clockNow-start)
 		}
 	}
 }
 
-// Servers start while discovery is unavailable. Their ages are those by the servers' own clock, on which the
-// newest one has just started, and at most the time since discovery last responded.
-func TestServersThatStartDuringAnOutageAreCompared(t *testing.T) {
+// Servers start while discovery is unavailable. Their ages follow from the servers' clock, by which the newest one
+// has just started, and are at most the time since discovery last responded.
+func TestServersStartedDuringAnOutageUseTheServersClock(t *testing.T) {
 	const outage = 8 * time.Second
 	want := []time.Duration{clockNow, clockNow - 5*time.Second, clockNow - outage}
 	for _, ahead := range []time.Duration{0, 30 * time.Second, time.Hour} {
@@ -160,13 +160,13 @@
 	}
 }
 
-// A node whose wall clock is ahead starts after a few servers have been restarted: their ages are those by the
-// servers' own clock. If many servers have been restarted, the node's wall clock decides, right or wrong.
-func TestFirstListBoundsTheAgeOfFewYoungServers(t *testing.T) {
+// A node whose wall clock is ahead starts after a few servers have been restarted: their ages follow from the
+// servers' clock. If many servers have been restarted, the ages follow from the node's wall clock, right or wrong.
+func TestFirstListUsesTheServersClockIfFewAreWarmingUp(t *testing.T) {
 	const ahead = time.Hour
 	for _, c := range []struct {
 		warmingUp, warm int
-		wantAge         time.Duration // of the second youngest, a second older than the youngest
+		wantAge         time.Duration // of the second newest process, which is a second older than the newest
 	}{{2, 8, time.Second}, {2, 6, time.Second}, {2, 5, ahead + time.Second}, {4, 0, ahead + time.Second}} {
 		startedAt := []time.Time{wallNow()}
 		startedAt = append(startedAt, slices.Repeat([]time.Time{wallNow().Add(-time.Second)}, c.warmingUp-1)...)
@@ -176,16 +176,16 @@
 		starts := registry.Update(policy.UpdateSnapshot, list, nowWithWallClockAhead(ahead))
 
 		if age := clockNow - starts[1]; age != c.wantAge {
-			t.Errorf("%d servers warming up and %d warm: age %v, want %v", c.warmingUp, c.warm, age, c.wantAge)
+			t.Errorf("%d servers warming up, %d warm: age %v, want %v", c.warmingUp, c.warm, age, c.wantAge)
 		}
 		if c.warm > 0 && starts[c.warmingUp] != 0 {
-			t.Errorf("a server that started long ago counts as started at %v", starts[c.warmingUp])
+			t.Errorf("a process that started long ago has start %v, want 0", starts[c.warmingUp])
 		}
 	}
 }
 
-// A server that is removed and returns as the same process keeps its start, unless it was removed for longer
-// than the slow start. The registry then forgets it.
+// A server that is removed and returns with the same process keeps its start, unless it was removed for longer
+// than the slow start duration. The registry does not keep it for longer.
 func TestStartOfAReturningProcessIsStable(t *testing.T) {
 	for removedFor, want := range map[time.Duration]time.Duration{
 		processAge:        clockNow - processAge,
@@ -200,20 +200,20 @@
 		removed[0].State = policy.Removed
 		registry.Update(policy.UpdateDelta, removed, now)
 		if len(registry.listed) > 0 {
-			t.Errorf("%d processes that are removed count as listed", len(registry.listed))
+			t.Errorf("%d removed processes are still listed", len(registry.listed))
 		}
 
 		later := now.after(removedFor)
 		registry.Synced(later.Clock)
 		if again := registry.Update(policy.UpdateDelta, list, later)[0]; again != want {
-			t.Errorf("removed for %v: started at %v, want %v", removedFor, again, want)
+			t.Errorf("removed for %v: start %v, want %v", removedFor, again, want)
 		}
 
 		// All servers are removed, and the retention passes.
 		registry.Update(policy.UpdateSnapshot, nil, later)
 		registry.Update(policy.UpdateDelta, nil, Moment{later.Clock + testSlowStart + 1, now.Wall})
 		if kept := len(registry.listed) + len(registry.removed); kept > 0 {
-			t.Errorf("%d processes that are removed are kept", kept)
+			t.Errorf("%d removed processes are kept after the retention", kept)
 		}
 	}
 }
