--- a/internal/netdial/netdial.go
+++ b/internal/netdial/netdial.go
@@ -1,6 +1,6 @@
-// Package netdial wraps a function that opens connections. Repeat retries after transient errors of this
-// machine, for instance a lack of ports or memory. Stagger opens connections to an unresponsive peer faster
-// than TCP would. Packages upstream and discovery use it. It keeps no state.
+// Package netdial wraps dial functions. Repeat retries after transient errors, for instance when this machine is
+// out of ports or memory. Stagger reaches a peer that was unresponsive sooner than the SYN retransmissions of TCP
+// would. Packages upstream and discovery use it. It keeps no state.
 package netdial
 
 import (
@@ -14,17 +14,17 @@
 )
 
 const (
-	// maxAttempts bounds the attempts to open a connection that Repeat makes.
+	// maxAttempts limits how often Repeat calls the dial function.
 	maxAttempts = 3
-	// retryDelay precedes each retry. It is short beside the latency of a request.
+	// retryDelay is the wait before each retry. It is short compared with the latency of a request.
 	retryDelay = time.Millisecond
 )
 
 // Func opens a connection, as net.Dialer.DialContext does.
 type Func func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Repeat returns a function that retries dial after a transient error. It returns the last error of dial after
-// maxAttempts, after an error that is not transient, or when ctx ends.
+// Repeat returns a dial function that retries dial after a transient error. It gives up after maxAttempts, after an
+// error that is not transient, or when ctx ends, and then returns the last error of dial.
 func Repeat(dial Func) Func {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		for attempts := 1; ; attempts++ {
@@ -36,19 +36,19 @@
 	}
 }
 
-// IsLocalFailure reports whether only this machine can be the cause of a failed dial, according to socket(2) and
-// connect(2). An unreachable address does not count: the peer may be the cause.
+// IsLocalFailure reports whether only this machine can have caused a dial to fail, according to socket(2) and
+// connect(2). It returns false for an unreachable address, which the peer may have caused.
 func IsLocalFailure(err error) bool {
 	return syserror.IsShortage(err) || errors.Is(err, syscall.EADDRNOTAVAIL) ||
 		errors.Is(err, syscall.EADDRINUSE) || errors.Is(err, syscall.ENETDOWN)
 }
 
-// isTransient reports whether a retry may succeed.
+// isTransient reports whether dialing again may succeed.
 func isTransient(err error) bool {
 	return IsLocalFailure(err) || errors.Is(err, syscall.ENETUNREACH) || errors.Is(err, syscall.EHOSTUNREACH)
 }
 
-// waitBeforeRetry returns true after retryDelay, or false as soon as ctx ends.
+// waitBeforeRetry waits for retryDelay and returns true, or returns false as soon as ctx ends.
 func waitBeforeRetry(ctx context.Context) bool {
 	timer := time.NewTimer(retryDelay)
 	defer timer.Stop()
