--- a/internal/netdial/netdial_test.go
+++ b/internal/netdial/netdial_test.go
@@ -12,7 +12,7 @@
 	"calicohinge/internal/testkit"
 )
 
-// failingDialer is a dialer whose first attempts fail with an error of the system.
+// failingDialer is a dialer whose first attempts fail with a system error.
 type failingDialer struct {
 	net.Dialer
 	failures    int // attempts that fail
@@ -28,8 +28,8 @@
 	return d.DialContext(ctx, network, address)
 }
 
-// The system may have no socket or connection for a moment: a retry opens the connection. A refusal by the peer
-// is final.
+// The system is out of sockets or ports for a moment, or the network is unreachable: a retry opens the connection.
+// A refusal by the peer or a timeout is final.
 func TestDialIsRetriedAfterATransientFailure(t *testing.T) {
 	address := testkit.Listen(t).Addr().String()
 	for _, c := range []struct {
@@ -58,7 +58,7 @@
 			recovering := &failingDialer{failures: maxAttempts - 1, syscallName: c.syscallName, errno: c.errno}
 			conn, err := Repeat(recovering.dial)(t.Context(), "tcp", address)
 			if recovering.attempts != wantAttempts || (err == nil) != c.transient {
-				t.Errorf("%d attempts, %v", recovering.attempts, err)
+				t.Errorf("%d attempts, error %v; want %d, success %v", recovering.attempts, err, wantAttempts, c.transient)
 			}
 			if err == nil {
 				_ = conn.Close() // nothing was sent on it
@@ -66,18 +66,18 @@
 			failing := &failingDialer{failures: maxAttempts, syscallName: c.syscallName, errno: c.errno}
 			_, err = Repeat(failing.dial)(t.Context(), "tcp", address)
 			if !errors.Is(err, c.errno) || IsLocalFailure(err) != c.local {
-				t.Errorf("%v, local %v", err, IsLocalFailure(err))
+				t.Errorf("error %v, local %v; want %v, local %v", err, IsLocalFailure(err), c.errno, c.local)
 			}
 		})
 	}
 }
 
-func TestDialIsNotRetriedAfterItsContext(t *testing.T) {
+func TestDialIsNotRetriedAfterItsContextEnds(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	failing := &failingDialer{failures: maxAttempts, syscallName: "socket", errno: syscall.ENFILE}
 	_, err := Repeat(failing.dial)(ctx, "tcp", "127.0.0.1:1")
 	if !errors.Is(err, syscall.ENFILE) || failing.attempts != 1 {
-		t.Errorf("%v after %d attempts", err, failing.attempts)
+		t.Errorf("error %v after %d attempts, want %v after 1", err, failing.attempts, syscall.ENFILE)
 	}
 }
