--- a/internal/netdial/stagger.go
+++ b/internal/netdial/stagger.go
@@ -8,13 +8,12 @@
 	"time"
 )
 
-// Stagger returns a function that begins an attempt to open the connection at once and after each interval,
-// until one has succeeded, and ends each attempt after timeout. It returns the first connection and
-// closes those of the other attempts. It fails when ctx ends, or as soon as an attempt fails for another
-// reason than a timeout.
+// Stagger returns a dial function that starts an attempt at once and another one after each interval until one
+// succeeds. Each attempt ends after timeout. The function returns the first connection and closes those of the
+// other attempts. It fails when ctx ends, or as soon as an attempt fails other than by a timeout.
 //
-// A single attempt would notice only at the next SYN that an unresponsive peer has recovered. The system repeats
-// the SYN after delays that double up to half a minute.
+// With a single attempt, the recovery of an unresponsive peer would go unnoticed until the next SYN. The operating
+// system retransmits the SYN after delays that double up to half a minute.
 func Stagger(dial Func, interval, timeout time.Duration) Func {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		d := staggeredDial{dial, network, address, timeout, make(chan dialResult)}
@@ -22,21 +21,21 @@
 	}
 }
 
-// staggeredDial is one call of a function that Stagger returned.
+// staggeredDial is one call of a dial function that Stagger returned.
 type staggeredDial struct {
 	dial             Func
 	network, address string
-	timeout          time.Duration   // of each attempt
-	results          chan dialResult // of the attempts
+	timeout          time.Duration   // per attempt
+	results          chan dialResult // unbuffered
 }
 
-// dialResult is the result of one attempt to open a connection.
+// dialResult is the result of one attempt.
 type dialResult struct {
 	conn net.Conn
 	err  error
 }
 
-// run begins the attempts and waits for a result that counts. The context ends all attempts.
+// run starts the attempts and returns the first result that is not a timeout. All attempts end with ctx.
 func (d *staggeredDial) run(ctx context.Context, interval time.Duration) (net.Conn, error) {
 	attemptCtx, cancel := context.WithCancel(ctx)
 	defer cancel() // ends the other attempts
@@ -57,7 +56,8 @@
 	}
 }
 
-// attempt makes one attempt and delivers its result, unless ctx ends before: then it closes the connection.
+// attempt makes one attempt and delivers its result. If ctx ends before the result is received, attempt closes the
+// connection instead.
 func (d *staggeredDial) attempt(ctx context.Context) {
 	dialCtx, cancel := context.WithTimeout(ctx, d.timeout)
 	defer cancel()
@@ -71,7 +71,7 @@
 	}
 }
 
-// isTimeout reports whether an attempt ended at its own timeout or at that of the operating system.
+// isTimeout reports whether an attempt failed by its own timeout or by that of the operating system.
 func isTimeout(err error) bool {
 	if errors.Is(err, context.DeadlineExceeded) || errors.Is(err, os.ErrDeadlineExceeded) {
 		return true
