--- a/internal/netdial/stagger_test.go
+++ b/internal/netdial/stagger_test.go
@@ -17,19 +17,19 @@
 	testTimeout  = 1500 * time.Millisecond
 )
 
-// partitionedPeer is a peer that no packet reaches before a given time.
+// partitionedPeer is a peer that no packet reaches before healedAt.
 type partitionedPeer struct {
 	healedAt time.Time
 
 	mu            sync.Mutex
-	inProgress    int // attempts in progress
-	maxInProgress int // the most attempts that were in progress at once
+	inProgress    int // attempts
+	maxInProgress int // highest value of inProgress
 }
 
 func (p *partitionedPeer) dial(ctx context.Context, _, _ string) (net.Conn, error) {
 	p.addInProgress(1)
 	defer p.addInProgress(-1)
-	if time.Now().Before(p.healedAt) { // the packet is lost, and no other one follows
+	if time.Now().Before(p.healedAt) { // the SYN is lost and is not retransmitted
 		<-ctx.Done()
 		return nil, &net.OpError{Op: "dial", Err: ctx.Err()}
 	}
@@ -37,7 +37,7 @@
 	return conn, nil
 }
 
-// addInProgress adds to the attempts in progress.
+// addInProgress changes the number of attempts in progress.
 func (p *partitionedPeer) addInProgress(delta int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -45,19 +45,19 @@
 	p.maxInProgress = max(p.maxInProgress, p.inProgress)
 }
 
-// checkAttempts fails the test if attempts are still in progress, or if there were too many at once.
+// checkAttempts fails the test if attempts are still in progress or if too many were in progress at once.
 func (p *partitionedPeer) checkAttempts(t *testing.T) {
 	t.Helper()
 	synctest.Wait()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.inProgress != 0 || p.maxInProgress > int(testTimeout/testInterval)+1 {
-		t.Errorf("%d attempts are in progress, there were up to %d at once", p.inProgress, p.maxInProgress)
+		t.Errorf("%d attempts still in progress, up to %d at once", p.inProgress, p.maxInProgress)
 	}
 }
 
-// A peer is partitioned for a while: the connection is open an interval after the partition heals at the latest,
-// however long it took, and no attempt outlasts its timeout or the call.
+// A peer is unreachable because of a network partition. However long the partition lasts, the dial succeeds within
+// an interval after it heals, and no attempt outlasts its timeout or the dial.
 func TestStaggeredDialReachesAPeerAfterAPartition(t *testing.T) {
 	for _, partition := range []time.Duration{0, testInterval, 4 * time.Second, time.Minute} {
 		synctest.Test(t, func(t *testing.T) {
@@ -69,7 +69,7 @@
 			}
 			_ = conn.Close() // nothing was sent on it
 			if took := time.Since(start); took > partition+testInterval {
-				t.Errorf("connected after %v, the partition took %v", took, partition)
+				t.Errorf("connected after %v, want at most %v", took, partition+testInterval)
 			}
 			peer.checkAttempts(t)
 		})
@@ -84,14 +84,15 @@
 		defer cancel()
 		_, err := Stagger(peer.dial, testInterval, testTimeout)(ctx, "tcp", "peer")
 		if !errors.Is(err, context.DeadlineExceeded) || time.Since(start) != 4*time.Second {
-			t.Errorf("%v after %v", err, time.Since(start))
+			t.Errorf("error %v after %v, want %v after 4s", err, time.Since(start), context.DeadlineExceeded)
 		}
 		peer.checkAttempts(t)
 	})
 }
 
-// A refusal is the peer's response: it ends the dial at once. A timeout of the system ends its attempt only.
-func TestStaggeredDialFailsWithItsPeersRefusal(t *testing.T) {
+// If the peer refuses the connection, the dial fails at once. A timeout of the operating system ends only its
+// attempt.
+func TestStaggeredDialFailsWhenThePeerRefuses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		errnos := []syscall.Errno{syscall.ETIMEDOUT, syscall.ECONNREFUSED}
 		attempts := 0
@@ -102,7 +103,7 @@
 		}
 		_, err := Stagger(dial, testInterval, testTimeout)(t.Context(), "tcp", "peer")
 		if !errors.Is(err, syscall.ECONNREFUSED) || attempts != len(errnos) {
-			t.Errorf("%v after %d attempts", err, attempts)
+			t.Errorf("error %v after %d attempts, want %v after %d", err, attempts, syscall.ECONNREFUSED, len(errnos))
 		}
 	})
 }
