--- a/internal/syserror/syserror_test.go
+++ b/internal/syserror/syserror_test.go
@@ -30,22 +30,23 @@
 		{os.ErrDeadlineExceeded, false, false},
 	} {
 		if IsShortage(c.err) != c.shortage || IsTransient(c.err) != c.transient {
-			t.Errorf("%v: shortage %v, transient %v", c.err, IsShortage(c.err), IsTransient(c.err))
+			t.Errorf("%v: shortage %v, transient %v; want %v, %v", c.err, IsShortage(c.err), IsTransient(c.err),
+				c.shortage, c.transient)
 		}
 	}
 }
 
-func TestRetryEndsWithSuccessOrLastingFailure(t *testing.T) {
+func TestRetryStopsOnSuccessOrPermanentFailure(t *testing.T) {
 	for _, c := range []struct {
 		name      string
-		errors    []error // of the first calls; further calls succeed
-		wantCalls int     // expected
-		wantErr   bool    // expected of the last call
+		errors    []error // returned by the first calls; further calls succeed
+		wantCalls int
+		wantErr   bool // of the last call
 	}{
 		{"success", nil, 1, false},
-		{"momentary failures", []error{syscall.EMFILE, syscall.EIO}, 3, false},
-		{"lasting failure", []error{syscall.EMFILE, syscall.ENOENT}, 2, true},
-		{"too many", []error{
+		{"transient failures", []error{syscall.EMFILE, syscall.EIO}, 3, false},
+		{"permanent failure", []error{syscall.EMFILE, syscall.ENOENT}, 2, true},
+		{"too many transient failures", []error{
 			syscall.EIO, syscall.EIO, syscall.EIO, syscall.EIO, syscall.EIO, syscall.EIO, syscall.EIO,
 		}, maxAttempts, true},
 	} {
@@ -58,10 +59,10 @@
 			return nil
 		})
 		if calls != c.wantCalls || (err != nil) != c.wantErr {
-			t.Errorf("%s: %d calls, %v", c.name, calls, err)
+			t.Errorf("%s: %d calls, error %v; want %d calls, failure %v", c.name, calls, err, c.wantCalls, c.wantErr)
 		}
 		if c.wantErr && !errors.Is(err, c.errors[calls-1]) {
-			t.Errorf("%s: %v is not the last error", c.name, err)
+			t.Errorf("%s: error %v, want the last one, %v", c.name, err, c.errors[calls-1])
 		}
 	}
 }
