--- a/internal/sockstate/sockstate.go
+++ b/internal/sockstate/sockstate.go
@@ -1,7 +1,6 @@
-// Package sockstate finds out without reading whether the peer of a connected socket
-// has written to it or has closed it. Packages downstream and upstream call it, for
-// the connections of clients and for pooled connections to servers. It keeps no state
-// and does not change that of the socket.
+// Package sockstate determines, without consuming data, whether the peer of a connected socket has written to it or
+// closed it. Package downstream uses it for connections of clients, package upstream for pooled connections to
+// servers. It keeps no state and does not change that of the socket.
 package sockstate
 
 import (
@@ -10,17 +9,17 @@
 	"syscall"
 )
 
-// State is what a socket shows at the moment it is inspected.
+// State is the state of a socket at the time of a call of Peek.
 type State int
 
-// The states of a socket.
+// States of a socket.
 const (
 	Quiet    State = iota // open, with nothing to read
 	Readable              // unread bytes have arrived
-	Closed                // closed by the peer or here, broken, or not a socket
+	Closed                // closed by the peer or by this process, broken, or not a socket
 )
 
-// String names the state.
+// String returns the name of the state.
 func (s State) String() string {
 	switch s {
 	case Quiet:
@@ -33,8 +32,7 @@
 	return "unknown"
 }
 
-// Peek returns the state of conn. It never blocks and leaves unread bytes where
-// they are.
+// Peek returns the state of conn. It never blocks and does not consume unread bytes.
 func Peek(conn net.Conn) State {
 	socket, ok := conn.(syscall.Conn)
 	if !ok {
@@ -45,30 +43,30 @@
 		return Closed
 	}
 	state := Closed
-	// Control, not Read: Read waits for a reader that is already blocked in it.
+	// Control rather than Read, because Read would wait for another reader that is blocked in it.
 	if err := raw.Control(func(fd uintptr) { state = peek(int(fd)) }); err != nil {
 		return Closed
 	}
 	return state
 }
 
-// peek inspects the socket of a file descriptor.
+// peek returns the state of the socket with a file descriptor.
 func peek(fd int) State {
 	var buffer [1]byte
 	for {
 		n, _, err := syscall.Recvfrom(fd, buffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		if errors.Is(err, syscall.EINTR) {
-			continue // interrupted by a signal, which says nothing about the socket
+			continue // interrupted by a signal; the socket's state is still unknown
 		}
 		return stateOf(n, err)
 	}
 }
 
-// stateOf returns the state that follows from the result of a receive call.
+// stateOf returns the state that the result of a receive call implies.
 func stateOf(n int, err error) State {
 	switch {
 	case errors.Is(err, syscall.EAGAIN), errors.Is(err, syscall.ENOMEM), errors.Is(err, syscall.ENOBUFS):
-		return Quiet // the latter two are temporary shortages of the system
+		return Quiet // ENOMEM and ENOBUFS are transient shortages of this machine
 	case err == nil && n > 0:
 		return Readable
 	}
