--- a/internal/sockstate/sockstate_test.go
+++ b/internal/sockstate/sockstate_test.go
@@ -10,7 +10,7 @@
 	"calicohinge/internal/testkit"
 )
 
-// connectLoopback returns the local end and the peer's end of a loopback connection.
+// connectLoopback returns the local end and the peer's end of a new loopback connection.
 func connectLoopback(t *testing.T) (*net.TCPConn, *net.TCPConn) {
 	t.Helper()
 	listener := testkit.Listen(t)
@@ -27,7 +27,7 @@
 	return dialed.(*net.TCPConn), accepted.(*net.TCPConn)
 }
 
-// closeIgnoringError closes what the test may have closed already.
+// closeIgnoringError closes a connection that the test may already have closed.
 func closeIgnoringError(closer io.Closer) { _ = closer.Close() }
 
 // writeByte writes the byte "x".
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestPeekShowsWhatThePeerDid(t *testing.T) {
+func TestPeekReportsWhatThePeerDid(t *testing.T) {
 	for name, c := range map[string]struct {
 		peerAction func(peer *net.TCPConn) error
 		want       State
@@ -68,17 +68,17 @@
 	local, peer := connectLoopback(t)
 	requireNoError(t, writeByte(peer))
 	requireNoError(t, peer.CloseWrite())
-	testkit.Until(t, "bytes", func() bool { return Peek(local) == Readable })
+	testkit.Until(t, "unread bytes", func() bool { return Peek(local) == Readable })
 	text, err := io.ReadAll(local)
 	if err != nil || string(text) != "x" {
-		t.Errorf("read %q, %v", text, err)
+		t.Errorf("read %q, error %v; want %q", text, err, "x")
 	}
 	if state := Peek(local); state != Closed {
-		t.Errorf("%v after the end was read", state)
+		t.Errorf("state %v after end of file, want %v", state, Closed)
 	}
 }
 
-// A reader that blocks in the connection must not delay Peek.
+// Another goroutine is blocked reading from the connection: Peek must not wait for it.
 func TestPeekDoesNotWaitForABlockedReader(t *testing.T) {
 	local, peer := connectLoopback(t)
 	raw, err := local.SyscallConn()
@@ -93,7 +93,7 @@
 			}
 			first = false
 			blocked <- struct{}{}
-			return false // wait for something to read
+			return false // block until the connection is readable
 		})
 	}()
 	testkit.Wait(t, blocked, "the reader to block")
@@ -101,23 +101,23 @@
 	states := make(chan State, 1)
 	go func() { states <- Peek(local) }()
 	if state := testkit.Wait(t, states, "the state"); state != Quiet {
-		t.Errorf("%v, want %v", state, Quiet)
+		t.Errorf("state %v, want %v", state, Quiet)
 	}
 	requireNoError(t, peer.Close())
-	requireNoError(t, testkit.Wait(t, read, "the end of the reader"))
+	requireNoError(t, testkit.Wait(t, read, "the reader to return"))
 }
 
-func TestPeekOfAConnectionThatIsNoOpenSocketIsClosed(t *testing.T) {
+func TestPeekReturnsClosedWithoutAnOpenSocket(t *testing.T) {
 	local, _ := connectLoopback(t)
 	requireNoError(t, local.Close())
 	if state := Peek(local); state != Closed {
-		t.Errorf("closed here: %v", state)
+		t.Errorf("state %v after a local close, want %v", state, Closed)
 	}
 	pipe, other := net.Pipe()
 	defer closeIgnoringError(pipe)
 	defer closeIgnoringError(other)
 	if state := Peek(pipe); state != Closed {
-		t.Errorf("a pipe: %v", state)
+		t.Errorf("state %v of a pipe, want %v", state, Closed)
 	}
 }
 
@@ -126,13 +126,13 @@
 		Quiet: "quiet", Readable: "readable", Closed: "closed", Closed + 1: "unknown",
 	} {
 		if got := state.String(); got != want {
-			t.Errorf("state %d is named %q, want %q", int(state), got, want)
+			t.Errorf("State(%d).String() = %q, want %q", int(state), got, want)
 		}
 	}
 }
 
-// If a receive call fails for a reason of this machine, the connection must not count as
-// closed: the peer has not closed it.
+// A receive call that fails because this machine is short of a resource does not mean that the connection is
+// closed.
 func TestStateOfFailedReceive(t *testing.T) {
 	for errno, want := range map[syscall.Errno]State{
 		syscall.EAGAIN: Quiet, syscall.ENOMEM: Quiet, syscall.ENOBUFS: Quiet,
@@ -140,7 +140,7 @@
 		syscall.ENOTCONN: Closed, syscall.EBADF: Closed,
 	} {
 		if got := stateOf(-1, errno); got != want {
-			t.Errorf("%v is taken for %v, want %v", errno, got, want)
+			t.Errorf("%v: state %v, want %v", errno, got, want)
 		}
 	}
 }
