--- a/internal/httpheader/httpheader.go
+++ b/internal/httpheader/httpheader.go
@@ -1,6 +1,6 @@
-// Package httpheader separates the header fields that are forwarded with a message
-// from those that concern a single connection (RFC 9110, section 7.6.1). It keeps no
-// state. Package node calls it for requests and package upstream for responses.
+// Package httpheader selects the header fields that a proxy forwards, as opposed to those that apply to a single
+// connection (RFC 9110, section 7.6.1). Package node uses it for requests and package upstream for responses. It
+// keeps no state.
 package httpheader
 
 import (
@@ -8,9 +8,8 @@
 	"strings"
 )
 
-// EndToEnd returns a copy of header without the hop-by-hop fields and the fields that
-// Connection lists. It also leaves out Expect, which the receiver has already met, and
-// Content-Length, which the sender sets itself.
+// EndToEnd returns a copy of header without the hop-by-hop fields and the fields listed in Connection. It also
+// omits Expect, which the receiver has already handled, and Content-Length, which the sender sets itself.
 func EndToEnd(header http.Header) http.Header {
 	forwarded := header.Clone()
 	for _, line := range header["Connection"] {
