--- a/internal/httpheader/httpheader_test.go
+++ b/internal/httpheader/httpheader_test.go
@@ -6,10 +6,10 @@
 	"testing"
 )
 
-func TestEndToEndRemovesFieldsOfTheConnection(t *testing.T) {
+func TestEndToEndRemovesHopByHopFields(t *testing.T) {
 	for name, c := range map[string]struct{ header, want http.Header }{
-		"none": {http.Header{}, http.Header{}},
-		"end-to-end fields stay": {
+		"empty header": {http.Header{}, http.Header{}},
+		"end-to-end fields are kept": {
 			http.Header{"Accept": {"a", "b"}, "X-Request-Id": {"1"}, "Authorization": {"x"}},
 			http.Header{"Accept": {"a", "b"}, "X-Request-Id": {"1"}, "Authorization": {"x"}},
 		},
@@ -21,11 +21,11 @@
 			},
 			http.Header{"Accept": {"a"}},
 		},
-		"fields that are set anew": {
+		"fields that the receiver handles or the sender sets": {
 			http.Header{"Expect": {"100-continue"}, "Content-Length": {"3"}, "Content-Type": {"text/plain"}},
 			http.Header{"Content-Type": {"text/plain"}},
 		},
-		"fields that Connection lists": {
+		"fields listed in Connection": {
 			http.Header{
 				"Connection": {"x-one, X-TWO", "keep-alive,x-three"},
 				"X-One":      {"1"}, "X-Two": {"2"}, "X-Three": {"3"}, "X-Four": {"4"},
@@ -39,18 +39,18 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := EndToEnd(c.header); !reflect.DeepEqual(got, c.want) {
-				t.Errorf("got %v, want %v", got, c.want)
+				t.Errorf("EndToEnd() = %v, want %v", got, c.want)
 			}
 		})
 	}
 }
 
-func TestEndToEndLeavesItsArgumentUnchanged(t *testing.T) {
+func TestEndToEndDoesNotModifyItsArgument(t *testing.T) {
 	header := http.Header{"Connection": {"x-one"}, "X-One": {"1"}, "Accept": {"a"}}
 	forwarded := EndToEnd(header)
 	forwarded["Accept"][0] = "changed"
 	want := http.Header{"Connection": {"x-one"}, "X-One": {"1"}, "Accept": {"a"}}
 	if !reflect.DeepEqual(header, want) {
-		t.Errorf("changed to %v", header)
+		t.Errorf("the argument was changed to %v, want %v", header, want)
 	}
 }
