--- a/internal/asyncwriter/asyncwriter.go
+++ b/internal/asyncwriter/asyncwriter.go
@@ -1,7 +1,6 @@
-// Package asyncwriter writes log lines without making their writers wait. A node must not stop serving,
-// or fail to shut down, because the reader of its log is slow or has exited. The balancer program creates
-// a Writer for its standard error and closes it when it exits. The package owns the queued lines; lines may
-// be lost while the target blocks.
+// Package asyncwriter writes log lines asynchronously. A node must not stop serving or fail to shut down because
+// the reader of its log is slow or has exited. The balancer program creates a Writer for its standard error and
+// closes it on exit. The Writer owns the queued lines; lines may be lost while its target blocks.
 package asyncwriter
 
 import (
@@ -12,30 +11,29 @@
 	"time"
 )
 
-// maxQueuedLines is how many lines may wait to be written; further ones are dropped.
+// maxQueuedLines is the capacity of the queue. Lines that do not fit are dropped.
 const maxQueuedLines = 256
 
-// Writer passes lines on to another writer in its own goroutine. Its methods may be called from several
-// goroutines.
+// Writer queues lines and writes them to its target in a goroutine of its own. It is safe for concurrent use.
 type Writer struct {
 	target io.Writer
-	done   chan struct{} // closed when all lines are written
+	done   chan struct{} // closed when all queued lines are written
 
 	mu      sync.Mutex
 	lines   chan []byte
-	dropped int // since a line was last queued
+	dropped int // lines dropped since one was last queued
 	closed  bool
 }
 
-// New returns a writer to target. Close ends its goroutine.
+// New returns a Writer to target and starts its goroutine. Close ends the goroutine.
 func New(target io.Writer) *Writer {
 	w := &Writer{target: target, done: make(chan struct{}), lines: make(chan []byte, maxQueuedLines)}
 	go w.run()
 	return w
 }
 
-// Write queues a line. It never blocks and never fails. If the queue is full it drops the line; the next
-// line that fits is preceded by the number of dropped lines.
+// Write queues a copy of line. It never blocks and never fails. If the queue is full, it drops the line; the next
+// line that fits is preceded by one with the number of dropped lines.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -55,8 +53,8 @@
 	return len(line), nil
 }
 
-// Close waits until the queued lines are written, for timeout at most. Lines that are written after Close
-// are dropped.
+// Close waits until the queued lines are written, but no longer than timeout. Lines passed to Write after Close are
+// dropped.
 func (w *Writer) Close(timeout time.Duration) {
 	w.mu.Lock()
 	if !w.closed {
@@ -74,6 +72,6 @@
 func (w *Writer) run() {
 	defer close(w.done)
 	for line := range w.lines {
-		_, _ = w.target.Write(line) // there is no other place to report a failure
+		_, _ = w.target.Write(line) // a failure to write the log cannot be reported anywhere
 	}
 }
