--- a/internal/asyncwriter/asyncwriter_test.go
+++ b/internal/asyncwriter/asyncwriter_test.go
@@ -8,7 +8,7 @@
 	"calicohinge/internal/testkit"
 )
 
-// gatedWriter blocks in each write until it gets a permit.
+// gatedWriter blocks in each write until it receives a permit.
 type gatedWriter struct {
 	permits chan struct{}
 	text    strings.Builder
@@ -19,7 +19,7 @@
 	return w.text.Write(line)
 }
 
-// writeLines writes numbered lines.
+// writeLines writes count numbered lines.
 func writeLines(t *testing.T, w *Writer, count int) {
 	t.Helper()
 	for i := range count {
@@ -29,7 +29,7 @@
 	}
 }
 
-// Lines are written in order, and Close waits for them.
+// Lines are written in order, and Close waits until they are written.
 func TestLinesAreWrittenInOrder(t *testing.T) {
 	target := &gatedWriter{permits: make(chan struct{}, 3)}
 	w := New(target)
@@ -41,11 +41,11 @@
 	if got, want := target.text.String(), "line 0\nline 1\nline 2\n"; got != want {
 		t.Errorf("wrote %q, want %q", got, want)
 	}
-	writeLines(t, w, 1) // does not fail after Close
+	writeLines(t, w, 1) // must not fail after Close
 }
 
-// A target that blocks delays neither Write nor Close, and a later line gives the number of
-// dropped lines.
+// A blocked target delays neither Write nor Close. Once it accepts lines again, the number of dropped lines is
+// written before the next line.
 func TestBlockedTargetDelaysNeitherWriteNorClose(t *testing.T) {
 	target := &gatedWriter{permits: make(chan struct{}, maxQueuedLines+2)}
 	w := New(target)
@@ -59,7 +59,7 @@
 	writeLines(t, w, 1)
 	w.Close(testkit.WaitTimeout)
 	if text := target.text.String(); !strings.HasSuffix(text, "\n5 log lines dropped\nline 0\n") {
-		t.Errorf("ended with %q", text[max(0, len(text)-80):])
+		t.Errorf("output ends with %q, want the number of dropped lines, 5, and line 0", text[max(0, len(text)-80):])
 	}
 
 	blocked := New(&gatedWriter{})
