--- a/internal/milliseconds/milliseconds.go
+++ b/internal/milliseconds/milliseconds.go
@@ -1,5 +1,5 @@
-// Package milliseconds converts between time.Duration and the floating-point milliseconds of the operators'
-// interfaces. Packages config and simproto use it. It keeps no state.
+// Package milliseconds converts between time.Duration and the floating-point milliseconds of the configuration and
+// of the simulator protocol. Packages config and simproto use it. It keeps no state.
 package milliseconds
 
 import (
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// limit keeps sums of a few converted times inside the range of time.Duration.
+// limit is a quarter of the range of time.Duration, so that sums of a few converted times do not overflow.
 const limit = float64(math.MaxInt64) / 4 / float64(time.Millisecond)
 
-// ToDuration converts a time in milliseconds, rounded to the nanosecond. It returns false for a value that is
-// not a number or out of range.
+// ToDuration converts milliseconds to a duration, rounding to the nanosecond. It returns false for NaN and for values
+// out of range.
 func ToDuration(ms float64) (time.Duration, bool) {
 	inRange := ms > -limit && ms < limit // false for NaN
 	if !inRange {
