--- a/internal/milliseconds/milliseconds_test.go
+++ b/internal/milliseconds/milliseconds_test.go
@@ -15,7 +15,7 @@
 		{1, time.Millisecond},
 		{-1, -time.Millisecond},
 		{18.5, 18500 * time.Microsecond},
-		{2.3, 2300 * time.Microsecond}, // 2.3 * 1e6 is a little below 2300000
+		{2.3, 2300 * time.Microsecond}, // 2.3 * 1e6 is slightly less than 2300000
 		{0.0000004, 0},
 		{0.0000006, time.Nanosecond},
 		{-0.0000006, -time.Nanosecond},
@@ -24,17 +24,17 @@
 		{-2e12, -2_000_000_000 * time.Second},
 	} {
 		if got, ok := ToDuration(test.milliseconds); !ok || got != test.want {
-			t.Errorf("ToDuration(%v) = %v, %v, want %v", test.milliseconds, got, ok, test.want)
+			t.Errorf("ToDuration(%v) = %v, %v; want %v, true", test.milliseconds, got, ok, test.want)
 		}
 	}
 }
 
-func TestToDurationRejectsWhatIsNoNumberOrOutOfRange(t *testing.T) {
+func TestToDurationRejectsNaNAndValuesOutOfRange(t *testing.T) {
 	for _, value := range []float64{
 		math.NaN(), math.Inf(1), math.Inf(-1), 1e300, -1e300, limit, -limit, 2.4e12, -2.4e12,
 	} {
 		if got, ok := ToDuration(value); ok || got != 0 {
-			t.Errorf("ToDuration(%v) = %v, %v, want 0 and false", value, got, ok)
+			t.Errorf("ToDuration(%v) = %v, %v; want 0, false", value, got, ok)
 		}
 	}
 }
@@ -42,7 +42,7 @@
 func TestSumsOfThreeTimesInRangeDoNotOverflow(t *testing.T) {
 	longest, ok := ToDuration(math.Nextafter(limit, 0))
 	if !ok || longest > math.MaxInt64/3 {
-		t.Errorf("longest time %d ns, %v, want at most a third of the range", longest, ok)
+		t.Errorf("longest duration %d ns, %v; want at most a third of the range, true", longest, ok)
 	}
 }
 
@@ -67,7 +67,7 @@
 func TestConversionsAreInverse(t *testing.T) {
 	for _, duration := range []time.Duration{0, 1, -1, 999, 1234567, time.Minute, -36 * time.Hour} {
 		if got, ok := ToDuration(FromDuration(duration)); !ok || got != duration {
-			t.Errorf("%v became %v, %v", duration, got, ok)
+			t.Errorf("ToDuration(FromDuration(%v)) = %v, %v; want %v, true", duration, got, ok, duration)
 		}
 	}
 }
