--- a/internal/hashring/hashring_test.go
+++ b/internal/hashring/hashring_test.go
@@ -8,27 +8,27 @@
 		for member := range uint64(10) {
 			groupHash := Position(group, 10*group+member) >> 32
 			if other, used := groupOf[groupHash]; used && other != group {
-				t.Fatalf("groups %d and %d share a part of the ring", other, group)
+				t.Fatalf("groups %d and %d have the same upper half", other, group)
 			}
 			groupOf[groupHash] = group
 		}
 	}
 	if len(groupOf) != 100 {
-		t.Errorf("100 groups lie in %d parts of the ring", len(groupOf))
+		t.Errorf("100 groups have %d distinct upper halves", len(groupOf))
 	}
 }
 
-func TestMembersOfAGroupDiffer(t *testing.T) {
+func TestMembersOfAGroupHaveDistinctPositions(t *testing.T) {
 	seen := map[uint64]bool{}
 	for member := range uint64(1000) {
 		seen[Position(7, member)] = true
 	}
 	if len(seen) != 1000 {
-		t.Errorf("1000 members have %d positions", len(seen))
+		t.Errorf("1000 members have %d distinct positions", len(seen))
 	}
 }
 
-func TestGroupsSpreadOverTheRing(t *testing.T) {
+func TestGroupsAreSpreadOverTheRing(t *testing.T) {
 	quarters := [4]int{}
 	for group := range uint64(1000) {
 		quarters[Position(group, 0)>>62]++
@@ -40,8 +40,8 @@
 	}
 }
 
-// All nodes must agree on the order, also across versions: the value itself is the interface.
-func TestPositionNeverChanges(t *testing.T) {
+// Nodes of different versions must order the members alike, so the values must never change.
+func TestPositionIsStable(t *testing.T) {
 	for _, tc := range []struct{ group, member, want uint64 }{{0, 1, 0xe220a8395692161d}, {3, 42, 0x1d0b14e4a759ea27}} {
 		if got := Position(tc.group, tc.member); got != tc.want {
 			t.Errorf("Position(%d, %d) = %#x, want %#x", tc.group, tc.member, got, tc.want)
