--- a/internal/jitter/jitter_test.go
+++ b/internal/jitter/jitter_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// drawRange returns the least and the greatest of many draws.
+// drawRange returns the shortest and the longest of many random delays.
 func drawRange(draw func(*rand.Rand, time.Duration) time.Duration, delay time.Duration) (
 	time.Duration, time.Duration,
 ) {
@@ -20,7 +20,7 @@
 	return shortest, longest
 }
 
-func TestFullCoversAllDelaysBelow(t *testing.T) {
+func TestFullCoversAllDelaysUpToTheGivenOne(t *testing.T) {
 	shortest, longest := drawRange(Full, time.Second)
 	if shortest < 0 || shortest > 10*time.Millisecond || longest < 990*time.Millisecond || longest > time.Second {
 		t.Errorf("delays from %v to %v, want 0 to 1 s", shortest, longest)
