--- a/internal/decayrate/decayrate.go
+++ b/internal/decayrate/decayrate.go
@@ -1,30 +1,31 @@
-// Package decayrate estimates the rate of events whose weight decays with age.
+// Package decayrate estimates the rate of events with weights that decay with age.
 package decayrate
 
 import "time"
 
-// Meter is a rate per second in which past events fade approximately exponentially.
-// It keeps no events, only their decayed sum. It is not safe for concurrent use.
+// Meter estimates a rate per second in which the weights of past events decay approximately exponentially. It stores
+// only their decayed sum. It is not safe for concurrent use.
 type Meter struct {
 	timeConstant time.Duration
 	updatedAt    time.Duration
 	rate         float64 // per second, as of updatedAt
 }
 
-// New returns a meter of rate 0. After one time constant an event counts for about 1/e of its weight.
+// New returns a meter with rate 0. After one time constant, an event has decayed to about 1/e of its weight.
 func New(timeConstant time.Duration) Meter {
 	return Meter{timeConstant: timeConstant}
 }
 
-// Add counts an event of the given weight. The time must not be before that of the last Add.
+// Add records an event with the given weight. The time must not precede that of the previous Add.
 func (m *Meter) Add(now time.Duration, weight float64) {
 	m.rate = m.PerSecond(now) + weight/m.timeConstant.Seconds()
 	m.updatedAt = now
 }
 
-// PerSecond returns the weight per second as of now.
+// PerSecond returns the rate as of now, in weight per second.
 func (m *Meter) PerSecond(now time.Duration) float64 {
 	elapsed := (now - m.updatedAt).Seconds() / m.timeConstant.Seconds()
-	// The second-order expansion of exp(-elapsed) in the denominator stays above zero and is cheap.
+	// Dividing by the second-order expansion of exp(elapsed) approximates exp(-elapsed). It is cheap, and the divisor
+	// is always positive.
 	return m.rate / (1 + elapsed + elapsed*elapsed/2)
 }
