--- a/internal/outcomewindow/outcomewindow.go
+++ b/internal/outcomewindow/outcomewindow.go
@@ -1,31 +1,30 @@
-// Package outcomewindow sums up the latest outcomes of some operation: a sliding window
-// bounded by a number of outcomes and by their age.
+// Package outcomewindow summarizes the most recent outcomes of an operation in a sliding window, which is limited by
+// the number of outcomes and by their age.
 package outcomewindow
 
 import "time"
 
-// outcome is one result of the operation.
+// outcome is the result of one operation.
 type outcome struct {
 	at      time.Duration
 	success bool
-	latency float64 // of a success, in the unit of the caller
+	latency float64 // of a success, in the caller's unit
 }
 
-// Window is a ring buffer of outcomes with their running sums. As an invariant, successes and latencySum cover
-// exactly the outcomes in the window, which are the last ones before next. It is not safe for concurrent use.
+// Window is a ring buffer of outcomes with running totals. Invariant: the window consists of the length entries
+// before next, and successes and latencySum are the totals over exactly these. It is not safe for concurrent use.
 type Window struct {
 	ring       []outcome
-	next       int // index of the next outcome to be written
+	next       int // index at which the next outcome is written
 	length     int // number of outcomes in the window
 	successes  int
 	latencySum float64 // of the successes
 }
 
-// New returns an empty window that keeps the latest outcomes up to capacity, which must be
-// at least 1.
+// New returns an empty window that keeps up to capacity outcomes. The capacity must be at least 1.
 func New(capacity int) Window { return Window{ring: make([]outcome, capacity)} }
 
-// AddSuccess records a success and its latency, in a unit of the caller's choice. A full window forgets its
+// AddSuccess records a success and its latency, in a unit of the caller's choice. If the window is full, it drops the
 // oldest outcome.
 func (w *Window) AddSuccess(now time.Duration, latency float64) {
 	w.add(outcome{at: now, success: true, latency: latency})
@@ -33,10 +32,10 @@
 	w.latencySum += latency
 }
 
-// AddFailure records a failure. A full window forgets its oldest outcome.
+// AddFailure records a failure. If the window is full, it drops the oldest outcome.
 func (w *Window) AddFailure(now time.Duration) { w.add(outcome{at: now}) }
 
-// add writes an outcome, but leaves the running sums to the caller.
+// add appends an outcome. The caller adds it to the running totals.
 func (w *Window) add(entry outcome) {
 	if w.length == len(w.ring) {
 		w.dropOldest()
@@ -46,7 +45,7 @@
 	w.length++
 }
 
-// Expire forgets the outcomes that are as old as maxAge or older.
+// Expire drops the outcomes whose age is maxAge or more.
 func (w *Window) Expire(now, maxAge time.Duration) {
 	for w.length > 0 && now-w.oldest().at >= maxAge {
 		w.dropOldest()
@@ -59,18 +58,18 @@
 // Successes returns the number of successes in the window.
 func (w *Window) Successes() int { return w.successes }
 
-// Failures returns the number of outcomes in the window that are no successes.
+// Failures returns the number of failures in the window.
 func (w *Window) Failures() int { return w.length - w.successes }
 
 // LatencySum returns the sum of the latencies of the successes in the window.
 func (w *Window) LatencySum() float64 { return w.latencySum }
 
-// oldest returns the oldest outcome of a window that is not empty.
+// oldest returns the oldest outcome. The window must not be empty.
 func (w *Window) oldest() *outcome {
 	return &w.ring[(w.next+len(w.ring)-w.length)%len(w.ring)]
 }
 
-// dropOldest removes the oldest outcome and takes it out of the running sums.
+// dropOldest removes the oldest outcome from the window and from the running totals.
 func (w *Window) dropOldest() {
 	oldest := w.oldest()
 	w.length--
