--- a/internal/outcomewindow/outcomewindow_test.go
+++ b/internal/outcomewindow/outcomewindow_test.go
@@ -28,7 +28,7 @@
 	checkWindow(t, &w, 2, 1, 2)
 }
 
-func TestFullWindowForgetsTheOldest(t *testing.T) {
+func TestFullWindowDropsTheOldestOutcome(t *testing.T) {
 	w := New(3)
 	for i := range 7 {
 		if now := time.Duration(i); i%2 == 0 {
@@ -40,7 +40,7 @@
 	checkWindow(t, &w, 3, 2, 4+6)
 }
 
-func TestExpireForgetsOutcomesOfTheMaximumAge(t *testing.T) {
+func TestExpireDropsOutcomesOfTheMaximumAge(t *testing.T) {
 	w := New(3)
 	w.AddSuccess(1*time.Second, 1)
 	w.AddSuccess(2*time.Second, 2)
