--- a/internal/runningmean/runningmean.go
+++ b/internal/runningmean/runningmean.go
@@ -1,34 +1,34 @@
-// Package runningmean averages samples as they come, without keeping them.
+// Package runningmean computes the mean of a stream of samples without storing them.
 package runningmean
 
-// Mean is the mean of its samples up to a number of them, and beyond that an exponential moving average
-// in which each sample has the same small weight. The zero value is not usable.
+// Mean is the arithmetic mean of the first maxSamples samples and from then on an exponential moving average, in
+// which a sample of Add has the weight 1/maxSamples. The zero value is not usable.
 type Mean struct {
 	value      float64
-	samples    float64 // weight of value
+	samples    float64 // weight of value, in samples
 	maxSamples float64
 }
 
-// New returns a mean without samples. The weight of its past never exceeds that of maxSamples samples.
+// New returns a mean without samples. Its weight never exceeds that of maxSamples samples.
 func New(maxSamples int) Mean { return Mean{maxSamples: float64(maxSamples)} }
 
-// NewWithGuess returns a mean that starts from a guess, which counts as one sample.
+// NewWithGuess returns a mean with an initial guess, which counts as one sample.
 func NewWithGuess(guess float64, maxSamples int) Mean {
 	return Mean{value: guess, samples: 1, maxSamples: float64(maxSamples)}
 }
 
-// Add takes a sample into the mean.
+// Add adds a sample to the mean.
 func (m *Mean) Add(sample float64) { m.AddWithPrior(sample, 0) }
 
-// AddWithPrior takes a sample as Add does, but gives the present mean an additional weight of prior samples, so
-// that the new sample changes it less.
+// AddWithPrior adds a sample as Add does, but gives the current mean the additional weight of prior samples, so that
+// the new sample changes it less.
 func (m *Mean) AddWithPrior(sample, prior float64) {
 	m.samples = min(m.samples+1, m.maxSamples)
 	m.value += (sample - m.value) / (m.samples + prior)
 }
 
-// Value returns the mean, 0 without samples.
+// Value returns the mean, or 0 if there are no samples.
 func (m *Mean) Value() float64 { return m.value }
 
-// Samples returns the number of samples, a guess included, maxSamples at most.
+// Samples returns the number of samples, including an initial guess, but at most maxSamples.
 func (m *Mean) Samples() float64 { return m.samples }
