--- a/internal/runningmean/runningmean_test.go
+++ b/internal/runningmean/runningmean_test.go
@@ -9,7 +9,7 @@
 	}
 }
 
-func TestMeanOfTheSamples(t *testing.T) {
+func TestMeanOfSamples(t *testing.T) {
 	m := New(10)
 	checkMean(t, &m, 0, 0)
 	for _, sample := range []float64{1, 2, 6} {
@@ -34,7 +34,7 @@
 	checkMean(t, &m, 2, 4)
 }
 
-func TestPriorKeepsTheMean(t *testing.T) {
+func TestPriorReducesTheWeightOfASample(t *testing.T) {
 	m := New(10)
 	m.AddWithPrior(8, 3)
 	checkMean(t, &m, 2, 1)
