--- a/internal/tokenbucket/tokenbucket_test.go
+++ b/internal/tokenbucket/tokenbucket_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// takeUpTo counts the tokens that a bucket gives at one time, up to limit.
+// takeUpTo takes up to limit tokens at the given time and returns how many were available.
 func takeUpTo(b *Bucket, now time.Duration, limit int) int {
 	taken := 0
 	for taken < limit && b.Take(now) {
@@ -14,7 +14,7 @@
 	return taken
 }
 
-func TestBurstIsOneSecondsWorth(t *testing.T) {
+func TestBurstIsLimitedToTheTokensOfOneSecond(t *testing.T) {
 	b := New(5)
 	if n := takeUpTo(&b, time.Hour, 100); n != 5 {
 		t.Errorf("%d tokens after a long pause, want 5", n)
@@ -24,23 +24,23 @@
 	}
 }
 
-func TestRateBelowOnePerSecondStillSavesOneToken(t *testing.T) {
+func TestRateBelowOnePerSecondStillAccumulatesOneToken(t *testing.T) {
 	b := New(0.5)
 	if n := takeUpTo(&b, time.Hour, 100); n != 1 {
 		t.Errorf("%d tokens, want 1", n)
 	}
 	if b.Take(time.Hour + time.Second) {
-		t.Error("a token after half of the time that one takes")
+		t.Error("took a token after half of the time to refill one")
 	}
 	if !b.Take(time.Hour + 2*time.Second) {
-		t.Error("no token after the time that one takes")
+		t.Error("no token after the time to refill one")
 	}
 }
 
 func TestRateZeroIsUnlimited(t *testing.T) {
 	b := New(0)
 	if n := takeUpTo(&b, time.Hour, 1000); n != 1000 {
-		t.Errorf("%d tokens without a limit, want all 1000", n)
+		t.Errorf("took %d tokens without a limit, want all 1000", n)
 	}
 }
 
