--- a/internal/sockstate/sockstate_test.go
+++ b/internal/sockstate/sockstate_test.go
@@ -10,25 +10,25 @@
 	"calicohinge/internal/testkit"
 )
 
-// connect returns the local end and the peer's end of a loopback connection.
-func connect(t *testing.T) (*net.TCPConn, *net.TCPConn) {
+// connectLoopback returns the local end and the peer's end of a new loopback connection.
+func connectLoopback(t *testing.T) (*net.TCPConn, *net.TCPConn) {
 	t.Helper()
 	listener := testkit.Listen(t)
 	dialed, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { closeQuietly(dialed) })
+	t.Cleanup(func() { closeIgnoringError(dialed) })
 	accepted, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { closeQuietly(accepted) })
+	t.Cleanup(func() { closeIgnoringError(accepted) })
 	return dialed.(*net.TCPConn), accepted.(*net.TCPConn)
 }
 
-// closeQuietly closes what the test may have closed already.
-func closeQuietly(closer io.Closer) { _ = closer.Close() }
+// closeIgnoringError closes a connection that the test may already have closed.
+func closeIgnoringError(closer io.Closer) { _ = closer.Close() }
 
 // writeByte writes the byte "x".
 func writeByte(conn *net.TCPConn) error {
@@ -36,18 +36,18 @@
 	return err
 }
 
-// check fails the test unless err is nil.
-func check(t *testing.T, err error) {
+// requireNoError fails the test unless err is nil.
+func requireNoError(t *testing.T, err error) {
 	t.Helper()
 	if err != nil {
 		t.Fatal(err)
 	}
 }
 
-func TestPeekShowsWhatThePeerDid(t *testing.T) {
+func TestPeekReportsWhatThePeerDid(t *testing.T) {
 	for name, c := range map[string]struct {
-		act  func(peer *net.TCPConn) error
-		want State
+		peerAction func(peer *net.TCPConn) error
+		want       State
 	}{
 		"nothing":            {func(*net.TCPConn) error { return nil }, Quiet},
 		"wrote":              {writeByte, Readable},
@@ -57,32 +57,32 @@
 		"wrote, then closed": {func(peer *net.TCPConn) error { return errors.Join(writeByte(peer), peer.Close()) }, Readable},
 	} {
 		t.Run(name, func(t *testing.T) {
-			local, peer := connect(t)
-			check(t, c.act(peer))
+			local, peer := connectLoopback(t)
+			requireNoError(t, c.peerAction(peer))
 			testkit.Until(t, "the connection to be "+c.want.String(), func() bool { return Peek(local) == c.want })
 		})
 	}
 }
 
 func TestPeekLeavesUnreadBytes(t *testing.T) {
-	local, peer := connect(t)
-	check(t, writeByte(peer))
-	check(t, peer.CloseWrite())
-	testkit.Until(t, "bytes", func() bool { return Peek(local) == Readable })
+	local, peer := connectLoopback(t)
+	requireNoError(t, writeByte(peer))
+	requireNoError(t, peer.CloseWrite())
+	testkit.Until(t, "unread bytes", func() bool { return Peek(local) == Readable })
 	text, err := io.ReadAll(local)
 	if err != nil || string(text) != "x" {
-		t.Errorf("read %q, %v", text, err)
+		t.Errorf("read %q, error %v; want %q", text, err, "x")
 	}
 	if state := Peek(local); state != Closed {
-		t.Errorf("%v after the end was read", state)
+		t.Errorf("state %v after end of file, want %v", state, Closed)
 	}
 }
 
-// A reader that blocks in the connection must not delay Peek.
+// Another goroutine is blocked reading from the connection: Peek must not wait for it.
 func TestPeekDoesNotWaitForABlockedReader(t *testing.T) {
-	local, peer := connect(t)
+	local, peer := connectLoopback(t)
 	raw, err := local.SyscallConn()
-	check(t, err)
+	requireNoError(t, err)
 	blocked := make(chan struct{}, 1)
 	read := make(chan error, 1)
 	go func() {
@@ -93,7 +93,7 @@
 			}
 			first = false
 			blocked <- struct{}{}
-			return false // wait for something to read
+			return false // block until the connection is readable
 		})
 	}()
 	testkit.Wait(t, blocked, "the reader to block")
@@ -101,23 +101,23 @@
 	states := make(chan State, 1)
 	go func() { states <- Peek(local) }()
 	if state := testkit.Wait(t, states, "the state"); state != Quiet {
-		t.Errorf("%v, want %v", state, Quiet)
+		t.Errorf("state %v, want %v", state, Quiet)
 	}
-	check(t, peer.Close())
-	check(t, testkit.Wait(t, read, "the end of the reader"))
+	requireNoError(t, peer.Close())
+	requireNoError(t, testkit.Wait(t, read, "the reader to return"))
 }
 
-func TestPeekOfAConnectionThatIsNoOpenSocketIsClosed(t *testing.T) {
-	local, _ := connect(t)
-	check(t, local.Close())
+func TestPeekReturnsClosedWithoutAnOpenSocket(t *testing.T) {
+	local, _ := connectLoopback(t)
+	requireNoError(t, local.Close())
 	if state := Peek(local); state != Closed {
-		t.Errorf("closed here: %v", state)
+		t.Errorf("state %v after a local close, want %v", state, Closed)
 	}
 	pipe, other := net.Pipe()
-	defer closeQuietly(pipe)
-	defer closeQuietly(other)
+	defer closeIgnoringError(pipe)
+	defer closeIgnoringError(other)
 	if state := Peek(pipe); state != Closed {
-		t.Errorf("a pipe: %v", state)
+		t.Errorf("state %v of a pipe, want %v", state, Closed)
 	}
 }
 
@@ -126,13 +126,13 @@
 		Quiet: "quiet", Readable: "readable", Closed: "closed", Closed + 1: "unknown",
 	} {
 		if got := state.String(); got != want {
-			t.Errorf("state %d is named %q, want %q", int(state), got, want)
+			t.Errorf("State(%d).String() = %q, want %q", int(state), got, want)
 		}
 	}
 }
 
-// If a receive call fails for a reason of this machine, the connection must not count as
-// closed: the peer has not closed it.
+// A receive call that fails because this machine is short of a resource does not mean that the connection is
+// closed.
 func TestStateOfFailedReceive(t *testing.T) {
 	for errno, want := range map[syscall.Errno]State{
 		syscall.EAGAIN: Quiet, syscall.ENOMEM: Quiet, syscall.ENOBUFS: Quiet,
@@ -140,7 +140,7 @@
 		syscall.ENOTCONN: Closed, syscall.EBADF: Closed,
 	} {
 		if got := stateOf(-1, errno); got != want {
-			t.Errorf("%v is taken for %v, want %v", errno, got, want)
+			t.Errorf("%v: state %v, want %v", errno, got, want)
 		}
 	}
 }
--- a/internal/syserror/syserror_test.go
+++ b/internal/syserror/syserror_test.go
@@ -15,7 +15,7 @@
 	}
 	for _, c := range []struct {
 		err                 error
-		shortage, momentary bool
+		shortage, transient bool
 	}{
 		{wrapped(syscall.EINTR), true, true},
 		{wrapped(syscall.EMFILE), true, true},
@@ -29,23 +29,24 @@
 		{wrapped(syscall.ENOENT), false, false},
 		{os.ErrDeadlineExceeded, false, false},
 	} {
-		if IsShortage(c.err) != c.shortage || IsMomentary(c.err) != c.momentary {
-			t.Errorf("%v: shortage %v, momentary %v", c.err, IsShortage(c.err), IsMomentary(c.err))
+		if IsShortage(c.err) != c.shortage || IsTransient(c.err) != c.transient {
+			t.Errorf("%v: shortage %v, transient %v; want %v, %v", c.err, IsShortage(c.err), IsTransient(c.err),
+				c.shortage, c.transient)
 		}
 	}
 }
 
-func TestRetryEndsWithSuccessOrLastingFailure(t *testing.T) {
+func TestRetryStopsOnSuccessOrPermanentFailure(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		errors []error // of the first calls; further calls succeed
-		calls  int     // expected
-		failed bool    // expected of the last call
+		name      string
+		errors    []error // returned by the first calls; further calls succeed
+		wantCalls int
+		wantErr   bool // of the last call
 	}{
 		{"success", nil, 1, false},
-		{"momentary failures", []error{syscall.EMFILE, syscall.EIO}, 3, false},
-		{"lasting failure", []error{syscall.EMFILE, syscall.ENOENT}, 2, true},
-		{"too many", []error{
+		{"transient failures", []error{syscall.EMFILE, syscall.EIO}, 3, false},
+		{"permanent failure", []error{syscall.EMFILE, syscall.ENOENT}, 2, true},
+		{"too many transient failures", []error{
 			syscall.EIO, syscall.EIO, syscall.EIO, syscall.EIO, syscall.EIO, syscall.EIO, syscall.EIO,
 		}, maxAttempts, true},
 	} {
@@ -57,11 +58,11 @@
 			}
 			return nil
 		})
-		if calls != c.calls || (err != nil) != c.failed {
-			t.Errorf("%s: %d calls, %v", c.name, calls, err)
+		if calls != c.wantCalls || (err != nil) != c.wantErr {
+			t.Errorf("%s: %d calls, error %v; want %d calls, failure %v", c.name, calls, err, c.wantCalls, c.wantErr)
 		}
-		if c.failed && !errors.Is(err, c.errors[calls-1]) {
-			t.Errorf("%s: %v is not the last error", c.name, err)
+		if c.wantErr && !errors.Is(err, c.errors[calls-1]) {
+			t.Errorf("%s: error %v, want the last one, %v", c.name, err, c.errors[calls-1])
 		}
 	}
 }
