--- a/internal/discovery/apply.go
+++ b/internal/discovery/apply.go
@@ -10,36 +10,36 @@
 // applyList applies the list that a completed call has returned: it delivers the list to the handler. The next
 // call follows the generation of the list if the list is of the present address. No other method applies a
 // list.
-func (f *follower) applyList(completed *call) {
-	if completed.address != f.address {
-		f.applyPreviousList(completed)
+func (f *follower) applyList(finished *call) {
+	if finished.address != f.address {
+		f.applyPreviousList(finished)
 		return
 	}
 	f.backoff.reset()
-	if f.isStale(completed) {
+	if f.isStale(finished) {
 		return
 	}
-	f.logList(completed.list)
-	f.haveList, f.generation = true, completed.list.Generation
-	f.deliver(completed.list)
+	f.logList(finished.list)
+	f.haveList, f.generation = true, finished.list.Generation
+	f.deliver(finished.list)
 }
 
 // applyPreviousList applies a list of a previous address, unless the present address has given one. The next
 // call still requests the complete list from the present address.
-func (f *follower) applyPreviousList(completed *call) {
+func (f *follower) applyPreviousList(finished *call) {
 	if f.haveList {
 		return
 	}
 	slog.Info("endpoint list of previous address",
-		"discovery_addr", completed.address, "generation", completed.list.Generation)
-	f.deliver(completed.list)
+		"discovery_addr", finished.address, "generation", finished.list.Generation)
+	f.deliver(finished.list)
 }
 
 // isStale reports whether another call has returned a newer list since the completed call started. A lower
 // generation alone does not make a list stale: a service that has restarted counts from the beginning.
-func (f *follower) isStale(completed *call) bool {
-	appliedMeanwhile := f.haveList && (completed.query.complete || completed.query.after != f.generation)
-	return appliedMeanwhile && completed.list.Generation < f.generation
+func (f *follower) isStale(finished *call) bool {
+	appliedMeanwhile := f.haveList && (finished.query.snapshot || finished.query.after != f.generation)
+	return appliedMeanwhile && finished.list.Generation < f.generation
 }
 
 // deliver passes a list to the handler. A list without changes only confirms that the node is synced.
--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -21,23 +21,23 @@
 // backoff is an exponential backoff with equal jitter: nodes whose calls failed at the same moment must
 // not repeat them at the same moment.
 type backoff struct {
-	delay   time.Duration // the nominal delay after the next failure
-	longest time.Duration
+	nominalDelay time.Duration // the nominal delay after the next failure
+	maxDelay     time.Duration
 }
 
-func newBackoff(longest time.Duration) backoff {
-	return backoff{delay: initialBackoff, longest: longest}
+func newBackoff(maxDelay time.Duration) backoff {
+	return backoff{nominalDelay: initialBackoff, maxDelay: maxDelay}
 }
 
 // next returns the delay before the next call, and doubles the nominal delay.
 func (b *backoff) next() time.Duration {
-	delay := b.delay/2 + rand.N(b.delay/2)
-	b.delay = min(2*b.delay, b.longest)
+	delay := b.nominalDelay/2 + rand.N(b.nominalDelay/2)
+	b.nominalDelay = min(2*b.nominalDelay, b.maxDelay)
 	return delay
 }
 
 // reset returns the nominal delay to its initial value.
-func (b *backoff) reset() { b.delay = initialBackoff }
+func (b *backoff) reset() { b.nominalDelay = initialBackoff }
 
-// shortDelay returns a delay that only spreads the nodes' calls.
-func shortDelay() time.Duration { return rand.N(initialBackoff) }
+// jitter returns a delay that only spreads the nodes' calls.
+func jitter() time.Duration { return rand.N(initialBackoff) }
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -26,14 +26,14 @@
 func (r *recorder) Synced()                          {}
 func (r *recorder) WatchFailed(notifiedAt time.Time) { r.failed <- notifiedAt }
 
-// requestCounter records how many watch requests are pending when a failure is reported.
-type requestCounter struct {
+// pendingRequestRecorder records how many watch requests are pending when a failure is reported.
+type pendingRequestRecorder struct {
 	*recorder
 	client  *Client
 	pending chan int
 }
 
-func (r requestCounter) WatchFailed(notifiedAt time.Time) {
+func (r pendingRequestRecorder) WatchFailed(notifiedAt time.Time) {
 	r.pending <- len(r.client.watchRequests)
 	r.recorder.WatchFailed(notifiedAt)
 }
@@ -43,15 +43,15 @@
 func TestStaleWatchRequestIsDropped(t *testing.T) {
 	scripted := testkit.NewScriptedDiscovery(t)
 	client := New(Config{Address: scripted.Address, Poll: true})
-	handler := requestCounter{newRecorder(), client, make(chan int, 1)}
+	handler := pendingRequestRecorder{newRecorder(), client, make(chan int, 1)}
 	calls := newInFlightCalls(client.send)
 	t.Cleanup(calls.close)
-	watch := newFollower(client, handler, calls, scripted.Address)
-	watch.state, watch.haveList = stateCalling, true
+	f := newFollower(client, handler, calls, scripted.Address)
+	f.state, f.haveList = stateCalling, true
 	stopped := make(chan struct{})
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	go func() { defer close(stopped); watch.run(ctx) }()
+	go func() { defer close(stopped); f.run(ctx) }()
 	testkit.Wait(t, scripted.Calls, "the watch")
 
 	client.RequestWatch()
@@ -71,8 +71,8 @@
 	testkit.Wait(t, stopped, "the follower to stop")
 }
 
-// clientStart is how a client starts.
-type clientStart struct {
+// clientStartTest is how a client starts.
+type clientStartTest struct {
 	cached  endpoint.List
 	poll    bool
 	updates []policy.UpdateKind // before the first call
@@ -84,7 +84,7 @@
 	t.Parallel()
 	cached := endpoint.List{Generation: 7, Endpoints: []endpoint.Endpoint{{ID: 1}}}
 	update := []policy.UpdateKind{policy.UpdateCached}
-	for name, c := range map[string]clientStart{
+	for name, c := range map[string]clientStartTest{
 		"polled, cached list": {cached, true, update, "after=7&wait_ms=3000"},
 		"polled, no list":     {endpoint.List{}, true, update, ""}, // package policy requests the first watch
 		"pushed, cached list": {cached, false, update, "after=7&wait_ms=3000"},
@@ -97,7 +97,7 @@
 	}
 }
 
-func (c clientStart) check(t *testing.T) {
+func (c clientStartTest) check(t *testing.T) {
 	t.Helper()
 	scripted := testkit.NewScriptedDiscovery(t)
 	handler := newRecorder()
@@ -124,7 +124,7 @@
 
 // After a change of the address the complete list is requested from the latest address, in polling mode
 // too. The pending call ends once that has returned its list.
-func TestAddressChangeRequestsTheCompleteList(t *testing.T) {
+func TestAddressChangeRequestsSnapshot(t *testing.T) {
 	t.Parallel()
 	for name, poll := range map[string]bool{"polled": true, "pushed": false} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/discovery/errors_test.go
+++ b/internal/discovery/errors_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestErrorNamesItsCause(t *testing.T) {
+func TestErrorTextAndCause(t *testing.T) {
 	cause := errors.New("connection refused")
 	for _, c := range []struct {
 		err  *Error
@@ -25,7 +25,7 @@
 	}
 }
 
-func TestEachErrorKindHasItsOwnName(t *testing.T) {
+func TestErrorKindNamesAreUnique(t *testing.T) {
 	seen := map[string]ErrorKind{}
 	for kind := Unknown; kind <= Malformed; kind++ {
 		name := kind.String()
--- a/internal/discovery/failure.go
+++ b/internal/discovery/failure.go
@@ -35,7 +35,7 @@
 // notifiedAt returns when the node counts as notified of the changes that a failed call has missed.
 func (f *follower) notifiedAt(startedAt, now time.Time) time.Time {
 	callDeadline := startedAt.Add(policy.NotificationDeadline)
-	listDeadline := f.deadlines.nextAt(now)
+	listDeadline := f.deadlines.nextAfter(now)
 	if f.initialListPending(now) && listDeadline.Before(callDeadline) {
 		return listDeadline
 	}
@@ -55,7 +55,7 @@
 // backoff after an unresponsive watch, or before the initial list at a new address.
 func (f *follower) retryDelay(kind ErrorKind) time.Duration {
 	if kind == Unresponsive || f.initialListPending(time.Now()) {
-		return shortDelay()
+		return jitter()
 	}
 	return f.backoff.next()
 }
--- a/internal/discovery/fetch.go
+++ b/internal/discovery/fetch.go
@@ -28,7 +28,7 @@
 // complete list if there is none.
 func (f *follower) nextQuery() query {
 	if !f.haveList {
-		return completeListQuery(f.address)
+		return snapshotQuery(f.address)
 	}
 	return watchQuery(f.address, f.generation)
 }
@@ -43,7 +43,7 @@
 	for {
 		select {
 		case done := <-f.calls.done:
-			usable := f.calls.complete(done)
+			usable := f.calls.finish(done)
 			switch {
 			case done == current:
 				return done, done.err
--- a/internal/discovery/fetch_test.go
+++ b/internal/discovery/fetch_test.go
@@ -18,8 +18,9 @@
 // notification deadline for the response to the next call.
 func TestUnresponsiveWatchLeavesTimeForAnotherCall(t *testing.T) {
 	const spread = 750 * time.Millisecond // of the next calls
-	if left := policy.NotificationDeadline - watchWait - watchResponseMargin - spread; left < policy.NotificationDeadline/8 {
-		t.Errorf("%v are left for the next call", left)
+	remaining := policy.NotificationDeadline - watchWait - watchResponseMargin - spread
+	if remaining < policy.NotificationDeadline/8 {
+		t.Errorf("%v are left for the next call", remaining)
 	}
 	if responseTimeout > watchWait+watchResponseMargin {
 		t.Errorf("a watch may take %v, more than its wait and the margin", responseTimeout)
@@ -30,18 +31,18 @@
 	}
 }
 
-// testFollower makes a follower at an address.
-func testFollower(t *testing.T, address string, haveList bool) *follower {
+// newTestFollower makes a follower at an address.
+func newTestFollower(t *testing.T, address string, haveList bool) *follower {
 	t.Helper()
 	client := New(Config{Address: address})
 	calls := newInFlightCalls(client.send)
 	t.Cleanup(calls.close)
-	watch := newFollower(client, newRecorder(), calls, address)
-	watch.haveList = haveList
-	return watch
+	f := newFollower(client, newRecorder(), calls, address)
+	f.haveList = haveList
+	return f
 }
 
-func TestFailedCallHasItsKind(t *testing.T) {
+func TestErrorKindOfFailedCall(t *testing.T) {
 	const ok = "HTTP/1.1 200 OK\r\n"
 	for name, c := range map[string]struct {
 		response string // no server at the address if empty
@@ -64,7 +65,7 @@
 				address = testkit.NewScriptedServer(t, c.response, testkit.CloseAfterResponse).Address
 			}
 			for _, haveList := range []bool{false, true} {
-				_, err := testFollower(t, address, haveList).fetch(t.Context())
+				_, err := newTestFollower(t, address, haveList).fetch(t.Context())
 				checkFailure(t, err, c.kind, c.status)
 			}
 		})
@@ -84,7 +85,7 @@
 
 func TestConnectionClosedWithoutResponseIsReset(t *testing.T) {
 	backend := testkit.NewBackend(t, testkit.Reset)
-	if _, err := testFollower(t, backend.Address(), true).fetch(t.Context()); kindOf(err) != Reset {
+	if _, err := newTestFollower(t, backend.Address(), true).fetch(t.Context()); kindOf(err) != Reset {
 		t.Errorf("%v: %v, want %v", kindOf(err), err, Reset)
 	}
 }
@@ -97,8 +98,8 @@
 	return nil, request.Context().Err()
 }
 
-func TestCallWithoutResponseEndsInTime(t *testing.T) {
-	for name, c := range map[string]timedOutCall{
+func TestCallWithoutResponseTimesOut(t *testing.T) {
+	for name, c := range map[string]timeoutTest{
 		"watch":                            {true, false, Unresponsive, 4500 * time.Millisecond},
 		"complete list":                    {false, false, Timeout, 4500 * time.Millisecond},
 		"complete list from a new address": {false, true, Timeout, 2 * time.Second},
@@ -108,22 +109,22 @@
 	}
 }
 
-// timedOutCall is a call that gets no response, and how it has to end.
-type timedOutCall struct {
+// timeoutTest is a call that gets no response, and how it has to end.
+type timeoutTest struct {
 	haveList       bool
 	addressChanged bool
 	kind           ErrorKind
 	took           time.Duration
 }
 
-func (c timedOutCall) check(t *testing.T) {
-	watch := testFollower(t, "discovery", c.haveList)
-	watch.client.httpClient.Transport = unresponsiveTransport{}
+func (c timeoutTest) check(t *testing.T) {
+	f := newTestFollower(t, "discovery", c.haveList)
+	f.client.httpClient.Transport = unresponsiveTransport{}
 	if c.addressChanged {
-		watch.deadlines.present = time.Now().Add(addressChangeDeadline)
+		f.deadlines.current = time.Now().Add(addressChangeDeadline)
 	}
 	startedAt := time.Now()
-	_, err := watch.fetch(t.Context())
+	_, err := f.fetch(t.Context())
 	if kindOf(err) != c.kind || !errors.Is(err, context.DeadlineExceeded) {
 		t.Errorf("%v: %v, want %v", kindOf(err), err, c.kind)
 	}
@@ -135,11 +136,11 @@
 // A watch that is cancelled from outside has not become unresponsive.
 func TestCancelledWatchIsNotUnresponsive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		watch := testFollower(t, "discovery", true)
-		watch.client.httpClient.Transport = unresponsiveTransport{}
+		f := newTestFollower(t, "discovery", true)
+		f.client.httpClient.Transport = unresponsiveTransport{}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		if _, err := watch.fetch(ctx); err == nil || kindOf(err) == Unresponsive {
+		if _, err := f.fetch(ctx); err == nil || kindOf(err) == Unresponsive {
 			t.Errorf("%v: %v", kindOf(err), err)
 		}
 	})
@@ -147,9 +148,9 @@
 
 // Without a present list, a call is for the complete list, and its response counts as complete even if it does not
 // say so.
-func TestListIsCompleteIfNoneWasKnown(t *testing.T) {
+func TestFirstResponseIsSnapshot(t *testing.T) {
 	for _, haveList := range []bool{false, true} {
-		list, err := testFollower(t, "discovery", haveList).nextQuery().decode([]byte(`{"generation":3,"instances":[]}`))
+		list, err := newTestFollower(t, "discovery", haveList).nextQuery().decode([]byte(`{"generation":3,"instances":[]}`))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -159,13 +160,13 @@
 	}
 }
 
-// unresponsiveMachine neither accepts nor refuses attempts to connect to it.
-type unresponsiveMachine struct{ begun, inProgress atomic.Int32 } // attempts
+// unresponsiveHost neither accepts nor refuses attempts to connect to it.
+type unresponsiveHost struct{ started, inProgress atomic.Int32 } // attempts
 
-func (m *unresponsiveMachine) dial(ctx context.Context, _, _ string) (net.Conn, error) {
-	m.begun.Add(1)
-	m.inProgress.Add(1)
-	defer m.inProgress.Add(-1)
+func (h *unresponsiveHost) dial(ctx context.Context, _, _ string) (net.Conn, error) {
+	h.started.Add(1)
+	h.inProgress.Add(1)
+	defer h.inProgress.Add(-1)
 	<-ctx.Done()
 	return nil, &net.OpError{Op: "dial", Err: ctx.Err()}
 }
@@ -174,19 +175,19 @@
 // begins an attempt of its own at once, however many calls there were.
 func TestConnectionAttemptsEndWithTheirCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		machine := &unresponsiveMachine{}
-		watch := testFollower(t, "discovery:1", true)
-		watch.client.httpClient.Transport = newTransport(machine.dial)
+		host := &unresponsiveHost{}
+		f := newTestFollower(t, "discovery:1", true)
+		f.client.httpClient.Transport = newTransport(host.dial)
 		for calls := range int32(2 * maxConnectionsPerHost) {
 			ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
-			failed, err := watch.fetch(ctx)
+			failed, err := f.fetch(ctx)
 			cancel()
 			synctest.Wait()
 			if phase := failed.progress.current(); err == nil || phase > phaseConnecting {
 				t.Fatalf("%v in phase %v, want a failed call that has no connection", err, phase)
 			}
-			if begun, inProgress := machine.begun.Load(), machine.inProgress.Load(); begun != calls+1 || inProgress != 0 {
-				t.Fatalf("after call %d: %d attempts begun, %d in progress", calls+1, begun, inProgress)
+			if started, inProgress := host.started.Load(), host.inProgress.Load(); started != calls+1 || inProgress != 0 {
+				t.Fatalf("after call %d: %d attempts begun, %d in progress", calls+1, started, inProgress)
 			}
 		}
 	})
--- a/internal/discovery/follower.go
+++ b/internal/discovery/follower.go
@@ -88,9 +88,9 @@
 func (f *follower) moveTo(address string, now time.Time) *follower {
 	next := newFollower(f.client, f.handler, f.calls, address)
 	next.state = stateCalling
-	next.deadlines.present = now.Add(addressChangeDeadline)
+	next.deadlines.current = now.Add(addressChangeDeadline)
 	if f.initialListPending(now) {
-		next.deadlines.previous = f.deadlines.nextAt(now)
+		next.deadlines.previous = f.deadlines.nextAfter(now)
 	}
 	return next
 }
@@ -116,7 +116,7 @@
 		case <-f.client.watchRequests:
 			return stateCalling
 		case done := <-f.calls.done:
-			if f.completeEarlier(done) {
+			if f.finishEarlier(done) {
 				return stateCalling
 			}
 		case <-ctx.Done():
@@ -149,7 +149,7 @@
 		case <-timer.C:
 			return stateCalling
 		case done := <-f.calls.done:
-			if f.completeEarlier(done) {
+			if f.finishEarlier(done) {
 				return stateCalling
 			}
 		case <-ctx.Done():
@@ -158,18 +158,18 @@
 	}
 }
 
-// completeEarlier completes a call that returns while the follower makes none, and applies its list. It returns
+// finishEarlier completes a call that returns while the follower makes none, and applies its list. It returns
 // true if the list is of the present address: the next call is then due at once.
-func (f *follower) completeEarlier(done *call) bool {
-	if !f.calls.complete(done) {
+func (f *follower) finishEarlier(finished *call) bool {
+	if !f.calls.finish(finished) {
 		return false
 	}
-	f.applyList(done)
-	return done.address == f.address
+	f.applyList(finished)
+	return finished.address == f.address
 }
 
 // initialListPending reports whether the address has changed, no list of the new address has arrived, and its
 // deadline has not passed.
 func (f *follower) initialListPending(now time.Time) bool {
-	return !f.haveList && now.Before(f.deadlines.present)
+	return !f.haveList && now.Before(f.deadlines.current)
 }
--- a/internal/discovery/follower_state_test.go
+++ b/internal/discovery/follower_state_test.go
@@ -17,8 +17,8 @@
 	previousURL = "call to a previous address"
 )
 
-// result is what a call returns.
-type result struct {
+// callResult is what a call returns.
+type callResult struct {
 	list endpoint.List
 	err  error
 }
@@ -26,14 +26,14 @@
 // followerTest is a test that gives the result of each call of a follower.
 type followerTest struct {
 	*testing.T
-	present, earlier, previous chan result // results of the calls
+	current, earlier, previous chan callResult // results of the calls
 }
 
 // send waits for the result of a call.
 func (t *followerTest) send(ctx context.Context, query query) (endpoint.List, error) {
-	results := map[string]chan result{earlierURL: t.earlier, previousURL: t.previous}[query.url]
+	results := map[string]chan callResult{earlierURL: t.earlier, previousURL: t.previous}[query.url]
 	if results == nil {
-		results = t.present
+		results = t.current
 	}
 	select {
 	case r := <-results:
@@ -55,20 +55,20 @@
 }
 
 // returnList makes a call return a list.
-func returnList(results chan<- result) {
-	results <- result{list: endpoint.List{Generation: 4, Complete: true}}
+func returnList(results chan<- callResult) {
+	results <- callResult{list: endpoint.List{Generation: 4, Complete: true}}
 }
 
-func TestFollowerChangesItsStateByTheTable(t *testing.T) {
+func TestFollowerStateTransitions(t *testing.T) {
 	requestWatch := func(_ *followerTest, f *follower) { f.client.RequestWatch() }
 	earlierList := func(t *followerTest, _ *follower) { returnList(t.earlier) }
-	earlierError := func(t *followerTest, _ *follower) { t.earlier <- result{err: errors.New("reset")} }
+	earlierError := func(t *followerTest, _ *follower) { t.earlier <- callResult{err: errors.New("reset")} }
 	previousList := func(t *followerTest, _ *follower) { returnList(t.previous) }
-	presentList := func(t *followerTest, _ *follower) { returnList(t.present) }
-	presentError := func(t *followerTest, _ *follower) { t.present <- result{err: errors.New("reset")} }
+	currentList := func(t *followerTest, _ *follower) { returnList(t.current) }
+	currentError := func(t *followerTest, _ *follower) { t.current <- callResult{err: errors.New("reset")} }
 	listAfterASecond := func(t *followerTest, _ *follower) {
 		time.Sleep(time.Second)
-		returnList(t.present)
+		returnList(t.current)
 	}
 	nothing := func(*followerTest, *follower) {}
 	wait := func(delay time.Duration) func(*followerTest, *follower) {
@@ -83,13 +83,13 @@
 		"idle, previous address":            {true, stateIdle, false, previousList, stateIdle, 1, 0},
 		"idle, previous address, have list": {true, stateIdle, true, previousList, stateIdle, 0, 0},
 		"calling, no event":                 {false, stateCalling, true, nothing, stateCalling, 0, 0},
-		"calling, list at once":             {false, stateCalling, true, presentList, statePausing, 1, 0},
+		"calling, list at once":             {false, stateCalling, true, currentList, statePausing, 1, 0},
 		"calling, list":                     {true, stateCalling, true, listAfterASecond, stateCalling, 1, 0},
 		"calling, earlier list at once":     {false, stateCalling, true, earlierList, statePausing, 1, 0},
 		"calling, earlier failure":          {true, stateCalling, true, earlierError, stateCalling, 0, 0},
 		"calling, previous address":         {true, stateCalling, false, previousList, stateCalling, 1, 0},
-		"calling, failure, polled":          {true, stateCalling, true, presentError, stateIdle, 0, 1},
-		"calling, failure, pushed":          {false, stateCalling, true, presentError, statePausing, 0, 0},
+		"calling, failure, polled":          {true, stateCalling, true, currentError, stateIdle, 0, 1},
+		"calling, failure, pushed":          {false, stateCalling, true, currentError, statePausing, 0, 0},
 		"calling, timeout, polled":          {true, stateCalling, true, wait(responseTimeout), stateIdle, 0, 1},
 		"calling, timeout, pushed":          {false, stateCalling, true, wait(responseTimeout), statePausing, 0, 0},
 		"pausing, no event":                 {false, statePausing, true, nothing, statePausing, 0, 0},
@@ -105,28 +105,28 @@
 
 func (c transition) check(t *testing.T) {
 	test := &followerTest{
-		T: t, present: make(chan result, 1), earlier: make(chan result, 1), previous: make(chan result, 1),
+		T: t, current: make(chan callResult, 1), earlier: make(chan callResult, 1), previous: make(chan callResult, 1),
 	}
 	client := New(Config{Address: "discovery", Poll: c.polling})
 	handler := newRecorder()
 	calls := newInFlightCalls(test.send)
-	watch := newFollower(client, handler, calls, "discovery")
-	watch.state, watch.haveList, watch.delay = c.state, c.haveList, time.Minute
-	calls.start(t.Context(), "previous", query{url: previousURL, complete: true})
+	f := newFollower(client, handler, calls, "discovery")
+	f.state, f.haveList, f.delay = c.state, c.haveList, time.Minute
+	calls.start(t.Context(), "previous", query{url: previousURL, snapshot: true})
 	calls.start(t.Context(), "discovery", query{url: earlierURL})
 	ctx, cancel := context.WithCancel(t.Context())
 	stopped := make(chan struct{})
-	go func() { defer close(stopped); watch.run(ctx) }()
+	go func() { defer close(stopped); f.run(ctx) }()
 	synctest.Wait()
 
-	c.event(test, watch)
+	c.event(test, f)
 	synctest.Wait()
 	cancel()
 	<-stopped
 	calls.close()
 
-	if watch.state != c.next {
-		t.Errorf("state %d, want %d", watch.state, c.next)
+	if f.state != c.next {
+		t.Errorf("state %d, want %d", f.state, c.next)
 	}
 	if len(handler.updates) != c.updates || len(handler.failed) != c.failures {
 		t.Errorf("%d lists and %d failures, want %d and %d",
@@ -135,10 +135,10 @@
 }
 
 // A follower of another address calls at once, also in polling mode.
-func TestFollowerOfANewAddressCallsAtOnce(t *testing.T) {
-	watch := testFollower(t, "first", true)
-	watch.client.polling, watch.state = true, stateIdle
-	if next := watch.moveTo("second", time.Now()); next.state != stateCalling || next.haveList {
+func TestFollowerOfNewAddressCallsImmediately(t *testing.T) {
+	f := newTestFollower(t, "first", true)
+	f.client.polling, f.state = true, stateIdle
+	if next := f.moveTo("second", time.Now()); next.state != stateCalling || next.haveList {
 		t.Errorf("state %d, have list %v, want to call for the initial list", next.state, next.haveList)
 	}
 }
--- a/internal/discovery/follower_test.go
+++ b/internal/discovery/follower_test.go
@@ -27,19 +27,19 @@
 		"bad status, list known again": {BadStatus, true, true, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			watch := testFollower(t, "discovery", c.haveList)
-			watch.backoff = newBackoff(time.Second)
+			f := newTestFollower(t, "discovery", c.haveList)
+			f.backoff = newBackoff(time.Second)
 			if c.addressChanged {
-				watch.deadlines.present = time.Now().Add(time.Hour)
+				f.deadlines.current = time.Now().Add(time.Hour)
 			}
 			for range 10 {
-				delay := watch.retryDelay(c.kind)
+				delay := f.retryDelay(c.kind)
 				if !c.grows && delay >= initialBackoff {
 					t.Errorf("delay %v, want less than %v", delay, initialBackoff)
 				}
 			}
-			if grown := watch.backoff.delay > initialBackoff; grown != c.grows {
-				t.Errorf("next nominal delay %v, want a grown one: %v", watch.backoff.delay, c.grows)
+			if grown := f.backoff.nominalDelay > initialBackoff; grown != c.grows {
+				t.Errorf("next nominal delay %v, want a grown one: %v", f.backoff.nominalDelay, c.grows)
 			}
 		})
 	}
@@ -47,8 +47,8 @@
 
 // What a failed call has missed counts as notified a fixed time after its start, or earlier if the
 // address changed.
-func TestFailureIsReportedWithItsDeadline(t *testing.T) {
-	for name, c := range map[string]failureDeadline{
+func TestFailureIsReportedWithNotificationTime(t *testing.T) {
+	for name, c := range map[string]failureDeadlineTest{
 		"address unchanged":                  {0, 0, policy.NotificationDeadline},
 		"address changed":                    {addressChangeDeadline, 0, addressChangeDeadline},
 		"list deadline later":                {time.Hour, 0, policy.NotificationDeadline},
@@ -60,26 +60,26 @@
 	}
 }
 
-// failureDeadline is the deadline that is reported with a failed call. All times count from its start.
-type failureDeadline struct {
-	presentIn  time.Duration // 0: the address has not changed
+// failureDeadlineTest is the deadline that is reported with a failed call. All times count from its start.
+type failureDeadlineTest struct {
+	currentIn  time.Duration // 0: the address has not changed
 	previousIn time.Duration // 0: no earlier change awaits its list
 	notifiedIn time.Duration
 }
 
-func (c failureDeadline) check(t *testing.T) {
-	watch := testFollower(t, "discovery", false)
+func (c failureDeadlineTest) check(t *testing.T) {
+	f := newTestFollower(t, "discovery", false)
 	handler := newRecorder()
-	watch.handler, watch.client.polling, watch.state = handler, true, stateCalling
+	f.handler, f.client.polling, f.state = handler, true, stateCalling
 	failed := &call{startedAt: time.Now(), progress: &callProgress{}}
-	if c.presentIn != 0 {
-		watch.deadlines.present = failed.startedAt.Add(c.presentIn)
+	if c.currentIn != 0 {
+		f.deadlines.current = failed.startedAt.Add(c.currentIn)
 	}
 	if c.previousIn != 0 {
-		watch.deadlines.previous = failed.startedAt.Add(c.previousIn)
+		f.deadlines.previous = failed.startedAt.Add(c.previousIn)
 	}
 	time.Sleep(time.Second) // the call
-	next := watch.handleFailure(t.Context(), failed, &Error{Kind: Reset, Err: errors.New("reset")})
+	next := f.handleFailure(t.Context(), failed, &Error{Kind: Reset, Err: errors.New("reset")})
 	if notifiedIn := (<-handler.failed).Sub(failed.startedAt); notifiedIn != c.notifiedIn {
 		t.Errorf("notified after %v, want %v", notifiedIn, c.notifiedIn)
 	}
@@ -90,17 +90,17 @@
 
 // The address changes several times before a list arrives: the first deadline stays in force until it has
 // passed, then that of the next change.
-func TestChangesOfTheAddressKeepTheFirstDeadline(t *testing.T) {
+func TestRepeatedAddressChangesKeepFirstDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		began := time.Now()
-		watch := testFollower(t, "first", true)
+		startedAt := time.Now()
+		f := newTestFollower(t, "first", true)
 		for _, c := range []struct{ changedAt, due time.Duration }{
 			{0, 4 * time.Second}, {time.Second, 4 * time.Second}, {3 * time.Second, 4 * time.Second},
 			{4500 * time.Millisecond, 7 * time.Second}, {12 * time.Second, 16 * time.Second},
 		} {
-			time.Sleep(time.Until(began.Add(c.changedAt)))
-			watch = watch.moveTo("next", time.Now())
-			if due := watch.deadlines.nextAt(time.Now()).Sub(began); due != c.due {
+			time.Sleep(time.Until(startedAt.Add(c.changedAt)))
+			f = f.moveTo("next", time.Now())
+			if due := f.deadlines.nextAfter(time.Now()).Sub(startedAt); due != c.due {
 				t.Errorf("changed at %v: due at %v, want %v", c.changedAt, due, c.due)
 			}
 		}
@@ -108,7 +108,7 @@
 }
 
 // A response is reported by its kind: a complete list, changes, or nothing new.
-func TestListIsReportedByItsKind(t *testing.T) {
+func TestUpdateKindOfEachResponse(t *testing.T) {
 	scripted := testkit.NewScriptedDiscovery(t)
 	handler := newRecorder()
 	client := New(Config{Address: scripted.Address})
--- a/internal/discovery/inflight.go
+++ b/internal/discovery/inflight.go
@@ -47,10 +47,10 @@
 //	a call has returned a list              complete   removes it, cancels those that started before it
 //	the client stops                        close      cancels all
 type inFlightCalls struct {
-	send     sendFunc
-	calls    []*call
-	done     chan *call     // receives each call that returns before it is cancelled
-	routines sync.WaitGroup // one for each call
+	send       sendFunc
+	calls      []*call
+	done       chan *call     // receives each call that returns before it is cancelled
+	goroutines sync.WaitGroup // one for each call
 }
 
 func newInFlightCalls(send sendFunc) *inFlightCalls {
@@ -61,7 +61,7 @@
 // many.
 func (c *inFlightCalls) start(ctx context.Context, address string, query query) *call {
 	if len(c.calls) >= maxInFlightCalls {
-		c.supersede(1)
+		c.cancelOldest(1)
 	}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), maxCallDuration)
 	started := &call{
@@ -72,7 +72,7 @@
 		cancel:    cancel,
 	}
 	c.calls = append(c.calls, started)
-	c.routines.Go(func() {
+	c.goroutines.Go(func() {
 		started.list, started.err = c.send(withCallContext(started.progress.track(ctx)), query)
 		select {
 		case c.done <- started:
@@ -90,26 +90,26 @@
 	}
 }
 
-// complete ends a call that has been received from done. A call that has returned a list supersedes those that
-// started before it. complete reports whether the list is to be used: it is not if the call has failed or was
+// finish ends a call that has been received from done. A call that has returned a list supersedes those that
+// started before it. finish reports whether the list is to be used: it is not if the call has failed or was
 // superseded itself.
-func (c *inFlightCalls) complete(done *call) bool {
-	index := slices.Index(c.calls, done)
+func (c *inFlightCalls) finish(finished *call) bool {
+	index := slices.Index(c.calls, finished)
 	if index < 0 {
 		return false
 	}
-	if done.err != nil {
-		c.remove(done)
+	if finished.err != nil {
+		c.remove(finished)
 		return false
 	}
-	c.supersede(index + 1)
+	c.cancelOldest(index + 1)
 	return true
 }
 
-// supersede removes the given number of the oldest calls.
-func (c *inFlightCalls) supersede(count int) {
-	for _, superseded := range slices.Clone(c.calls[:count]) {
-		c.remove(superseded)
+// cancelOldest removes the given number of the oldest calls.
+func (c *inFlightCalls) cancelOldest(count int) {
+	for _, oldest := range slices.Clone(c.calls[:count]) {
+		c.remove(oldest)
 	}
 }
 
@@ -121,6 +121,6 @@
 
 // close cancels all calls and waits for their goroutines.
 func (c *inFlightCalls) close() {
-	c.supersede(len(c.calls))
-	c.routines.Wait()
+	c.cancelOldest(len(c.calls))
+	c.goroutines.Wait()
 }
--- a/internal/discovery/late_response_test.go
+++ b/internal/discovery/late_response_test.go
@@ -38,13 +38,13 @@
 	}
 }
 
-// requester requests a watch after each failed call, as package policy does.
-type requester struct {
+// watchRequester requests a watch after each failed call, as package policy does.
+type watchRequester struct {
 	*recorder
 	client *Client
 }
 
-func (r requester) WatchFailed(time.Time) { r.client.RequestWatch() }
+func (r watchRequester) WatchFailed(time.Time) { r.client.RequestWatch() }
 
 // lateResponseTest is a test of a client that has generation 3. The test responds to the client's calls.
 type lateResponseTest struct {
@@ -72,7 +72,7 @@
 		Cached: endpoint.List{Generation: 3, Endpoints: []endpoint.Endpoint{{ID: 1}}},
 	})
 	client.httpClient.Transport = transport
-	handler := requester{newRecorder(), client}
+	handler := watchRequester{newRecorder(), client}
 
 	client.RequestWatch()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -116,8 +116,8 @@
 	}
 }
 
-// expectEnd waits until a call is cancelled.
-func (t *lateResponseTest) expectEnd(call *pendingCall) {
+// expectCancelled waits until a call is cancelled.
+func (t *lateResponseTest) expectCancelled(call *pendingCall) {
 	t.Helper()
 	testkit.Wait(t.T, call.request.Context().Done(), "the end of a call")
 }
@@ -126,7 +126,7 @@
 
 // A response arrives after its timeout and the next call, because the service is slow or the node's process was
 // paused: the node counts as notified of what the service has written, so that it is used.
-func TestResponseAfterTheNextCallIsUsed(t *testing.T) {
+func TestLateResponseIsUsed(t *testing.T) {
 	testLateResponse(t, func(t *lateResponseTest) {
 		late, next := t.waitCall(), t.waitCall()
 		late.body <- `{"generation":4,` + oneServer
@@ -142,12 +142,12 @@
 }
 
 // The responses to two calls arrive in the wrong order: the older one is not used.
-func TestOlderResponseIsNotUsedAfterANewerOne(t *testing.T) {
+func TestOlderResponseIsDropped(t *testing.T) {
 	testLateResponse(t, func(t *lateResponseTest) {
 		late, next := t.waitCall(), t.waitCall()
 		next.body <- `{"generation":5,` + oneServer
 		t.expectUpdate(policy.UpdateDelta)
-		t.expectEnd(late)
+		t.expectCancelled(late)
 		late.body <- `{"generation":4,` + oneServer
 		t.expectNoUpdate()
 	})
@@ -155,7 +155,7 @@
 
 // The address changes while the response to a watch is on its way: the node counts as notified of what the
 // previous address has written. The watch there ends once the new address has returned its list.
-func TestResponseOfThePreviousAddressIsUsedUntilTheNewListArrives(t *testing.T) {
+func TestPreviousAddressIsUsedUntilNewListArrives(t *testing.T) {
 	testLateResponse(t, checkPreviousAddress)
 }
 
@@ -172,14 +172,14 @@
 	}
 	third.body <- `{"generation":1,"reset":true,` + oneServer
 	t.expectUpdate(policy.UpdateSnapshot)
-	t.expectEnd(second)
+	t.expectCancelled(second)
 	second.body <- `{"generation":9,"reset":true,` + oneServer
 	t.expectNoUpdate()
 	t.expectWatch("1")
 }
 
 // A service responds to no call: how many stay in flight is bounded, and the last ones are kept.
-func TestCallsWithoutResponseAreBounded(t *testing.T) {
+func TestInFlightCallsAreBounded(t *testing.T) {
 	testLateResponse(t, checkCallsWithoutResponse)
 }
 
@@ -202,7 +202,7 @@
 }
 
 // A service that has restarted returns a lower generation than the one that the query names: its list is used.
-func TestListOfARestartedServiceIsUsed(t *testing.T) {
+func TestListOfRestartedServiceIsUsed(t *testing.T) {
 	testLateResponse(t, func(t *lateResponseTest) {
 		t.waitCall().body <- `{"generation":1,"reset":true,` + oneServer
 		t.expectUpdate(policy.UpdateSnapshot)
@@ -210,7 +210,7 @@
 }
 
 // The response to the present call was written before that to an earlier one, and arrives after it.
-func TestStaleResponseIsNotUsed(t *testing.T) {
+func TestStaleResponseIsDropped(t *testing.T) {
 	testLateResponse(t, func(t *lateResponseTest) {
 		late, next := t.waitCall(), t.waitCall()
 		late.body <- `{"generation":5,` + oneServer
--- a/internal/discovery/progress.go
+++ b/internal/discovery/progress.go
@@ -44,11 +44,11 @@
 // callProgress records how far a call has come. The HTTP client updates it from goroutines of its own.
 type callProgress struct{ phase atomic.Int32 }
 
-// enter records that a call has reached a phase. The phase never goes back: the HTTP client may report the
+// advance records that a call has reached a phase. The phase never goes back: the HTTP client may report the
 // connection attempt of a call after the call has got another connection.
-func (p *callProgress) enter(phase callPhase) {
-	for reached := p.phase.Load(); reached < int32(phase); reached = p.phase.Load() {
-		if p.phase.CompareAndSwap(reached, int32(phase)) {
+func (p *callProgress) advance(phase callPhase) {
+	for current := p.phase.Load(); current < int32(phase); current = p.phase.Load() {
+		if p.phase.CompareAndSwap(current, int32(phase)) {
 			return
 		}
 	}
@@ -60,9 +60,9 @@
 // track returns a context for the HTTP request of the call, which makes the HTTP client update the progress.
 func (p *callProgress) track(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
-		ConnectStart:         func(string, string) { p.enter(phaseConnecting) },
-		GotConn:              func(httptrace.GotConnInfo) { p.enter(phaseWriting) },
-		WroteRequest:         func(httptrace.WroteRequestInfo) { p.enter(phaseWaiting) },
-		GotFirstResponseByte: func() { p.enter(phaseReading) },
+		ConnectStart:         func(string, string) { p.advance(phaseConnecting) },
+		GotConn:              func(httptrace.GotConnInfo) { p.advance(phaseWriting) },
+		WroteRequest:         func(httptrace.WroteRequestInfo) { p.advance(phaseWaiting) },
+		GotFirstResponseByte: func() { p.advance(phaseReading) },
 	})
 }
--- a/internal/discovery/query.go
+++ b/internal/discovery/query.go
@@ -21,13 +21,13 @@
 // query is a query for the complete list, or for the changes after a generation.
 type query struct {
 	url      string
-	complete bool   // for the complete list
+	snapshot bool   // for the complete list
 	after    uint64 // the generation, if the query is not for the complete list
 }
 
-// completeListQuery returns the query for the complete list.
-func completeListQuery(address string) query {
-	return query{url: "http://" + address + listPath, complete: true}
+// snapshotQuery returns the query for the complete list.
+func snapshotQuery(address string) query {
+	return query{url: "http://" + address + listPath, snapshot: true}
 }
 
 // watchQuery returns the query for the changes after a generation. It is a long poll.
@@ -67,7 +67,7 @@
 	if err := json.Unmarshal(body, &list); err != nil {
 		return endpoint.List{}, &Error{Kind: Malformed, Err: fmt.Errorf("decode endpoint list: %w", err)}
 	}
-	if q.complete {
+	if q.snapshot {
 		list.Reset = true
 	}
 	return list.Translate(), nil
