--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -129,7 +129,8 @@
 	for name, poll := range map[string]bool{"polled": true, "pushed": false} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			previous, skipped, latest := testkit.NewScriptedDiscovery(t), testkit.FreeAddr(t), testkit.NewScriptedDiscovery(t)
+			previous, latest := testkit.NewScriptedDiscovery(t), testkit.NewScriptedDiscovery(t)
+			skipped := testkit.FreeAddr(t)
 			client := New(Config{
 				Address: previous.Address, Poll: poll,
 				Cached: endpoint.List{Generation: 7, Endpoints: []endpoint.Endpoint{{ID: 1}}},
--- a/internal/discovery/errors_test.go
+++ b/internal/discovery/errors_test.go
@@ -13,7 +13,10 @@
 		text string
 	}{
 		{&Error{Kind: Unreachable, Err: cause}, "unreachable: connection refused"},
-		{&Error{Kind: Unresponsive, Err: &Error{Kind: Timeout, Err: cause}}, "unresponsive: timeout: connection refused"},
+		{
+			&Error{Kind: Unresponsive, Err: &Error{Kind: Timeout, Err: cause}},
+			"unresponsive: timeout: connection refused",
+		},
 		{&Error{Kind: BadStatus, Status: 503}, "status 503"},
 	} {
 		if c.err.Error() != c.text {
--- a/internal/discovery/fetch_test.go
+++ b/internal/discovery/fetch_test.go
@@ -49,11 +49,13 @@
 		kind     ErrorKind
 		status   int
 	}{
-		"refused":                {"", Unreachable, 0},
-		"closed in the head":     {ok + "Content-Length: 20\r\n", Reset, 0},
-		"closed in a header":     {ok + "Content-Le", Malformed, 0}, // as net/http reports it
-		"closed in the body":     {ok + "Content-Length: 20\r\n\r\n{", Reset, 0},
-		"unavailable":            {"HTTP/1.1 503 Down\r\nContent-Length: 4\r\n\r\ndown", BadStatus, http.StatusServiceUnavailable},
+		"refused":            {"", Unreachable, 0},
+		"closed in the head": {ok + "Content-Length: 20\r\n", Reset, 0},
+		"closed in a header": {ok + "Content-Le", Malformed, 0}, // as net/http reports it
+		"closed in the body": {ok + "Content-Length: 20\r\n\r\n{", Reset, 0},
+		"unavailable": {
+			"HTTP/1.1 503 Down\r\nContent-Length: 4\r\n\r\ndown", BadStatus, http.StatusServiceUnavailable,
+		},
 		"list with a bad status": {"HTTP/1.1 404 Where\r\nContent-Length: 2\r\n\r\n{}", BadStatus, http.StatusNotFound},
 		"not HTTP":               {"\x00\x01\x02 what\r\n\r\n", Malformed, 0},
 		"HTML":                   {ok + "Content-Length: 6\r\n\r\n<html>", Malformed, 0},
@@ -150,7 +152,8 @@
 // say so.
 func TestFirstResponseIsSnapshot(t *testing.T) {
 	for _, haveList := range []bool{false, true} {
-		list, err := newTestFollower(t, "discovery", haveList).nextQuery().decode([]byte(`{"generation":3,"instances":[]}`))
+		next := newTestFollower(t, "discovery", haveList).nextQuery()
+		list, err := next.decode([]byte(`{"generation":3,"instances":[]}`))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -186,8 +189,10 @@
 			if phase := failed.progress.current(); err == nil || phase > phaseConnecting {
 				t.Fatalf("%v in phase %v, want a failed call that has no connection", err, phase)
 			}
-			if started, inProgress := host.started.Load(), host.inProgress.Load(); started != calls+1 || inProgress != 0 {
-				t.Fatalf("after call %d: %d attempts begun, %d in progress", calls+1, started, inProgress)
+			started, inProgress := host.started.Load(), host.inProgress.Load()
+			if started != calls+1 || inProgress != 0 {
+				t.Fatalf("after call %d: %d connection attempts started and %d in progress, want %d and none",
+					calls+1, started, inProgress, calls+1)
 			}
 		}
 	})
--- a/internal/discovery/late_response_test.go
+++ b/internal/discovery/late_response_test.go
@@ -32,7 +32,9 @@
 	c.calls <- call
 	select {
 	case body := <-call.body:
-		return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(strings.NewReader(body)), Request: request}, nil
+		return &http.Response{
+			StatusCode: http.StatusOK, Body: io.NopCloser(strings.NewReader(body)), Request: request,
+		}, nil
 	case <-request.Context().Done():
 		return nil, request.Context().Err()
 	}
