--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -1,11 +1,11 @@
-// Package discovery keeps a node's endpoint list up to date: it calls the discovery service over HTTP,
-// repeats failed calls with a backoff, and follows the list at another address when that changes. It
-// owns the connections to the service and the generation of the list. It reports lists and failures to
+// Package discovery keeps a node's endpoint list up to date. It calls the discovery service over HTTP,
+// retries failed calls with backoff, and switches to another address of the service on request. It owns
+// the connections to the service and tracks the generation of the list. It reports lists and failures to
 // a Handler, which internal/node implements, and neither interprets endpoints nor selects servers.
 //
-// A failed call ends nothing: it is logged as "endpoint watch failed", the node keeps its list, and
-// another call follows. The states between two calls and their events are in the doc comment of follower,
-// the end of each call in that of inFlightCalls.
+// A failed call is never fatal: it is logged as "endpoint watch failed", the node keeps its list, and
+// another call follows. The doc comment of follower describes the state machine that makes the calls, that
+// of inFlightCalls how each call ends.
 package discovery
 
 import (
@@ -20,38 +20,38 @@
 	"calicohinge/policy"
 )
 
-// Handler receives what a Client learns. Its methods are called from the goroutine
-// of Client.Run or one that it starts, one at a time.
+// Handler receives the lists and failures of a Client. Its methods are called by the goroutine of Client.Run
+// or by one that it starts, never concurrently.
 type Handler interface {
-	// UpdateEndpoints receives an endpoint list, or changes to the previous one.
+	// UpdateEndpoints receives a snapshot, a delta, or the cached list.
 	UpdateEndpoints(kind policy.UpdateKind, endpoints []endpoint.Endpoint)
-	// Synced is called after each list, also one without endpoints or changes.
+	// Synced is called after each list, even if it has no endpoints or changes.
 	Synced()
-	// WatchFailed is called in polling mode after a failed call. The node counts as notified at the
-	// given time of what the call has missed. The next call waits for RequestWatch.
+	// WatchFailed is called in polling mode after a failed call. notifiedAt is when the node counts as
+	// notified of the changes that the call has missed. The next call waits for RequestWatch.
 	WatchFailed(notifiedAt time.Time)
 }
 
-// Config parameterizes a Client.
+// Config holds the parameters of a Client.
 type Config struct {
 	Address    string        // host and port of the discovery service
-	Cached     endpoint.List // the cached list, possibly empty
-	Poll       bool          // polling mode: after a failure, the next call waits for RequestWatch
-	DrainGrace time.Duration // how long a draining server still serves, from the notification on
+	Cached     endpoint.List // the list to start with; may be empty
+	Poll       bool          // polling mode, in which a call after a failure waits for RequestWatch; else push mode
+	DrainGrace time.Duration // how long a draining server still serves after the node has been notified
 }
 
 // Client follows the endpoint list. RequestWatch and SetAddress may be called while Run is active.
 type Client struct {
-	address        string // the initial one; the follower has the present one
+	address        string // the initial address; the follower has the current one
 	cached         endpoint.List
 	polling        bool
 	maxBackoff     time.Duration
-	watchRequests  chan struct{} // holds at most one
-	addressChanges chan string   // holds the latest one only
+	watchRequests  chan struct{} // holds at most one request
+	addressChanges chan string   // holds only the latest address
 	httpClient     *http.Client
 }
 
-// New makes a client. It sends nothing before Run.
+// New returns a client. It makes no calls before Run.
 func New(config Config) *Client {
 	dialer := net.Dialer{Timeout: connectTimeout}
 	return &Client{
@@ -65,26 +65,28 @@
 	}
 }
 
-// RequestWatch starts a watch in polling mode, unless one is active. It never blocks.
+// RequestWatch requests a watch in polling mode. It has no effect if one is active or requested already. It never
+// blocks.
 func (c *Client) RequestWatch() {
 	select {
 	case c.watchRequests <- struct{}{}:
-	default: // a request is pending
+	default: // a request is already pending
 	}
 }
 
-// SetAddress changes the address of the discovery service. It has one caller at a time and never blocks.
+// SetAddress changes the address of the discovery service. It must not be called concurrently with itself. It
+// never blocks.
 func (c *Client) SetAddress(addr string) {
 	select {
-	case <-c.addressChanges: // only the latest address counts
+	case <-c.addressChanges: // replaced by addr
 	default:
 	}
 	c.addressChanges <- addr
 }
 
-// Run reports the cached list and follows the list until the context ends. After a change of the address it
-// requests the complete list from the new address. Until that list arrives, the node uses the list that it
-// has, and lists that calls in flight to the previous address still return.
+// Run reports the cached list and then follows the endpoint list until ctx is done. After a change of address
+// it requests a snapshot from the new address. Until that arrives, the node keeps its list and applies lists
+// returned by calls still in flight to previous addresses.
 func (c *Client) Run(ctx context.Context, handler Handler) {
 	c.reportCached(handler)
 	calls := newInFlightCalls(c.send)
@@ -98,23 +100,23 @@
 			return
 		}
 		slog.Info("discovery address changed", "discovery_addr", address)
-		c.httpClient.CloseIdleConnections() // no further call goes to the previous address
+		c.httpClient.CloseIdleConnections() // no more calls are made to the previous address
 		current = current.moveTo(address, time.Now())
 	}
 }
 
-// reportCached reports the list that the node starts with.
+// reportCached reports the cached list. In polling mode it reports even an empty one.
 func (c *Client) reportCached(handler Handler) {
 	if len(c.cached.Endpoints) > 0 {
 		handler.UpdateEndpoints(policy.UpdateCached, c.cached.Endpoints)
 		handler.Synced()
 	} else if c.polling {
-		handler.UpdateEndpoints(policy.UpdateCached, nil) // package policy then requests a watch
+		handler.UpdateEndpoints(policy.UpdateCached, nil) // makes package policy request a watch
 	}
 }
 
-// followUntilAddressChange runs the follower until the address changes or the context ends, and returns once
-// the follower has stopped. It returns the new address, or false if the context has ended.
+// followUntilAddressChange runs the follower until the address changes or ctx is done, and returns once the
+// follower has stopped. It returns the new address, or false if ctx is done.
 func (c *Client) followUntilAddressChange(ctx context.Context, current *follower) (string, bool) {
 	followCtx, cancel := context.WithCancel(ctx)
 	var running sync.WaitGroup
