--- a/internal/discovery/follower.go
+++ b/internal/discovery/follower.go
@@ -5,52 +5,53 @@
 	"time"
 )
 
-// minCallDuration bounds the rate of the calls to a discovery service that responds to watches at once: after a
-// call that took less, the follower pauses for this time.
+// minCallDuration bounds the rate of calls to a discovery service that responds to watches immediately: the
+// follower pauses for this time after a call that was shorter.
 const minCallDuration = 20 * time.Millisecond
 
-// state is what a follower is doing.
+// state is a state of a follower.
 type state int
 
-// The states of a follower.
 const (
-	// stateIdle waits for RequestWatch. Only polling mode has it.
+	// stateIdle is waiting for RequestWatch. It occurs only in polling mode.
 	stateIdle state = iota
-	// stateCalling makes a call and waits for its response.
+	// stateCalling is making a call and waiting for its response.
 	stateCalling
-	// statePausing waits for the time of the next call.
+	// statePausing is waiting for the delay before the next call.
 	statePausing
 )
 
-// follower follows the endpoint list at one address. It is a state machine; each method for a state waits for
-// the events of its rows and returns the next state. The present call is the latest one. An earlier call is
-// another one to the present address, still in flight although its response timeout has passed.
+// follower follows the endpoint list at one address. It is a state machine with one method per state, which
+// waits for the events of that state in the table below and returns the next state. The current call is the
+// latest one. An earlier call is another call to the current address that is still in flight after its response
+// timeout.
 //
 //	state    event                                  action                            next state
 //	-----    -----                                  ------                            ----------
 //	idle     RequestWatch                           -                                 calling
 //	idle     an earlier call returns a list         apply the list                    calling
-//	calling  the present or an earlier call         apply the list                    calling, or pausing
+//	calling  the current or an earlier call         apply the list                    calling, or pausing
 //	         returns a list                                                           after a short call
-//	calling  the present call fails, or its         in polling mode: report           idle
-//	         response timeout passes                the failure to the handler
-//	                                                pushed: choose the retry delay    pausing
-//	calling  RequestWatch                           -; a failure of the present       unchanged
+//	calling  the current call fails or exceeds      polling mode: report the          idle
+//	         its response timeout                   failure to the handler
+//	                                                push mode: choose the             pausing
+//	                                                retry delay
+//	calling  RequestWatch                           -; a failure of the current       unchanged
 //	                                                call drops the request
 //	pausing  the delay has passed                   -                                 calling
 //	pausing  an earlier call returns a list         apply the list                    calling
 //	any      an earlier call fails                  -                                 unchanged
 //	any      a call to a previous address           apply the list, unless the        unchanged
-//	         returns a list                         present address has given one
-//	any      the address changes, or the client     detach the present call           run returns
+//	         returns a list                         current address has returned one
+//	any      the address changes, or the client     detach the current call           run returns
 //	         stops
 //
-// After a change of the address, Client.Run makes another follower with moveTo, in stateCalling. It takes over
-// the calls in flight. The first follower begins in stateCalling where lists are pushed, and in stateIdle in
-// polling mode.
+// The first follower starts in stateCalling in push mode and in stateIdle in polling mode. After a change of
+// address, Client.Run replaces it by the follower that moveTo returns, which starts in stateCalling and takes
+// over the calls in flight.
 //
-// A list is applied in applyList only, and a call ends in inFlightCalls only. The goroutine of run owns
-// the fields.
+// Lists are applied only in applyList, and calls end only in inFlightCalls. The fields are owned by the
+// goroutine that calls run.
 type follower struct {
 	client  *Client
 	handler Handler
@@ -58,16 +59,16 @@
 	address string
 
 	state   state
-	delay   time.Duration // of statePausing
+	delay   time.Duration // how long to stay in statePausing
 	backoff backoff
 
-	haveList   bool                 // a list of the present address has been cached or applied
-	generation uint64               // of that list; may be 0
-	deadlines  initialListDeadlines // after a change of the address
+	haveList   bool                 // whether a list from the current address was cached or applied
+	generation uint64               // generation of that list; may be 0
+	deadlines  initialListDeadlines // set after a change of address
 	outage     outage
 }
 
-// newFollower makes a follower that has no list.
+// newFollower returns a follower that has no list.
 func newFollower(client *Client, handler Handler, calls *inFlightCalls, address string) *follower {
 	f := &follower{
 		client:  client,
@@ -83,8 +84,8 @@
 	return f
 }
 
-// moveTo returns the follower that continues at another address, once this one has stopped. If the initial list
-// of this follower is still pending, its deadline stays in force.
+// moveTo returns the follower that continues at another address. f must have stopped. If the initial list of f
+// is still pending, its deadline stays in force.
 func (f *follower) moveTo(address string, now time.Time) *follower {
 	next := newFollower(f.client, f.handler, f.calls, address)
 	next.state = stateCalling
@@ -95,7 +96,7 @@
 	return next
 }
 
-// run follows the list until the context ends.
+// run follows the list until ctx is done.
 func (f *follower) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		switch f.state {
@@ -109,7 +110,7 @@
 	}
 }
 
-// awaitRequest waits in stateIdle and returns the next state.
+// awaitRequest handles stateIdle and returns the next state.
 func (f *follower) awaitRequest(ctx context.Context) state {
 	for {
 		select {
@@ -125,7 +126,7 @@
 	}
 }
 
-// makeCall makes a call, waits in stateCalling and returns the next state.
+// makeCall handles stateCalling and returns the next state.
 func (f *follower) makeCall(ctx context.Context) state {
 	startedAt := time.Now()
 	done, err := f.fetch(ctx)
@@ -140,7 +141,7 @@
 	return stateCalling
 }
 
-// pause waits in statePausing and returns the next state.
+// pause handles statePausing and returns the next state.
 func (f *follower) pause(ctx context.Context) state {
 	timer := time.NewTimer(f.delay)
 	defer timer.Stop()
@@ -158,8 +159,8 @@
 	}
 }
 
-// finishEarlier completes a call that returns while the follower makes none, and applies its list. It returns
-// true if the list is of the present address: the next call is then due at once.
+// finishEarlier finishes a call that returns while the follower has no current call, and applies its list. It
+// returns true if the list is from the current address, in which case the next call is due immediately.
 func (f *follower) finishEarlier(finished *call) bool {
 	if !f.calls.finish(finished) {
 		return false
@@ -168,8 +169,8 @@
 	return finished.address == f.address
 }
 
-// initialListPending reports whether the address has changed, no list of the new address has arrived, and its
-// deadline has not passed.
+// initialListPending reports whether the address has changed, no list from the new address has arrived, and the
+// deadline of that list has not passed.
 func (f *follower) initialListPending(now time.Time) bool {
 	return !f.haveList && now.Before(f.deadlines.current)
 }
