--- a/internal/discovery/query.go
+++ b/internal/discovery/query.go
@@ -12,25 +12,25 @@
 	"calicohinge/internal/endpointjson"
 )
 
-// listPath is the path of the endpoint list at the discovery service.
+// listPath is the URL path of the endpoint list.
 const listPath = "/registry/instances"
 
-// maxListBytes bounds the body of a response.
+// maxListBytes bounds the part of a response body that is read.
 const maxListBytes = 8 << 20
 
-// query is a query for the complete list, or for the changes after a generation.
+// query requests a snapshot, or the changes after a generation.
 type query struct {
 	url      string
-	snapshot bool   // for the complete list
-	after    uint64 // the generation, if the query is not for the complete list
+	snapshot bool   // whether a snapshot is requested
+	after    uint64 // the generation; unused if a snapshot is requested
 }
 
-// snapshotQuery returns the query for the complete list.
+// snapshotQuery returns a query for a snapshot.
 func snapshotQuery(address string) query {
 	return query{url: "http://" + address + listPath, snapshot: true}
 }
 
-// watchQuery returns the query for the changes after a generation. It is a long poll.
+// watchQuery returns a long poll for the changes after a generation.
 func watchQuery(address string, after uint64) query {
 	return query{
 		url: "http://" + address + listPath + "?after=" + strconv.FormatUint(after, 10) +
@@ -39,7 +39,7 @@
 	}
 }
 
-// send sends a query and returns the list in the response. Its errors are of type *Error.
+// send sends a query and returns the list from the response. It returns only errors of type *Error.
 func (c *Client) send(ctx context.Context, query query) (endpoint.List, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, query.url, nil)
 	if err != nil {
@@ -49,7 +49,7 @@
 	if err != nil {
 		return endpoint.List{}, transportError(err)
 	}
-	defer func() { _ = response.Body.Close() }() // the body has been read, or its error is returned
+	defer func() { _ = response.Body.Close() }() // the body was read, or the read error is returned
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxListBytes))
 	if err != nil {
 		return endpoint.List{}, transportError(err)
@@ -60,8 +60,8 @@
 	return query.decode(body)
 }
 
-// decode reads a list from the body of a response. The response to a query for the complete list is complete,
-// whether or not it says so.
+// decode decodes the body of a response. The response to a query for a snapshot is a snapshot, even if its field
+// "reset" is not set.
 func (q query) decode(body []byte) (endpoint.List, error) {
 	var list endpointjson.List
 	if err := json.Unmarshal(body, &list); err != nil {
