--- a/internal/discovery/fetch.go
+++ b/internal/discovery/fetch.go
@@ -7,25 +7,25 @@
 	"calicohinge/policy"
 )
 
-// A watch is a long poll, which may become unresponsive at its start. policy.NotificationDeadline later the node
-// counts as notified of the changes that the watch has missed. Within that time the client has to detect the
-// failure and to complete another call: half of the time goes to the wait of the watch, a quarter to a late
-// response, and a quarter remains for the other call.
+// A watch is a long poll and may become unresponsive as soon as it starts. The node counts as notified of the
+// changes that such a watch misses policy.NotificationDeadline after its start. Within that time the client has
+// to detect the failure and to make another call. Half of the time is for the watch to wait, a quarter for its
+// response to be late, and a quarter remains for the other call.
 const (
-	// watchWait is how long the discovery service is to wait for a change.
+	// watchWait is how long a watch asks the discovery service to wait for a change.
 	watchWait = policy.NotificationDeadline / 2
-	// watchResponseMargin is how late the response to a watch may be.
+	// watchResponseMargin is how late the response to a watch may arrive.
 	watchResponseMargin = policy.NotificationDeadline / 4
-	// responseTimeout is the response timeout of a watch. A call for the complete list has the same one: a slow
-	// service would never catch up with a fleet that repeats its calls earlier.
+	// responseTimeout is the response timeout of a watch, and also of a call for a snapshot: a slow service would
+	// never catch up with a fleet of nodes that retry sooner.
 	responseTimeout = watchWait + watchResponseMargin
-	// initialListResponseTimeout is the response timeout after a change of the address. It leaves time for a
-	// second call before the deadline.
+	// initialListResponseTimeout is the response timeout after a change of address. It leaves time for a second
+	// call before the deadline.
 	initialListResponseTimeout = addressChangeDeadline / 2
 )
 
-// nextQuery returns the query of the next call: a watch that follows the present list, or a query for the
-// complete list if there is none.
+// nextQuery returns the query of the next call: a watch for changes to the current list, or a query for a
+// snapshot if there is no list.
 func (f *follower) nextQuery() query {
 	if !f.haveList {
 		return snapshotQuery(f.address)
@@ -33,9 +33,9 @@
 	return watchQuery(f.address, f.generation)
 }
 
-// fetch makes the next call and waits until that call fails, or until it or an earlier call returns a list of
-// the present address. It returns the call that has returned the list, or the failed call with its error. The
-// error is an *Error, or that of ctx. Lists of previous addresses that arrive meanwhile are applied.
+// fetch makes the next call and waits until that call fails, or until it or an earlier call returns a list from
+// the current address. It returns the call that returned the list, or the failed call and its error, which is an
+// *Error or the error of ctx. It applies lists from previous addresses that arrive in the meantime.
 func (f *follower) fetch(ctx context.Context) (*call, error) {
 	current := f.calls.start(ctx, f.address, f.nextQuery())
 	timeout := time.NewTimer(f.nextResponseTimeout())
@@ -47,7 +47,7 @@
 			switch {
 			case done == current:
 				return done, done.err
-			case !usable: // the failure of another call changes nothing
+			case !usable: // another call failed; keep waiting
 			case done.address == f.address:
 				f.calls.detach(current)
 				return done, nil
@@ -64,7 +64,7 @@
 	}
 }
 
-// nextResponseTimeout returns how long to wait for the response to the next call before another one is made.
+// nextResponseTimeout returns the response timeout of the next call: how long to wait before another call is made.
 func (f *follower) nextResponseTimeout() time.Duration {
 	if f.initialListPending(time.Now()) {
 		return initialListResponseTimeout
@@ -72,8 +72,8 @@
 	return responseTimeout
 }
 
-// timeoutError returns the error of a call whose response timeout has passed: without a list it was a call for
-// the complete list, with one a watch.
+// timeoutError returns the error of a call whose response timeout has passed: Unresponsive for a watch, Timeout
+// for a call for a snapshot, which is made only if there is no list.
 func (f *follower) timeoutError() error {
 	err := &Error{Kind: Timeout, Err: context.DeadlineExceeded}
 	if f.haveList {
