--- a/internal/discovery/apply.go
+++ b/internal/discovery/apply.go
@@ -7,9 +7,8 @@
 	"calicohinge/policy"
 )
 
-// applyList applies the list that a completed call has returned: it delivers the list to the handler. The next
-// call follows the generation of the list if the list is of the present address. No other method applies a
-// list.
+// applyList applies the list that a finished call returned: it delivers the list to the handler. If the list is
+// from the current address, the next call asks for changes after its generation. No other method applies lists.
 func (f *follower) applyList(finished *call) {
 	if finished.address != f.address {
 		f.applyPreviousList(finished)
@@ -24,8 +23,8 @@
 	f.deliver(finished.list)
 }
 
-// applyPreviousList applies a list of a previous address, unless the present address has given one. The next
-// call still requests the complete list from the present address.
+// applyPreviousList applies a list from a previous address, unless the current address has returned one. The
+// next call still requests a snapshot from the current address.
 func (f *follower) applyPreviousList(finished *call) {
 	if f.haveList {
 		return
@@ -35,14 +34,14 @@
 	f.deliver(finished.list)
 }
 
-// isStale reports whether another call has returned a newer list since the completed call started. A lower
-// generation alone does not make a list stale: a service that has restarted counts from the beginning.
+// isStale reports whether another call has returned a newer list since the finished call started. A lower
+// generation alone does not make a list stale, because generations start over when the service restarts.
 func (f *follower) isStale(finished *call) bool {
 	appliedMeanwhile := f.haveList && (finished.query.snapshot || finished.query.after != f.generation)
 	return appliedMeanwhile && finished.list.Generation < f.generation
 }
 
-// deliver passes a list to the handler. A list without changes only confirms that the node is synced.
+// deliver passes a list to the handler. A delta without changes only confirms that the node is synced.
 func (f *follower) deliver(list endpoint.List) {
 	switch {
 	case list.Complete:
@@ -53,7 +52,7 @@
 	f.handler.Synced()
 }
 
-// logList logs a list that brings changes, or that ends an outage.
+// logList logs the end of an outage, and the list unless it is a delta without changes.
 func (f *follower) logList(list endpoint.List) {
 	f.outage.logEnd(f.address, list.Generation)
 	if !list.Complete && len(list.Endpoints) == 0 {
