--- a/internal/discovery/failure.go
+++ b/internal/discovery/failure.go
@@ -8,13 +8,13 @@
 	"calicohinge/policy"
 )
 
-// handleFailure handles a call that has failed, or that ends as the follower stops, and returns the next state.
+// handleFailure handles a call that failed, or that ended because the follower stops, and returns the next state.
 func (f *follower) handleFailure(ctx context.Context, failed *call, err error) state {
-	// An idle connection may be unresponsive by the time of the next call.
+	// An idle connection may have become unresponsive by the time of the next call.
 	f.client.httpClient.CloseIdleConnections()
 	switch {
 	case ctx.Err() != nil:
-		return f.state // the follower stops; the call has not failed
+		return f.state // the follower stops; this is not a failure
 	case f.client.polling:
 		f.reportFailure(failed, err)
 		return stateIdle
@@ -25,14 +25,15 @@
 	}
 }
 
-// reportFailure reports a failed call to the handler, which requests the next one.
+// reportFailure reports a failed call to the handler, which is responsible for requesting the next one.
 func (f *follower) reportFailure(failed *call, err error) {
 	f.logFailure(failed, err)
 	f.dropStaleWatchRequest()
 	f.handler.WatchFailed(f.notifiedAt(failed.startedAt, time.Now()))
 }
 
-// notifiedAt returns when the node counts as notified of the changes that a failed call has missed.
+// notifiedAt returns when the node counts as notified of the changes that a failed call has missed: at the
+// notification deadline, or earlier if the initial list at a new address is pending and due before.
 func (f *follower) notifiedAt(startedAt, now time.Time) time.Time {
 	callDeadline := startedAt.Add(policy.NotificationDeadline)
 	listDeadline := f.deadlines.nextAfter(now)
@@ -42,8 +43,8 @@
 	return callDeadline
 }
 
-// dropStaleWatchRequest removes a watch request from before the failure. If it stayed, the next call would
-// follow at once, and all nodes would call together.
+// dropStaleWatchRequest discards a watch request that was made before the failure. If it stayed, the next call
+// would be made immediately, and all nodes would call at the same time.
 func (f *follower) dropStaleWatchRequest() {
 	select {
 	case <-f.client.watchRequests:
@@ -51,8 +52,8 @@
 	}
 }
 
-// retryDelay returns the delay after a failed call where lists are pushed. The deadlines leave no time for a
-// backoff after an unresponsive watch, or before the initial list at a new address.
+// retryDelay returns the delay after a failed call in push mode. After an unresponsive watch, and while the initial
+// list at a new address is pending, the deadlines leave no time for a backoff.
 func (f *follower) retryDelay(kind ErrorKind) time.Duration {
 	if kind == Unresponsive || f.initialListPending(time.Now()) {
 		return jitter()
@@ -60,11 +61,11 @@
 	return f.backoff.next()
 }
 
-// logFailure logs a failed call with further attributes as for slog.Warn.
+// logFailure logs a failed call. It appends attributes, given as for slog.Warn, to those of every failure.
 func (f *follower) logFailure(failed *call, err error, attributes ...any) {
 	f.outage.add(failed)
 	attributes = append([]any{
-		"discovery_addr", f.address, // not "addr", by which the node's own address is found in the log
+		"discovery_addr", f.address, // not "addr", which is the node's own address in log messages
 		"kind", kindOf(err).String(),
 		"err", err,
 		"phase", failed.progress.current().String(),
