--- a/internal/discovery/inflight.go
+++ b/internal/discovery/inflight.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	// maxInFlightCalls bounds the calls in flight: the present one, and those whose response timeout has
-	// passed or whose address has changed. There is room for a watch, a call to each of four new addresses
-	// in a row, and one more.
+	// maxInFlightCalls bounds the calls in flight: the current one, those whose response timeout has passed,
+	// and those to previous addresses. It allows for a watch, a call to each of four new addresses in a row,
+	// and one more call.
 	maxInFlightCalls = 6
-	// maxCallDuration ends a call that no later one has superseded. The node has made several other calls by
-	// then.
+	// maxCallDuration bounds a call that no later call has superseded. By then the node has made several other
+	// calls.
 	maxCallDuration = 30 * time.Second
 )
 
@@ -27,38 +27,39 @@
 	progress  *callProgress
 	cancel    context.CancelFunc
 
-	list endpoint.List // the result, once the call has been received from inFlightCalls.done
+	list endpoint.List // the result, valid after the call has been received from inFlightCalls.done
 	err  error
 }
 
-// sendFunc sends a query and returns the list in the response.
+// sendFunc sends a query and returns the list from the response.
 type sendFunc func(context.Context, query) (endpoint.List, error)
 
-// inFlightCalls holds the calls whose responses may still be used, in the order of their starts. The node
-// counts as notified of a list as soon as the service has written it. A response may therefore be on its way
-// when the response timeout passes or the address changes, and a call that has a connection is not cancelled
-// then: it stays in flight until a later call returns a list, or until it reaches one of the limits above. Only
-// the goroutine of the present follower calls the methods but close.
+// inFlightCalls holds the calls whose responses may still be used, in the order in which they started. The node
+// counts as notified of a list as soon as the service has written it. Such a response may be in transit when the
+// response timeout passes or the address changes. A call that has a connection is therefore not cancelled then: it
+// stays in flight until a later call returns a list, or until it reaches one of the limits above. All methods
+// except close are called only by the goroutine of the current follower.
 //
 //	event                                   method     effect
-//	a call is made                          start      cancels the oldest one if there are too many
+//	-----                                   ------     ------
+//	a call is made                          start      cancels the oldest call if there are too many
 //	a follower no longer waits for a call   detach     cancels it if it has no connection yet
-//	a call has returned an error            complete   removes it
-//	a call has returned a list              complete   removes it, cancels those that started before it
-//	the client stops                        close      cancels all
+//	a call has returned an error            finish     removes it
+//	a call has returned a list              finish     removes it and cancels the calls that started before it
+//	the client stops                        close      cancels all calls
 type inFlightCalls struct {
 	send       sendFunc
 	calls      []*call
 	done       chan *call     // receives each call that returns before it is cancelled
-	goroutines sync.WaitGroup // one for each call
+	goroutines sync.WaitGroup // one goroutine per call
 }
 
 func newInFlightCalls(send sendFunc) *inFlightCalls {
 	return &inFlightCalls{send: send, done: make(chan *call)}
 }
 
-// start makes a call, which the end of ctx does not cancel. The oldest call is cancelled if there would be too
-// many.
+// start makes a call, which is not cancelled when ctx is done. It first cancels the oldest call if there would be
+// more than maxInFlightCalls.
 func (c *inFlightCalls) start(ctx context.Context, address string, query query) *call {
 	if len(c.calls) >= maxInFlightCalls {
 		c.cancelOldest(1)
@@ -82,17 +83,17 @@
 	return started
 }
 
-// detach leaves a call in flight whose follower no longer waits for it. A call that has no connection yet is
-// cancelled: the service cannot have written a response to it.
+// detach leaves in flight a call that its follower no longer waits for. A call that has no connection yet is
+// cancelled instead, because the service cannot have written a response to it.
 func (c *inFlightCalls) detach(detached *call) {
 	if detached.progress.current() < phaseWriting {
 		c.remove(detached)
 	}
 }
 
-// finish ends a call that has been received from done. A call that has returned a list supersedes those that
-// started before it. finish reports whether the list is to be used: it is not if the call has failed or was
-// superseded itself.
+// finish ends a call that has been received from done. If the call has returned a list, it supersedes the calls
+// that started before it. finish reports whether the list is to be used, which it is not if the call has failed or
+// has itself been superseded.
 func (c *inFlightCalls) finish(finished *call) bool {
 	index := slices.Index(c.calls, finished)
 	if index < 0 {
@@ -106,14 +107,14 @@
 	return true
 }
 
-// cancelOldest removes the given number of the oldest calls.
+// cancelOldest cancels the given number of calls, oldest first.
 func (c *inFlightCalls) cancelOldest(count int) {
 	for _, oldest := range slices.Clone(c.calls[:count]) {
 		c.remove(oldest)
 	}
 }
 
-// remove cancels a call whose result is no longer of use, or has been received. Every call ends here.
+// remove cancels a call whose result is no longer needed or has been received. Every call ends here.
 func (c *inFlightCalls) remove(ended *call) {
 	ended.cancel()
 	c.calls = slices.DeleteFunc(c.calls, func(other *call) bool { return other == ended })
