--- a/internal/discovery/connect.go
+++ b/internal/discovery/connect.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	// connectInterval is how long a connection to the service may take before another attempt begins. The
-	// last call before a notification deadline has an eighth of the deadline; two attempts begin in that.
+	// connectInterval is the delay between the starts of two attempts to open a connection. The last call
+	// before a notification deadline has an eighth of that deadline left, enough for two attempts to start.
 	connectInterval = policy.NotificationDeadline / 12
-	// connectTimeout ends an attempt to connect. A connection that takes longer is of no use to a watch.
+	// connectTimeout bounds an attempt to open a connection. One that takes longer is of no use to a watch.
 	connectTimeout = 3 * connectInterval
-	// maxConnectionsPerHost bounds the connections to the service: those of the calls in flight, and those
-	// of cancelled calls that are still being closed.
+	// maxConnectionsPerHost bounds the connections to the service: those of the calls in flight, and those of
+	// cancelled calls, which may still be closing.
 	maxConnectionsPerHost = maxInFlightCalls + 2
 )
 
-// newTransport returns a transport whose connection attempts end with their call. By itself, net/http lets an
-// attempt outlast its call. An attempt to reach an unresponsive machine would last for about two minutes, as
-// long as the system repeats SYNs, and would count against maxConnectionsPerHost meanwhile.
+// newTransport returns a transport that cancels a connection attempt when its call ends. By default, net/http
+// lets the attempt continue. An attempt to reach an unresponsive host would then last about two minutes, while the
+// operating system retransmits SYNs, and would count against maxConnectionsPerHost during that time.
 func newTransport(dial netdial.Func) *http.Transport {
 	dial = netdial.Stagger(netdial.Repeat(dial), connectInterval, connectTimeout)
 	return &http.Transport{
@@ -33,15 +33,15 @@
 	}
 }
 
-// callContextKey is the key of the context of a call in the contexts derived from it.
+// callContextKey is the context key under which contexts derived from a call's context hold that context.
 type callContextKey struct{}
 
-// withCallContext returns a context from which callContext finds ctx.
+// withCallContext returns a context derived from ctx for which callContext returns ctx.
 func withCallContext(ctx context.Context) context.Context {
 	return context.WithValue(ctx, callContextKey{}, ctx)
 }
 
-// callContext returns the context that a call began with, which ends with the call.
+// callContext returns the context that the call was started with, which is done when the call ends.
 func callContext(ctx context.Context) context.Context {
 	if callCtx, ok := ctx.Value(callContextKey{}).(context.Context); ok {
 		return callCtx
