--- a/internal/discovery/progress.go
+++ b/internal/discovery/progress.go
@@ -7,24 +7,24 @@
 	"sync/atomic"
 )
 
-// callPhase is how far a call has come.
+// callPhase is a phase of a call.
 type callPhase int32
 
-// The phases of a call, in their order.
+// The phases, in order.
 const (
-	// phaseQueued is a call that waits for the HTTP client to give it a connection.
+	// phaseQueued is waiting for the HTTP client to assign a connection.
 	phaseQueued callPhase = iota
-	// phaseConnecting is a call whose connection is being opened.
+	// phaseConnecting is waiting for a connection that is being opened.
 	phaseConnecting
-	// phaseWriting is a call that has a connection.
+	// phaseWriting is writing the query to a connection.
 	phaseWriting
-	// phaseWaiting is a call that has been written and has no byte of a response yet.
+	// phaseWaiting is waiting for the first byte of the response.
 	phaseWaiting
-	// phaseReading is a call whose response has begun.
+	// phaseReading is reading the response.
 	phaseReading
 )
 
-// String names the phase as in the log.
+// String returns the name of the phase in log messages.
 func (p callPhase) String() string {
 	switch p {
 	case phaseQueued:
@@ -41,11 +41,11 @@
 	return "phase " + strconv.Itoa(int(p))
 }
 
-// callProgress records how far a call has come. The HTTP client updates it from goroutines of its own.
+// callProgress records the phase that a call has reached. The HTTP client updates it from its own goroutines.
 type callProgress struct{ phase atomic.Int32 }
 
-// advance records that a call has reached a phase. The phase never goes back: the HTTP client may report the
-// connection attempt of a call after the call has got another connection.
+// advance records that the call has reached a phase. The phase never goes back, even though the HTTP client may
+// report a connection attempt for a call that has already been assigned another connection.
 func (p *callProgress) advance(phase callPhase) {
 	for current := p.phase.Load(); current < int32(phase); current = p.phase.Load() {
 		if p.phase.CompareAndSwap(current, int32(phase)) {
@@ -54,10 +54,10 @@
 	}
 }
 
-// current returns the phase of the call.
+// current returns the latest phase that the call has reached.
 func (p *callProgress) current() callPhase { return callPhase(p.phase.Load()) }
 
-// track returns a context for the HTTP request of the call, which makes the HTTP client update the progress.
+// track returns a context for the HTTP request of the call. It makes the HTTP client update p.
 func (p *callProgress) track(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		ConnectStart:         func(string, string) { p.advance(phaseConnecting) },
