--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// Where lists are pushed, the nominal delay after a failed call grows from initialBackoff to maxBackoff.
+// In push mode, the nominal delay after a failed call grows from initialBackoff to maxBackoff.
 const (
 	initialBackoff = 100 * time.Millisecond
 	maxBackoff     = time.Second
 )
 
-// maxBackoffFor returns the longest delay after a failed call. Where lists are pushed, a node counts as
-// notified of a drain as soon as the discovery service is reachable. The next call has to come well
-// within the drain's grace period.
+// maxBackoffFor returns the maximum delay after a failed call. In push mode, a node counts as notified of a drain
+// as soon as the discovery service is reachable, so the next call has to start well within the grace period of the
+// drain.
 func maxBackoffFor(drainGrace time.Duration) time.Duration {
 	return min(maxBackoff, max(initialBackoff, drainGrace/2))
 }
 
-// backoff is an exponential backoff with equal jitter: nodes whose calls failed at the same moment must
-// not repeat them at the same moment.
+// backoff is an exponential backoff with equal jitter, which keeps nodes whose calls failed at the same time from
+// retrying at the same time.
 type backoff struct {
-	nominalDelay time.Duration // the nominal delay after the next failure
+	nominalDelay time.Duration // delay after the next failure, before jitter
 	maxDelay     time.Duration
 }
 
@@ -29,15 +29,15 @@
 	return backoff{nominalDelay: initialBackoff, maxDelay: maxDelay}
 }
 
-// next returns the delay before the next call, and doubles the nominal delay.
+// next returns the delay before the next call and doubles the nominal delay, up to its maximum.
 func (b *backoff) next() time.Duration {
 	delay := b.nominalDelay/2 + rand.N(b.nominalDelay/2)
 	b.nominalDelay = min(2*b.nominalDelay, b.maxDelay)
 	return delay
 }
 
-// reset returns the nominal delay to its initial value.
+// reset sets the nominal delay back to initialBackoff.
 func (b *backoff) reset() { b.nominalDelay = initialBackoff }
 
-// jitter returns a delay that only spreads the nodes' calls.
+// jitter returns a random delay without backoff, which only spreads the calls of the nodes.
 func jitter() time.Duration { return rand.N(initialBackoff) }
