--- a/internal/discovery/outage.go
+++ b/internal/discovery/outage.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// outage counts the calls that have failed since the last list arrived, for the log.
+// outage counts the failed calls since the last list arrived, for log messages.
 type outage struct {
 	failures  int
-	startedAt time.Time // start of the first failed call
+	startedAt time.Time // when the first failed call started
 }
 
 // add counts a failed call.
@@ -18,7 +18,7 @@
 	}
 }
 
-// logEnd logs the end of the outage, if there is one, and starts counting again.
+// logEnd logs the end of the outage, if there is one, and resets the count.
 func (o *outage) logEnd(address string, generation uint64) {
 	if o.failures == 0 {
 		return
