--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -8,20 +8,19 @@
 	"strconv"
 )
 
-// ErrorKind says how a call to the discovery service failed.
+// ErrorKind classifies the failure of a call to the discovery service.
 type ErrorKind int
 
-// The kinds of a failed call.
 const (
 	// Unknown is an error that this package has not classified.
 	Unknown ErrorKind = iota
-	// Unreachable is a call without a connection, for example because the service refused it.
+	// Unreachable is a call that got no connection, for example because the connection was refused.
 	Unreachable
-	// Reset is a connection that ended before the response was complete.
+	// Reset is a call whose connection was closed before the response was complete.
 	Reset
-	// Timeout is a call for the complete list without a complete response in time.
+	// Timeout is a call for a snapshot that got no complete response in time.
 	Timeout
-	// Unresponsive is a watch without a complete response although its wait is over.
+	// Unresponsive is a watch that got no complete response although its wait was over.
 	Unresponsive
 	// BadStatus is a response with a status other than 200.
 	BadStatus
@@ -29,7 +28,7 @@
 	Malformed
 )
 
-// String names the kind as in the log.
+// String returns the name of the kind in log messages.
 func (k ErrorKind) String() string {
 	switch k {
 	case Unknown:
@@ -50,14 +49,14 @@
 	return "kind " + strconv.Itoa(int(k))
 }
 
-// Error is a failed call to the discovery service.
+// Error describes a failed call to the discovery service.
 type Error struct {
 	Kind   ErrorKind
-	Status int   // the HTTP status of a BadStatus error, else 0
-	Err    error // the cause; nil for a BadStatus error
+	Status int   // HTTP status if Kind is BadStatus, else 0
+	Err    error // cause; nil if Kind is BadStatus
 }
 
-// Error describes the failure in one line.
+// Error returns the kind and the cause, or the status of a BadStatus error.
 func (e *Error) Error() string {
 	if e.Err == nil {
 		return "status " + strconv.Itoa(e.Status)
@@ -68,14 +67,14 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// transportError classifies an error of the HTTP client, which occurred before the response was complete.
+// transportError returns an *Error for an error of the HTTP client that occurred before the response was complete.
 func transportError(err error) *Error { return &Error{Kind: transportErrorKind(err), Err: err} }
 
 // transportErrorKind returns the kind of an error of the HTTP client.
 func transportErrorKind(err error) ErrorKind {
 	operation, isOperation := errors.AsType[*net.OpError](err)
 	switch {
-	case errors.Is(err, context.DeadlineExceeded): // first, as a deadline may end any operation
+	case errors.Is(err, context.DeadlineExceeded): // first, because a deadline may interrupt any operation
 		return Timeout
 	case isOperation && operation.Op == "dial":
 		return Unreachable
@@ -85,7 +84,7 @@
 	return Malformed
 }
 
-// kindOf returns the kind of a failed call.
+// kindOf returns the kind of an error, Unknown if it is not an *Error.
 func kindOf(err error) ErrorKind {
 	if failure, ok := errors.AsType[*Error](err); ok {
 		return failure.Kind
