--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -10,7 +10,7 @@
 	"calicohinge/policy"
 )
 
-// recorder is a Handler that records its calls.
+// recorder is a Handler that records the updates and failures it receives.
 type recorder struct {
 	updates chan policy.UpdateKind
 	failed  chan time.Time
@@ -38,8 +38,8 @@
 	r.recorder.WatchFailed(notifiedAt)
 }
 
-// A watch is requested while another one is active, and that one fails. The handler requests the next watch
-// itself: the stale request must not make all nodes call at once.
+// A watch request made while another watch is active is stale once that watch fails, because the handler then
+// requests the next watch itself. If the stale request stayed, all nodes would call again at the same time.
 func TestStaleWatchRequestIsDropped(t *testing.T) {
 	scripted := testkit.NewScriptedDiscovery(t)
 	client := New(Config{Address: scripted.Address, Poll: true})
@@ -52,43 +52,43 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go func() { defer close(stopped); f.run(ctx) }()
-	testkit.Wait(t, scripted.Calls, "the watch")
+	testkit.Wait(t, scripted.Calls, "the first watch")
 
 	client.RequestWatch()
 	scripted.Responses <- testkit.ResponseReset
 
 	if pending := testkit.Wait(t, handler.pending, "the failure"); pending > 0 {
-		t.Error("the stale request is pending when the failure is reported")
+		t.Error("the stale watch request is still pending when the failure is reported")
 	}
 	testkit.Wait(t, handler.failed, "the failure")
 	if len(client.watchRequests) > 0 || len(scripted.Calls) > 0 {
-		t.Error("the stale request stays, or was followed")
+		t.Error("the stale watch request was kept, or caused a call")
 	}
-	client.RequestWatch() // the one after the failure is followed
+	client.RequestWatch() // a request after the failure causes a call
 	testkit.Wait(t, scripted.Calls, "the watch after the failure")
 
 	cancel()
 	testkit.Wait(t, stopped, "the follower to stop")
 }
 
-// clientStartTest is how a client starts.
+// clientStartTest describes the start of a client.
 type clientStartTest struct {
 	cached  endpoint.List
 	poll    bool
-	updates []policy.UpdateKind // before the first call
-	query   string              // of the first call
+	updates []policy.UpdateKind // want before the first call
+	query   string              // want in the first call
 }
 
-// In polling mode no call is made before a request.
+// In polling mode, moreover, no call is made before RequestWatch.
 func TestCachedListIsReportedBeforeTheFirstCall(t *testing.T) {
 	t.Parallel()
 	cached := endpoint.List{Generation: 7, Endpoints: []endpoint.Endpoint{{ID: 1}}}
 	update := []policy.UpdateKind{policy.UpdateCached}
 	for name, c := range map[string]clientStartTest{
-		"polled, cached list": {cached, true, update, "after=7&wait_ms=3000"},
-		"polled, no list":     {endpoint.List{}, true, update, ""}, // package policy requests the first watch
-		"pushed, cached list": {cached, false, update, "after=7&wait_ms=3000"},
-		"pushed, no list":     {endpoint.List{}, false, nil, ""},
+		"polling, cached list": {cached, true, update, "after=7&wait_ms=3000"},
+		"polling, no list":     {endpoint.List{}, true, update, ""}, // package policy then requests the first watch
+		"push, cached list":    {cached, false, update, "after=7&wait_ms=3000"},
+		"push, no list":        {endpoint.List{}, false, nil, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -110,7 +110,7 @@
 	}
 	if c.poll {
 		if len(scripted.Calls) > 0 {
-			t.Error("called without a request")
+			t.Error("a call was made before RequestWatch")
 		}
 		client.RequestWatch()
 	}
@@ -118,15 +118,16 @@
 		t.Errorf("query %q, want %q", query, c.query)
 	}
 	if len(handler.updates) > 0 {
-		t.Errorf("more updates than %v", c.updates)
+		t.Errorf("more updates than %v before the first response", c.updates)
 	}
 }
 
-// After a change of the address the complete list is requested from the latest address, in polling mode
-// too. The pending call ends once that has returned its list.
+// After changes of address, a snapshot is requested from the latest address, in polling mode without a request. The
+// pending call to the previous address is cancelled only when the latest address has returned its list, since a
+// response may be in transit.
 func TestAddressChangeRequestsSnapshot(t *testing.T) {
 	t.Parallel()
-	for name, poll := range map[string]bool{"polled": true, "pushed": false} {
+	for name, poll := range map[string]bool{"polling": true, "push": false} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			previous, latest := testkit.NewScriptedDiscovery(t), testkit.NewScriptedDiscovery(t)
@@ -146,10 +147,10 @@
 				t.Errorf("query %q, want none", query)
 			}
 			if err := pending.Context().Err(); err != nil {
-				t.Errorf("the previous call has ended: %v; its response may be on its way", err)
+				t.Errorf("the call to the previous address was cancelled before a new list: %v", err)
 			}
 			latest.Responses <- `{"generation":1,"reset":true,"instances":[]}`
-			testkit.Wait(t, pending.Context().Done(), "the end of the previous call")
+			testkit.Wait(t, pending.Context().Done(), "the cancellation of the call to the previous address")
 		})
 	}
 }
