--- a/internal/discovery/follower_state_test.go
+++ b/internal/discovery/follower_state_test.go
@@ -10,26 +10,26 @@
 	"calicohinge/internal/endpoint"
 )
 
-// The URLs of the earlier call and of the call to a previous address in a followerTest. The present call has
+// URLs by which followerTest identifies the earlier call and the call to a previous address. The current call has
 // another URL.
 const (
 	earlierURL  = "earlier call"
 	previousURL = "call to a previous address"
 )
 
-// callResult is what a call returns.
+// callResult is the list or the error that a call returns.
 type callResult struct {
 	list endpoint.List
 	err  error
 }
 
-// followerTest is a test that gives the result of each call of a follower.
+// followerTest is a test that determines the results of the calls of a follower.
 type followerTest struct {
 	*testing.T
-	current, earlier, previous chan callResult // results of the calls
+	current, earlier, previous chan callResult // results of the current, earlier and previous calls
 }
 
-// send waits for the result of a call.
+// send is the sendFunc of the test. It waits for the result of the call.
 func (t *followerTest) send(ctx context.Context, query query) (endpoint.List, error) {
 	results := map[string]chan callResult{earlierURL: t.earlier, previousURL: t.previous}[query.url]
 	if results == nil {
@@ -43,15 +43,15 @@
 	}
 }
 
-// transition is a row of the table in the doc comment of follower.
+// transition is a case of the table in the doc comment of follower.
 type transition struct {
 	polling  bool
 	state    state
 	haveList bool
 	event    func(*followerTest, *follower)
 	next     state
-	updates  int // lists that the handler receives
-	failures int // failures that the handler receives
+	updates  int // number of lists that the handler receives
+	failures int // number of failures that the handler receives
 }
 
 // returnList makes a call return a list.
@@ -83,17 +83,17 @@
 		"idle, previous address":            {true, stateIdle, false, previousList, stateIdle, 1, 0},
 		"idle, previous address, have list": {true, stateIdle, true, previousList, stateIdle, 0, 0},
 		"calling, no event":                 {false, stateCalling, true, nothing, stateCalling, 0, 0},
-		"calling, list at once":             {false, stateCalling, true, currentList, statePausing, 1, 0},
+		"calling, immediate list":           {false, stateCalling, true, currentList, statePausing, 1, 0},
 		"calling, list":                     {true, stateCalling, true, listAfterASecond, stateCalling, 1, 0},
-		"calling, earlier list at once":     {false, stateCalling, true, earlierList, statePausing, 1, 0},
+		"calling, immediate earlier list":   {false, stateCalling, true, earlierList, statePausing, 1, 0},
 		"calling, earlier failure":          {true, stateCalling, true, earlierError, stateCalling, 0, 0},
 		"calling, previous address":         {true, stateCalling, false, previousList, stateCalling, 1, 0},
-		"calling, failure, polled":          {true, stateCalling, true, currentError, stateIdle, 0, 1},
-		"calling, failure, pushed":          {false, stateCalling, true, currentError, statePausing, 0, 0},
-		"calling, timeout, polled":          {true, stateCalling, true, wait(responseTimeout), stateIdle, 0, 1},
-		"calling, timeout, pushed":          {false, stateCalling, true, wait(responseTimeout), statePausing, 0, 0},
+		"calling, failure, polling":         {true, stateCalling, true, currentError, stateIdle, 0, 1},
+		"calling, failure, push":            {false, stateCalling, true, currentError, statePausing, 0, 0},
+		"calling, timeout, polling":         {true, stateCalling, true, wait(responseTimeout), stateIdle, 0, 1},
+		"calling, timeout, push":            {false, stateCalling, true, wait(responseTimeout), statePausing, 0, 0},
 		"pausing, no event":                 {false, statePausing, true, nothing, statePausing, 0, 0},
-		"pausing, delay over":               {false, statePausing, true, wait(time.Minute), stateCalling, 0, 0},
+		"pausing, delay has passed":         {false, statePausing, true, wait(time.Minute), stateCalling, 0, 0},
 		"pausing, earlier list":             {false, statePausing, true, earlierList, stateCalling, 1, 0},
 		"pausing, earlier failure":          {false, statePausing, true, earlierError, statePausing, 0, 0},
 		"pausing, previous address":         {false, statePausing, false, previousList, statePausing, 1, 0},
@@ -129,16 +129,16 @@
 		t.Errorf("state %d, want %d", f.state, c.next)
 	}
 	if len(handler.updates) != c.updates || len(handler.failed) != c.failures {
-		t.Errorf("%d lists and %d failures, want %d and %d",
+		t.Errorf("handler received %d lists and %d failures, want %d and %d",
 			len(handler.updates), len(handler.failed), c.updates, c.failures)
 	}
 }
 
-// A follower of another address calls at once, also in polling mode.
+// A follower of a new address makes a call immediately, even in polling mode.
 func TestFollowerOfNewAddressCallsImmediately(t *testing.T) {
 	f := newTestFollower(t, "first", true)
 	f.client.polling, f.state = true, stateIdle
 	if next := f.moveTo("second", time.Now()); next.state != stateCalling || next.haveList {
-		t.Errorf("state %d, have list %v, want to call for the initial list", next.state, next.haveList)
+		t.Errorf("state %d, have list %v, want stateCalling without a list", next.state, next.haveList)
 	}
 }
