--- a/internal/discovery/follower_test.go
+++ b/internal/discovery/follower_test.go
@@ -11,8 +11,8 @@
 	"calicohinge/policy"
 )
 
-// After an unresponsive watch, and before the initial list at a new address, the delay only spreads the calls of
-// the nodes and does not grow.
+// After an unresponsive watch, and while the initial list at a new address is pending, the delay is only jitter and
+// does not grow.
 func TestRetryDelayAfterFailure(t *testing.T) {
 	for name, c := range map[string]struct {
 		kind           ErrorKind
@@ -20,11 +20,11 @@
 		addressChanged bool
 		grows          bool
 	}{
-		"unresponsive watch":           {Unresponsive, true, false, false},
-		"reset watch":                  {Reset, true, false, true},
-		"refused, no list":             {Unreachable, false, false, true},
-		"refused at a new address":     {Unreachable, false, true, false},
-		"bad status, list known again": {BadStatus, true, true, true},
+		"unresponsive watch":              {Unresponsive, true, false, false},
+		"reset watch":                     {Reset, true, false, true},
+		"refused, no list":                {Unreachable, false, false, true},
+		"refused at a new address":        {Unreachable, false, true, false},
+		"bad status, list at new address": {BadStatus, true, true, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newTestFollower(t, "discovery", c.haveList)
@@ -39,14 +39,14 @@
 				}
 			}
 			if grown := f.backoff.nominalDelay > initialBackoff; grown != c.grows {
-				t.Errorf("next nominal delay %v, want a grown one: %v", f.backoff.nominalDelay, c.grows)
+				t.Errorf("next nominal delay %v, want it to have grown: %v", f.backoff.nominalDelay, c.grows)
 			}
 		})
 	}
 }
 
-// What a failed call has missed counts as notified a fixed time after its start, or earlier if the
-// address changed.
+// The node counts as notified of the changes that a failed call has missed at the notification deadline of the call,
+// or earlier if the initial list at a new address is due before.
 func TestFailureIsReportedWithNotificationTime(t *testing.T) {
 	for name, c := range map[string]failureDeadlineTest{
 		"address unchanged":                  {0, 0, policy.NotificationDeadline},
@@ -60,11 +60,12 @@
 	}
 }
 
-// failureDeadlineTest is the deadline that is reported with a failed call. All times count from its start.
+// failureDeadlineTest describes the time that is reported with a failed call. All fields are relative to the start
+// of the call.
 type failureDeadlineTest struct {
-	currentIn  time.Duration // 0: the address has not changed
-	previousIn time.Duration // 0: no earlier change awaits its list
-	notifiedIn time.Duration
+	currentIn  time.Duration // deadline of the current address; 0 if the address has not changed
+	previousIn time.Duration // deadline of a previous address; 0 if no list from one is pending
+	notifiedIn time.Duration // want
 }
 
 func (c failureDeadlineTest) check(t *testing.T) {
@@ -78,18 +79,18 @@
 	if c.previousIn != 0 {
 		f.deadlines.previous = failed.startedAt.Add(c.previousIn)
 	}
-	time.Sleep(time.Second) // the call
+	time.Sleep(time.Second) // duration of the call
 	next := f.handleFailure(t.Context(), failed, &Error{Kind: Reset, Err: errors.New("reset")})
 	if notifiedIn := (<-handler.failed).Sub(failed.startedAt); notifiedIn != c.notifiedIn {
-		t.Errorf("notified after %v, want %v", notifiedIn, c.notifiedIn)
+		t.Errorf("node counts as notified after %v, want %v", notifiedIn, c.notifiedIn)
 	}
 	if next != stateIdle {
-		t.Errorf("next state %d: the next call waits for no request", next)
+		t.Errorf("next state %d, want stateIdle, which waits for a request", next)
 	}
 }
 
-// The address changes several times before a list arrives: the first deadline stays in force until it has
-// passed, then that of the next change.
+// If the address changes several times before a list arrives, the first deadline stays in force until it has passed.
+// Then that of a later change applies.
 func TestRepeatedAddressChangesKeepFirstDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		startedAt := time.Now()
@@ -101,13 +102,13 @@
 			time.Sleep(time.Until(startedAt.Add(c.changedAt)))
 			f = f.moveTo("next", time.Now())
 			if due := f.deadlines.nextAfter(time.Now()).Sub(startedAt); due != c.due {
-				t.Errorf("changed at %v: due at %v, want %v", c.changedAt, due, c.due)
+				t.Errorf("address changed at %v: list due at %v, want %v", c.changedAt, due, c.due)
 			}
 		}
 	})
 }
 
-// A response is reported by its kind: a complete list, changes, or nothing new.
+// Responses are reported as snapshots or deltas. A delta without changes causes no update.
 func TestUpdateKindOfEachResponse(t *testing.T) {
 	scripted := testkit.NewScriptedDiscovery(t)
 	handler := newRecorder()
@@ -115,7 +116,7 @@
 	go client.Run(t.Context(), handler)
 	const instances = `"instances":[{"instanceId":"s","hostPort":"127.0.0.1:1","lifecycle":"Ready"}]}`
 	for _, response := range []string{
-		`{"generation":1,` + instances, // the first one is complete
+		`{"generation":1,` + instances, // the first response is a snapshot
 		`{"generation":2,` + instances,
 		`{"generation":2,"instances":[]}`,
 		`{"generation":3,"reset":true,"instances":[]}`,
