--- a/internal/discovery/fetch_test.go
+++ b/internal/discovery/fetch_test.go
@@ -14,24 +14,24 @@
 	"calicohinge/policy"
 )
 
-// The time of an unresponsive watch, of a late response and of the spread of the next calls leaves an eighth of the
-// notification deadline for the response to the next call.
+// The wait of an unresponsive watch, the margin for a late response and the interval over which the next calls are
+// spread must leave an eighth of the notification deadline for the response to the next call.
 func TestUnresponsiveWatchLeavesTimeForAnotherCall(t *testing.T) {
-	const spread = 750 * time.Millisecond // of the next calls
+	const spread = 750 * time.Millisecond // the next calls start within this time
 	remaining := policy.NotificationDeadline - watchWait - watchResponseMargin - spread
 	if remaining < policy.NotificationDeadline/8 {
-		t.Errorf("%v are left for the next call", remaining)
+		t.Errorf("%v is left for the next call, want at least an eighth of the notification deadline", remaining)
 	}
 	if responseTimeout > watchWait+watchResponseMargin {
-		t.Errorf("a watch may take %v, more than its wait and the margin", responseTimeout)
+		t.Errorf("response timeout %v, want at most the wait of a watch and the response margin", responseTimeout)
 	}
-	// For a call that may wait, the deadline is 2 s after its wait, if that is later.
+	// For a call that may wait, the deadline is 2 s after the end of its wait if that is later.
 	if watchWait+2*time.Second > policy.NotificationDeadline {
-		t.Errorf("a wait of %v moves the deadline", watchWait)
+		t.Errorf("a wait of %v moves the notification deadline", watchWait)
 	}
 }
 
-// newTestFollower makes a follower at an address.
+// newTestFollower returns a follower at an address, in push mode.
 func newTestFollower(t *testing.T, address string, haveList bool) *follower {
 	t.Helper()
 	client := New(Config{Address: address})
@@ -45,14 +45,14 @@
 func TestErrorKindOfFailedCall(t *testing.T) {
 	const ok = "HTTP/1.1 200 OK\r\n"
 	for name, c := range map[string]struct {
-		response string // no server at the address if empty
+		response string // if empty, no server listens at the address
 		kind     ErrorKind
 		status   int
 	}{
-		"refused":            {"", Unreachable, 0},
-		"closed in the head": {ok + "Content-Length: 20\r\n", Reset, 0},
-		"closed in a header": {ok + "Content-Le", Malformed, 0}, // as net/http reports it
-		"closed in the body": {ok + "Content-Length: 20\r\n\r\n{", Reset, 0},
+		"refused":               {"", Unreachable, 0},
+		"closed after a header": {ok + "Content-Length: 20\r\n", Reset, 0},
+		"closed in a header":    {ok + "Content-Le", Malformed, 0}, // net/http reports a malformed header
+		"closed in the body":    {ok + "Content-Length: 20\r\n\r\n{", Reset, 0},
 		"unavailable": {
 			"HTTP/1.1 503 Down\r\nContent-Length: 4\r\n\r\ndown", BadStatus, http.StatusServiceUnavailable,
 		},
@@ -81,18 +81,18 @@
 		t.Fatalf("error %v, want an *Error", err)
 	}
 	if failure.Kind != kind || failure.Status != status {
-		t.Errorf("%v with status %d, want %v with %d: %v", failure.Kind, failure.Status, kind, status, err)
+		t.Errorf("error kind %v with status %d, want %v with %d: %v", failure.Kind, failure.Status, kind, status, err)
 	}
 }
 
 func TestConnectionClosedWithoutResponseIsReset(t *testing.T) {
 	backend := testkit.NewBackend(t, testkit.Reset)
 	if _, err := newTestFollower(t, backend.Address(), true).fetch(t.Context()); kindOf(err) != Reset {
-		t.Errorf("%v: %v, want %v", kindOf(err), err, Reset)
+		t.Errorf("error kind %v: %v, want kind %v", kindOf(err), err, Reset)
 	}
 }
 
-// unresponsiveTransport returns no response to a call before its context ends.
+// unresponsiveTransport returns no response. Its round trips end when the context of the request is done.
 type unresponsiveTransport struct{}
 
 func (unresponsiveTransport) RoundTrip(request *http.Request) (*http.Response, error) {
@@ -102,16 +102,16 @@
 
 func TestCallWithoutResponseTimesOut(t *testing.T) {
 	for name, c := range map[string]timeoutTest{
-		"watch":                            {true, false, Unresponsive, 4500 * time.Millisecond},
-		"complete list":                    {false, false, Timeout, 4500 * time.Millisecond},
-		"complete list from a new address": {false, true, Timeout, 2 * time.Second},
-		"watch at a new address":           {true, true, Unresponsive, 4500 * time.Millisecond},
+		"watch":                       {true, false, Unresponsive, 4500 * time.Millisecond},
+		"snapshot":                    {false, false, Timeout, 4500 * time.Millisecond},
+		"snapshot from a new address": {false, true, Timeout, 2 * time.Second},
+		"watch at a new address":      {true, true, Unresponsive, 4500 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) { synctest.Test(t, c.check) })
 	}
 }
 
-// timeoutTest is a call that gets no response, and how it has to end.
+// timeoutTest describes a call that gets no response, and how it has to end.
 type timeoutTest struct {
 	haveList       bool
 	addressChanged bool
@@ -128,14 +128,14 @@
 	startedAt := time.Now()
 	_, err := f.fetch(t.Context())
 	if kindOf(err) != c.kind || !errors.Is(err, context.DeadlineExceeded) {
-		t.Errorf("%v: %v, want %v", kindOf(err), err, c.kind)
+		t.Errorf("error kind %v: %v, want kind %v for an exceeded deadline", kindOf(err), err, c.kind)
 	}
 	if took := time.Since(startedAt); took != c.took {
-		t.Errorf("ended after %v, want %v", took, c.took)
+		t.Errorf("the call ended after %v, want %v", took, c.took)
 	}
 }
 
-// A watch that is cancelled from outside has not become unresponsive.
+// A watch that is cancelled by the caller does not count as unresponsive.
 func TestCancelledWatchIsNotUnresponsive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFollower(t, "discovery", true)
@@ -143,13 +143,13 @@
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		if _, err := f.fetch(ctx); err == nil || kindOf(err) == Unresponsive {
-			t.Errorf("%v: %v", kindOf(err), err)
+			t.Errorf("error kind %v: %v, want an error of another kind than unresponsive", kindOf(err), err)
 		}
 	})
 }
 
-// Without a present list, a call is for the complete list, and its response counts as complete even if it does not
-// say so.
+// Without a list, the next call requests a snapshot. Its response counts as a snapshot even if its field "reset" is
+// not set.
 func TestFirstResponseIsSnapshot(t *testing.T) {
 	for _, haveList := range []bool{false, true} {
 		next := newTestFollower(t, "discovery", haveList).nextQuery()
@@ -158,13 +158,13 @@
 			t.Fatal(err)
 		}
 		if list.Complete == haveList {
-			t.Errorf("present list %v: complete %v", haveList, list.Complete)
+			t.Errorf("have list %v: response is a snapshot: %v, want the opposite", haveList, list.Complete)
 		}
 	}
 }
 
-// unresponsiveHost neither accepts nor refuses attempts to connect to it.
-type unresponsiveHost struct{ started, inProgress atomic.Int32 } // attempts
+// unresponsiveHost neither accepts nor refuses connections. It counts the attempts to open one.
+type unresponsiveHost struct{ started, inProgress atomic.Int32 }
 
 func (h *unresponsiveHost) dial(ctx context.Context, _, _ string) (net.Conn, error) {
 	h.started.Add(1)
@@ -174,8 +174,9 @@
 	return nil, &net.OpError{Op: "dial", Err: ctx.Err()}
 }
 
-// A call is cancelled while its connection is being opened. No attempt to connect outlasts it, and the next call
-// begins an attempt of its own at once, however many calls there were.
+// Calls are cancelled while their connection is being opened. A connection attempt that outlasted its call would
+// count against maxConnectionsPerHost and delay later calls: each attempt must end with its call, and each call must
+// start its own attempt immediately.
 func TestConnectionAttemptsEndWithTheirCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		host := &unresponsiveHost{}
@@ -187,7 +188,7 @@
 			cancel()
 			synctest.Wait()
 			if phase := failed.progress.current(); err == nil || phase > phaseConnecting {
-				t.Fatalf("%v in phase %v, want a failed call that has no connection", err, phase)
+				t.Fatalf("error %v in phase %v, want a failed call without a connection", err, phase)
 			}
 			started, inProgress := host.started.Load(), host.inProgress.Load()
 			if started != calls+1 || inProgress != 0 {
