--- a/internal/discovery/late_response_test.go
+++ b/internal/discovery/late_response_test.go
@@ -15,13 +15,13 @@
 	"calicohinge/policy"
 )
 
-// pendingCall is a call that waits for its response.
+// pendingCall is a call that is waiting for its response.
 type pendingCall struct {
 	request *http.Request
 	body    chan string
 }
 
-// controlledTransport lets the test respond to the calls, in any order.
+// controlledTransport lets the test respond to calls in any order.
 type controlledTransport struct{ calls chan *pendingCall }
 
 func (c controlledTransport) RoundTrip(request *http.Request) (*http.Response, error) {
@@ -48,18 +48,18 @@
 
 func (r watchRequester) WatchFailed(time.Time) { r.client.RequestWatch() }
 
-// lateResponseTest is a test of a client that has generation 3. The test responds to the client's calls.
+// lateResponseTest tests a client that starts with generation 3. The test responds to the calls of the client.
 type lateResponseTest struct {
 	*testing.T
 	client  *Client
 	calls   chan *pendingCall
-	updates chan policy.UpdateKind // that the handler has received
+	updates chan policy.UpdateKind // the updates that the handler has received
 }
 
-// testLateResponse runs a test in polling mode and where lists are pushed.
+// testLateResponse runs a test in polling mode and in push mode.
 func testLateResponse(t *testing.T, body func(*lateResponseTest)) {
 	t.Helper()
-	for name, poll := range map[string]bool{"polled": true, "pushed": false} {
+	for name, poll := range map[string]bool{"polling": true, "push": false} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) { runLateResponseTest(t, poll, body) })
 		})
@@ -93,15 +93,15 @@
 	return testkit.Wait(t.T, t.calls, "a call")
 }
 
-// expectWatch waits for the next call, which has to follow a generation.
+// expectWatch waits for the next call, which has to be a watch for changes after a generation.
 func (t *lateResponseTest) expectWatch(after string) {
 	t.Helper()
 	if got := t.waitCall().request.URL.Query().Get("after"); got != after {
-		t.Errorf("the next call names generation %q, want %s", got, after)
+		t.Errorf("the next call asks for changes after generation %q, want %s", got, after)
 	}
 }
 
-// expectUpdate waits for a list, which has to be of a kind.
+// expectUpdate waits for an update, which has to be of the given kind.
 func (t *lateResponseTest) expectUpdate(want policy.UpdateKind) {
 	t.Helper()
 	if kind := testkit.Wait(t.T, t.updates, "an update"); kind != want {
@@ -109,7 +109,7 @@
 	}
 }
 
-// expectNoUpdate fails the test if the handler has received a list.
+// expectNoUpdate fails the test if the handler has received an update.
 func (t *lateResponseTest) expectNoUpdate() {
 	t.Helper()
 	synctest.Wait()
@@ -121,13 +121,14 @@
 // expectCancelled waits until a call is cancelled.
 func (t *lateResponseTest) expectCancelled(call *pendingCall) {
 	t.Helper()
-	testkit.Wait(t.T, call.request.Context().Done(), "the end of a call")
+	testkit.Wait(t.T, call.request.Context().Done(), "the cancellation of a call")
 }
 
 const oneServer = `"instances":[{"instanceId":"s","hostPort":"127.0.0.1:1","lifecycle":"Terminating"}]}`
 
-// A response arrives after its timeout and the next call, because the service is slow or the node's process was
-// paused: the node counts as notified of what the service has written, so that it is used.
+// A response arrives after the response timeout of its call and after the start of the next call, because the service
+// is slow or the node's process was paused. The node counts as notified of what the service has written, so the
+// response must be used.
 func TestLateResponseIsUsed(t *testing.T) {
 	testLateResponse(t, func(t *lateResponseTest) {
 		late, next := t.waitCall(), t.waitCall()
@@ -135,7 +136,7 @@
 		t.expectUpdate(policy.UpdateDelta)
 		t.expectWatch("4")
 		if err := next.request.Context().Err(); err != nil {
-			t.Errorf("the next call has ended: %v", err)
+			t.Errorf("the next call was cancelled: %v", err)
 		}
 		next.body <- `{"generation":5,` + oneServer
 		t.expectUpdate(policy.UpdateDelta)
@@ -143,7 +144,7 @@
 	})
 }
 
-// The responses to two calls arrive in the wrong order: the older one is not used.
+// The responses to two calls arrive in reverse order. The response to the older call must not be used.
 func TestOlderResponseIsDropped(t *testing.T) {
 	testLateResponse(t, func(t *lateResponseTest) {
 		late, next := t.waitCall(), t.waitCall()
@@ -155,8 +156,9 @@
 	})
 }
 
-// The address changes while the response to a watch is on its way: the node counts as notified of what the
-// previous address has written. The watch there ends once the new address has returned its list.
+// The address changes while the response to a watch is in transit. The node counts as notified of what the previous
+// address has written, so the response must be used. Calls to previous addresses are cancelled once the new address
+// has returned its list.
 func TestPreviousAddressIsUsedUntilNewListArrives(t *testing.T) {
 	testLateResponse(t, checkPreviousAddress)
 }
@@ -170,7 +172,7 @@
 	first.body <- `{"generation":4,` + oneServer
 	t.expectUpdate(policy.UpdateDelta)
 	if url := third.request.URL; url.Host != "third" || url.RawQuery != "" {
-		t.Errorf("the call to the new address is %v, want one for the complete list", url)
+		t.Errorf("the call to the new address is %v, want a request for a snapshot", url)
 	}
 	third.body <- `{"generation":1,"reset":true,` + oneServer
 	t.expectUpdate(policy.UpdateSnapshot)
@@ -180,7 +182,8 @@
 	t.expectWatch("1")
 }
 
-// A service responds to no call: how many stay in flight is bounded, and the last ones are kept.
+// The service does not respond to any call. The number of calls in flight must be bounded, and the latest call must
+// be among them.
 func TestInFlightCallsAreBounded(t *testing.T) {
 	testLateResponse(t, checkCallsWithoutResponse)
 }
@@ -199,11 +202,11 @@
 		}
 	}
 	if len(inFlight) < 2 || len(inFlight) > maxConnectionsPerHost || inFlight[len(inFlight)-1] != made-1 {
-		t.Errorf("calls %v are in flight, want 2 to %d with the last one", inFlight, maxConnectionsPerHost)
+		t.Errorf("calls %v are in flight, want 2 to %d calls including the latest", inFlight, maxConnectionsPerHost)
 	}
 }
 
-// A service that has restarted returns a lower generation than the one that the query names: its list is used.
+// A service that has restarted returns a lower generation than that in the query. Its list must be used.
 func TestListOfRestartedServiceIsUsed(t *testing.T) {
 	testLateResponse(t, func(t *lateResponseTest) {
 		t.waitCall().body <- `{"generation":1,"reset":true,` + oneServer
@@ -211,7 +214,8 @@
 	})
 }
 
-// The response to the present call was written before that to an earlier one, and arrives after it.
+// The service writes the response to the current call before that to an earlier call, but it arrives later. It must
+// not be used.
 func TestStaleResponseIsDropped(t *testing.T) {
 	testLateResponse(t, func(t *lateResponseTest) {
 		late, next := t.waitCall(), t.waitCall()
