--- a/internal/discovery/fetch_test.go
+++ b/internal/discovery/fetch_test.go
@@ -14,45 +14,48 @@
 	"calicohinge/policy"
 )
 
-// The time of an unresponsive watch, of a late response and of the spread of the next calls leaves an eighth of the
-// notification deadline for the response to the next call.
+// The wait of an unresponsive watch, the margin for a late response and the interval over which the next calls are
+// spread must leave an eighth of the notification deadline for the response to the next call.
 func TestUnresponsiveWatchLeavesTimeForAnotherCall(t *testing.T) {
-	const spread = 750 * time.Millisecond // of the next calls
-	if left := policy.NotificationDeadline - watchWait - watchResponseMargin - spread; left < policy.NotificationDeadline/8 {
-		t.Errorf("%v are left for the next call", left)
+	const spread = 750 * time.Millisecond // the next calls start within this time
+	remaining := policy.NotificationDeadline - watchWait - watchResponseMargin - spread
+	if remaining < policy.NotificationDeadline/8 {
+		t.Errorf("%v is left for the next call, want at least an eighth of the notification deadline", remaining)
 	}
 	if responseTimeout > watchWait+watchResponseMargin {
-		t.Errorf("a watch may take %v, more than its wait and the margin", responseTimeout)
+		t.Errorf("response timeout %v, want at most the wait of a watch and the response margin", responseTimeout)
 	}
-	// For a call that may wait, the deadline is 2 s after its wait, if that is later.
+	// For a call that may wait, the deadline is 2 s after the end of its wait if that is later.
 	if watchWait+2*time.Second > policy.NotificationDeadline {
-		t.Errorf("a wait of %v moves the deadline", watchWait)
+		t.Errorf("a wait of %v moves the notification deadline", watchWait)
 	}
 }
 
-// testFollower makes a follower at an address.
-func testFollower(t *testing.T, address string, haveList bool) *follower {
+// newTestFollower returns a follower at an address, in push mode.
+func newTestFollower(t *testing.T, address string, haveList bool) *follower {
 	t.Helper()
 	client := New(Config{Address: address})
 	calls := newInFlightCalls(client.send)
 	t.Cleanup(calls.close)
-	watch := newFollower(client, newRecorder(), calls, address)
-	watch.haveList = haveList
-	return watch
+	f := newFollower(client, newRecorder(), calls, address)
+	f.haveList = haveList
+	return f
 }
 
-func TestFailedCallHasItsKind(t *testing.T) {
+func TestErrorKindOfFailedCall(t *testing.T) {
 	const ok = "HTTP/1.1 200 OK\r\n"
 	for name, c := range map[string]struct {
-		response string // no server at the address if empty
+		response string // if empty, no server listens at the address
 		kind     ErrorKind
 		status   int
 	}{
-		"refused":                {"", Unreachable, 0},
-		"closed in the head":     {ok + "Content-Length: 20\r\n", Reset, 0},
-		"closed in a header":     {ok + "Content-Le", Malformed, 0}, // as net/http reports it
-		"closed in the body":     {ok + "Content-Length: 20\r\n\r\n{", Reset, 0},
-		"unavailable":            {"HTTP/1.1 503 Down\r\nContent-Length: 4\r\n\r\ndown", BadStatus, http.StatusServiceUnavailable},
+		"refused":               {"", Unreachable, 0},
+		"closed after a header": {ok + "Content-Length: 20\r\n", Reset, 0},
+		"closed in a header":    {ok + "Content-Le", Malformed, 0}, // net/http reports a malformed header
+		"closed in the body":    {ok + "Content-Length: 20\r\n\r\n{", Reset, 0},
+		"unavailable": {
+			"HTTP/1.1 503 Down\r\nContent-Length: 4\r\n\r\ndown", BadStatus, http.StatusServiceUnavailable,
+		},
 		"list with a bad status": {"HTTP/1.1 404 Where\r\nContent-Length: 2\r\n\r\n{}", BadStatus, http.StatusNotFound},
 		"not HTTP":               {"\x00\x01\x02 what\r\n\r\n", Malformed, 0},
 		"HTML":                   {ok + "Content-Length: 6\r\n\r\n<html>", Malformed, 0},
@@ -64,7 +67,7 @@
 				address = testkit.NewScriptedServer(t, c.response, testkit.CloseAfterResponse).Address
 			}
 			for _, haveList := range []bool{false, true} {
-				_, err := testFollower(t, address, haveList).fetch(t.Context())
+				_, err := newTestFollower(t, address, haveList).fetch(t.Context())
 				checkFailure(t, err, c.kind, c.status)
 			}
 		})
@@ -78,18 +81,18 @@
 		t.Fatalf("error %v, want an *Error", err)
 	}
 	if failure.Kind != kind || failure.Status != status {
-		t.Errorf("%v with status %d, want %v with %d: %v", failure.Kind, failure.Status, kind, status, err)
+		t.Errorf("error kind %v with status %d, want %v with %d: %v", failure.Kind, failure.Status, kind, status, err)
 	}
 }
 
 func TestConnectionClosedWithoutResponseIsReset(t *testing.T) {
 	backend := testkit.NewBackend(t, testkit.Reset)
-	if _, err := testFollower(t, backend.Address(), true).fetch(t.Context()); kindOf(err) != Reset {
-		t.Errorf("%v: %v, want %v", kindOf(err), err, Reset)
+	if _, err := newTestFollower(t, backend.Address(), true).fetch(t.Context()); kindOf(err) != Reset {
+		t.Errorf("error kind %v: %v, want kind %v", kindOf(err), err, Reset)
 	}
 }
 
-// unresponsiveTransport returns no response to a call before its context ends.
+// unresponsiveTransport returns no response. Its round trips end when the context of the request is done.
 type unresponsiveTransport struct{}
 
 func (unresponsiveTransport) RoundTrip(request *http.Request) (*http.Response, error) {
@@ -97,96 +100,100 @@
 	return nil, request.Context().Err()
 }
 
-func TestCallWithoutResponseEndsInTime(t *testing.T) {
-	for name, c := range map[string]timedOutCall{
-		"watch":                            {true, false, Unresponsive, 4500 * time.Millisecond},
-		"complete list":                    {false, false, Timeout, 4500 * time.Millisecond},
-		"complete list from a new address": {false, true, Timeout, 2 * time.Second},
-		"watch at a new address":           {true, true, Unresponsive, 4500 * time.Millisecond},
+func TestCallWithoutResponseTimesOut(t *testing.T) {
+	for name, c := range map[string]timeoutTest{
+		"watch":                       {true, false, Unresponsive, 4500 * time.Millisecond},
+		"snapshot":                    {false, false, Timeout, 4500 * time.Millisecond},
+		"snapshot from a new address": {false, true, Timeout, 2 * time.Second},
+		"watch at a new address":      {true, true, Unresponsive, 4500 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) { synctest.Test(t, c.check) })
 	}
 }
 
-// timedOutCall is a call that gets no response, and how it has to end.
-type timedOutCall struct {
+// timeoutTest describes a call that gets no response, and how it has to end.
+type timeoutTest struct {
 	haveList       bool
 	addressChanged bool
 	kind           ErrorKind
 	took           time.Duration
 }
 
-func (c timedOutCall) check(t *testing.T) {
-	watch := testFollower(t, "discovery", c.haveList)
-	watch.client.httpClient.Transport = unresponsiveTransport{}
+func (c timeoutTest) check(t *testing.T) {
+	f := newTestFollower(t, "discovery", c.haveList)
+	f.client.httpClient.Transport = unresponsiveTransport{}
 	if c.addressChanged {
-		watch.deadlines.present = time.Now().Add(addressChangeDeadline)
+		f.deadlines.current = time.Now().Add(addressChangeDeadline)
 	}
 	startedAt := time.Now()
-	_, err := watch.fetch(t.Context())
+	_, err := f.fetch(t.Context())
 	if kindOf(err) != c.kind || !errors.Is(err, context.DeadlineExceeded) {
-		t.Errorf("%v: %v, want %v", kindOf(err), err, c.kind)
+		t.Errorf("error kind %v: %v, want kind %v for an exceeded deadline", kindOf(err), err, c.kind)
 	}
 	if took := time.Since(startedAt); took != c.took {
-		t.Errorf("ended after %v, want %v", took, c.took)
+		t.Errorf("the call ended after %v, want %v", took, c.took)
 	}
 }
 
-// A watch that is cancelled from outside has not become unresponsive.
+// A watch that is cancelled by the caller does not count as unresponsive.
 func TestCancelledWatchIsNotUnresponsive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		watch := testFollower(t, "discovery", true)
-		watch.client.httpClient.Transport = unresponsiveTransport{}
+		f := newTestFollower(t, "discovery", true)
+		f.client.httpClient.Transport = unresponsiveTransport{}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		if _, err := watch.fetch(ctx); err == nil || kindOf(err) == Unresponsive {
-			t.Errorf("%v: %v", kindOf(err), err)
+		if _, err := f.fetch(ctx); err == nil || kindOf(err) == Unresponsive {
+			t.Errorf("error kind %v: %v, want an error of another kind than unresponsive", kindOf(err), err)
 		}
 	})
 }
 
-// Without a present list, a call is for the complete list, and its response counts as complete even if it does not
-// say so.
-func TestListIsCompleteIfNoneWasKnown(t *testing.T) {
+// Without a list, the next call requests a snapshot. Its response counts as a snapshot even if its field "reset" is
+// not set.
+func TestFirstResponseIsSnapshot(t *testing.T) {
 	for _, haveList := range []bool{false, true} {
-		list, err := testFollower(t, "discovery", haveList).nextQuery().decode([]byte(`{"generation":3,"instances":[]}`))
+		next := newTestFollower(t, "discovery", haveList).nextQuery()
+		list, err := next.decode([]byte(`{"generation":3,"instances":[]}`))
 		if err != nil {
 			t.Fatal(err)
 		}
 		if list.Complete == haveList {
-			t.Errorf("present list %v: complete %v", haveList, list.Complete)
+			t.Errorf("have list %v: response is a snapshot: %v, want the opposite", haveList, list.Complete)
 		}
 	}
 }
 
-// unresponsiveMachine neither accepts nor refuses attempts to connect to it.
-type unresponsiveMachine struct{ begun, inProgress atomic.Int32 } // attempts
+// unresponsiveHost neither accepts nor refuses connections. It counts the attempts to open one.
+type unresponsiveHost struct{ started, inProgress atomic.Int32 }
 
-func (m *unresponsiveMachine) dial(ctx context.Context, _, _ string) (net.Conn, error) {
-	m.begun.Add(1)
-	m.inProgress.Add(1)
-	defer m.inProgress.Add(-1)
+func (h *unresponsiveHost) dial(ctx context.Context, _, _ string) (net.Conn, error) {
+	h.started.Add(1)
+	h.inProgress.Add(1)
+	defer h.inProgress.Add(-1)
 	<-ctx.Done()
 	return nil, &net.OpError{Op: "dial", Err: ctx.Err()}
 }
 
-// A call is cancelled while its connection is being opened. No attempt to connect outlasts it, and the next call
-// begins an attempt of its own at once, however many calls there were.
+// Calls are cancelled while their connection is being opened. A connection attempt that outlasted its call would
+// count against maxConnectionsPerHost and delay later calls: each attempt must end with its call, and each call must
+// start its own attempt immediately.
 func TestConnectionAttemptsEndWithTheirCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		machine := &unresponsiveMachine{}
-		watch := testFollower(t, "discovery:1", true)
-		watch.client.httpClient.Transport = newTransport(machine.dial)
+		host := &unresponsiveHost{}
+		f := newTestFollower(t, "discovery:1", true)
+		f.client.httpClient.Transport = newTransport(host.dial)
 		for calls := range int32(2 * maxConnectionsPerHost) {
 			ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
-			failed, err := watch.fetch(ctx)
+			failed, err := f.fetch(ctx)
 			cancel()
 			synctest.Wait()
 			if phase := failed.progress.current(); err == nil || phase > phaseConnecting {
-				t.Fatalf("%v in phase %v, want a failed call that has no connection", err, phase)
+				t.Fatalf("error %v in phase %v, want a failed call without a connection", err, phase)
 			}
-			if begun, inProgress := machine.begun.Load(), machine.inProgress.Load(); begun != calls+1 || inProgress != 0 {
-				t.Fatalf("after call %d: %d attempts begun, %d in progress", calls+1, begun, inProgress)
+			started, inProgress := host.started.Load(), host.inProgress.Load()
+			if started != calls+1 || inProgress != 0 {
+				t.Fatalf("after call %d: %d connection attempts started and %d in progress, want %d and none",
+					calls+1, started, inProgress, calls+1)
 			}
 		}
 	})
