--- a/internal/node/connection_limits_test.go
+++ b/internal/node/connection_limits_test.go
@@ -96,7 +96,7 @@
 // A client that sends requests but reads nothing must not keep its connection past its
 // deadline: the node closes it.
 func TestClientThatReadsNothingIsDisconnected(t *testing.T) {
-	text := strings.Repeat("x", maxBody)
+	text := strings.Repeat("x", maxBodyBytes)
 	n, _ := startReady(t, testkit.NewBackend(t, func(w http.ResponseWriter, _ *http.Request) { send(w, text) }))
 	nc := n.dial()
 	var err error
@@ -119,7 +119,7 @@
 		func(nc net.Conn) { send(nc, wireText(s.request("read"))[:40]) },
 		s.sendHundreds,
 		func(nc net.Conn) { s.sendHundreds(nc); closeConn(nc) },
-		func(nc net.Conn) { send(nc, strings.Repeat("x", 2*(maxHeader+maxBody))); closeConn(nc) },
+		func(nc net.Conn) { send(nc, strings.Repeat("x", 2*(maxHeaderBytes+maxBodyBytes))); closeConn(nc) },
 		func(nc net.Conn) { s.wantServed(nc) }, // no abuse
 	}
 	var open []net.Conn
--- a/internal/node/disconnect_concurrency_test.go
+++ b/internal/node/disconnect_concurrency_test.go
@@ -47,7 +47,7 @@
 	testkit.Until(t, "the requests", func() bool { return len(l.queue.posted) == concurrentClients })
 	var all []*request
 	l.queue.post(eventFunc(func(time.Duration) {
-		for _, r := range l.requests.active {
+		for _, r := range l.requests.byID {
 			all = append(all, r)
 		}
 	}))
@@ -153,7 +153,7 @@
 	var paused requestsAtRest
 	testkit.Until(s.t, "all requests at rest", func() bool {
 		paused = requestsAtRest{states: map[string]int{}, resume: s.loop.pause()}
-		for _, r := range s.loop.requests.active {
+		for _, r := range s.loop.requests.byID {
 			paused.requests = append(paused.requests, r)
 			paused.states[servers.state(s.loop, r)]++
 		}
--- a/internal/node/disconnect_race_test.go
+++ b/internal/node/disconnect_race_test.go
@@ -42,7 +42,7 @@
 
 // freeCapacity ends one of the attempts in flight, so that a queued request could be sent.
 func freeCapacity(s *handlerServer, now time.Duration) {
-	for _, r := range s.loop.requests.active {
+	for _, r := range s.loop.requests.byID {
 		if r.inFlight > 0 {
 			s.loop.reportOutcome(now, r, 0, upstream.Result{Status: policy.OK})
 			return
--- a/internal/node/discovery_handler.go
+++ b/internal/node/discovery_handler.go
@@ -12,18 +12,18 @@
 // discoveryHandler implements discovery.Handler: it converts what the discovery client reports into events
 // of the loop. Its methods are called in the discovery client's goroutine.
 type discoveryHandler struct {
-	clock  *clock
-	queue  *eventQueue
-	starts *processstart.Registry
-	zones  map[string]int // indexes of the configured zones by name
-	synced atomic.Bool    // the node has an endpoint list; any goroutine may read it
+	clock         *clock
+	queue         *eventQueue
+	processStarts *processstart.Registry
+	zones         map[string]int // indexes of the configured zones by name
+	synced        atomic.Bool    // the node has an endpoint list; any goroutine may read it
 }
 
 // UpdateEndpoints implements discovery.Handler. It skips endpoints without an ID, and those that are ready but
 // have no address.
 func (d *discoveryHandler) UpdateEndpoints(kind policy.UpdateKind, list []endpoint.Endpoint) {
 	update := endpointsUpdated{kind: kind}
-	starts := d.starts.Update(kind, list, processstart.Moment{Clock: d.clock.now(), Wall: time.Now()})
+	starts := d.processStarts.Update(kind, list, processstart.Moment{Clock: d.clock.now(), Wall: time.Now()})
 	for i, e := range list {
 		if e.ID == 0 || (e.Address == "" && e.State == policy.Ready) {
 			continue
@@ -36,7 +36,7 @@
 
 // Synced implements discovery.Handler.
 func (d *discoveryHandler) Synced() {
-	d.starts.Synced(d.clock.now())
+	d.processStarts.Synced(d.clock.now())
 	d.synced.Store(true)
 }
 
--- a/internal/node/endpoints_test.go
+++ b/internal/node/endpoints_test.go
@@ -96,7 +96,7 @@
 func (l *testLoop) wantFirstAttemptsRevoked() {
 	l.t.Helper()
 	l.inLoop(func() {
-		for _, r := range l.requests.active {
+		for _, r := range l.requests.byID {
 			if a := r.attempts[0]; a.state == attemptInFlight || !a.call.Revoked() {
 				l.t.Error("the attempt may still be sent")
 			}
@@ -145,7 +145,7 @@
 	start := func(startedAt time.Time) time.Duration {
 		list := []endpoint.Endpoint{{ID: 1, State: policy.Ready, StartedAt: startedAt}}
 		now := processstart.Moment{Clock: l.clock.now(), Wall: time.Now()}
-		return l.endpoints.starts.Update(policy.UpdateSnapshot, list, now)[0]
+		return l.endpoints.processStarts.Update(policy.UpdateSnapshot, list, now)[0]
 	}
 	startedAt := time.Now().Add(-3 * time.Second).Round(0)
 	first := start(startedAt)
--- a/internal/node/event_queue.go
+++ b/internal/node/event_queue.go
@@ -29,8 +29,8 @@
 // deferEvent adds an event that the loop handles after the present one and those that were deferred before.
 func (q *eventQueue) deferEvent(e event) { q.deferred = append(q.deferred, e) }
 
-// takeDeferred removes and returns the next deferred event, nil if there is none.
-func (q *eventQueue) takeDeferred() event {
+// popDeferred removes and returns the next deferred event, nil if there is none.
+func (q *eventQueue) popDeferred() event {
 	if len(q.deferred) == 0 {
 		return nil
 	}
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -17,12 +17,14 @@
 // requestArrived is sent by submit.
 type requestArrived struct{ request *request }
 
-func (e requestArrived) handle(l *loop, now time.Duration) { l.arrive(now, e.request) }
+func (e requestArrived) handle(l *loop, now time.Duration) { l.addRequest(now, e.request) }
 
 // clientDisconnected is sent by submit when the context of the HTTP request ends.
 type clientDisconnected struct{ request *request }
 
-func (e clientDisconnected) handle(l *loop, now time.Duration) { l.disconnect(now, e.request) }
+func (e clientDisconnected) handle(l *loop, now time.Duration) {
+	l.completeDisconnected(now, e.request)
+}
 
 // deadlineExpired is sent by the timer of a request's deadline.
 type deadlineExpired struct{ request *request }
@@ -76,9 +78,9 @@
 	notifiedAt time.Duration // on the node's clock: when the node counts as notified of missed changes
 }
 
-func (e watchFailed) handle(l *loop, now time.Duration) { l.failWatch(now, e.notifiedAt) }
+func (e watchFailed) handle(l *loop, now time.Duration) { l.reportWatchFailure(now, e.notifiedAt) }
 
-// terminated is sent by terminateAll near the end of a graceful shutdown.
-type terminated struct{}
+// terminationRequested is sent by terminateAll near the end of a graceful shutdown.
+type terminationRequested struct{}
 
-func (terminated) handle(l *loop, now time.Duration) { l.terminate(now) }
+func (terminationRequested) handle(l *loop, now time.Duration) { l.terminate(now) }
--- a/internal/node/forwarded_request.go
+++ b/internal/node/forwarded_request.go
@@ -13,15 +13,16 @@
 )
 
 const (
-	// maxResponseRead is how long a server may take at most from the first byte of its response to the last.
-	maxResponseRead = 150 * time.Millisecond
+	// maxResponseReadTimeout is how long a server may take at most from the first byte of its response to the
+	// last.
+	maxResponseReadTimeout = 150 * time.Millisecond
 	// responseReadDivisor divides the latency objective: a response may be read for one part of it, so that an
 	// incomplete response leaves time for a retry.
 	responseReadDivisor = 2
 )
 
-// forwardedRequest returns the request that is sent to servers.
-func forwardedRequest(r *http.Request, body []byte, class *policy.Class) upstream.Request {
+// newUpstreamRequest returns the request that is sent to servers.
+func newUpstreamRequest(r *http.Request, body []byte, class *policy.Class) upstream.Request {
 	return upstream.Request{
 		Method: r.Method,
 		URL: &url.URL{
@@ -40,7 +41,7 @@
 	if objective == 0 {
 		objective = class.Deadline
 	}
-	return min(maxResponseRead, objective/responseReadDivisor)
+	return min(maxResponseReadTimeout, objective/responseReadDivisor)
 }
 
 // readBody reads a body of a known, bounded length within the read timeout.
--- a/internal/node/forwarding_test.go
+++ b/internal/node/forwarding_test.go
@@ -87,7 +87,7 @@
 // The node closes a connection after a response that its client has not read yet, and the client has sent more bytes
 // or sends them now: the response is delivered in full, and the connection ends when the client closes it.
 func TestResponseIsDeliveredBeforeTheConnectionCloses(t *testing.T) {
-	text := strings.Repeat("x", maxBody)
+	text := strings.Repeat("x", maxBodyBytes)
 	b := testkit.NewBackend(t, func(w http.ResponseWriter, _ *http.Request) { send(w, text) })
 	for name, c := range map[string]struct{ ahead, behind string }{
 		"nothing":     {"", ""},
@@ -125,7 +125,7 @@
 // A client sends its request and reads its response a byte at a time: it is served, another client is served
 // meanwhile, and no connection stays open.
 func TestByteByByteClientIsServed(t *testing.T) {
-	text := strings.Repeat("x", maxBody)
+	text := strings.Repeat("x", maxBodyBytes)
 	b := testkit.NewBackend(t, func(w http.ResponseWriter, _ *http.Request) { send(w, text) })
 	s := startHandler(t, b.Endpoint("s-0"))
 	slow, other := s.slowDial(), s.dial()
--- a/internal/node/framing.go
+++ b/internal/node/framing.go
@@ -2,7 +2,7 @@
 
 import "net/http"
 
-const maxBody = 64 << 10 // bytes of a request's body
+const maxBodyBytes = 64 << 10 // bytes of a request's body
 
 // checkFraming rejects messages whose end this node and another program on the request path might see in
 // different places: the body that one sees is a request to the other (request smuggling). If a message has both
@@ -16,7 +16,7 @@
 		return &rejectionError{
 			status: http.StatusLengthRequired, reason: "a Content-Length is required, with no transfer coding",
 		}
-	case r.ContentLength > maxBody:
+	case r.ContentLength > maxBodyBytes:
 		return &rejectionError{status: http.StatusRequestEntityTooLarge, reason: "the body is too large"}
 	}
 	return nil
--- a/internal/node/handler.go
+++ b/internal/node/handler.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	maxHeader = 16 << 10 // bytes of a request's head
+	maxHeaderBytes = 16 << 10 // bytes of a request's head
 	// readTimeout is how long a client may take to send a request, from its connection or the request's first
 	// byte on, whatever the request's deadline. A client that sends half a request has to be disconnected
 	// within 3 s of connecting.
@@ -30,15 +30,15 @@
 // handler serves the clients' HTTP requests: it validates them, submits them to the loop
 // and writes the final responses.
 type handler struct {
-	cfg          *config.Config
-	parser       requestParser
-	loop         *loop
-	conns        *downstream.Conns
-	shuttingDown atomic.Bool  // the node is not ready any more
-	draining     atomic.Bool  // responses close their connections
-	lastRequest  atomic.Int64 // when a request was last accepted, a time.Duration on the node's clock
-	activeIDs    requestIDs   // of the requests that have no final response yet
-	stats        requestStats
+	cfg           *config.Config
+	parser        requestParser
+	loop          *loop
+	conns         *downstream.Conns
+	shuttingDown  atomic.Bool  // the node is not ready any more
+	draining      atomic.Bool  // responses close their connections
+	lastRequestAt atomic.Int64 // when a request was last accepted, a time.Duration on the node's clock
+	activeIDs     requestIDs   // of the requests that have no final response yet
+	stats         requestStats
 }
 
 func newHandler(cfg *config.Config, loop *loop, conns *downstream.Conns) *handler {
@@ -48,7 +48,7 @@
 // server returns an HTTP server for the connections of h.conns.
 func (h *handler) server() *http.Server {
 	return &http.Server{
-		Handler: h, MaxHeaderBytes: maxHeader, ReadTimeout: readTimeout, IdleTimeout: idleTimeout,
+		Handler: h, MaxHeaderBytes: maxHeaderBytes, ReadTimeout: readTimeout, IdleTimeout: idleTimeout,
 		ConnState: h.conns.ConnState,
 		ConnContext: func(ctx context.Context, conn net.Conn) context.Context {
 			return context.WithValue(ctx, connKey{}, conn)
@@ -153,18 +153,18 @@
 	if !h.activeIDs.reserve(id) {
 		return &rejectionError{status: http.StatusConflict, reason: "a request with this X-Request-ID is open"}
 	}
-	h.lastRequest.Store(int64(h.loop.clock.now()))
-	control := http.NewResponseController(w)
+	h.lastRequestAt.Store(int64(h.loop.clock.now()))
+	controller := http.NewResponseController(w)
 	// net/http goes on reading to notice that the client disconnects. The read deadline of the request would
 	// look like a disconnect. An error is ignored: a broken connection shows elsewhere.
-	_ = control.SetReadDeadline(time.Time{})
+	_ = controller.SetReadDeadline(time.Time{})
 	final, err := h.loop.submit(r.Context(), parsed)
 	h.activeIDs.release(id)
 	if err != nil {
 		return err
 	}
 	// An error is ignored: on a broken connection the write fails as well.
-	_ = control.SetWriteDeadline(time.Now().Add(parsed.deadline - h.loop.clock.now() + writeTimeout))
+	_ = controller.SetWriteDeadline(time.Now().Add(parsed.deadline - h.loop.clock.now() + writeTimeout))
 	h.writeFinal(w, final)
 	return nil
 }
@@ -175,10 +175,10 @@
 	writeResponse(w, final)
 }
 
-// activeSince reports whether the given time on the node's clock or the last request is
+// withinQuietPeriod reports whether the given time on the node's clock or the last request is
 // less than the quiet period ago.
-func (h *handler) activeSince(at time.Duration) bool {
-	last := time.Duration(h.lastRequest.Load())
+func (h *handler) withinQuietPeriod(at time.Duration) bool {
+	last := time.Duration(h.lastRequestAt.Load())
 	return h.loop.clock.now()-max(at, last) < quietPeriod
 }
 
--- a/internal/node/harness_loop_test.go
+++ b/internal/node/harness_loop_test.go
@@ -62,7 +62,7 @@
 func forwardedTestRequest() *upstream.Request {
 	return &upstream.Request{
 		Method: "POST", URL: &url.URL{Path: "/pay"}, Host: "x", Header: http.Header{}, Body: []byte("b"),
-		ResponseReadTimeout: maxResponseRead,
+		ResponseReadTimeout: maxResponseReadTimeout,
 	}
 }
 
@@ -121,10 +121,10 @@
 	description := fmt.Sprintf("%d requests with %d attempts in flight", requests, inFlight)
 	l.untilInLoop(description, func() bool {
 		sum := 0
-		for _, r := range l.requests.active {
+		for _, r := range l.requests.byID {
 			sum += r.inFlight
 		}
-		return len(l.requests.active) == requests && sum == inFlight
+		return len(l.requests.byID) == requests && sum == inFlight
 	})
 }
 
--- a/internal/node/host.go
+++ b/internal/node/host.go
@@ -33,14 +33,14 @@
 	if req == nil {
 		return
 	}
-	now := h.clock.now()
-	started := &attempt{server: server, sentAt: now, call: h.newCall(req.client.ClientDisconnected)}
-	index := req.start(started)
-	if req.state != requestActive || index >= h.maxAttempts || now >= req.deadline {
+	startedAt := h.clock.now()
+	started := &attempt{server: server, startedAt: startedAt, call: h.newCall(req.client.ClientDisconnected)}
+	index := req.startAttempt(started)
+	if req.state != requestActive || index >= h.maxAttempts || startedAt >= req.deadline {
 		h.queue.deferEvent(outcomeReceived{req, index, upstream.Result{Status: policy.NotSent}})
 		return
 	}
-	if timeout > 0 && now+timeout < req.deadline {
+	if timeout > 0 && startedAt+timeout < req.deadline {
 		started.timer = time.AfterFunc(timeout, func() {
 			h.queue.post(outcomeReceived{req, index, upstream.Result{Status: policy.Timeout}})
 		})
@@ -63,7 +63,7 @@
 	if class.Idempotency != policy.IdempotentWithKey || !isRetry {
 		return
 	}
-	retentionEnd := h.clock.toTime(req.attempts[first].sentAt + class.KeyRetention)
+	retentionEnd := h.clock.toTime(req.attempts[first].startedAt + class.KeyRetention)
 	for _, a := range req.attempts[first:] {
 		a.call.SetWriteDeadline(retentionEnd)
 	}
--- a/internal/node/key_retention_test.go
+++ b/internal/node/key_retention_test.go
@@ -51,19 +51,19 @@
 	r.deadlineTimer = time.NewTimer(time.Hour)
 
 	l.inLoop(func() {
-		r.arrive(1000)
+		r.activate(1000)
 		l.requests.add(r)
 		l.host.Send(r.id, servers[0], 0)
 		if c.first != policy.Cancelled {
 			l.reportOutcome(l.clock.now(), r, 0, upstream.Result{Status: c.first})
 		}
 		if c.expires {
-			r.attempts[0].sentAt += 20*time.Millisecond - retention
+			r.attempts[0].startedAt += 20*time.Millisecond - retention
 		}
 		l.host.Send(r.id, servers[1], 0)
 	})
 	testkit.Until(t, "the retention's end", func() bool { // which is under test
-		return !c.expires || l.clock.now() >= r.attempts[0].sentAt+retention
+		return !c.expires || l.clock.now() >= r.attempts[0].startedAt+retention
 	})
 	sent := stuck.Admit()
 
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -51,10 +51,10 @@
 		return nil, err
 	}
 	endpoints := &discoveryHandler{
-		clock:  clock,
-		queue:  queue,
-		starts: processstart.NewRegistry(clock.origin, cfg.Policy.Rules.SlowStartDuration),
-		zones:  cfg.Zones,
+		clock:         clock,
+		queue:         queue,
+		processStarts: processstart.NewRegistry(clock.origin, cfg.Policy.Rules.SlowStartDuration),
+		zones:         cfg.Zones,
 	}
 	return &loop{
 		clock:      clock,
@@ -85,14 +85,14 @@
 // handle handles an event and those that policyHost defers meanwhile. The time of an event is when the loop
 // takes it from the queue, not when it was posted.
 func (l *loop) handle(next event) {
-	for ; next != nil; next = l.queue.takeDeferred() {
+	for ; next != nil; next = l.queue.popDeferred() {
 		next.handle(l, l.clock.now())
 	}
 }
 
 // submit passes a request to the balancer and waits for its final response. The error is
 // errClientDisconnected, also when ctx ends. The balancer decides nothing once the loop has ended: a request
-// that comes later is rejected, and one that was active then gets lastResponse.
+// that comes later is rejected, and one that was active then gets responseAfterLoopEnd.
 func (l *loop) submit(ctx context.Context, req *request) (response, error) {
 	req.completion = make(chan completion, 1)
 	if !l.queue.post(requestArrived{req}) {
@@ -105,13 +105,13 @@
 		l.queue.post(clientDisconnected{req})
 		return response{}, errClientDisconnected
 	case <-l.queue.done:
-		return lastResponse(req)
+		return responseAfterLoopEnd(req)
 	}
 }
 
-// lastResponse returns the final response to a request that was active as the loop ended. Without a decision
-// of the balancer, the request has failed.
-func lastResponse(req *request) (response, error) {
+// responseAfterLoopEnd returns the final response to a request that was active as the loop ended. Without a
+// decision of the balancer, the request has failed.
+func responseAfterLoopEnd(req *request) (response, error) {
 	select {
 	case final := <-req.completion:
 		return final.response, final.err
@@ -127,11 +127,11 @@
 
 // terminateAll makes the balancer complete every active request. Later requests are rejected at once, before
 // any attempt.
-func (l *loop) terminateAll() { l.queue.post(terminated{}) }
+func (l *loop) terminateAll() { l.queue.post(terminationRequested{}) }
 
-// arrive passes a new request to the balancer, or rejects it after termination.
-func (l *loop) arrive(now time.Duration, req *request) {
-	req.arrive(l.requests.newID())
+// addRequest passes a new request to the balancer, or rejects it after termination.
+func (l *loop) addRequest(now time.Duration, req *request) {
+	req.activate(l.requests.newID())
 	if l.terminated {
 		req.complete(completion{response: l.terminationResponse()})
 		return
@@ -145,8 +145,8 @@
 	l.release(req)
 }
 
-// disconnect completes a request whose client has disconnected: no final response is due any more.
-func (l *loop) disconnect(now time.Duration, req *request) {
+// completeDisconnected completes a request whose client has disconnected: no final response is due any more.
+func (l *loop) completeDisconnected(now time.Duration, req *request) {
 	if !req.complete(completion{err: errClientDisconnected}) {
 		return
 	}
@@ -166,7 +166,7 @@
 // disconnected, the loop has not handled clientDisconnected yet: the request is completed first.
 func (l *loop) receiveOutcome(now time.Duration, req *request, index int, result upstream.Result) {
 	if result.ClientDisconnected {
-		l.disconnect(now, req)
+		l.completeDisconnected(now, req)
 	}
 	l.reportOutcome(now, req, index, result)
 }
@@ -180,7 +180,7 @@
 
 // reportOutcome reports the first outcome of an attempt to the balancer; later ones are dropped.
 func (l *loop) reportOutcome(now time.Duration, req *request, index int, result upstream.Result) {
-	if !req.report(index, result.Status) {
+	if !req.endAttempt(index, result.Status) {
 		return
 	}
 	if result.Status == policy.OK {
@@ -189,7 +189,7 @@
 	reported := req.attempts[index]
 	l.balancer.Outcome(now, policy.Outcome{
 		ID: req.id, Attempt: index, Server: reported.server, Status: result.Status,
-		RequestCompleted: req.state != requestActive, Latency: now - reported.sentAt,
+		RequestCompleted: req.state != requestActive, Latency: now - reported.startedAt,
 	})
 	l.release(req)
 }
@@ -209,16 +209,18 @@
 // reports their outcomes after the update, so that the balancer sends their requests
 // to servers of the new list.
 func (l *loop) updateEndpoints(now time.Duration, update endpointsUpdated) {
-	revoked := l.requests.revokeAttemptsAt(l.pool.UpdateEndpoints(update.kind, update.forPool))
+	revoked := l.requests.revokeAttemptsTo(l.pool.UpdateEndpoints(update.kind, update.forPool))
 	l.balancer.UpdateEndpoints(now, update.kind, update.forBalancer)
 	for _, a := range revoked {
 		l.reportOutcome(now, a.request, a.index, upstream.Result{Status: policy.NotSent})
 	}
 }
 
-// failWatch reports a failed watch. The balancer requests another one before the node counts as notified of
-// the changes that it has missed.
-func (l *loop) failWatch(now, notifiedAt time.Duration) { l.balancer.WatchFailed(now, notifiedAt) }
+// reportWatchFailure reports a failed watch. The balancer requests another one before the node counts as
+// notified of the changes that it has missed.
+func (l *loop) reportWatchFailure(now, notifiedAt time.Duration) {
+	l.balancer.WatchFailed(now, notifiedAt)
+}
 
 // terminate makes the balancer complete every active request, and rejects later ones.
 func (l *loop) terminate(now time.Duration) {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -25,7 +25,7 @@
 )
 
 const (
-	ownDescriptors = 24 // standard streams, runtime, listener, discovery
+	baseDescriptors = 24 // standard streams, runtime, listener, discovery
 	// upstreamShare is the share of the other descriptors that connections to servers get. Clients get more, as
 	// their connections may be unused or idle.
 	upstreamShare = 0.45
@@ -69,17 +69,17 @@
 func (n *Node) Run(ctx context.Context) error {
 	defer func() { _ = n.listener.Close() }() // closed before, unless Run failed
 	// The node's parts outlive ctx, whose end only begins the shutdown.
-	partsCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
-	s, err := newService(partsCtx, n)
+	backgroundCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	s, err := newService(backgroundCtx, n)
 	if err != nil {
 		cancel()
 		return err
 	}
 	defer s.stop(cancel)
-	s.start(partsCtx)
+	s.start(backgroundCtx)
 	slog.Info("serving", "name", n.cfg.Name, "addr", n.Addr().String())
 	serveErr := s.awaitShutdown(ctx)
-	shutdownErr := s.shutdown(partsCtx)
+	shutdownErr := s.shutdown(backgroundCtx)
 	if serveErr != nil {
 		return serveErr
 	}
@@ -97,7 +97,7 @@
 	handler     *handler
 	server      *http.Server
 	serveResult chan error     // gets what server.Serve returned
-	parts       sync.WaitGroup // goroutines that end with the context of the parts
+	background  sync.WaitGroup // goroutines that end with the context of the parts
 }
 
 func newService(ctx context.Context, n *Node) (*service, error) {
@@ -124,9 +124,9 @@
 
 // start starts the parts' goroutines, which end with ctx, and that of the HTTP server.
 func (s *service) start(ctx context.Context) {
-	s.parts.Go(s.loop.run)
-	s.parts.Go(func() { s.pool.RetireIdle(ctx) })
-	s.parts.Go(func() { s.discovery.Run(ctx, s.loop.endpoints) })
+	s.background.Go(s.loop.run)
+	s.background.Go(func() { s.pool.RetireIdle(ctx) })
+	s.background.Go(func() { s.discovery.Run(ctx, s.loop.endpoints) })
 	go func() { s.serveResult <- s.server.Serve(s.listener) }()
 }
 
@@ -145,10 +145,10 @@
 // stop closes the remaining connections, cancels the parts and waits for their goroutines.
 // Serve has returned by then; the goroutines of handlers return with their connections and the
 // loop. After a shutdown each request has its final response, unless its client does not read it.
-func (s *service) stop(cancelParts context.CancelFunc) {
+func (s *service) stop(cancelBackground context.CancelFunc) {
 	_ = s.server.Close() // the listener may be closed before
-	cancelParts()
-	s.parts.Wait()
+	cancelBackground()
+	s.background.Wait()
 }
 
 // connectionLimits are the largest numbers of connections that may be open.
@@ -160,10 +160,10 @@
 
 // divideDescriptors divides the file descriptors of a node between its connections.
 func divideDescriptors(descriptors int) connectionLimits {
-	available := descriptors - ownDescriptors
-	servers := int(upstreamShare * float64(available))
+	available := descriptors - baseDescriptors
+	upstreamLimit := int(upstreamShare * float64(available))
 	reserve := available / reserveDivisor
-	return connectionLimits{upstream: servers, downstream: available - servers - reserve, reserve: reserve}
+	return connectionLimits{upstream: upstreamLimit, downstream: available - upstreamLimit - reserve, reserve: reserve}
 }
 
 func upstreamConfig(cfg *config.Config, maxOpen int) upstream.Config {
@@ -175,7 +175,7 @@
 
 func downstreamConfig(maxOpen, reserve int) downstream.Config {
 	return downstream.Config{
-		MaxOpen: maxOpen, Reserve: reserve, MaxReadAhead: maxHeader + maxBody,
+		MaxOpen: maxOpen, Reserve: reserve, MaxReadAhead: maxHeaderBytes + maxBodyBytes,
 		ReadTimeout: readTimeout, LingerTimeout: downstream.DefaultLingerTimeout,
 	}
 }
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -39,9 +39,9 @@
 
 // attempt is one send of a request. Only the loop's goroutine uses it.
 type attempt struct {
-	call   *upstream.Call
-	server policy.ServerID
-	sentAt time.Duration // on the node's clock
-	state  attemptState
-	timer  *time.Timer // ends the attempt before the request's deadline; may be nil
+	call      *upstream.Call
+	server    policy.ServerID
+	startedAt time.Duration // on the node's clock
+	state     attemptState
+	timer     *time.Timer // ends the attempt before the request's deadline; may be nil
 }
--- a/internal/node/request_parser.go
+++ b/internal/node/request_parser.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	maxIDLength  = 128 // bytes of an X-Request-ID
-	maxValueBits = 31  // of numbers in headers
+	maxIDLength   = 128 // bytes of an X-Request-ID
+	maxNumberBits = 31  // of numbers in headers
 	// responseMargin is the time between the deadline for the final response and that of the client. The request
 	// has to travel to this node, and the response back to the client.
 	responseMargin = 10 * time.Millisecond
@@ -51,7 +51,7 @@
 		return nil, err
 	}
 	return &request{
-		Request:  forwardedRequest(r, body, class),
+		Request:  newUpstreamRequest(r, body, class),
 		class:    classIndex,
 		tenant:   tenant,
 		costHint: parseCostHint(r),
@@ -92,7 +92,7 @@
 
 // parseTimeout returns how long the client waits for its response.
 func parseTimeout(r *http.Request) (time.Duration, error) {
-	timeout, err := strconv.ParseUint(singleValue(r.Header["X-Timeout-Ms"]), 10, maxValueBits)
+	timeout, err := strconv.ParseUint(singleValue(r.Header["X-Timeout-Ms"]), 10, maxNumberBits)
 	if err != nil || timeout == 0 {
 		return 0, badRequest("X-Timeout-Ms is missing or no whole number of milliseconds")
 	}
@@ -102,7 +102,7 @@
 // parseCostHint returns the client's estimate of the work, which the header gives in microseconds. It is 0 if
 // the header is missing or malformed.
 func parseCostHint(r *http.Request) time.Duration {
-	hint, _ := strconv.ParseUint(singleValue(r.Header["X-Cost"]), 10, maxValueBits)
+	hint, _ := strconv.ParseUint(singleValue(r.Header["X-Cost"]), 10, maxNumberBits)
 	return time.Duration(hint) * time.Microsecond
 }
 
--- a/internal/node/request_table.go
+++ b/internal/node/request_table.go
@@ -7,31 +7,31 @@
 
 // requestTable holds the active requests by ID. Only the loop's goroutine uses it.
 type requestTable struct {
-	active map[policy.RequestID]*request
+	byID   map[policy.RequestID]*request
 	lastID policy.RequestID
 }
 
 func newRequestTable() *requestTable {
-	return &requestTable{active: map[policy.RequestID]*request{}}
+	return &requestTable{byID: map[policy.RequestID]*request{}}
 }
 
 // newID returns an ID that no active request has: IDs wrap around after 2^32 requests.
 func (t *requestTable) newID() policy.RequestID {
 	t.lastID++
-	for t.active[t.lastID] != nil {
+	for t.byID[t.lastID] != nil {
 		t.lastID++
 	}
 	return t.lastID
 }
 
 // add adds a request under its ID.
-func (t *requestTable) add(req *request) { t.active[req.id] = req }
+func (t *requestTable) add(req *request) { t.byID[req.id] = req }
 
 // get returns the active request with an ID, nil if there is none.
-func (t *requestTable) get(id policy.RequestID) *request { return t.active[id] }
+func (t *requestTable) get(id policy.RequestID) *request { return t.byID[id] }
 
 // remove removes a request.
-func (t *requestTable) remove(req *request) { delete(t.active, req.id) }
+func (t *requestTable) remove(req *request) { delete(t.byID, req.id) }
 
 // attemptRef identifies an attempt.
 type attemptRef struct {
@@ -39,12 +39,12 @@
 	index   int // of the attempt in the request
 }
 
-// revokeAttemptsAt revokes the attempts to the given servers that still wait for a connection, and returns
+// revokeAttemptsTo revokes the attempts to the given servers that still wait for a connection, and returns
 // them. Such an attempt could be sent after the grace period of a drain, or reach another process at the same
 // address.
-func (t *requestTable) revokeAttemptsAt(servers upstream.RevokedServers) []attemptRef {
+func (t *requestTable) revokeAttemptsTo(servers upstream.RevokedServers) []attemptRef {
 	var revoked []attemptRef
-	for _, req := range t.active {
+	for _, req := range t.byID {
 		for index, a := range req.attempts {
 			if a.state == attemptInFlight && servers.Contains(a.server) && a.revoke() {
 				revoked = append(revoked, attemptRef{req, index})
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -55,8 +55,8 @@
 type shutdown struct {
 	*service
 	gracePeriod  time.Duration
-	began        time.Time
-	beganOnClock time.Duration
+	startTime    time.Time
+	startOnClock time.Duration
 	deadline     time.Time // end of the grace period
 	terminated   bool      // terminateRequests has terminated the requests
 }
@@ -65,21 +65,21 @@
 // period. It returns an error if accepting connections failed.
 func (s *service) shutdown(ctx context.Context) error {
 	gracePeriod := shutdownGracePeriod(s.cfg)
-	began, beganOnClock := time.Now(), s.loop.clock.now()
-	sequence := &shutdown{
+	startTime, startOnClock := time.Now(), s.loop.clock.now()
+	sd := &shutdown{
 		service:      s,
 		gracePeriod:  gracePeriod,
-		began:        began,
-		beganOnClock: beganOnClock,
-		deadline:     began.Add(gracePeriod),
+		startTime:    startTime,
+		startOnClock: startOnClock,
+		deadline:     startTime.Add(gracePeriod),
 	}
-	return sequence.run(ctx)
+	return sd.run(ctx)
 }
 
 // run carries out the steps of a shutdown in a fixed order. Each begins at its time, or later in a process that
 // was paused; none is left out. run does not use http.Server.Shutdown, which drops requests that are being read.
 func (s *shutdown) run(ctx context.Context) error {
-	s.withdrawReadiness()
+	s.failReadiness()
 	s.serveUntilQuiet()
 	s.startDraining()
 	s.drainUntilTermination(ctx)
@@ -93,8 +93,8 @@
 	return err
 }
 
-// withdrawReadiness fails the health checks from now on, so that clients are assigned to other nodes.
-func (s *shutdown) withdrawReadiness() {
+// failReadiness fails the health checks from now on, so that clients are assigned to other nodes.
+func (s *shutdown) failReadiness() {
 	slog.Info("shutting down", "grace_period", s.gracePeriod)
 	s.handler.shuttingDown.Store(true)
 }
@@ -103,7 +103,7 @@
 // have no other node to go to.
 func (s *shutdown) serveUntilQuiet() {
 	limit := s.gracePeriod - drainPeriod
-	for s.loop.clock.now()-s.beganOnClock < limit && s.handler.activeSince(s.beganOnClock) {
+	for s.loop.clock.now()-s.startOnClock < limit && s.handler.withinQuietPeriod(s.startOnClock) {
 		time.Sleep(quietPollInterval)
 	}
 }
@@ -117,9 +117,9 @@
 // drainUntilTermination closes the clients' connections as they become idle until none is open, or until
 // the termination period.
 func (s *shutdown) drainUntilTermination(ctx context.Context) {
-	limit, cancel := context.WithDeadline(ctx, s.deadline.Add(-terminationPeriod))
+	limitCtx, cancel := context.WithDeadline(ctx, s.deadline.Add(-terminationPeriod))
 	defer cancel()
-	s.conns.Drain(limit)
+	s.conns.Drain(limitCtx)
 }
 
 // terminateRequests completes all active requests, and rejects those that still arrive. It does nothing if no
@@ -136,9 +136,9 @@
 // stopAccepting closes the listener once the connections in its queue are accepted. It returns an error if
 // accepting ended for another reason.
 func (s *shutdown) stopAccepting(ctx context.Context) error {
-	limit, cancel := s.withWritePeriod(ctx)
+	limitCtx, cancel := s.withWritePeriod(ctx)
 	defer cancel()
-	s.listener.StopAccepting(limit)
+	s.listener.StopAccepting(limitCtx)
 	if err := <-s.serveResult; !errors.Is(err, net.ErrClosed) {
 		return fmt.Errorf("serve: %w", err)
 	}
@@ -148,17 +148,17 @@
 // drainUntilDeadline goes on draining until the end of the grace period, but for terminationPeriod at least:
 // clients may have just connected and be sending a request.
 func (s *shutdown) drainUntilDeadline(ctx context.Context) {
-	limit, cancel := context.WithTimeout(ctx, max(terminationPeriod, time.Until(s.deadline)))
+	limitCtx, cancel := context.WithTimeout(ctx, max(terminationPeriod, time.Until(s.deadline)))
 	defer cancel()
-	s.conns.Drain(limit)
+	s.conns.Drain(limitCtx)
 }
 
 // closeConnections closes the connections without a request. It returns when each request that was read
 // has its response, or at the end of the write period.
 func (s *shutdown) closeConnections(ctx context.Context) {
-	limit, cancel := s.withWritePeriod(ctx)
+	limitCtx, cancel := s.withWritePeriod(ctx)
 	defer cancel()
-	s.conns.Shutdown(limit)
+	s.conns.Shutdown(limitCtx)
 }
 
 // withWritePeriod returns the context of one of the last steps. It leaves minWritePeriod at least, as a step
@@ -169,14 +169,14 @@
 
 // logStep logs that a step of the shutdown begins.
 func (s *shutdown) logStep(step string) {
-	open := s.conns.Stats()
-	slog.Info(step, "connections", open.Open, "active", open.Active)
+	stats := s.conns.Stats()
+	slog.Info(step, "connections", stats.Open, "active", stats.Active)
 }
 
 // logCompletion logs the end of a shutdown and the results of all requests since the node's start.
 func (s *shutdown) logCompletion() {
-	remaining := s.conns.Stats()
-	slog.Info("shutdown complete", "took", time.Since(s.began).Round(time.Millisecond),
-		"connections", remaining.Open, "unanswered", remaining.Active,
-		"evicted", remaining.Evicted, "incomplete", remaining.Incomplete, "requests", &s.handler.stats)
+	stats := s.conns.Stats()
+	slog.Info("shutdown complete", "took", time.Since(s.startTime).Round(time.Millisecond),
+		"connections", stats.Open, "unanswered", stats.Active,
+		"evicted", stats.Evicted, "incomplete", stats.Incomplete, "requests", &s.handler.stats)
 }
--- a/internal/node/transitions.go
+++ b/internal/node/transitions.go
@@ -6,10 +6,10 @@
 // loop's goroutine.
 //
 //	transition  from       to         made by
-//	arrive      new        active     loop.arrive, once the handler has submitted the request
-//	complete    active     completed  loop.arrive, after termination: rejected
+//	activate    new        active     loop.addRequest, once the handler has submitted the request
+//	complete    active     completed  loop.addRequest, after termination: rejected
 //	                                  loop.reportOutcome: the response of its first successful attempt
-//	                                  loop.disconnect: no response
+//	                                  loop.completeDisconnected: no response
 //	                                  policyHost.Reject, policyHost.Fail: the balancer's decision
 //	release     completed  released   loop.release, once no attempt is in flight
 //
@@ -35,19 +35,19 @@
 //	                                          the idempotency key
 //	                                          loop.updateEndpoints: the server was removed, drains, or
 //	                                          was restarted
-//	report      in flight  reported, or       loop.reportOutcome, with the first outcome: of the attempt's
+//	end         in flight  maybe executed or  loop.reportOutcome, with the first outcome: of the attempt's
 //	                       not executed       goroutine, its timer, its revocation, the request's
 //	                                          deadline or policyHost.Cancel
 type attemptState uint8
 
 const (
-	attemptInFlight    attemptState = iota // the balancer has no outcome yet
-	attemptReported                        // the balancer has its outcome; it may have been executed
-	attemptNotExecuted                     // the balancer has its outcome; it has not been executed
+	attemptInFlight      attemptState = iota // the balancer has no outcome yet
+	attemptMaybeExecuted                     // the balancer has its outcome; it may have been executed
+	attemptNotExecuted                       // the balancer has its outcome; it has not been executed
 )
 
-// arrive makes a new request active under its ID.
-func (r *request) arrive(id policy.RequestID) {
+// activate makes a new request active under its ID.
+func (r *request) activate(id policy.RequestID) {
 	r.id = id
 	r.state = requestActive
 }
@@ -77,20 +77,20 @@
 	return true
 }
 
-// start adds an attempt in flight and returns its index.
-func (r *request) start(a *attempt) int {
+// startAttempt adds an attempt in flight and returns its index.
+func (r *request) startAttempt(a *attempt) int {
 	r.attempts = append(r.attempts, a)
 	r.inFlight++
 	return len(r.attempts) - 1
 }
 
-// report records the outcome of the attempt with an index. It reports false if the attempt has one already.
-func (r *request) report(index int, status policy.Status) bool {
+// endAttempt records the outcome of the attempt with an index. It reports false if the attempt has one already.
+func (r *request) endAttempt(index int, status policy.Status) bool {
 	a := r.attempts[index]
 	if a.state != attemptInFlight {
 		return false
 	}
-	a.state = attemptReported
+	a.state = attemptMaybeExecuted
 	if status.NotExecuted() {
 		a.state = attemptNotExecuted
 	}
--- a/internal/node/validation_test.go
+++ b/internal/node/validation_test.go
@@ -35,7 +35,7 @@
 		"no key":         {"push", func(r *http.Request) { r.Header.Del("Idempotency-Key") }, 400},
 		"unsafe, keyed":  {"pay", func(r *http.Request) { r.Header.Set("Idempotency-Key", "k") }, 400},
 		"large body": {"pay", func(r *http.Request) {
-			r.Body, r.ContentLength = io.NopCloser(strings.NewReader(strings.Repeat("x", maxBody+1))), maxBody+1
+			r.Body, r.ContentLength = io.NopCloser(strings.NewReader(strings.Repeat("x", maxBodyBytes+1))), maxBodyBytes+1
 		}, 413},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -140,7 +140,7 @@
 // The read of a response takes half of its class's latency objective at most. If the objective is short, an
 // incomplete response would otherwise leave no time for the next attempt.
 func TestResponseReadTimeoutLeavesTimeForARetry(t *testing.T) {
-	for objective, want := range map[int]time.Duration{60: 30 * time.Millisecond, 2000: maxResponseRead} {
+	for objective, want := range map[int]time.Duration{60: 30 * time.Millisecond, 2000: maxResponseReadTimeout} {
 		cfg := testConfig(t, testkit.NewRegistry(t), withDeadlines(objective*4/3))
 		parser := requestParser{cfg, newClock()}
 		n := &testNode{t: t, addr: "x"}
