--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,12 +1,12 @@
-// Package node is the load balancer on real sockets. It owns a node's parts from start to
-// graceful shutdown: the HTTP handler for clients, and the event loop that drives package
-// policy and carries out its actions over packages upstream and discovery. It makes no
-// balancing decision of its own, and only the loop's goroutine calls the policy.Balancer.
-// The balancer program is its caller.
+// Package node runs one load balancer node on real sockets, from its start to the end of its
+// graceful shutdown. An HTTP handler validates the requests of clients and submits them to an
+// event loop. The loop passes them to package policy and carries out the decisions over packages
+// upstream and discovery. Package node makes no balancing decision of its own, and only the
+// loop's goroutine calls the policy.Balancer. The balancer program is its caller.
 //
-// The types event, requestState and attemptState say what may happen while a node serves,
-// shutdown.run in which order it stops. If the listener fails, the node logs "accepting
-// connections failed" and shuts down gracefully.
+// The event types list what the loop handles. requestState and attemptState document the state
+// transitions of requests and attempts, shutdown.run the order of the shutdown steps. If the
+// listener fails, the node logs "accepting connections failed" and shuts down gracefully.
 package node
 
 import (
@@ -25,22 +25,24 @@
 )
 
 const (
-	baseDescriptors = 24 // standard streams, runtime, listener, discovery
-	// upstreamShare is the share of the other descriptors that connections to servers get. Clients get more, as
-	// their connections may be unused or idle.
+	// baseDescriptors are the file descriptors for standard streams, runtime, listener and discovery.
+	baseDescriptors = 24
+	// upstreamShare is the fraction of the remaining descriptors that is available for connections to servers.
+	// Client connections get the larger part because some of them are unused or idle.
 	upstreamShare = 0.45
-	// reserveDivisor divides the other descriptors: one part is for clients over the limit, which are rejected.
+	// reserveDivisor determines how many of the remaining descriptors are reserved for clients over the connection
+	// limit, whose requests are rejected: one in reserveDivisor.
 	reserveDivisor = 20
 )
 
-// Node is one load balancer. Create it with Listen.
+// Node is one load balancer node. Listen creates it, Run serves.
 type Node struct {
 	cfg       *config.Config
 	listener  net.Listener
 	discovery *discovery.Client
 }
 
-// Listen opens the node's listener. Clients that connect wait until Run.
+// Listen creates a node and opens its listener. Connections stay in the accept queue until Run is called.
 func Listen(cfg *config.Config) (*Node, error) {
 	var listener net.Listener
 	err := syserror.Retry(func() error {
@@ -57,18 +59,18 @@
 	return &Node{cfg: cfg, listener: listener, discovery: client}, nil
 }
 
-// Addr returns the address at which the node listens.
+// Addr returns the address on which the node listens.
 func (n *Node) Addr() net.Addr { return n.listener.Addr() }
 
-// SetDiscoveryAddress makes the node follow the endpoint list at another address. It must not be
-// called concurrently.
+// SetDiscoveryAddress makes the node follow the endpoint list of the discovery service at addr. It must not be
+// called concurrently with itself.
 func (n *Node) SetDiscoveryAddress(addr string) { n.discovery.SetAddress(addr) }
 
-// Run serves until the context ends or no connection can be accepted any more, then shuts down
-// gracefully: it completes the requests that were accepted. It returns an error if serving failed.
+// Run serves until ctx ends or the listener fails. It then shuts down gracefully, completing all accepted
+// requests. It returns an error if the listener failed.
 func (n *Node) Run(ctx context.Context) error {
-	defer func() { _ = n.listener.Close() }() // closed before, unless Run failed
-	// The node's parts outlive ctx, whose end only begins the shutdown.
+	defer func() { _ = n.listener.Close() }() // already closed, unless Run failed early
+	// The background goroutines must outlive ctx, since the end of ctx only starts the shutdown.
 	backgroundCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	s, err := newService(backgroundCtx, n)
 	if err != nil {
@@ -86,18 +88,18 @@
 	return shutdownErr
 }
 
-// service owns the parts of a running node and their goroutines.
+// service holds the components of a running node and their goroutines.
 type service struct {
 	cfg         *config.Config
-	listener    *downstream.Listener // admits clients within the limits
+	listener    *downstream.Listener // admits client connections within the limits
 	discovery   *discovery.Client
 	pool        *upstream.Pool
 	loop        *loop
 	conns       *downstream.Conns
 	handler     *handler
 	server      *http.Server
-	serveResult chan error     // gets what server.Serve returned
-	background  sync.WaitGroup // goroutines that end with the context of the parts
+	serveResult chan error     // receives the result of server.Serve
+	background  sync.WaitGroup // goroutines that end with the context passed to start
 }
 
 func newService(ctx context.Context, n *Node) (*service, error) {
@@ -122,7 +124,7 @@
 	}, nil
 }
 
-// start starts the parts' goroutines, which end with ctx, and that of the HTTP server.
+// start starts the background goroutines, which end with ctx, and the HTTP server.
 func (s *service) start(ctx context.Context) {
 	s.background.Go(s.loop.run)
 	s.background.Go(func() { s.pool.RetireIdle(ctx) })
@@ -130,35 +132,35 @@
 	go func() { s.serveResult <- s.server.Serve(s.listener) }()
 }
 
-// awaitShutdown returns nil when the context ends, and an error if serving ends before.
+// awaitShutdown waits until ctx ends and returns nil, or returns an error if the listener fails first.
 func (s *service) awaitShutdown(ctx context.Context) error {
 	select {
 	case err := <-s.serveResult:
 		slog.Error("accepting connections failed", "err", err)
-		s.serveResult <- err // shutdown waits for it
+		s.serveResult <- err // stopAccepting receives it
 		return fmt.Errorf("serve: %w", err)
 	case <-ctx.Done():
 		return nil
 	}
 }
 
-// stop closes the remaining connections, cancels the parts and waits for their goroutines.
-// Serve has returned by then; the goroutines of handlers return with their connections and the
-// loop. After a shutdown each request has its final response, unless its client does not read it.
+// stop closes the remaining connections, cancels the background goroutines and waits for them. Serve must have
+// returned. Handler goroutines are not waited for: they return once their connections are closed and the loop has
+// ended. After a graceful shutdown, each request has its final response unless its client does not read it.
 func (s *service) stop(cancelBackground context.CancelFunc) {
-	_ = s.server.Close() // the listener may be closed before
+	_ = s.server.Close() // fails if the listener is already closed
 	cancelBackground()
 	s.background.Wait()
 }
 
-// connectionLimits are the largest numbers of connections that may be open.
+// connectionLimits are the maximum numbers of open connections.
 type connectionLimits struct {
 	upstream   int // to servers
 	downstream int // from clients
-	reserve    int // from clients over the limit
+	reserve    int // from clients over the downstream limit
 }
 
-// divideDescriptors divides the file descriptors of a node between its connections.
+// divideDescriptors divides the file descriptors of a node among its upstream and downstream connections.
 func divideDescriptors(descriptors int) connectionLimits {
 	available := descriptors - baseDescriptors
 	upstreamLimit := int(upstreamShare * float64(available))
