--- a/internal/node/handler.go
+++ b/internal/node/handler.go
@@ -13,31 +13,31 @@
 )
 
 const (
-	maxHeaderBytes = 16 << 10 // bytes of a request's head
-	// readTimeout is how long a client may take to send a request, from its connection or the request's first
-	// byte on, whatever the request's deadline. A client that sends half a request has to be disconnected
-	// within 3 s of connecting.
+	maxHeaderBytes = 16 << 10 // of the request line and header fields
+	// readTimeout limits how long a client may take to send a request, measured from the start of the connection
+	// or from the first byte of the request. It does not depend on the request's deadline. A client that sends an
+	// incomplete request has to be disconnected within 3 s of connecting.
 	readTimeout = 2 * time.Second
-	// idleTimeout is how long a client's connection may wait for its next request.
+	// idleTimeout limits how long a client connection may be idle between requests.
 	idleTimeout = 10 * time.Second
-	// writeTimeout is how long after a request's deadline its client may still read the response. Without it, a
-	// client that reads nothing would keep its connection open.
+	// writeTimeout limits how long after a request's deadline the response may still be written. Without it, a
+	// client that does not read would keep its connection open.
 	writeTimeout = 500 * time.Millisecond
 	// readinessPath is the path of the health check.
 	readinessPath = "/health/ready"
 )
 
-// handler serves the clients' HTTP requests: it validates them, submits them to the loop
-// and writes the final responses.
+// handler serves the HTTP requests of clients: it validates them, submits them to the loop and writes the final
+// responses.
 type handler struct {
 	cfg           *config.Config
 	parser        requestParser
 	loop          *loop
 	conns         *downstream.Conns
-	shuttingDown  atomic.Bool  // the node is not ready any more
-	draining      atomic.Bool  // responses close their connections
-	lastRequestAt atomic.Int64 // when a request was last accepted, a time.Duration on the node's clock
-	activeIDs     requestIDs   // of the requests that have no final response yet
+	shuttingDown  atomic.Bool  // health checks fail
+	draining      atomic.Bool  // each response closes its connection
+	lastRequestAt atomic.Int64 // time.Duration on the node's clock: when a request was last accepted
+	activeIDs     requestIDs   // X-Request-IDs of requests without a final response
 	stats         requestStats
 }
 
@@ -45,7 +45,7 @@
 	return &handler{cfg: cfg, parser: requestParser{cfg, loop.clock}, loop: loop, conns: conns}
 }
 
-// server returns an HTTP server for the connections of h.conns.
+// server returns an HTTP server that serves the connections of h.conns.
 func (h *handler) server() *http.Server {
 	return &http.Server{
 		Handler: h, MaxHeaderBytes: maxHeaderBytes, ReadTimeout: readTimeout, IdleTimeout: idleTimeout,
@@ -56,16 +56,16 @@
 	}
 }
 
-// connKey is the key of a request's net.Conn in its context.
+// connKey is the context key of the net.Conn on which a request was received.
 type connKey struct{}
 
 // ServeHTTP implements http.Handler.
 func (h *handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if h.draining.Load() {
-		w.Header().Set("Connection", "close") // clients move to other nodes
+		w.Header().Set("Connection", "close") // makes the client reconnect, to another node
 	}
 	if err := h.serve(w, r); err != nil {
-		panic(http.ErrAbortHandler) // nobody waits for a response: net/http closes the connection
+		panic(http.ErrAbortHandler) // the client has disconnected: net/http closes the connection
 	}
 	if conn := clientConnection(r); conn != nil && w.Header().Get("Connection") != "" {
 		if err := http.NewResponseController(w).Flush(); err == nil {
@@ -74,14 +74,14 @@
 	}
 }
 
-// clientConnection returns the connection of a request, nil if package downstream did not accept it.
+// clientConnection returns the connection of a request, or nil if it is not a *downstream.Conn.
 func clientConnection(r *http.Request) *downstream.Conn {
 	conn, _ := r.Context().Value(connKey{}).(*downstream.Conn)
 	return conn
 }
 
-// serve writes the response to a request, and counts invalid requests and disconnected clients. The only error is
-// errClientDisconnected: then there is no response to write.
+// serve responds to a request, and counts invalid requests and disconnected clients. The only error it returns is
+// errClientDisconnected, in which case no response was written.
 func (h *handler) serve(w http.ResponseWriter, r *http.Request) error {
 	err := h.route(w, r)
 	if errors.Is(err, errClientDisconnected) {
@@ -95,8 +95,8 @@
 	return nil
 }
 
-// route serves a health check or a request to be forwarded. The error is that of checkFraming or
-// forward.
+// route checks the framing of a request and serves it as a health check or forwards it. The error is that of
+// checkFraming or forward.
 func (h *handler) route(w http.ResponseWriter, r *http.Request) error {
 	if err := checkFraming(r); err != nil {
 		return err
@@ -108,7 +108,7 @@
 	return h.forward(w, r)
 }
 
-// serveReadiness responds to the health check of whoever assigns clients to nodes.
+// serveReadiness responds to the health check by which the platform decides whether to assign clients to this node.
 func (h *handler) serveReadiness(w http.ResponseWriter) {
 	if !h.loop.endpoints.synced.Load() || h.shuttingDown.Load() {
 		writeText(w, http.StatusServiceUnavailable, "not ready")
@@ -117,8 +117,8 @@
 	writeText(w, http.StatusOK, "ready")
 }
 
-// forward validates a request, forwards it and writes its final response. The error is that of
-// requestParser.parse or submit.
+// forward parses a request, forwards it and writes its final response. The error is that of requestParser.parse or
+// submit.
 func (h *handler) forward(w http.ResponseWriter, r *http.Request) error {
 	parsed, err := h.parser.parse(r)
 	if err != nil {
@@ -138,7 +138,7 @@
 	return h.submit(w, r, parsed)
 }
 
-// rejectOverLimit rejects a request on a connection beyond the limit of clients.
+// rejectOverLimit rejects a request on a connection that exceeds the limit of client connections.
 func (h *handler) rejectOverLimit(w http.ResponseWriter) {
 	w.Header().Set("Connection", "close")
 	h.writeFinal(w, response{
@@ -146,8 +146,8 @@
 	})
 }
 
-// submit passes a request to the loop, waits for its final response and writes it. The error is a
-// *rejectionError, or errClientDisconnected if nobody waits for the response.
+// submit passes a request to the loop, waits for its final response and writes it. The error is a *rejectionError if
+// another request with the same X-Request-ID is active, or errClientDisconnected.
 func (h *handler) submit(w http.ResponseWriter, r *http.Request, parsed *request) error {
 	id := parsed.Header.Get("X-Request-Id")
 	if !h.activeIDs.reserve(id) {
@@ -155,35 +155,35 @@
 	}
 	h.lastRequestAt.Store(int64(h.loop.clock.now()))
 	controller := http.NewResponseController(w)
-	// net/http goes on reading to notice that the client disconnects. The read deadline of the request would
-	// look like a disconnect. An error is ignored: a broken connection shows elsewhere.
+	// net/http keeps reading from the connection to detect a disconnect, and would take the expiry of the
+	// request's read deadline for one. The error is ignored: a broken connection is detected elsewhere.
 	_ = controller.SetReadDeadline(time.Time{})
 	final, err := h.loop.submit(r.Context(), parsed)
 	h.activeIDs.release(id)
 	if err != nil {
 		return err
 	}
-	// An error is ignored: on a broken connection the write fails as well.
+	// The error is ignored: if the connection is broken, the write fails as well.
 	_ = controller.SetWriteDeadline(time.Now().Add(parsed.deadline - h.loop.clock.now() + writeTimeout))
 	h.writeFinal(w, final)
 	return nil
 }
 
-// writeFinal writes a final response and counts it.
+// writeFinal counts and writes a final response.
 func (h *handler) writeFinal(w http.ResponseWriter, final response) {
 	h.stats.countFinal(final.status)
 	writeResponse(w, final)
 }
 
-// withinQuietPeriod reports whether the given time on the node's clock or the last request is
-// less than the quiet period ago.
+// withinQuietPeriod reports whether less than the quiet period has passed since the later of the given time, which
+// is on the node's clock, and the last accepted request.
 func (h *handler) withinQuietPeriod(at time.Duration) bool {
 	last := time.Duration(h.lastRequestAt.Load())
 	return h.loop.clock.now()-max(at, last) < quietPeriod
 }
 
-// contextConn is the client connection of a request whose connection package downstream did not accept. Its
-// client counts as disconnected once the request's context ends.
+// contextConn is the clientConn of a request whose connection is not a *downstream.Conn. The client counts as
+// disconnected once the request's context ends.
 type contextConn struct{ done <-chan struct{} }
 
 // ClientDisconnected implements clientConn.
