--- a/internal/node/request_parser.go
+++ b/internal/node/request_parser.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	maxIDLength   = 128 // bytes of an X-Request-ID
-	maxNumberBits = 31  // of numbers in headers
-	// responseMargin is the time between the deadline for the final response and that of the client. The request
-	// has to travel to this node, and the response back to the client.
+	maxIDLength   = 128 // of an X-Request-ID, in bytes
+	maxNumberBits = 31  // of integers in header fields
+	// responseMargin is how long before the client's deadline the final response is due. It allows for the network
+	// latency of the request and the response.
 	responseMargin = 10 * time.Millisecond
 )
 
-// requestParser validates the HTTP requests of clients and converts them into requests for the loop.
+// requestParser validates the HTTP requests of clients and converts them into type request.
 type requestParser struct {
 	cfg   *config.Config
 	clock *clock
 }
 
-// parse validates a request whose framing has been checked, and reads its body. The error is a
-// *rejectionError, or that of readBody.
+// parse validates a request and reads its body. checkFraming must have succeeded. The error is a *rejectionError, or
+// that of readBody.
 func (p *requestParser) parse(r *http.Request) (*request, error) {
 	classIndex, err := p.parseClass(r)
 	if err != nil {
@@ -59,8 +59,8 @@
 	}, nil
 }
 
-// timeInQueue returns how long a request may have waited for its connection to be accepted. That time counts
-// against the client's timeout.
+// timeInQueue returns how long a request may have waited at most for its connection to be accepted. The client's
+// timeout includes this time.
 func timeInQueue(r *http.Request) time.Duration {
 	if conn := clientConnection(r); conn != nil {
 		return conn.QueueTime()
@@ -68,7 +68,7 @@
 	return 0
 }
 
-// parseClass returns the index of the class that the path's first segment names.
+// parseClass returns the index of the class named by the first segment of the path.
 func (p *requestParser) parseClass(r *http.Request) (int, error) {
 	name, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	class, known := p.cfg.Classes[name]
@@ -78,7 +78,7 @@
 	return class, nil
 }
 
-// parseTenant returns the tenant's index, 0 where none are configured.
+// parseTenant returns the index of the tenant named by X-Tenant-Id, or 0 if no tenants are configured.
 func (p *requestParser) parseTenant(r *http.Request) (int, error) {
 	if len(p.cfg.Tenants) == 0 {
 		return 0, nil
@@ -90,7 +90,7 @@
 	return tenant, nil
 }
 
-// parseTimeout returns how long the client waits for its response.
+// parseTimeout returns the client's timeout from X-Timeout-Ms.
 func parseTimeout(r *http.Request) (time.Duration, error) {
 	timeout, err := strconv.ParseUint(singleValue(r.Header["X-Timeout-Ms"]), 10, maxNumberBits)
 	if err != nil || timeout == 0 {
@@ -99,15 +99,15 @@
 	return time.Duration(timeout) * time.Millisecond, nil
 }
 
-// parseCostHint returns the client's estimate of the work, which the header gives in microseconds. It is 0 if
-// the header is missing or malformed.
+// parseCostHint returns the client's estimate of the work from X-Cost, which is in microseconds. It returns 0 if the
+// header field is missing or malformed.
 func parseCostHint(r *http.Request) time.Duration {
 	hint, _ := strconv.ParseUint(singleValue(r.Header["X-Cost"]), 10, maxNumberBits)
 	return time.Duration(hint) * time.Microsecond
 }
 
-// checkClassRules checks the method, idempotency key and body that a class of this
-// idempotency takes.
+// checkClassRules checks the method, the Idempotency-Key and the body of a request against the idempotency of its
+// class.
 func checkClassRules(r *http.Request, idempotency policy.Idempotency) error {
 	method := http.MethodPost
 	if idempotency == policy.Idempotent {
@@ -129,7 +129,7 @@
 	return nil
 }
 
-// singleValue returns the value of a header field that must occur once, otherwise "".
+// singleValue returns the value of a header field that occurs exactly once, and "" otherwise.
 func singleValue(values []string) string {
 	if len(values) != 1 {
 		return ""
@@ -137,7 +137,7 @@
 	return values[0]
 }
 
-// validID reports whether values is one request ID of the permitted characters and length.
+// validID reports whether values holds exactly one request ID, of permitted length and characters.
 func validID(values []string) bool {
 	id := singleValue(values)
 	if id == "" || len(id) > maxIDLength {
