--- a/internal/node/framing.go
+++ b/internal/node/framing.go
@@ -2,12 +2,12 @@
 
 import "net/http"
 
-const maxBodyBytes = 64 << 10 // bytes of a request's body
+const maxBodyBytes = 64 << 10 // of a request body
 
-// checkFraming rejects messages whose end this node and another program on the request path might see in
-// different places: the body that one sees is a request to the other (request smuggling). If a message has both
-// Transfer-Encoding and Content-Length, net/http drops one of them: Content-Length in HTTP/1.1, the other in
-// HTTP/1.0. The end is therefore certain only in HTTP/1.1 without a transfer coding.
+// checkFraming rejects requests whose end is ambiguous, to prevent request smuggling: if this node and another
+// program on the request path disagree about the end, one of them may take a part of the body for another request.
+// If a request has both Transfer-Encoding and Content-Length, net/http ignores Content-Length in HTTP/1.1 and
+// Transfer-Encoding in HTTP/1.0. So the end is unambiguous only in HTTP/1.1 without a transfer coding.
 func checkFraming(r *http.Request) error {
 	switch {
 	case !r.ProtoAtLeast(1, 1):
