--- a/internal/node/rejection.go
+++ b/internal/node/rejection.go
@@ -6,11 +6,11 @@
 	"net/http"
 )
 
-// rejectionError says why a request is not forwarded, and with which HTTP status it is rejected.
+// rejectionError is the reason why a request is not forwarded, with the HTTP status of the response.
 type rejectionError struct {
 	status int
-	reason string // the response's body
-	allow  string // the method that the class takes, with http.StatusMethodNotAllowed
+	reason string // the response body
+	allow  string // the method that the class permits; set with http.StatusMethodNotAllowed
 }
 
 func (e *rejectionError) Error() string { return fmt.Sprintf("status %d: %s", e.status, e.reason) }
@@ -19,12 +19,13 @@
 	return &rejectionError{status: http.StatusBadRequest, reason: reason}
 }
 
-// writeRejection writes the response to a request that is not forwarded. The rest of its body is not
-// waited for: the connection closes.
+// writeRejection writes the response to a request that is not forwarded. An err that is not a *rejectionError stands
+// for a body that could not be read. The connection is closed after the response if the request has a body, since
+// the rest of it is not read, and for versions before HTTP/1.1.
 func writeRejection(w http.ResponseWriter, r *http.Request, err error) {
 	rejection, ok := errors.AsType[*rejectionError](err)
 	if !ok {
-		rejection = badRequest("the body can't be read") // err is from its reader
+		rejection = badRequest("the body can't be read") // from readBody
 	}
 	if rejection.allow != "" {
 		w.Header().Set("Allow", rejection.allow)
