--- a/internal/node/response.go
+++ b/internal/node/response.go
@@ -10,12 +10,12 @@
 // response is the final response to a request.
 type response struct {
 	status     int
-	header     http.Header   // end-to-end fields
-	body       []byte        // complete
+	header     http.Header   // end-to-end header fields
+	body       []byte        // complete: responses are not streamed
 	retryAfter time.Duration // 0: no Retry-After
 }
 
-// writeResponse writes a final response.
+// writeResponse writes a final response to w.
 func writeResponse(w http.ResponseWriter, final response) {
 	header := w.Header()
 	maps.Copy(header, final.header)
@@ -27,8 +27,8 @@
 	_, _ = w.Write(final.body) // the client may have disconnected
 }
 
-// writeText writes a response of one line of plain text. It states its length: without one
-// the response would not be complete before its handler returns.
+// writeText writes a response of one line of plain text. Like every response, it has a Content-Length: without one,
+// it would not be complete before the handler returns.
 func writeText(w http.ResponseWriter, status int, text string) {
 	header := http.Header{"Content-Type": {"text/plain; charset=utf-8"}, "X-Content-Type-Options": {"nosniff"}}
 	writeResponse(w, response{status: status, header: header, body: []byte(text + "\n")})
