--- a/internal/node/forwarded_request.go
+++ b/internal/node/forwarded_request.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// maxResponseReadTimeout is how long a server may take at most from the first byte of its response to the
-	// last.
+	// maxResponseReadTimeout is the upper bound of the response read timeout, which covers the time from the first
+	// byte of a server's response to the last.
 	maxResponseReadTimeout = 150 * time.Millisecond
-	// responseReadDivisor divides the latency objective: a response may be read for one part of it, so that an
-	// incomplete response leaves time for a retry.
+	// responseReadDivisor limits the response read timeout to a fraction of the latency objective, so that a retry
+	// after an incomplete response can still meet the objective.
 	responseReadDivisor = 2
 )
 
-// newUpstreamRequest returns the request that is sent to servers.
+// newUpstreamRequest returns the request to send to servers, without hop-by-hop header fields.
 func newUpstreamRequest(r *http.Request, body []byte, class *policy.Class) upstream.Request {
 	return upstream.Request{
 		Method: r.Method,
@@ -35,7 +35,8 @@
 	}
 }
 
-// responseReadTimeout returns how long a server may take for its response from the first byte on.
+// responseReadTimeout returns the response read timeout of a class. A class without a latency objective uses its
+// deadline instead.
 func responseReadTimeout(class *policy.Class) time.Duration {
 	objective := class.Objective
 	if objective == 0 {
@@ -44,7 +45,7 @@
 	return min(maxResponseReadTimeout, objective/responseReadDivisor)
 }
 
-// readBody reads a body of a known, bounded length within the read timeout.
+// readBody reads the body of a request. checkFraming has bounded its length, and the read timeout applies.
 func readBody(r *http.Request) ([]byte, error) {
 	if r.ContentLength == 0 {
 		return nil, nil
