--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -7,21 +7,21 @@
 	"calicohinge/policy"
 )
 
-// clientConn is the connection of the client that waits for a request's response.
+// clientConn is the connection on which a client waits for the response to its request.
 type clientConn interface {
-	// ClientDisconnected reports whether the client has disconnected by now, however many
-	// events still wait for the loop. Any goroutine may call it.
+	// ClientDisconnected reports whether the client has disconnected by now, even if the loop has not handled the
+	// event yet. It may be called from any goroutine.
 	ClientDisconnected() bool
 }
 
-// request is a client's request that has no final response yet, or an attempt in flight.
+// request is a client's request, from its submission to the loop until it is released.
 type request struct {
 	upstream.Request
-	class, tenant int           // indexes into policy.Settings
+	class, tenant int           // indexes into the lists in policy.Settings
 	costHint      time.Duration // 0: unknown
-	deadline      time.Duration // on the node's clock: by when the response must be written
+	deadline      time.Duration // on the node's clock: when the final response is due
 	client        clientConn
-	completion    chan completion // buffered: the loop sends one completion and never blocks
+	completion    chan completion // has capacity 1, so that the loop never blocks when it sends the only completion
 
 	// Only the loop's goroutine uses the fields below.
 	id            policy.RequestID
@@ -31,17 +31,18 @@
 	deadlineTimer *time.Timer
 }
 
-// completion is the result of a request for its client: the final response, or an error if there is none.
+// completion is a request's result for its client: the final response, or an error if there is none.
 type completion struct {
 	response response
 	err      error
 }
 
-// attempt is one send of a request. Only the loop's goroutine uses it.
+// attempt is one attempt to have a request served by a server. Only the loop's goroutine uses its fields, but the
+// call is shared with the goroutine that carries out the attempt.
 type attempt struct {
 	call      *upstream.Call
 	server    policy.ServerID
 	startedAt time.Duration // on the node's clock
 	state     attemptState
-	timer     *time.Timer // ends the attempt before the request's deadline; may be nil
+	timer     *time.Timer // ends or revokes the attempt before the request's deadline; may be nil
 }
