--- a/internal/node/transitions.go
+++ b/internal/node/transitions.go
@@ -2,59 +2,58 @@
 
 import "calicohinge/policy"
 
-// requestState is the state of a client's request. These are its transitions; all are made in the
-// loop's goroutine.
+// requestState is the state of a client's request. All transitions are made in the loop's goroutine:
 //
-//	transition  from       to         made by
-//	activate    new        active     loop.addRequest, once the handler has submitted the request
-//	complete    active     completed  loop.addRequest, after termination: rejected
-//	                                  loop.reportOutcome: the response of its first successful attempt
+//	transition  from       to         caller and condition
+//	activate    new        active     loop.addRequest, when the handler has submitted the request
+//	complete    active     completed  loop.addRequest: rejected, since the node has terminated
+//	                                  loop.reportOutcome: response of the first successful attempt
 //	                                  loop.completeDisconnected: no response
-//	                                  policyHost.Reject, policyHost.Fail: the balancer's decision
-//	release     completed  released   loop.release, once no attempt is in flight
+//	                                  policyHost.Reject, policyHost.Fail: decision of the balancer
+//	release     completed  released   loop.release, when no attempt is in flight any longer
 //
-// A request that arrives after termination is rejected without the balancer, and needs no release.
+// A request that arrives after termination is rejected without a call of the balancer and is not released.
 type requestState uint8
 
 const (
-	requestNew       requestState = iota // not handed to the loop yet
-	requestActive                        // it has no final response, and its client waits
-	requestCompleted                     // it has its final response, or its client has disconnected
-	requestReleased                      // neither the loop nor the balancer knows it any more
+	requestNew       requestState = iota // the loop has not handled it yet
+	requestActive                        // its client waits for the final response
+	requestCompleted                     // it has a final response, or its client has disconnected
+	requestReleased                      // neither the loop nor the balancer holds it any longer
 )
 
-// attemptState is the state of an attempt for the balancer. An attempt in flight also has the state of its
-// upstream.Call, which the goroutine that carries out the attempt may change: unsent as long as the attempt
-// waits for its connection, then sending or revoked.
+// attemptState is the state of an attempt towards the balancer. An attempt in flight also has the state of its
+// upstream.Call: unsent while the attempt waits for a connection, then sent or revoked. The goroutine that carries
+// out the attempt may change that state.
 //
-//	transition  from       to                 made by
+//	transition  from       to                 caller and condition
 //	start       -          in flight, unsent  policyHost.Send
-//	send        unsent     sending            upstream.Pool.Send, before the first byte
-//	revoke      unsent     revoked            request.complete: the client no longer waits
-//	                                          loop.expireKeyRetention: the server may have forgotten
-//	                                          the idempotency key
-//	                                          loop.updateEndpoints: the server was removed, drains, or
-//	                                          was restarted
-//	end         in flight  maybe executed or  loop.reportOutcome, with the first outcome: of the attempt's
+//	send        unsent     sent               upstream.Pool.Send, just before the first byte
+//	revoke      unsent     revoked            request.complete: the client waits no longer
+//	                                          loop.expireKeyRetention: servers may have discarded the
+//	                                          idempotency key
+//	                                          loop.updateEndpoints: the server was removed, is
+//	                                          draining, or is another incarnation now
+//	end         in flight  maybe executed or  loop.reportOutcome, on the first outcome: from the attempt's
 //	                       not executed       goroutine, its timer, its revocation, the request's
 //	                                          deadline or policyHost.Cancel
 type attemptState uint8
 
 const (
-	attemptInFlight      attemptState = iota // the balancer has no outcome yet
-	attemptMaybeExecuted                     // the balancer has its outcome; it may have been executed
-	attemptNotExecuted                       // the balancer has its outcome; it has not been executed
+	attemptInFlight      attemptState = iota // without an outcome
+	attemptMaybeExecuted                     // ended; a server may have executed the request
+	attemptNotExecuted                       // ended; the server has not executed the request
 )
 
-// activate makes a new request active under its ID.
+// activate assigns an ID to a new request and makes it active.
 func (r *request) activate(id policy.RequestID) {
 	r.id = id
 	r.state = requestActive
 }
 
-// complete completes an active request for its client; it reports false if the request is not active.
-// Attempts that still wait for a connection are revoked: nothing may be sent once the client has its
-// final response.
+// complete completes an active request and sends the result to the handler. It returns false if the request is not
+// active. Attempts that still wait for a connection are revoked, since nothing may be sent to a server after the
+// request has completed.
 func (r *request) complete(final completion) bool {
 	if r.state != requestActive {
 		return false
@@ -67,7 +66,7 @@
 	return true
 }
 
-// release releases a completed request that has no attempt in flight; it reports false for others.
+// release releases a completed request without attempts in flight. For any other request it returns false.
 func (r *request) release() bool {
 	if r.state != requestCompleted || r.inFlight > 0 {
 		return false
@@ -77,14 +76,15 @@
 	return true
 }
 
-// startAttempt adds an attempt in flight and returns its index.
+// startAttempt adds an attempt, which is in flight, and returns its index.
 func (r *request) startAttempt(a *attempt) int {
 	r.attempts = append(r.attempts, a)
 	r.inFlight++
 	return len(r.attempts) - 1
 }
 
-// endAttempt records the outcome of the attempt with an index. It reports false if the attempt has one already.
+// endAttempt ends the attempt at index with the status of its outcome. It returns false if the attempt has already
+// ended.
 func (r *request) endAttempt(index int, status policy.Status) bool {
 	a := r.attempts[index]
 	if a.state != attemptInFlight {
@@ -102,6 +102,6 @@
 	return true
 }
 
-// revoke prevents an attempt from being sent. It reports false if its first byte may have been written, or
+// revoke prevents an attempt from being sent. It returns false if the first byte may have been written already, or
 // if the attempt was revoked before.
 func (a *attempt) revoke() bool { return a.call.Revoke() }
