--- a/internal/node/requestids.go
+++ b/internal/node/requestids.go
@@ -2,13 +2,13 @@
 
 import "sync"
 
-// requestIDs is a set of request IDs that are in use. The zero value is empty.
+// requestIDs is the set of X-Request-IDs in use. It is safe for concurrent use; the zero value is an empty set.
 type requestIDs struct {
 	mu  sync.Mutex
 	ids map[string]struct{}
 }
 
-// reserve adds an ID; it reports false if the ID is in use.
+// reserve adds an ID to the set. It returns false if the ID is already in use.
 func (s *requestIDs) reserve(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -22,14 +22,14 @@
 	return true
 }
 
-// release removes an ID.
+// release removes an ID from the set.
 func (s *requestIDs) release(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.ids, id)
 }
 
-// count returns the number of IDs in use.
+// count returns the number of IDs in the set.
 func (s *requestIDs) count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
