--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -12,26 +12,26 @@
 	"calicohinge/policy"
 )
 
-// errClientDisconnected says that a request has no final response because its client has disconnected.
+// errClientDisconnected is returned for a request without a final response, whose client has disconnected.
 var errClientDisconnected = errors.New("client disconnected")
 
-// loop drives the balancer: its goroutine handles one event after the other, and nothing else calls the
-// balancer. Handlers of HTTP requests submit theirs from other goroutines.
+// loop is the event loop that drives the balancer. Its goroutine handles events one at a time, and only this
+// goroutine calls the balancer. HTTP handlers submit requests from other goroutines.
 type loop struct {
 	clock      *clock
 	queue      *eventQueue
 	endpoints  *discoveryHandler
 	pool       *upstream.Pool
-	retryAfter time.Duration // sent with rejections by a node that has terminated all requests
+	retryAfter time.Duration // Retry-After of rejections after termination
 
-	// Only the goroutine of run uses the fields below.
+	// The fields below are used only in run's goroutine.
 	balancer   *policy.Balancer
 	host       *policyHost
 	requests   *requestTable
-	terminated bool // new requests are rejected
+	terminated bool // new requests are rejected at once
 }
 
-// newLoop returns a loop that ends with ctx, as do all attempts.
+// newLoop returns a loop. The loop and all its attempts end with ctx.
 func newLoop(ctx context.Context, cfg *config.Config, pool *upstream.Pool, watcher watcher) (*loop, error) {
 	clock, queue, requests := newClock(), newEventQueue(ctx.Done()), newRequestTable()
 	host := &policyHost{
@@ -68,8 +68,7 @@
 	}, nil
 }
 
-// run handles events until the loop's context ends, and returns when no attempt is being carried
-// out any more.
+// run handles events until the loop's context ends. It returns once the goroutines of all attempts have ended.
 func (l *loop) run() {
 	defer l.host.sends.Wait()
 	for {
@@ -82,17 +81,17 @@
 	}
 }
 
-// handle handles an event and those that policyHost defers meanwhile. The time of an event is when the loop
-// takes it from the queue, not when it was posted.
+// handle handles an event and the events that policyHost defers meanwhile. The time that is passed to an event is the
+// time at which its handling starts, not when it was posted or deferred.
 func (l *loop) handle(next event) {
 	for ; next != nil; next = l.queue.popDeferred() {
 		next.handle(l, l.clock.now())
 	}
 }
 
-// submit passes a request to the balancer and waits for its final response. The error is
-// errClientDisconnected, also when ctx ends. The balancer decides nothing once the loop has ended: a request
-// that comes later is rejected, and one that was active then gets responseAfterLoopEnd.
+// submit passes a request to the balancer and waits for its final response. It returns errClientDisconnected if the
+// client disconnects, which the end of ctx signals. Once the loop has ended, the balancer makes no more decisions: a
+// new request is rejected, and a request that was active gets responseAfterLoopEnd.
 func (l *loop) submit(ctx context.Context, req *request) (response, error) {
 	req.completion = make(chan completion, 1)
 	if !l.queue.post(requestArrived{req}) {
@@ -109,8 +108,8 @@
 	}
 }
 
-// responseAfterLoopEnd returns the final response to a request that was active as the loop ended. Without a
-// decision of the balancer, the request has failed.
+// responseAfterLoopEnd returns the result of a request that was active when the loop ended. A request that had not
+// completed by then fails.
 func responseAfterLoopEnd(req *request) (response, error) {
 	select {
 	case final := <-req.completion:
@@ -120,16 +119,16 @@
 	}
 }
 
-// terminationResponse is the response to a request that arrives after termination.
+// terminationResponse returns the rejection of a request that arrives after termination.
 func (l *loop) terminationResponse() response {
 	return response{status: http.StatusServiceUnavailable, retryAfter: l.retryAfter}
 }
 
-// terminateAll makes the balancer complete every active request. Later requests are rejected at once, before
-// any attempt.
+// terminateAll makes the loop terminate every active request. Requests that arrive later are rejected at once, without
+// an attempt.
 func (l *loop) terminateAll() { l.queue.post(terminationRequested{}) }
 
-// addRequest passes a new request to the balancer, or rejects it after termination.
+// addRequest activates a new request and passes it to the balancer. After termination it rejects the request instead.
 func (l *loop) addRequest(now time.Duration, req *request) {
 	req.activate(l.requests.newID())
 	if l.terminated {
@@ -145,7 +144,7 @@
 	l.release(req)
 }
 
-// completeDisconnected completes a request whose client has disconnected: no final response is due any more.
+// completeDisconnected completes an active request whose client has disconnected, without a final response.
 func (l *loop) completeDisconnected(now time.Duration, req *request) {
 	if !req.complete(completion{err: errClientDisconnected}) {
 		return
@@ -154,16 +153,16 @@
 	l.release(req)
 }
 
-// expireDeadline reports the attempts that are in flight at the request's deadline as timed out. The
-// balancer completes the request then.
+// expireDeadline reports a timeout for each attempt in flight at the request's deadline, upon which the balancer
+// completes the request.
 func (l *loop) expireDeadline(now time.Duration, req *request) {
 	for index := range req.attempts {
 		l.reportOutcome(now, req, index, upstream.Result{Status: policy.Timeout})
 	}
 }
 
-// receiveOutcome reports the outcome of an attempt. If the attempt was not sent because its client had
-// disconnected, the loop has not handled clientDisconnected yet: the request is completed first.
+// receiveOutcome reports the outcome of an attempt. If the attempt was not sent because the client had disconnected,
+// the clientDisconnected event may still be queued, so that the request is completed first.
 func (l *loop) receiveOutcome(now time.Duration, req *request, index int, result upstream.Result) {
 	if result.ClientDisconnected {
 		l.completeDisconnected(now, req)
@@ -171,14 +170,15 @@
 	l.reportOutcome(now, req, index, result)
 }
 
-// expireKeyRetention revokes an attempt that is still waiting for its connection.
+// expireKeyRetention revokes an attempt that still waits for a connection when its idempotency key may have expired.
 func (l *loop) expireKeyRetention(now time.Duration, req *request, index int) {
 	if req.attempts[index].revoke() {
 		l.reportOutcome(now, req, index, upstream.Result{Status: policy.NotSent})
 	}
 }
 
-// reportOutcome reports the first outcome of an attempt to the balancer; later ones are dropped.
+// reportOutcome reports the first outcome of an attempt to the balancer and ignores later ones. A successful outcome
+// completes the request.
 func (l *loop) reportOutcome(now time.Duration, req *request, index int, result upstream.Result) {
 	if !req.endAttempt(index, result.Status) {
 		return
@@ -194,20 +194,19 @@
 	l.release(req)
 }
 
-// release forgets a request that is completed and has no attempt in flight.
+// release releases a request if it has completed and has no attempt in flight.
 func (l *loop) release(req *request) {
 	if req.release() {
 		l.requests.remove(req)
 	}
 }
 
-// fireTimer passes the token of a timer that has fired to the balancer, which requested it.
+// fireTimer reports to the balancer that the timer which it requested with the given token has fired.
 func (l *loop) fireTimer(now time.Duration, token uint64) { l.balancer.Timer(now, token) }
 
-// updateEndpoints applies an update of the endpoint list. The pool learns the servers' addresses before the
-// balancer learns of the servers. Attempts that must no longer reach their servers are revoked first. The loop
-// reports their outcomes after the update, so that the balancer sends their requests
-// to servers of the new list.
+// updateEndpoints applies an update of the endpoint list. The pool is updated before the balancer, so that it knows
+// the address of each server that the balancer selects. Attempts that must no longer reach their servers are revoked
+// before the balancer is updated, but their outcomes are reported afterwards, so that retries use the new list.
 func (l *loop) updateEndpoints(now time.Duration, update endpointsUpdated) {
 	revoked := l.requests.revokeAttemptsTo(l.pool.UpdateEndpoints(update.kind, update.forPool))
 	l.balancer.UpdateEndpoints(now, update.kind, update.forBalancer)
@@ -216,13 +215,13 @@
 	}
 }
 
-// reportWatchFailure reports a failed watch. The balancer requests another one before the node counts as
-// notified of the changes that it has missed.
+// reportWatchFailure reports a failed watch to the balancer, which requests the next one before notifiedAt: from then
+// on the node counts as notified of the changes that it has missed.
 func (l *loop) reportWatchFailure(now, notifiedAt time.Duration) {
 	l.balancer.WatchFailed(now, notifiedAt)
 }
 
-// terminate makes the balancer complete every active request, and rejects later ones.
+// terminate makes the balancer complete every active request, and rejects later requests.
 func (l *loop) terminate(now time.Duration) {
 	l.terminated = true
 	l.balancer.TerminateAll(now)
