--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -8,34 +8,34 @@
 	"calicohinge/policy"
 )
 
-// event is a message to the loop. handle runs in the loop's goroutine and calls the one method of loop that
-// handles this kind of event.
+// event is an event for the loop. The loop calls handle in its goroutine. Each implementation only calls the method of
+// loop for its type of event.
 type event interface {
 	handle(l *loop, now time.Duration)
 }
 
-// requestArrived is sent by submit.
+// requestArrived is posted by loop.submit.
 type requestArrived struct{ request *request }
 
 func (e requestArrived) handle(l *loop, now time.Duration) { l.addRequest(now, e.request) }
 
-// clientDisconnected is sent by submit when the context of the HTTP request ends.
+// clientDisconnected is posted by loop.submit when the context of the HTTP request ends.
 type clientDisconnected struct{ request *request }
 
 func (e clientDisconnected) handle(l *loop, now time.Duration) {
 	l.completeDisconnected(now, e.request)
 }
 
-// deadlineExpired is sent by the timer of a request's deadline.
+// deadlineExpired is posted by the timer for a request's deadline.
 type deadlineExpired struct{ request *request }
 
 func (e deadlineExpired) handle(l *loop, now time.Duration) { l.expireDeadline(now, e.request) }
 
-// outcomeReceived is sent by the goroutine that carries out an attempt and by the attempt's timer. It is
-// deferred by policyHost.Cancel, and by policyHost.Send if the attempt is not sent.
+// outcomeReceived is posted by the goroutine that carries out an attempt and by the attempt's timer. It is deferred by
+// policyHost.Cancel, and by policyHost.Send for an attempt that must not be sent.
 type outcomeReceived struct {
 	request *request
-	index   int // of the attempt in the request
+	index   int // in request.attempts
 	result  upstream.Result
 }
 
@@ -43,11 +43,10 @@
 	l.receiveOutcome(now, e.request, e.index, e.result)
 }
 
-// keyRetentionExpired is sent by a timer when servers may have forgotten a request's
-// idempotency key.
+// keyRetentionExpired is posted by an attempt's timer when servers may have discarded the request's idempotency key.
 type keyRetentionExpired struct {
 	request *request
-	index   int // of the attempt that must not be sent any more
+	index   int // in request.attempts; this attempt must not be sent any more
 }
 
 func (e keyRetentionExpired) handle(l *loop, now time.Duration) {
@@ -59,28 +58,28 @@
 
 func (e requestCompletedByHost) handle(l *loop, _ time.Duration) { l.release(e.request) }
 
-// timerFired is sent by the timers that the balancer has requested.
+// timerFired is posted by a timer that the balancer has requested.
 type timerFired struct{ token uint64 }
 
 func (e timerFired) handle(l *loop, now time.Duration) { l.fireTimer(now, e.token) }
 
-// endpointsUpdated is sent by the discovery client.
+// endpointsUpdated is posted by discoveryHandler.UpdateEndpoints.
 type endpointsUpdated struct {
 	kind        policy.UpdateKind
 	forPool     []endpoint.Endpoint
-	forBalancer []policy.Endpoint // the same endpoints, in the balancer's terms
+	forBalancer []policy.Endpoint // the same endpoints, converted for the balancer
 }
 
 func (e endpointsUpdated) handle(l *loop, now time.Duration) { l.updateEndpoints(now, e) }
 
-// watchFailed is sent by the discovery client.
+// watchFailed is posted by discoveryHandler.WatchFailed.
 type watchFailed struct {
-	notifiedAt time.Duration // on the node's clock: when the node counts as notified of missed changes
+	notifiedAt time.Duration // on the node's clock: when the node counts as notified of the missed changes
 }
 
 func (e watchFailed) handle(l *loop, now time.Duration) { l.reportWatchFailure(now, e.notifiedAt) }
 
-// terminationRequested is sent by terminateAll near the end of a graceful shutdown.
+// terminationRequested is posted by loop.terminateAll near the end of a graceful shutdown.
 type terminationRequested struct{}
 
 func (terminationRequested) handle(l *loop, now time.Duration) { l.terminate(now) }
