--- a/internal/node/event_queue.go
+++ b/internal/node/event_queue.go
@@ -1,22 +1,22 @@
 package node
 
-// eventQueueSize is how many events may wait before their senders block.
+// eventQueueSize is the number of events that can be queued before post blocks.
 const eventQueueSize = 1024
 
-// eventQueue holds the events that wait for the loop. Other goroutines post events. The methods of policyHost
-// run within a call of the balancer and must not call it back: they defer their events until the loop has
-// handled the present one.
+// eventQueue holds events until the loop handles them. Other goroutines post events. The methods of policyHost are
+// called by the balancer and must not call it in turn: they defer events, which the loop handles after the current
+// one.
 type eventQueue struct {
 	posted   chan event
 	done     <-chan struct{} // closed when the loop ends
-	deferred []event         // only the loop's goroutine uses it
+	deferred []event         // used only in the loop's goroutine
 }
 
 func newEventQueue(done <-chan struct{}) *eventQueue {
 	return &eventQueue{posted: make(chan event, eventQueueSize), done: done}
 }
 
-// post sends the loop an event; it reports false if the loop has ended.
+// post queues an event for the loop. It returns false if the loop has ended.
 func (q *eventQueue) post(e event) bool {
 	select {
 	case q.posted <- e:
@@ -26,10 +26,10 @@
 	}
 }
 
-// deferEvent adds an event that the loop handles after the present one and those that were deferred before.
+// deferEvent adds an event that the loop handles after the current event and after those deferred earlier.
 func (q *eventQueue) deferEvent(e event) { q.deferred = append(q.deferred, e) }
 
-// popDeferred removes and returns the next deferred event, nil if there is none.
+// popDeferred removes and returns the next deferred event, or returns nil if there is none.
 func (q *eventQueue) popDeferred() event {
 	if len(q.deferred) == 0 {
 		return nil
