--- a/internal/node/host.go
+++ b/internal/node/host.go
@@ -10,8 +10,9 @@
 	"calicohinge/policy"
 )
 
-// policyHost carries out the balancer's actions. The balancer calls its methods in the loop's goroutine, from
-// within its own. They report results with deferred events, which the loop handles after the present one.
+// policyHost implements policy.Host: it carries out the balancer's decisions. The balancer calls its methods in the
+// loop's goroutine, from within its own methods. They report results by deferred events, which the loop handles after
+// the current one.
 type policyHost struct {
 	clock       *clock
 	queue       *eventQueue
@@ -21,13 +22,14 @@
 	newCall     func(clientDisconnected func() bool) *upstream.Call
 	classes     []policy.Class
 	maxAttempts int
-	sends       sync.WaitGroup // attempts that are being carried out
+	sends       sync.WaitGroup // goroutines that carry out attempts
 }
 
-// watcher starts a watch of the endpoint list.
+// watcher starts watches of the endpoint list.
 type watcher interface{ RequestWatch() }
 
-// Send implements policy.Host. It starts an attempt, or reports NotSent if the request allows none any more.
+// Send implements policy.Host. It starts an attempt. The outcome is NotSent if the request has completed, has reached
+// the maximum number of attempts or has passed its deadline.
 func (h *policyHost) Send(id policy.RequestID, server policy.ServerID, timeout time.Duration) {
 	req := h.requests.get(id)
 	if req == nil {
@@ -53,9 +55,9 @@
 	})
 }
 
-// limitToKeyRetention prevents a retry of a request with an idempotency key from being written once servers
-// may have forgotten the key. They keep it from the first attempt on that may have been executed. Any of the
-// attempts since that one may get its connection first, so all of them get the same write deadline.
+// limitToKeyRetention prevents a retry of a request with an idempotency key from being sent once servers may have
+// discarded the key. The retention of the key counts from the first attempt that may have been executed. Any attempt
+// from that one on may be the first to get a connection, so all of them get the same write deadline.
 func (h *policyHost) limitToKeyRetention(req *request, index int) {
 	class := &h.classes[req.class]
 	first := slices.IndexFunc(req.attempts, func(a *attempt) bool { return a.state != attemptNotExecuted })
@@ -90,7 +92,7 @@
 	h.complete(id, response{status: http.StatusBadGateway})
 }
 
-// complete completes an active request by the balancer's decision.
+// complete completes an active request with the final response that the balancer has decided on.
 func (h *policyHost) complete(id policy.RequestID, final response) {
 	req := h.requests.get(id)
 	if req == nil || !req.complete(completion{response: final}) {
