--- a/internal/node/discovery_handler.go
+++ b/internal/node/discovery_handler.go
@@ -9,18 +9,18 @@
 	"calicohinge/policy"
 )
 
-// discoveryHandler implements discovery.Handler: it converts what the discovery client reports into events
-// of the loop. Its methods are called in the discovery client's goroutine.
+// discoveryHandler implements discovery.Handler: it converts the reports of the discovery client into events for the
+// loop. The discovery client calls the methods one at a time, outside the loop's goroutine.
 type discoveryHandler struct {
 	clock         *clock
 	queue         *eventQueue
 	processStarts *processstart.Registry
-	zones         map[string]int // indexes of the configured zones by name
-	synced        atomic.Bool    // the node has an endpoint list; any goroutine may read it
+	zones         map[string]int // indexes of the configured zones, by name
+	synced        atomic.Bool    // the node has received an endpoint list; safe for any goroutine
 }
 
-// UpdateEndpoints implements discovery.Handler. It skips endpoints without an ID, and those that are ready but
-// have no address.
+// UpdateEndpoints implements discovery.Handler. It skips endpoints without an ID, and ready endpoints without an
+// address.
 func (d *discoveryHandler) UpdateEndpoints(kind policy.UpdateKind, list []endpoint.Endpoint) {
 	update := endpointsUpdated{kind: kind}
 	starts := d.processStarts.Update(kind, list, processstart.Moment{Clock: d.clock.now(), Wall: time.Now()})
@@ -45,11 +45,11 @@
 	d.queue.post(watchFailed{d.clock.fromTime(notifiedAt)})
 }
 
-// policyEndpoint converts an endpoint of discovery into the balancer's terms.
+// policyEndpoint converts an endpoint for the balancer. startedAt is the start of its process on the node's clock.
 func (d *discoveryHandler) policyEndpoint(e endpoint.Endpoint, startedAt time.Duration) policy.Endpoint {
 	zone, configured := d.zones[e.Zone]
 	if !configured {
-		zone = len(d.zones) // the index of no zone
+		zone = len(d.zones) // matches no configured zone
 	}
 	return policy.Endpoint{
 		Server:    e.ID,
