--- a/internal/node/clock.go
+++ b/internal/node/clock.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// clockOffset is what a node's clock shows at its creation. It keeps the start of a server that is
-// older than this node positive: the balancer takes 0 and less for "long ago".
+// clockOffset is the reading of a node's clock at its creation. It keeps the start time of a server process that is
+// somewhat older than the node positive, since to the balancer a start time of 0 or less means "long ago".
 const clockOffset = time.Hour
 
-// clock is a node's monotonic clock, which package policy's times are on.
+// clock is a node's monotonic clock. All times that are passed to and from package policy are readings of it.
 type clock struct {
-	origin time.Time // when the clock would have shown 0
+	origin time.Time // the time that corresponds to reading 0
 }
 
 func newClock() *clock { return &clock{origin: time.Now().Add(-clockOffset)} }
 
-// now returns the time on the clock.
+// now returns the current reading of the clock.
 func (c *clock) now() time.Duration { return time.Since(c.origin) }
 
-// toTime converts a time on the clock.
+// toTime converts a reading of the clock to a time.Time.
 func (c *clock) toTime(at time.Duration) time.Time { return c.origin.Add(at) }
 
-// fromTime returns the time on the clock of a time.
+// fromTime converts a time.Time to a reading of the clock.
 func (c *clock) fromTime(at time.Time) time.Duration { return at.Sub(c.origin) }
