--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -11,38 +11,38 @@
 	"calicohinge/internal/config"
 )
 
-// After SIGTERM the platform waits for the longest request deadline, but at most killDeadlineCap, and for
-// killDeadlineExtra. Then it kills the node.
+// The platform kills a node some time after SIGTERM: after the longest deadline of any class, at most killDeadlineCap,
+// plus killDeadlineExtra.
 const (
 	killDeadlineCap   = 3 * time.Second
 	killDeadlineExtra = 700 * time.Millisecond
-	// killDeadlineMargin is how long before that the grace period ends: a process may be paused for 150 ms, and
-	// the last responses take some time to write.
+	// killDeadlineMargin is the time between the end of the grace period and the kill. It allows for a pause of the
+	// process of 150 ms and for the writing of the last responses.
 	killDeadlineMargin = 250 * time.Millisecond
 )
 
-// The phases of a shutdown.
+// The durations of the shutdown phases.
 const (
-	// quietPeriod is how long the platform still assigns clients to a node that is no longer ready. The node
-	// drains early once no request has come for as long.
+	// quietPeriod is how long the platform may still assign clients to a node after its health checks fail. The node
+	// starts draining early once it has accepted no request for that long.
 	quietPeriod = 500 * time.Millisecond
-	// quietPollInterval is how often a node that shuts down checks for the quiet period.
+	// quietPollInterval is the interval at which the node checks whether the quiet period has passed.
 	quietPollInterval = 10 * time.Millisecond
-	// drainPeriod is the last part of the grace period, in which responses close their connections.
+	// drainPeriod is the last part of the grace period, during which each response closes its connection.
 	drainPeriod = 300 * time.Millisecond
-	// terminationPeriod is the last part of the drain period, in which no connection is
-	// accepted any more and every request is completed at once.
+	// terminationPeriod is the last part of the drain period, in which the node stops accepting connections and
+	// completes every request at once.
 	terminationPeriod = 50 * time.Millisecond
-	// writePeriod is how long after the grace period the last responses may be written, for
-	// instance to a client that does not read. The node exits before it is killed.
+	// writePeriod is how long after the grace period the last responses may still be written, which takes time if
+	// a client does not read. It is short enough for the node to exit before it is killed.
 	writePeriod = killDeadlineMargin / 2
-	// minWritePeriod is the least time for writing the last responses. It also holds for a process that was
-	// paused and writes them after its grace period.
+	// minWritePeriod is the minimum time for writing the last responses, even if the process was paused and the
+	// write period has passed.
 	minWritePeriod = 100 * time.Millisecond
 )
 
-// shutdownGracePeriod returns how long a graceful shutdown may take. Requests that are still active at its end
-// are completed then, as failed if necessary: otherwise the platform would kill the node before they are.
+// shutdownGracePeriod returns the grace period of a shutdown. Requests that are still active near its end are rejected
+// or failed, since the platform would kill the node before they complete.
 func shutdownGracePeriod(cfg *config.Config) time.Duration {
 	longest := time.Duration(0)
 	for _, class := range cfg.Policy.Classes {
@@ -51,18 +51,18 @@
 	return min(longest, killDeadlineCap) + killDeadlineExtra - killDeadlineMargin
 }
 
-// shutdown is a graceful shutdown of a service, from its beginning on.
+// shutdown is a graceful shutdown in progress.
 type shutdown struct {
 	*service
 	gracePeriod  time.Duration
 	startTime    time.Time
-	startOnClock time.Duration
-	deadline     time.Time // end of the grace period
-	terminated   bool      // terminateRequests has terminated the requests
+	startOnClock time.Duration // startTime on the node's clock
+	deadline     time.Time     // end of the grace period
+	terminated   bool          // terminateRequests has taken effect
 }
 
-// shutdown completes the accepted requests and closes the connections, within the grace
-// period. It returns an error if accepting connections failed.
+// shutdown shuts down gracefully: it completes the accepted requests and closes all connections within the grace
+// period and the write period. It returns an error if the listener failed.
 func (s *service) shutdown(ctx context.Context) error {
 	gracePeriod := shutdownGracePeriod(s.cfg)
 	startTime, startOnClock := time.Now(), s.loop.clock.now()
@@ -76,8 +76,8 @@
 	return sd.run(ctx)
 }
 
-// run carries out the steps of a shutdown in a fixed order. Each begins at its time, or later in a process that
-// was paused; none is left out. run does not use http.Server.Shutdown, which drops requests that are being read.
+// run carries out the steps of a shutdown in a fixed order. If the process was paused, a step starts late but is never
+// skipped. run does not use http.Server.Shutdown, which drops requests that are being read.
 func (s *shutdown) run(ctx context.Context) error {
 	s.failReadiness()
 	s.serveUntilQuiet()
@@ -85,7 +85,7 @@
 	s.drainUntilTermination(ctx)
 	s.terminateRequests()
 	err := s.stopAccepting(ctx)
-	s.drainUntilTermination(ctx) // the connections that were in the listener's queue
+	s.drainUntilTermination(ctx) // drains the connections from the accept queue
 	s.terminateRequests()
 	s.drainUntilDeadline(ctx)
 	s.closeConnections(ctx)
@@ -93,14 +93,14 @@
 	return err
 }
 
-// failReadiness fails the health checks from now on, so that clients are assigned to other nodes.
+// failReadiness makes health checks fail from now on, so that the platform assigns clients to other nodes.
 func (s *shutdown) failReadiness() {
 	slog.Info("shutting down", "grace_period", s.gracePeriod)
 	s.handler.shuttingDown.Store(true)
 }
 
-// serveUntilQuiet goes on serving until no requests come any more, or until the drain period: clients may
-// have no other node to go to.
+// serveUntilQuiet waits for a quiet period without new requests, or for the start of the drain period. Until then the
+// node serves as usual, since clients may have no other node.
 func (s *shutdown) serveUntilQuiet() {
 	limit := s.gracePeriod - drainPeriod
 	for s.loop.clock.now()-s.startOnClock < limit && s.handler.withinQuietPeriod(s.startOnClock) {
@@ -108,22 +108,22 @@
 	}
 }
 
-// startDraining makes each response close its connection from now on.
+// startDraining makes each response from now on close its connection.
 func (s *shutdown) startDraining() {
 	s.logStep("draining connections")
 	s.handler.draining.Store(true)
 }
 
-// drainUntilTermination closes the clients' connections as they become idle until none is open, or until
-// the termination period.
+// drainUntilTermination closes client connections as they become idle. It returns when none is open, or when the
+// termination period starts.
 func (s *shutdown) drainUntilTermination(ctx context.Context) {
 	limitCtx, cancel := context.WithDeadline(ctx, s.deadline.Add(-terminationPeriod))
 	defer cancel()
 	s.conns.Drain(limitCtx)
 }
 
-// terminateRequests completes all active requests, and rejects those that still arrive. It does nothing if no
-// connection is open, or if an earlier call has done it.
+// terminateRequests completes all active requests and makes the node reject later ones. It has no effect if no
+// connection is open, or if the requests were terminated before.
 func (s *shutdown) terminateRequests() {
 	if s.terminated || s.conns.Open() == 0 {
 		return
@@ -133,8 +133,8 @@
 	s.loop.terminateAll()
 }
 
-// stopAccepting closes the listener once the connections in its queue are accepted. It returns an error if
-// accepting ended for another reason.
+// stopAccepting accepts the connections that are in the accept queue, and closes the listener. It returns an error if
+// serving ended for another reason than the close.
 func (s *shutdown) stopAccepting(ctx context.Context) error {
 	limitCtx, cancel := s.withWritePeriod(ctx)
 	defer cancel()
@@ -145,35 +145,35 @@
 	return nil
 }
 
-// drainUntilDeadline goes on draining until the end of the grace period, but for terminationPeriod at least:
-// clients may have just connected and be sending a request.
+// drainUntilDeadline drains until no connection is open or the grace period ends. It allows at least terminationPeriod,
+// since clients that have just connected may be sending a request.
 func (s *shutdown) drainUntilDeadline(ctx context.Context) {
 	limitCtx, cancel := context.WithTimeout(ctx, max(terminationPeriod, time.Until(s.deadline)))
 	defer cancel()
 	s.conns.Drain(limitCtx)
 }
 
-// closeConnections closes the connections without a request. It returns when each request that was read
-// has its response, or at the end of the write period.
+// closeConnections closes the connections on which no complete request has arrived. It returns when each request that
+// was read has its response, or when the write period ends.
 func (s *shutdown) closeConnections(ctx context.Context) {
 	limitCtx, cancel := s.withWritePeriod(ctx)
 	defer cancel()
 	s.conns.Shutdown(limitCtx)
 }
 
-// withWritePeriod returns the context of one of the last steps. It leaves minWritePeriod at least, as a step
-// that begins late must not be left out.
+// withWritePeriod returns a context for one of the last steps, which ends with the write period. It lasts at least for
+// minWritePeriod, so that a step that starts late is not skipped.
 func (s *shutdown) withWritePeriod(ctx context.Context) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(ctx, max(minWritePeriod, time.Until(s.deadline.Add(writePeriod))))
 }
 
-// logStep logs that a step of the shutdown begins.
+// logStep logs the start of a shutdown step.
 func (s *shutdown) logStep(step string) {
 	stats := s.conns.Stats()
 	slog.Info(step, "connections", stats.Open, "active", stats.Active)
 }
 
-// logCompletion logs the end of a shutdown and the results of all requests since the node's start.
+// logCompletion logs the end of the shutdown, with the number of requests by result since the node's start.
 func (s *shutdown) logCompletion() {
 	stats := s.conns.Stats()
 	slog.Info("shutdown complete", "took", time.Since(s.startTime).Round(time.Millisecond),
