--- a/internal/node/stats.go
+++ b/internal/node/stats.go
@@ -8,14 +8,14 @@
 
 // requestStats counts the requests that a node has completed since its start, by result.
 type requestStats struct {
-	served       atomic.Int64 // with a server's response
+	served       atomic.Int64 // with the response of a server
 	rejected     atomic.Int64 // with 503
 	failed       atomic.Int64 // with 502
-	invalid      atomic.Int64 // with 4xx: they break a rule and were not forwarded
-	disconnected atomic.Int64 // without a response: their clients had disconnected
+	invalid      atomic.Int64 // not forwarded: they broke a rule and got a 4xx or 505
+	disconnected atomic.Int64 // without a response, since the client had disconnected
 }
 
-// countFinal counts a final response by its status.
+// countFinal counts a request by the status of its final response.
 func (s *requestStats) countFinal(status int) {
 	switch status {
 	case http.StatusOK:
