--- a/internal/node/discovery_handler.go
+++ b/internal/node/discovery_handler.go
@@ -9,21 +9,21 @@
 	"calicohinge/policy"
 )
 
-// discoveryHandler implements discovery.Handler: it converts what the discovery client reports into events
-// of the loop. Its methods are called in the discovery client's goroutine.
+// discoveryHandler implements discovery.Handler: it converts the reports of the discovery client into events for the
+// loop. The discovery client calls the methods one at a time, outside the loop's goroutine.
 type discoveryHandler struct {
-	clock  *clock
-	queue  *eventQueue
-	starts *processstart.Registry
-	zones  map[string]int // indexes of the configured zones by name
-	synced atomic.Bool    // the node has an endpoint list; any goroutine may read it
+	clock         *clock
+	queue         *eventQueue
+	processStarts *processstart.Registry
+	zones         map[string]int // indexes of the configured zones, by name
+	synced        atomic.Bool    // the node has received an endpoint list; safe for any goroutine
 }
 
-// UpdateEndpoints implements discovery.Handler. It skips endpoints without an ID, and those that are ready but
-// have no address.
+// UpdateEndpoints implements discovery.Handler. It skips endpoints without an ID, and ready endpoints without an
+// address.
 func (d *discoveryHandler) UpdateEndpoints(kind policy.UpdateKind, list []endpoint.Endpoint) {
 	update := endpointsUpdated{kind: kind}
-	starts := d.starts.Update(kind, list, processstart.Moment{Clock: d.clock.now(), Wall: time.Now()})
+	starts := d.processStarts.Update(kind, list, processstart.Moment{Clock: d.clock.now(), Wall: time.Now()})
 	for i, e := range list {
 		if e.ID == 0 || (e.Address == "" && e.State == policy.Ready) {
 			continue
@@ -36,7 +36,7 @@
 
 // Synced implements discovery.Handler.
 func (d *discoveryHandler) Synced() {
-	d.starts.Synced(d.clock.now())
+	d.processStarts.Synced(d.clock.now())
 	d.synced.Store(true)
 }
 
@@ -45,11 +45,11 @@
 	d.queue.post(watchFailed{d.clock.fromTime(notifiedAt)})
 }
 
-// policyEndpoint converts an endpoint of discovery into the balancer's terms.
+// policyEndpoint converts an endpoint for the balancer. startedAt is the start of its process on the node's clock.
 func (d *discoveryHandler) policyEndpoint(e endpoint.Endpoint, startedAt time.Duration) policy.Endpoint {
 	zone, configured := d.zones[e.Zone]
 	if !configured {
-		zone = len(d.zones) // the index of no zone
+		zone = len(d.zones) // matches no configured zone
 	}
 	return policy.Endpoint{
 		Server:    e.ID,
--- a/internal/node/forwarded_request.go
+++ b/internal/node/forwarded_request.go
@@ -13,15 +13,16 @@
 )
 
 const (
-	// maxResponseRead is how long a server may take at most from the first byte of its response to the last.
-	maxResponseRead = 150 * time.Millisecond
-	// responseReadDivisor divides the latency objective: a response may be read for one part of it, so that an
-	// incomplete response leaves time for a retry.
+	// maxResponseReadTimeout is the upper bound of the response read timeout, which covers the time from the first
+	// byte of a server's response to the last.
+	maxResponseReadTimeout = 150 * time.Millisecond
+	// responseReadDivisor limits the response read timeout to a fraction of the latency objective, so that a retry
+	// after an incomplete response can still meet the objective.
 	responseReadDivisor = 2
 )
 
-// forwardedRequest returns the request that is sent to servers.
-func forwardedRequest(r *http.Request, body []byte, class *policy.Class) upstream.Request {
+// newUpstreamRequest returns the request to send to servers, without hop-by-hop header fields.
+func newUpstreamRequest(r *http.Request, body []byte, class *policy.Class) upstream.Request {
 	return upstream.Request{
 		Method: r.Method,
 		URL: &url.URL{
@@ -34,16 +35,17 @@
 	}
 }
 
-// responseReadTimeout returns how long a server may take for its response from the first byte on.
+// responseReadTimeout returns the response read timeout of a class. A class without a latency objective uses its
+// deadline instead.
 func responseReadTimeout(class *policy.Class) time.Duration {
 	objective := class.Objective
 	if objective == 0 {
 		objective = class.Deadline
 	}
-	return min(maxResponseRead, objective/responseReadDivisor)
+	return min(maxResponseReadTimeout, objective/responseReadDivisor)
 }
 
-// readBody reads a body of a known, bounded length within the read timeout.
+// readBody reads the body of a request. checkFraming has bounded its length, and the read timeout applies.
 func readBody(r *http.Request) ([]byte, error) {
 	if r.ContentLength == 0 {
 		return nil, nil
