--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -40,9 +40,9 @@
 	slowStart  slowStart
 	candidates candidates // reused by selectServer
 
-	refreshedAt time.Duration
-	outdated    bool // refresh is due even at refreshedAt
-	checks      checkTimer
+	refreshedAt  time.Duration
+	needsRefresh bool // refresh is due even at refreshedAt
+	checkTimer   checkTimer
 }
 
 // New returns a Balancer, or the *SettingError of Settings.Validate. The seed fixes all random choices.
@@ -69,8 +69,8 @@
 		limiter:   newConcurrencyLimiter(settings.Nodes),
 		slowStart: newSlowStart(&settings, random),
 
-		outdated: true,
-		checks:   newCheckTimer(host),
+		needsRefresh: true,
+		checkTimer:   newCheckTimer(host),
 	}
 	for _, class := range settings.Classes {
 		balancer.classes = append(balancer.classes, newRequestClass(class, &settings))
@@ -103,7 +103,7 @@
 	b.arrivals.record(now, request)
 	b.queue.add(request)
 	b.dispatch(now)
-	b.checks.scheduleBy(min(now+checkInterval, request.deadline))
+	b.checkTimer.scheduleBy(min(now+checkInterval, request.deadline))
 }
 
 // StreamStarted reports that an attempt's response streams to the client. The request gets no further
@@ -157,7 +157,7 @@
 	lost := b.endpoints.update(kind, endpoints)
 	b.limiter.markAllUnresponsive(lost)
 	b.subset.invalidate()
-	b.outdated = true
+	b.needsRefresh = true
 	b.dispatch(now)
 }
 
@@ -165,13 +165,13 @@
 // force. The node counts as notified of missed changes at the deadline, so the next response must come
 // before it.
 func (b *Balancer) WatchFailed(now, deadline time.Duration) {
-	b.host.SetTimer(now+b.watch.backOff(deadline-now), timerWatch)
+	b.host.SetTimer(now+b.watch.nextBackoff(deadline-now), timerWatch)
 }
 
 // TerminateAll rejects or fails every active request, for a node that shuts down.
 func (b *Balancer) TerminateAll(now time.Duration) {
 	for len(b.requests.active) > 0 {
-		b.terminateUnserved(b.requests.active[len(b.requests.active)-1])
+		b.rejectOrFail(b.requests.active[len(b.requests.active)-1])
 	}
 	b.dispatch(now) // drops the terminated requests from the queue
 }
@@ -180,8 +180,8 @@
 func (b *Balancer) Timer(now time.Duration, token uint64) {
 	switch token {
 	case timerCheck:
-		if b.checks.isDue(now) {
-			b.checks.clear()
+		if b.checkTimer.isDue(now) {
+			b.checkTimer.clear()
 			b.periodicCheck(now)
 		}
 	case timerWatch:
--- a/policy/circuit_breaker.go
+++ b/policy/circuit_breaker.go
@@ -14,7 +14,7 @@
 const (
 	failureThreshold     = 5                // consecutive failures that open a breaker if not expected
 	maxFailureThreshold  = 12               // consecutive failures that open a breaker in any case
-	maxChanceProbability = 1e-5             // probability above which a run of failures is expected
+	runSignificanceLevel = 1e-5             // probability above which a run of failures is expected
 	failureWindow        = 60 * time.Second // time that consecutive failures must fall into
 	initialOpenDuration  = 2 * time.Second  // time that a breaker stays open; doubles with each failed trial
 	maxOpenDuration      = 30 * time.Second
@@ -118,12 +118,13 @@
 	if (status == Timeout || status == ConnectFailed) && failures >= regime.noResponseThreshold {
 		return true
 	}
-	return failures >= failureThreshold && !c.failuresExpected(failureRate)
+	return failures >= failureThreshold && !c.explainedByFailureRate(failureRate)
 }
 
-// failuresExpected reports whether the consecutive failures are likely at the failure rate before them. The
-// score then steers requests away from the server; an open breaker would lose what it still serves.
-func (c *circuitBreaker) failuresExpected(failureRate float64) bool {
+// explainedByFailureRate reports whether the consecutive failures are likely at the failure rate before
+// them. The score then steers requests away from the server; an open breaker would lose what it still
+// serves.
+func (c *circuitBreaker) explainedByFailureRate(failureRate float64) bool {
 	failures := len(c.failures)
-	return failures < maxFailureThreshold && math.Pow(failureRate, float64(failures)) > maxChanceProbability
+	return failures < maxFailureThreshold && math.Pow(failureRate, float64(failures)) > runSignificanceLevel
 }
--- a/policy/concurrency_limit.go
+++ b/policy/concurrency_limit.go
@@ -26,7 +26,7 @@
 	inFlight       int     // attempts of this node, not counting unresponsive ones
 	meanInFlight   float64 // its exponential moving average
 	limit          float64 // of all nodes' attempts for each server; may be below 1
-	knownGood      float64 // highest recent limit without congestion
+	knownGoodLimit float64 // highest recent limit without congestion
 	congestionSeen bool    // the limit has left its fast initial growth
 	adjustedAt     time.Duration
 }
@@ -79,40 +79,41 @@
 	now time.Duration, latency *latencyEstimator, regime *samplingRegime, waiting int,
 ) {
 	interval := min((now - l.adjustedAt).Seconds(), maxAdjustInterval.Seconds())
-	latencies := interval / latency.smoothed
+	elapsedLatencies := interval / latency.smoothed
 	l.adjustedAt = now
-	excess := latency.congestion - targetCongestion
+	excessCongestion := latency.congestion - targetCongestion
 	switch {
-	case excess > 0 && !l.congestionSeen:
+	case excessCongestion > 0 && !l.congestionSeen:
 		l.congestionSeen = true
 		l.limit *= regime.firstCongestionFactor
-		l.knownGood = l.limit
-	case excess > 0:
-		l.decrease(excess, latencies, regime)
-		l.knownGood *= 1 - interval/knownGoodTimeConstant.Seconds()
+		l.knownGoodLimit = l.limit
+	case excessCongestion > 0:
+		l.decrease(excessCongestion, elapsedLatencies, regime)
+		l.knownGoodLimit *= 1 - interval/knownGoodTimeConstant.Seconds()
 	case waiting > 0:
-		l.increase(latencies, regime)
+		l.increase(elapsedLatencies, regime)
 	}
 }
 
 // decrease lowers the limit for congestion above the target that lasted for a number of smoothed latencies.
-func (l *concurrencyLimiter) decrease(excess, latencies float64, regime *samplingRegime) {
-	floor := max(regime.minLimit, regime.knownGoodLimitFraction*l.knownGood)
-	l.limit = max(floor, l.limit*(1-limitDecrease*min(excess, regime.maxExcess)*latencies))
+func (l *concurrencyLimiter) decrease(excessCongestion, elapsedLatencies float64, regime *samplingRegime) {
+	floor := max(regime.minLimit, regime.knownGoodLimitFraction*l.knownGoodLimit)
+	l.limit = max(floor,
+		l.limit*(1-limitDecrease*min(excessCongestion, regime.maxExcessCongestion)*elapsedLatencies))
 }
 
 // increase raises the limit for a number of smoothed latencies without congestion. An additive increase
 // leads nodes that share servers to equal limits.
-func (l *concurrencyLimiter) increase(latencies float64, regime *samplingRegime) {
+func (l *concurrencyLimiter) increase(elapsedLatencies float64, regime *samplingRegime) {
 	if !l.congestionSeen {
-		latencies *= initialIncreaseFactor
+		elapsedLatencies *= initialIncreaseFactor
 	}
 	if regime.additiveIncrease {
-		l.limit += limitIncrease * latencies
+		l.limit += limitIncrease * elapsedLatencies
 	} else {
-		l.limit *= 1 + limitIncrease*latencies
+		l.limit *= 1 + limitIncrease*elapsedLatencies
 	}
-	l.knownGood = max(l.knownGood, l.limit)
+	l.knownGoodLimit = max(l.knownGoodLimit, l.limit)
 }
 
 // hasCapacity reports whether a server that has a share of its full capacity may get one more attempt.
--- a/policy/concurrency_limit_test.go
+++ b/policy/concurrency_limit_test.go
@@ -43,7 +43,7 @@
 // is slow as a whole.
 func TestLimitShrinksUnderCongestionToNearTheKnownGood(t *testing.T) {
 	h, balancer := newLimiterHarness(t)
-	balancer.limiter.congestionSeen, balancer.limiter.limit, balancer.limiter.knownGood = true, 8, 4
+	balancer.limiter.congestionSeen, balancer.limiter.limit, balancer.limiter.knownGoodLimit = true, 8, 4
 	adjustLimitFor(balancer, h.now, 5*time.Second, 1)
 	if balancer.limiter.limit >= 8 {
 		t.Fatal("limit did not shrink under congestion")
@@ -57,7 +57,7 @@
 // Guards against servers that stay congested by many undersampled nodes, each at a limit that was good before.
 func TestUndersampledNodeLimitFallsBelowOneRequestPerServer(t *testing.T) {
 	h, balancer := newLimiterHarness(t)
-	balancer.limiter.congestionSeen, balancer.limiter.limit, balancer.limiter.knownGood = true, 8, 8
+	balancer.limiter.congestionSeen, balancer.limiter.limit, balancer.limiter.knownGoodLimit = true, 8, 8
 	balancer.subset.setNodesPerServer(2 * undersampledAbove)
 	adjustLimitFor(balancer, h.now, 10*time.Second, 1)
 	if balancer.limiter.limit > 1 {
@@ -83,7 +83,7 @@
 	for _, limit := range []float64{0.5, 4} {
 		h := newUndersampledHarness(t)
 		limiter := &h.balancer.limiter
-		limiter.congestionSeen, limiter.limit, limiter.knownGood = true, limit, limit
+		limiter.congestionSeen, limiter.limit, limiter.knownGoodLimit = true, limit, limit
 		limiter.adjustedAt = time.Hour
 		h.balancer.queue.waiting = append(h.balancer.queue.waiting, &request{})
 		nodes = append(nodes, h.balancer)
--- a/policy/disconnect_test.go
+++ b/policy/disconnect_test.go
@@ -24,7 +24,7 @@
 // attempt. If it is reported right after, the attempt is cancelled. Nothing follows in either case.
 func TestClientDisconnectsAsTheNextAttemptIsDue(t *testing.T) {
 	check := func(h *harness) {
-		h.now = max(h.now, h.balancer.checks.due)
+		h.now = max(h.now, h.balancer.checkTimer.due)
 		h.balancer.Timer(h.now, timerCheck)
 	}
 	for _, c := range []disconnectCase{
--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -7,14 +7,14 @@
 // refresh brings the subset, the scores and all other estimates up to date. It does so once for all calls
 // with the same time, unless they have become outdated since.
 func (b *Balancer) refresh(now time.Duration) {
-	if !b.outdated && b.refreshedAt == now {
+	if !b.needsRefresh && b.refreshedAt == now {
 		return
 	}
 	elapsed := now - b.refreshedAt
-	b.outdated, b.refreshedAt = false, now
-	b.subset.renewIfDue(now, b.endpoints.ready, b.arrivals.rate.PerSecond(now))
+	b.needsRefresh, b.refreshedAt = false, now
+	b.subset.updateIfDue(now, b.endpoints.ready, b.arrivals.rate.PerSecond(now))
 	b.means.update(now, b.subset.servers, b.subset.regime.maxOutcomeAge)
-	b.slowStart.updateWarmServerRate(now, elapsed, &b.subset, len(b.endpoints.ready))
+	b.slowStart.updateWarmServerWorkRate(now, elapsed, &b.subset, len(b.endpoints.ready))
 	b.limiter.updateMeanInFlight(elapsed)
 	b.subset.advanceBreakers(now)
 	b.means.updateScores(b.subset.servers)
@@ -36,7 +36,7 @@
 		}
 		if b.subset.allEjected() {
 			b.queue.markRemoved(request)
-			b.terminateUnserved(request)
+			b.rejectOrFail(request)
 			return true
 		}
 		// A first attempt may go to any ready server. A retry may be bound to the scope of its key, and does
@@ -61,11 +61,11 @@
 // shedLoad terminates queued requests that cannot be served in time; dispatch drops the completed ones.
 func (b *Balancer) shedLoad(now time.Duration) {
 	b.queue.removeFunc(func(request *request) bool {
-		if request.completed || !b.shedder.mustShed(now, request) {
+		if request.completed || !b.shedder.shouldShed(now, request) {
 			return false
 		}
 		b.queue.markRemoved(request)
-		b.terminateUnserved(request)
+		b.rejectOrFail(request)
 		return true
 	})
 }
@@ -82,7 +82,7 @@
 	case len(b.candidates.closed) == 0 || !b.limiter.nodeHasCapacity(request, &b.subset, &b.arrivals):
 		return nil
 	case len(request.attempts) == 0:
-		return b.candidates.drawTwo(b.random)
+		return b.candidates.betterOfTwoRandom(b.random)
 	}
 	return b.candidates.best()
 }
@@ -127,18 +127,18 @@
 
 // scheduleRetry starts the backoff before a retry, or terminates the request if no retry fits.
 func (b *Balancer) scheduleRetry(now time.Duration, request *request) {
-	retryAt := now + b.retry.drawBackoff(request)
+	retryAt := now + b.retry.jitteredBackoff(request)
 	if !b.retry.permitsRetryAt(retryAt, request, request.expectedLatency(b.means.relativeLatency)) {
-		b.terminateUnserved(request)
+		b.rejectOrFail(request)
 		return
 	}
 	request.startBackoff(retryAt)
-	b.checks.scheduleBy(now + checkInterval)
+	b.checkTimer.scheduleBy(now + checkInterval)
 }
 
-// terminateUnserved rejects a request, or fails it if it may have been executed and must not be again.
-func (b *Balancer) terminateUnserved(request *request) {
-	if b.subset.regime.returnsQuotaToken {
+// rejectOrFail rejects a request, or fails it if it may have been executed and must not be again.
+func (b *Balancer) rejectOrFail(request *request) {
+	if b.subset.regime.refundsQuotaToken {
 		b.quotas.refund(request)
 	}
 	if request.safeToReject() {
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -238,7 +238,7 @@
 func (h *harness) fillToLimit() {
 	h.balancer.refresh(h.now)
 	limiter, subset := &h.balancer.limiter, &h.balancer.subset
-	limiter.limit, limiter.knownGood, limiter.congestionSeen = 1, 1, true
+	limiter.limit, limiter.knownGoodLimit, limiter.congestionSeen = 1, 1, true
 	limiter.meanInFlight = 2 * limiter.limit / subset.nodesPerServer * float64(subset.closed)
 }
 
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -127,11 +127,11 @@
 		class.recordUnloaded(seconds/request.relativeWork(), congestion)
 	}
 	classBaseline := class.baseline.Value() * request.relativeWork()
-	offset := math.Log(max(seconds, minLatency.Seconds()) / classBaseline)
+	logRatio := math.Log(max(seconds, minLatency.Seconds()) / classBaseline)
 	serverBaseline := &attempt.server.baseline
 	if attempt.unloaded && congestion < targetCongestion {
 		// The more nodes use the server, the more a sample may be due to their load.
-		serverBaseline.AddWithPrior(offset, nodesPerServer)
+		serverBaseline.AddWithPrior(logRatio, nodesPerServer)
 	}
-	e.congestion += (offset - serverBaseline.Value() - congestion) / congestionSmoothing
+	e.congestion += (logRatio - serverBaseline.Value() - congestion) / congestionSmoothing
 }
--- a/policy/load_shedding.go
+++ b/policy/load_shedding.go
@@ -15,16 +15,16 @@
 	means    *outcomeMeans
 }
 
-// mustShed reports whether a queued request is terminated: no attempt is left, it was not sent by its
+// shouldShed reports whether a queued request is terminated: no attempt is left, it was not sent by its
 // queueing deadline, or it would be late.
-func (l *loadShedder) mustShed(now time.Duration, request *request) bool {
+func (l *loadShedder) shouldShed(now time.Duration, request *request) bool {
 	return l.retry.attemptsExhausted(now, request) ||
 		now >= request.queueingDeadline && !request.mayHaveBeenExecuted() ||
-		l.isLate(now, request)
+		l.willMissDeadline(now, request)
 }
 
-// isLate reports whether a queued request cannot be served by its deadline any more.
-func (l *loadShedder) isLate(now time.Duration, request *request) bool {
+// willMissDeadline reports whether a queued request cannot be served by its deadline any more.
+func (l *loadShedder) willMissDeadline(now time.Duration, request *request) bool {
 	required := request.expectedLatency(l.means.relativeLatency)
 	deadline := l.servingDeadline(request)
 	if mustMeetObjective := deadline == request.objectiveDeadline; mustMeetObjective {
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -60,7 +60,7 @@
 	switch {
 	case breaker.isTrial(attempt):
 		breaker.extendOpenDuration()
-	case !b.mustEject(server, status):
+	case !b.shouldEject(server, status):
 		return
 	}
 	b.limiter.markAllUnresponsive(server.inFlight)
@@ -68,10 +68,10 @@
 	breaker.open(now, b.random)
 }
 
-// mustEject reports whether the consecutive failures of a server, the last one of the given status, open its
-// closed breaker. Time-outs may be due to a slowdown of all servers: they open no breaker once half of the
-// subset is ejected.
-func (b *Balancer) mustEject(server *server, status Status) bool {
+// shouldEject reports whether the consecutive failures of a server, the last one of the given status, open
+// its closed breaker. Time-outs may be due to a slowdown of all servers: they open no breaker once half of
+// the subset is ejected.
+func (b *Balancer) shouldEject(server *server, status Status) bool {
 	breaker := &server.breaker
 	if breaker.state != breakerClosed {
 		return false
@@ -81,8 +81,9 @@
 		(status != Timeout || b.subset.mayEjectAnother())
 }
 
-// checkAttempts counts unresponsive attempts as failures and, where permitted, hedges the request.
-func (b *Balancer) checkAttempts(now time.Duration, request *request) {
+// handleUnresponsiveAttempts counts unresponsive attempts as failures and, where permitted, hedges the
+// request.
+func (b *Balancer) handleUnresponsiveAttempts(now time.Duration, request *request) {
 	expected := request.expectedLatency(b.means.relativeLatency)
 	for i := range request.attempts {
 		attempt := &request.attempts[i]
--- a/policy/periodic_check.go
+++ b/policy/periodic_check.go
@@ -51,7 +51,7 @@
 	}
 	b.dispatch(now)
 	if len(b.requests.active) > 0 {
-		b.checks.scheduleBy(next)
+		b.checkTimer.scheduleBy(next)
 	}
 }
 
@@ -60,9 +60,9 @@
 	switch {
 	case request.streaming: // has no deadline any more
 	case request.inFlight > 0:
-		b.checkAttempts(now, request)
+		b.handleUnresponsiveAttempts(now, request)
 	case now >= request.deadline:
-		b.terminateUnserved(request)
+		b.rejectOrFail(request)
 	case request.backoffOver(now):
 		request.endBackoff()
 		b.queue.add(request)
--- a/policy/request.go
+++ b/policy/request.go
@@ -9,9 +9,9 @@
 	"calicohinge/internal/tokenbucket"
 )
 
-// queueingDivisor bounds the wait for the first attempt by one half of the client's time. A request that was
-// not sent by then is rejected, so that its client can retry elsewhere.
-const queueingDivisor = 2
+// queueingDeadlineDivisor bounds the wait for the first attempt by one half of the client's time. A request
+// that was not sent by then is rejected, so that its client can retry elsewhere.
+const queueingDeadlineDivisor = 2
 
 // attempt is one send of a request to a server. It keeps the server's zone and cell as of the send.
 type attempt struct {
@@ -55,7 +55,7 @@
 func (r *request) setDeadlines(now time.Duration, settings *Settings) {
 	timeout := min(r.Timeout, r.class.Deadline) - max(0, settings.Tick-settings.Rules.ResponseGrace)
 	r.deadline = now + max(0, timeout)
-	r.queueingDeadline = now + (r.deadline-now)/queueingDivisor - checkInterval
+	r.queueingDeadline = now + (r.deadline-now)/queueingDeadlineDivisor - checkInterval
 	extension := time.Duration(r.class.ObjectivePerWork * float64(r.CostHint))
 	r.objectiveDeadline = min(r.deadline, now+r.class.Objective+extension)
 }
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -22,8 +22,8 @@
 	random *rand.Rand
 }
 
-// drawBackoff returns the backoff before the next attempt.
-func (p *retryPolicy) drawBackoff(request *request) time.Duration {
+// jitteredBackoff returns the backoff before the next attempt.
+func (p *retryPolicy) jitteredBackoff(request *request) time.Duration {
 	first := time.Duration(float64(request.class.Objective) * initialBackoffShare)
 	backoff := min(first<<(len(request.attempts)-1), maxBackoff)
 	return jitter.Proportional(p.random, backoff, jitterShare)
--- a/policy/sampling_regime.go
+++ b/policy/sampling_regime.go
@@ -20,13 +20,13 @@
 	limitAppliesToMean     bool    // the node's limit holds for the mean number of attempts in flight
 	additiveIncrease       bool    // the concurrency limit grows by steps instead of by a factor
 	firstCongestionFactor  float64 // on the concurrency limit when congestion shows for the first time
-	maxExcess              float64 // most congestion above the target that counts in one adjustment
+	maxExcessCongestion    float64 // most congestion above the target that counts in one adjustment
 	minLimit               float64 // least concurrency limit for each server
 	knownGoodLimitFraction float64 // of the known good limit, below which the concurrency limit does not fall
 
 	queuesPastObjective bool    // a request of high weight may wait beyond its latency objective
 	sheddingMargin      float64 // of the expected latency that must be left before the latency objective
-	returnsQuotaToken   bool    // a rejected request returns its token to the quota of its tenant
+	refundsQuotaToken   bool    // a rejected request returns its token to the quota of its tenant
 }
 
 // regimeFor returns the regime for a mean number of nodes that use each server. It is the only place that
@@ -66,7 +66,7 @@
 		maxOutcomeAge:        10 * time.Second,
 
 		firstCongestionFactor:  1,
-		maxExcess:              0.2,
+		maxExcessCongestion:    0.2,
 		minLimit:               1,
 		knownGoodLimitFraction: 0.9, // a fleet that is slow as a whole looks congested
 
@@ -83,11 +83,11 @@
 		limitAppliesToMean:    true,
 		additiveIncrease:      true,
 		firstCongestionFactor: 0.6, // congestion shows late
-		maxExcess:             1,   // adjustments are rare
+		maxExcessCongestion:   1,   // adjustments are rare
 		minLimit:              0.5, // below one request, congested servers recover
 
 		queuesPastObjective: true,
 		sheddingMargin:      2.5, // the queues of other nodes are not seen
-		returnsQuotaToken:   true,
+		refundsQuotaToken:   true,
 	}
 }
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -22,8 +22,9 @@
 	return best
 }
 
-// drawTwo returns the better of two random servers with closed breakers, of which there must be one.
-func (c *candidates) drawTwo(random *rand.Rand) *server {
+// betterOfTwoRandom returns the better of two random servers with closed breakers, of which there must be
+// one.
+func (c *candidates) betterOfTwoRandom(random *rand.Rand) *server {
 	n := len(c.closed)
 	if n <= 2 {
 		return c.best()
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -23,7 +23,7 @@
 	random := rand.New(rand.NewPCG(1, 0))
 	drawn := map[*server]int{}
 	for range 300 {
-		drawn[set.drawTwo(random)]++
+		drawn[set.betterOfTwoRandom(random)]++
 	}
 	if drawn[worst] > 0 || drawn[middle] == 0 || drawn[best] <= drawn[middle] {
 		t.Errorf("drawn %d, %d and %d times from the worst to the best, want none, some and most",
@@ -36,7 +36,7 @@
 
 func TestDrawTwoOfTwoNeedsNoDraw(t *testing.T) {
 	set := candidates{closed: []*server{{score: serverScore{value: 0.1}}, {score: serverScore{value: 0.9}}}}
-	if set.drawTwo(nil) != set.closed[1] {
+	if set.betterOfTwoRandom(nil) != set.closed[1] {
 		t.Error("the better of two servers lost")
 	}
 }
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -10,20 +10,20 @@
 )
 
 const (
-	slowStartSafety = 0.8  // part of a warming server's estimated capacity that is used
-	burstWindows    = 0.25 // budget that may be saved up, in overload windows
-	minWarmFraction = 0.75 // part of the subset that must be warm for an estimate of what a warm server gets
+	slowStartSafetyFactor = 0.8  // part of a warming server's estimated capacity that is used
+	burstWindows          = 0.25 // budget that may be saved up, in overload windows
+	minWarmFraction       = 0.75 // part of the subset that must be warm for the estimate of their rate
 
-	warmServerRateTimeConstant = 10 * time.Second // over which the rate of a warm server is smoothed
+	warmServerWorkRateTimeConstant = 10 * time.Second // over which the rate of a warm server is smoothed
 )
 
 // slowStart limits the work that this node sends to servers that are warming up.
 type slowStart struct {
-	nodes          int
-	rules          Rules
-	random         *rand.Rand
-	sentWork       decayrate.Meter // work of this node's attempts: their baseline latencies
-	warmServerRate float64         // work per second that a warm server gets from all nodes; 0: unknown
+	nodes              int
+	rules              Rules
+	random             *rand.Rand
+	sentWork           decayrate.Meter // work of this node's attempts: their baseline latencies
+	warmServerWorkRate float64         // work per second that a warm server gets from all nodes; 0: unknown
 }
 
 // slowStartBudget is the work that this node may still send to a server that is warming up.
@@ -63,9 +63,9 @@
 	server.budget.work -= work
 }
 
-// updateWarmServerRate adds the present rate to the smoothed one, for the time since the last call. It
+// updateWarmServerWorkRate adds the present rate to the smoothed one, for the time since the last call. It
 // leaves the rate as it was while less than minWarmFraction of the subset is warm.
-func (s *slowStart) updateWarmServerRate(now, elapsed time.Duration, subset *subset, readyServers int) {
+func (s *slowStart) updateWarmServerWorkRate(now, elapsed time.Duration, subset *subset, readyServers int) {
 	warm := 0
 	for _, server := range subset.servers {
 		if server.breaker.state == breakerClosed && server.capacityShare(&s.rules, now) >= 1 {
@@ -76,8 +76,8 @@
 		return
 	}
 	rate := s.sentWork.PerSecond(now) * float64(s.nodes) / float64(readyServers)
-	weight := min(1, elapsed.Seconds()/warmServerRateTimeConstant.Seconds())
-	s.warmServerRate += (rate - s.warmServerRate) * weight
+	weight := min(1, elapsed.Seconds()/warmServerWorkRateTimeConstant.Seconds())
+	s.warmServerWorkRate += (rate - s.warmServerWorkRate) * weight
 }
 
 // refillBudget adds to the budget of a warming server, before a request of the given work in seconds. A node
@@ -95,11 +95,11 @@
 	if isNew := budget.updatedAt == 0; isNew {
 		*budget = slowStartBudget{work: -work * s.random.Float64(), updatedAt: now}
 	}
-	rate := s.warmServerRate / subset.nodesPerServer * s.rules.OverloadMultiple
-	if s.warmServerRate == 0 { // unknown: a new node among warming servers knows only its own arrivals
+	rate := s.warmServerWorkRate / subset.nodesPerServer * s.rules.OverloadMultiple
+	if s.warmServerWorkRate == 0 { // unknown: a new node among warming servers knows only its own arrivals
 		rate = arrivals.rate.PerSecond(now) * work / float64(len(subset.servers))
 	}
-	rate *= share * slowStartSafety
+	rate *= share * slowStartSafetyFactor
 	burst := rate * s.rules.OverloadWindow.Seconds() * burstWindows
 	budget.work = min(budget.work+rate*(now-budget.updatedAt).Seconds(), burst)
 	budget.updatedAt = now
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -43,7 +43,7 @@
 func (h *harness) sendThroughSlowStart(s *server) int {
 	h.t.Helper()
 	rules, baseline := h.balancer.settings.Rules, h.balancer.classes[0].baseline.Value()
-	warmServerRate := h.balancer.slowStart.warmServerRate
+	warmServerRate := h.balancer.slowStart.warmServerWorkRate
 	var sends []time.Duration
 	for start := h.now; h.now < start+rules.SlowStartDuration; h.now += ms {
 		work := baseline + 0.001
@@ -81,7 +81,7 @@
 		balancer.UpdateEndpoints(time.Hour, UpdateCached, entries)
 		balancer.refresh(time.Hour)
 		work := balancer.classes[0].baseline.Value()
-		balancer.slowStart.warmServerRate = work // one unloaded request per second
+		balancer.slowStart.warmServerWorkRate = work // one unloaded request per second
 		wait := time.Duration(0)
 		for ; wait < 10*time.Second; wait += 10 * ms {
 			now, warming := time.Hour+wait, balancer.endpoints.byID[1]
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -16,9 +16,9 @@
 	servers        []*server
 	nodesPerServer float64        // mean number of nodes that use a server, at least 1
 	regime         samplingRegime // by nodesPerServer
-	wanted         int            // warm servers whose breaker is not open, wanted at the last renewal
-	renewedAt      time.Duration
-	stale          bool // the ready servers or their breakers have changed since renewedAt
+	targetSize     int            // warm servers whose breaker is not open, wanted at the last renewal
+	updatedAt      time.Duration
+	stale          bool // the ready servers or their breakers have changed since updatedAt
 
 	closed, awaitingTrial int // servers by the state of their breaker, as of the last refresh
 }
@@ -38,16 +38,16 @@
 // invalidate makes a renewal due, because the ready servers or their breakers have changed.
 func (s *subset) invalidate() { s.stale = true }
 
-// renewIfDue adapts the subset to the rate of arrivals and to the ready servers in the order of the ring. It
+// updateIfDue adapts the subset to the rate of arrivals and to the ready servers in the order of the ring. It
 // is due at intervals, and at once when the subset is stale or has to grow.
-func (s *subset) renewIfDue(now time.Duration, ring []*server, arrivalsPerSecond float64) {
+func (s *subset) updateIfDue(now time.Duration, ring []*server, arrivalsPerSecond float64) {
 	rounded := int(arrivalsPerSecond*subsetRequestInterval.Seconds() + 0.5)
-	wanted := max(minSubsetSize, rounded)
-	due := s.stale || wanted > s.wanted || now-s.renewedAt >= subsetRequestInterval
+	targetSize := max(minSubsetSize, rounded)
+	due := s.stale || targetSize > s.targetSize || now-s.updatedAt >= subsetRequestInterval
 	if !due {
 		return
 	}
-	s.stale, s.wanted, s.renewedAt = false, wanted, now
+	s.stale, s.targetSize, s.updatedAt = false, targetSize, now
 	nodes, ready := float64(s.nodes), len(ring)
 	middle := float64(s.node) + 0.5 // of this node's part of the ring, in parts of one node
 	start := int(middle / nodes * float64(ready))
@@ -59,12 +59,12 @@
 // share of the full capacity, and one with an open breaker does not count.
 func (s *subset) fill(now time.Duration, ring []*server, start int) {
 	s.servers = s.servers[:0]
-	missing := float64(s.wanted)
-	for i := 0; i < len(ring) && missing > 0; i++ {
+	remaining := float64(s.targetSize)
+	for i := 0; i < len(ring) && remaining > 0; i++ {
 		server := ring[(start+i)%len(ring)]
 		s.servers = append(s.servers, server)
 		if server.breaker.state != breakerOpen {
-			missing -= server.capacityShare(&s.rules, now)
+			remaining -= server.capacityShare(&s.rules, now)
 		}
 	}
 }
--- a/policy/watch_schedule.go
+++ b/policy/watch_schedule.go
@@ -14,9 +14,9 @@
 	watchSpreadPerNode  = 60 * time.Millisecond   // each node's part of the time over which calls spread
 	watchResponseTime   = 1500 * time.Millisecond // time left for a response before the notification deadline
 
-	spreadsPerPollInterval  = 2 // the first calls spread over half of MaxPollInterval at most
-	backoffsPerPollInterval = 4 // the backoff grows to about a quarter of MaxPollInterval
-	minWaitsPerTimeLeft     = 2 // a wait may take half of the time left, even if no response fits then
+	maxSpreadDivisor     = 2 // the first calls spread over half of MaxPollInterval at most
+	maxBackoffDivisor    = 4 // the backoff grows to about a quarter of MaxPollInterval
+	remainingTimeDivisor = 2 // a wait may take half of the time left, even if no response fits then
 )
 
 // watchSchedule says when a node calls for the endpoint list.
@@ -41,36 +41,36 @@
 
 // start makes the first call for the endpoint list, at once or within the initial span.
 func (w *watchSchedule) start(now time.Duration, host Host, cachedEndpoints int) {
-	span := w.initialSpan(cachedEndpoints)
-	if span == 0 {
+	spread := w.initialSpread(cachedEndpoints)
+	if spread == 0 {
 		host.WatchEndpoints()
 		return
 	}
-	host.SetTimer(now+jitter.Full(w.random, span), timerWatch)
+	host.SetTimer(now+jitter.Full(w.random, spread), timerWatch)
 }
 
-// initialSpan returns the time over which the first calls of nodes that start together spread. 0 means to
+// initialSpread returns the time over which the first calls of nodes that start together spread. 0 means to
 // call at once, as few nodes do, and every node without a cached list. The discovery service may serve its
 // calls one after another, even abandoned ones: the calls of many nodes at once would time out, and so would
 // their repetitions.
-func (w *watchSchedule) initialSpan(cachedEndpoints int) time.Duration {
-	span := min(w.spread, w.maxPollInterval/spreadsPerPollInterval, NotificationDeadline-watchResponseTime)
-	if span <= initialWatchBackoff || cachedEndpoints == 0 {
+func (w *watchSchedule) initialSpread(cachedEndpoints int) time.Duration {
+	spread := min(w.spread, w.maxPollInterval/maxSpreadDivisor, NotificationDeadline-watchResponseTime)
+	if spread <= initialWatchBackoff || cachedEndpoints == 0 {
 		return 0
 	}
-	return span
+	return spread
 }
 
-// backOff returns the delay of the next call after a failed one, and doubles the backoff. The response has
-// to come in the time left until the notification deadline. The first backoff has full jitter, which keeps
-// nodes apart that lost the discovery service together. Later ones are equal for all nodes.
-func (w *watchSchedule) backOff(left time.Duration) time.Duration {
-	longest := min(max(left-watchResponseTime, left/minWaitsPerTimeLeft, 0),
+// nextBackoff returns the delay of the next call after a failed one, and doubles the backoff. The response
+// has to come in the time left until the notification deadline. The first backoff has full jitter, which
+// keeps nodes apart that lost the discovery service together. Later ones are equal for all nodes.
+func (w *watchSchedule) nextBackoff(remainingTime time.Duration) time.Duration {
+	longest := min(max(remainingTime-watchResponseTime, remainingTime/remainingTimeDivisor, 0),
 		max(w.maxPollInterval, initialWatchBackoff))
 	delay := min(max(w.backoff, w.spread), longest)
 	if w.backoff == initialWatchBackoff {
 		delay = jitter.Full(w.random, delay)
 	}
-	w.backoff = min(2*w.backoff, w.maxPollInterval/backoffsPerPollInterval+initialWatchBackoff)
+	w.backoff = min(2*w.backoff, w.maxPollInterval/maxBackoffDivisor+initialWatchBackoff)
 	return delay
 }
--- a/policy/watch_schedule_test.go
+++ b/policy/watch_schedule_test.go
@@ -89,13 +89,13 @@
 	schedule := newWatchSchedule(&settings, rand.New(rand.NewPCG(1, 0)))
 	const left = time.Hour
 
-	first := schedule.backOff(left)
+	first := schedule.nextBackoff(left)
 	var waits []time.Duration
 	for range 4 {
-		waits = append(waits, schedule.backOff(left))
+		waits = append(waits, schedule.nextBackoff(left))
 	}
 	schedule.reset()
-	again := schedule.backOff(left)
+	again := schedule.nextBackoff(left)
 
 	want := []time.Duration{time.Second, 2 * time.Second, 3 * time.Second, 3 * time.Second}
 	if !slices.Equal(waits, want) {
