--- a/policy/api.go
+++ b/policy/api.go
@@ -1,54 +1,54 @@
-// Package policy makes the decisions of an HTTP load balancer that runs as several nodes: which server
-// gets a request, when a retry or a hedged request follows, which requests are rejected, and when the
-// endpoint list is polled or watched.
+// Package policy implements the decision logic of an HTTP load balancer that runs on several nodes: which
+// server gets a request, when to retry or hedge it, which requests to reject, and when to poll or watch the
+// endpoint list.
 //
-// A Balancer is driven by events, one method each, and acts by calling its Host. It has no clock,
-// goroutine or global state: events carry the time, and the same events with the same seed give the same
-// actions in the same order. A Balancer is not safe for concurrent use. All times are durations since one
-// fixed moment of the caller's monotonic clock.
+// A Balancer is an event-driven state machine: it has one method for each event and acts through its Host.
+// It has no clock, goroutines or global state. Events carry the time, and the same events with the same seed
+// produce the same actions in the same order. A Balancer is not safe for concurrent use. All times are
+// durations since a fixed point of the caller's monotonic clock.
 //
 // # Files
 //
-// The interface is in api.go, settings.go and validate.go. The Balancer owns one value of each concern and
-// calls them in order: balancer.go holds the events, periodic_check.go the check of all active requests,
-// dispatch.go the path of a request, and outcome.go what the outcome of an attempt says about its server.
-// Each concern has a type that alone changes its state:
+// The API is in api.go, settings.go and validate.go. The Balancer coordinates the components below:
+// balancer.go has the event handlers, periodic_check.go the check of all active requests, dispatch.go the
+// path of a request, and outcome.go the effect of an attempt's outcome on its server. Each component has one
+// type, whose methods alone modify its state:
 //
-//	endpoint_set.go       endpointSet         the known servers, by the endpoint list
-//	watch_schedule.go     watchSchedule       when the endpoint list is watched or polled
-//	server.go             server              a server with the measurements of its current process
+//	endpoint_set.go       endpointSet         the servers known from the endpoint list
+//	watch_schedule.go     watchSchedule       when to watch or poll the endpoint list
+//	server.go             server              a server and the measurements of its current process
 //	subset.go             subset              the servers that this node uses
-//	sampling_regime.go    samplingRegime      the rules that differ between few and many nodes per server
+//	sampling_regime.go    samplingRegime      parameters that depend on the number of nodes per server
 //	request.go            request             a request and its attempts
 //	request_table.go      requestTable        the active requests
 //	quota.go              tenantQuotas        the tenants' quotas
-//	arrivals.go           arrivalStats        the rate and the priority weight of arrivals
+//	arrivals.go           arrivalStats        the rate and the mean priority weight of arrivals
 //	admission.go          admissionQueue      the requests that wait for capacity
-//	load_shedding.go      loadShedder         which of them are terminated
-//	selection.go          candidates          the choice between servers
-//	score.go              serverScore         the score of a server from its outcomes
+//	load_shedding.go      loadShedder         which queued requests to shed
+//	selection.go          candidates          the choice among eligible servers
+//	score.go              serverScore         the score of a server from its recent outcomes
 //	circuit_breaker.go    circuitBreaker      the ejection of a server after consecutive failures
-//	slow_start.go         slowStart           the work that a server gets while it is warming up
-//	concurrency_limit.go  concurrencyLimiter  the attempts in flight
-//	latency.go            latencyEstimator    latency, congestion and the baseline latencies
+//	slow_start.go         slowStart           the limit on work for servers that are warming up
+//	concurrency_limit.go  concurrencyLimiter  the limit on attempts in flight
+//	latency.go            latencyEstimator    latency, congestion and baseline latencies
 //	retry.go              retryPolicy         which attempts a request may have, and when
 //
 // # Flow of an event
 //
-// A request takes a token of its tenant's quota, counts as an arrival and enters the admission queue.
-// Dispatch first refreshes the subset, the scores, the breakers and the limit, once for each time. For
-// each queued request it then collects the candidates: servers of the subset whose breaker, retry policy,
-// slow start budget and concurrency limit permit an attempt. It sends the request to one of them, or
-// leaves it in the queue.
+// A new request takes a token from its tenant's quota, is counted as an arrival and enters the admission
+// queue. Dispatch first refreshes the subset, the scores, the circuit breakers and the concurrency limit, at
+// most once per timestamp. For each queued request it then collects the candidates: the servers of the
+// subset for which the circuit breaker, the retry policy, the slow start budget and the concurrency limit
+// permit an attempt. It sends the request to one of them or leaves it in the queue.
 //
-// An outcome first counts for the server: its score, its breaker, the latency estimates and the limit.
-// Then it completes the request, or starts the backoff before a retry. Dispatch follows, as capacity may
-// be free.
+// An outcome first updates the server's score, its circuit breaker, the latency estimates and the
+// concurrency limit. Then it completes the request or starts the backoff before a retry. Dispatch follows,
+// because the outcome may have freed capacity.
 //
 // The periodic check sheds queued requests that would be late, detects unresponsive attempts and hedges
-// them, queues the retries whose backoff is over, and terminates requests at their deadline.
+// their requests, queues retries whose backoff has ended, and rejects or fails requests at their deadline.
 //
-// An update of the endpoint list changes the endpoint set, and dispatch uses the new subset at once.
+// An update of the endpoint list changes the endpoint set, and dispatch uses the new subset immediately.
 package policy
 
 import (
@@ -56,30 +56,30 @@
 	"time"
 )
 
-// RequestID identifies a client's request. The host chooses it and never reuses it.
+// RequestID identifies a client's request. The host assigns it and never reuses it.
 type RequestID uint32
 
 // ServerID identifies a server. It is opaque: equal IDs mean the same server.
 type ServerID uint64
 
-// Idempotency says whether a request may be executed more than once.
+// Idempotency specifies whether a request may be executed more than once.
 type Idempotency uint8
 
-// The kinds of idempotency.
+// The values of Idempotency.
 const (
 	Idempotent        Idempotency = iota // may be executed any number of times
-	IdempotentWithKey                    // repeats are dropped in KeyScope for KeyRetention
-	NotIdempotent                        // must be executed once at most
+	IdempotentWithKey                    // servers in KeyScope drop repeats for KeyRetention
+	NotIdempotent                        // must be executed at most once
 )
 
 func (i Idempotency) String() string {
 	return enumName(i, "idempotent", "idempotent with key", "not idempotent")
 }
 
-// KeyScope is the group of servers within which an idempotency key is recognized.
+// KeyScope is the set of servers that recognize an idempotency key.
 type KeyScope uint8
 
-// The scopes of an idempotency key.
+// The values of KeyScope.
 const (
 	KeyScopeAll  KeyScope = iota // all servers
 	KeyScopeZone                 // the servers of one zone
@@ -88,53 +88,53 @@
 
 func (s KeyScope) String() string { return enumName(s, "all", "zone", "cell") }
 
-// Class is a class of requests that are treated alike.
+// Class configures a class of requests.
 type Class struct {
-	Deadline         time.Duration // total time that a client waits, over all of its attempts
-	Objective        time.Duration // latency objective, up to which a response has its full weight; 0: Deadline
-	ObjectivePerWork float64       // extends the objective by this multiple of Request.CostHint
-	LateFraction     float64       // share of the weight, 0 to 1, that a response after the objective keeps
-	PriorityWeight   float64       // weight of one request, or with Settings.WeightByWork of its work
+	Deadline         time.Duration // total time that the client waits, over all attempts
+	Objective        time.Duration // latency objective: a response within it earns its full weight; 0: Deadline
+	ObjectivePerWork float64       // multiple of Request.CostHint by which the objective is extended
+	LateFraction     float64       // fraction of the weight, 0 to 1, that a response after the objective earns
+	PriorityWeight   float64       // weight of one request; with Settings.WeightByWork, of a unit of work
 	Idempotency      Idempotency
 	KeyScope         KeyScope      // with IdempotentWithKey
-	KeyRetention     time.Duration // with IdempotentWithKey: how long a key is kept, from the first send
+	KeyRetention     time.Duration // with IdempotentWithKey: how long servers keep a key, from the first attempt
 	Streaming        bool          // the response is a stream; see Balancer.StreamStarted
 }
 
 // Tenant is a customer with a quota.
 type Tenant struct {
-	QuotaPerS float64 // requests per second, over all nodes; 0: no limit
+	QuotaPerS float64 // requests per second over all nodes; 0: unlimited
 }
 
-// Limits holds what the operators permit.
+// Limits restricts what the Balancer may do for a request.
 type Limits struct {
-	MaxAttempts   int           // attempts per request; the Balancer makes 16 at most
-	Hedging       bool          // two attempts of a request may be in flight at the same time
+	MaxAttempts   int           // attempts per request; the Balancer makes at most 16
+	Hedging       bool          // a request may have two attempts in flight at the same time
 	Cancel        bool          // Host.Cancel may be called
-	MaxRetryAfter time.Duration // longest Retry-After that clients obey; 0: they obey none
+	MaxRetryAfter time.Duration // longest Retry-After that clients honor; 0: they honor none
 }
 
-// Rules holds the parameters of the rules that every node enforces by itself.
+// Rules holds the parameters of the rules that each node enforces independently.
 type Rules struct {
-	SlowStartShare    float64       // share of its capacity, 0 to 1, that a server starts with at least
-	SlowStartDuration time.Duration // time after which a server has warmed up at the latest
-	OverloadMultiple  float64       // multiple of its current capacity above which a warming server fails
-	OverloadWindow    time.Duration // time over which the work that it gets is measured for that
-	MaxPollInterval   time.Duration // with Settings.PollEndpoints: longest time between two polls
-	ResponseGrace     time.Duration // time after a client's deadline at which a final response still counts
+	SlowStartShare    float64       // minimum fraction of its capacity, 0 to 1, that a starting server has
+	SlowStartDuration time.Duration // time after its start by which a server is warm
+	OverloadMultiple  float64       // multiple of its current capacity above which a server that is warming up fails
+	OverloadWindow    time.Duration // time over which the work sent to such a server is measured
+	MaxPollInterval   time.Duration // with Settings.PollEndpoints: longest time between polls
+	ResponseGrace     time.Duration // time after a client's deadline within which a final response still counts
 }
 
-// Settings configures a Balancer. Validate reports invalid values.
+// Settings configures a Balancer. Use Validate to check the values.
 type Settings struct {
-	Nodes             int // number of load balancer nodes, this one included
+	Nodes             int // number of load balancer nodes, including this one
 	Node              int // index of this node, from 0
 	Zone              int // zone of this node
 	Classes           []Class
 	Tenants           []Tenant
-	OverQuotaFraction float64       // share of its weight that a request beyond its tenant's quota keeps
-	WeightByWork      bool          // PriorityWeight counts per unit of work, not per request
-	PollEndpoints     bool          // the endpoint list has to be watched or polled; otherwise it is pushed
-	Tick              time.Duration // longest delay until an event is handled, since events come in batches
+	OverQuotaFraction float64       // fraction of its weight that a request beyond its tenant's quota keeps
+	WeightByWork      bool          // PriorityWeight is per unit of work instead of per request
+	PollEndpoints     bool          // the node polls or watches the endpoint list; otherwise it is pushed
+	Tick              time.Duration // longest delay before an event is handled, since events come in batches
 	Limits            Limits
 	Rules             Rules
 }
@@ -142,11 +142,11 @@
 // EndpointState is the state of a server in the endpoint list.
 type EndpointState uint8
 
-// The states of a server.
+// The values of EndpointState.
 const (
-	Removed  EndpointState = iota // not listed any more
+	Removed  EndpointState = iota // no longer listed
 	Ready                         // takes requests
-	Draining                      // completes its requests and takes no new ones
+	Draining                      // completes its requests and accepts no new ones
 )
 
 func (s EndpointState) String() string { return enumName(s, "removed", "ready", "draining") }
@@ -157,45 +157,45 @@
 	Zone      int
 	Cell      int
 	State     EndpointState
-	Weight    float64       // rough capacity, comparable across servers; 0: unknown
-	StartedAt time.Duration // when its process started; 0: long ago
+	Weight    float64       // approximate relative capacity; 0: unknown
+	StartedAt time.Duration // when its process started; 0: long enough ago to be warm
 }
 
-// NotificationDeadline is the time after which a node counts as notified of a change of the endpoint list.
-// It runs from the moment at which the discovery service knows of the change and is reachable. Failed calls
-// do not extend it.
+// NotificationDeadline is the time after which a node is considered notified of a change of the endpoint
+// list. It starts when the discovery service knows of the change and is reachable. Failed calls do not
+// extend it.
 const NotificationDeadline = 6 * time.Second
 
-// UpdateKind says what the endpoints of an update stand for.
+// UpdateKind specifies which endpoints an update contains.
 type UpdateKind uint8
 
-// The kinds of an endpoint update.
+// The values of UpdateKind.
 const (
 	UpdateDelta    UpdateKind = iota // changed endpoints only
 	UpdateSnapshot                   // all endpoints
-	UpdateCached                     // all endpoints as of some time ago
+	UpdateCached                     // all endpoints, from a cache that may be out of date
 )
 
 func (k UpdateKind) String() string { return enumName(k, "delta", "snapshot", "cached") }
 
-// Request is a client's request on its arrival.
+// Request describes a client's request that has arrived.
 type Request struct {
 	ID       RequestID
 	Class    int           // index into Settings.Classes
-	Tenant   int           // index into Settings.Tenants; other values have no quota
-	Timeout  time.Duration // the client disconnects after this time
+	Tenant   int           // index into Settings.Tenants; a request with any other value has no quota
+	Timeout  time.Duration // time after which the client disconnects
 	CostHint time.Duration // estimated work on a server; 0: unknown
 }
 
-// Status says how an attempt ended.
+// Status is the result of an attempt.
 type Status uint8
 
-// The ends of an attempt.
+// The values of Status.
 const (
 	OK            Status = iota // succeeded
 	ServerError                 // the server responded with an error; may have been executed
-	Rejected                    // the server rejected it unread; not executed
-	Timeout                     // no response in time; may have been executed, or still is
+	Rejected                    // the server rejected the request without reading it; not executed
+	Timeout                     // no response in time; may have been executed or still be executing
 	ConnectFailed               // no connection to the server; not executed
 	Reset                       // the connection broke; may have been executed
 	Cancelled                   // cancelled by Host.Cancel; may have been executed
@@ -207,37 +207,37 @@
 		"not sent")
 }
 
-// NotExecuted reports whether an attempt of this status is known not to have been executed.
+// NotExecuted reports whether an attempt with this status is known not to have been executed.
 func (s Status) NotExecuted() bool { return s == Rejected || s == ConnectFailed || s == NotSent }
 
-// Outcome reports the end of one attempt. Each Host.Send is followed by one.
+// Outcome describes the end of an attempt. Each Host.Send is followed by exactly one Outcome.
 type Outcome struct {
 	ID               RequestID
-	Attempt          int // index among the sends of this request, from 0
+	Attempt          int // index among the attempts of this request, from 0
 	Server           ServerID
 	Status           Status
-	RequestCompleted bool          // the client has its final response, by this outcome or before
-	Latency          time.Duration // time since the send
+	RequestCompleted bool          // the client has received its final response, from this attempt or earlier
+	Latency          time.Duration // time since Host.Send
 }
 
-// Host carries out the actions of a Balancer. It is called from within the Balancer's
-// methods and must not call the Balancer back.
+// Host carries out the actions of a Balancer. The Balancer calls it from within its own methods, and the
+// Host must not call back into the Balancer.
 type Host interface {
-	// Send starts an attempt. It is limited by timeout, or by the client's own time-out if that is 0.
+	// Send starts an attempt, which ends after the timeout. If that is 0, the client's own timeout applies.
 	Send(id RequestID, server ServerID, timeout time.Duration)
-	// Cancel stops waiting for an attempt in flight, whose Outcome still follows.
+	// Cancel cancels an attempt in flight. Its Outcome still follows.
 	Cancel(id RequestID, attempt int)
-	// Reject ends a request with Retry-After. It guarantees that the client may safely retry.
+	// Reject completes a request with Retry-After. The client may safely retry it.
 	Reject(id RequestID, retryAfter time.Duration)
-	// Fail ends a request with an error that does not say whether it was executed.
+	// Fail completes a request with an error that leaves open whether it was executed.
 	Fail(id RequestID)
-	// SetTimer requests a Timer event with the token at the given time, after the current event.
+	// SetTimer requests a Timer event with the token at the given time, but not before the current event ends.
 	SetTimer(at time.Duration, token uint64)
-	// WatchEndpoints subscribes to changes of the endpoint list, with Settings.PollEndpoints.
+	// WatchEndpoints subscribes to changes of the endpoint list. It is called with Settings.PollEndpoints only.
 	WatchEndpoints()
 }
 
-// enumName returns the name of an enumerated value, or its number if it has none.
+// enumName returns the name of an enum value, or its number if it has none.
 func enumName[T ~uint8](value T, names ...string) string {
 	if int(value) < len(names) {
 		return names[value]
