--- a/policy/settings.go
+++ b/policy/settings.go
@@ -2,9 +2,8 @@
 
 import "time"
 
-// Defaults returns the settings that hold where the operators give none: no retries, hedged requests or
-// cancellations, and careful rules for polling and slow start. They have no classes, so that Validate
-// rejects them until the caller adds one.
+// Defaults returns default settings: no retries, hedged requests or cancellations, and conservative rules
+// for polling and slow start. They have no classes, so Validate rejects them until the caller adds one.
 func Defaults() Settings {
 	return Settings{
 		Nodes:             1,
