--- a/policy/validate.go
+++ b/policy/validate.go
@@ -1,6 +1,6 @@
 package policy
 
-// The check of the settings. It decides nothing about requests.
+// Validation of the settings.
 
 import (
 	"fmt"
@@ -11,7 +11,7 @@
 // SettingError reports a setting whose value is invalid.
 type SettingError struct {
 	Field   string // path within Settings, such as "Limits.MaxAttempts" or "Classes[2].Deadline"
-	Value   any    // the value found; for Classes their number
+	Value   any    // the invalid value; for Classes, their number
 	Allowed string // the allowed values in words, such as "at least 1"
 }
 
@@ -30,7 +30,7 @@
 			return &SettingError{Field: c.field, Value: c.value, Allowed: c.allowed}
 		}
 	}
-	for i, t := range s.Tenants { // may be tens of thousands: nothing is allocated for a valid one
+	for i, t := range s.Tenants { // may be tens of thousands: valid ones allocate nothing
 		if !isFiniteNonNegative(t.QuotaPerS) {
 			return &SettingError{fmt.Sprintf("Tenants[%d].QuotaPerS", i), t.QuotaPerS, allowedNumber}
 		}
@@ -38,13 +38,13 @@
 	return nil
 }
 
-// allowedNumber says in words what isFiniteNonNegative accepts.
+// allowedNumber describes the values that isFiniteNonNegative accepts.
 const allowedNumber = "a finite number of at least 0"
 
-// isFiniteNonNegative rejects NaN too, which compares false.
+// isFiniteNonNegative also rejects NaN, for which every comparison is false.
 func isFiniteNonNegative(value float64) bool { return value >= 0 && !math.IsInf(value, 1) }
 
-// check is the result of comparing one field with its allowed values.
+// check is the result of validating one field.
 type check struct {
 	field   string
 	value   any
@@ -52,7 +52,7 @@
 	allowed string
 }
 
-// checks covers all fields but those of the classes and tenants.
+// checks validates all fields except those of the classes and tenants.
 func (s *Settings) checks() []check {
 	rules := &s.Rules
 	return []check{
