--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -1,23 +1,23 @@
 package policy
 
-// The Balancer and the events that drive it.
+// The Balancer and its event handlers.
 
 import (
 	"math/rand/v2"
 	"time"
 )
 
-// maxAttemptsPerRequest caps Limits.MaxAttempts, as room for all attempts is allocated.
+// maxAttemptsPerRequest caps Limits.MaxAttempts, because each request allocates space for all its attempts.
 const maxAttemptsPerRequest = 16
 
-// The tokens of the timers.
+// Tokens of the timers.
 const (
 	timerCheck uint64 = iota // the periodic check
-	timerWatch               // the next call for the endpoint list
+	timerWatch               // the next watch or poll of the endpoint list
 )
 
-// Balancer makes the decisions of one node. Create it with New. Each concern keeps its own state, and the
-// Balancer calls the concerns in order.
+// Balancer makes the decisions of one node. Create it with New. Each component keeps its own state, and the
+// Balancer coordinates them.
 type Balancer struct {
 	settings Settings
 	host     Host
@@ -41,11 +41,11 @@
 	candidates candidates // reused by selectServer
 
 	refreshedAt  time.Duration
-	needsRefresh bool // refresh is due even at refreshedAt
+	needsRefresh bool // refresh is due even if the time is still refreshedAt
 	checkTimer   checkTimer
 }
 
-// New returns a Balancer, or the *SettingError of Settings.Validate. The seed fixes all random choices.
+// New returns a Balancer, or the *SettingError of Settings.Validate. The seed determines all random choices.
 func New(settings Settings, seed uint64, host Host) (*Balancer, error) {
 	if err := settings.Validate(); err != nil {
 		return nil, err
@@ -85,8 +85,8 @@
 	return balancer, nil
 }
 
-// Request handles the arrival of a client's request. A request of an unknown class is rejected, and one
-// whose ID is known already is ignored.
+// Request handles the arrival of a client's request. It rejects a request of an unknown class and ignores
+// one whose ID is already in use.
 func (b *Balancer) Request(now time.Duration, arrival Request) {
 	if b.requests.byID[arrival.ID] != nil {
 		return
@@ -106,8 +106,8 @@
 	b.checkTimer.scheduleBy(min(now+checkInterval, request.deadline))
 }
 
-// StreamStarted reports that an attempt's response streams to the client. The request gets no further
-// attempt, and its deadline no longer applies.
+// StreamStarted handles the start of a response that is streamed to the client. The request gets no further
+// attempts, its others are cancelled if Limits.Cancel permits it, and its deadline no longer applies.
 func (b *Balancer) StreamStarted(now time.Duration, id RequestID, index int) {
 	request, attempt := b.requests.findAttempt(id, index)
 	if request == nil {
@@ -118,15 +118,15 @@
 	b.cancelAttempts(request, attempt)
 }
 
-// ClientDisconnected reports that the client of a request has disconnected: it gets no final response.
+// ClientDisconnected completes a request whose client has disconnected and gets no final response.
 func (b *Balancer) ClientDisconnected(_ time.Duration, id RequestID) {
 	if request := b.requests.byID[id]; request != nil {
 		b.complete(request)
 	}
 }
 
-// Outcome reports the end of an attempt, which counts for its server first. Then it completes the request or
-// leads to a retry.
+// Outcome handles the end of an attempt. It updates the measurements of the server, then completes the
+// request or schedules a retry.
 func (b *Balancer) Outcome(now time.Duration, outcome Outcome) {
 	request, attempt := b.requests.findAttempt(outcome.ID, outcome.Attempt)
 	if request == nil {
@@ -139,7 +139,7 @@
 	switch {
 	case outcome.RequestCompleted || outcome.Status == OK:
 		b.complete(request)
-	case request.completed: // before this outcome, which may be that of its last attempt
+	case request.completed: // earlier; this may be the outcome of its last attempt in flight
 		b.requests.release(request)
 	case request.inFlight == 0:
 		b.scheduleRetry(now, request)
@@ -147,8 +147,8 @@
 	b.dispatch(now)
 }
 
-// UpdateEndpoints handles an update of the endpoint list. A cached list also starts the watch, with
-// Settings.PollEndpoints.
+// UpdateEndpoints handles an update of the endpoint list. With Settings.PollEndpoints, a cached list also
+// starts the watch.
 func (b *Balancer) UpdateEndpoints(now time.Duration, kind UpdateKind, endpoints []Endpoint) {
 	b.watch.reset()
 	if kind == UpdateCached && b.settings.PollEndpoints {
@@ -161,22 +161,21 @@
 	b.dispatch(now)
 }
 
-// WatchFailed reports that a call for the endpoint list failed or its watch broke. The known list stays in
-// force. The node counts as notified of missed changes at the deadline, so the next response must come
-// before it.
+// WatchFailed handles the failure of a watch or poll of the endpoint list. The known list stays in use. The
+// node is considered notified of missed changes at the deadline, so the next call must be answered before.
 func (b *Balancer) WatchFailed(now, deadline time.Duration) {
 	b.host.SetTimer(now+b.watch.nextBackoff(deadline-now), timerWatch)
 }
 
-// TerminateAll rejects or fails every active request, for a node that shuts down.
+// TerminateAll rejects or fails every active request when the node shuts down.
 func (b *Balancer) TerminateAll(now time.Duration) {
 	for len(b.requests.active) > 0 {
 		b.rejectOrFail(b.requests.active[len(b.requests.active)-1])
 	}
-	b.dispatch(now) // drops the terminated requests from the queue
+	b.dispatch(now) // removes the completed requests from the queue
 }
 
-// Timer reports that a timer of Host.SetTimer is due. Outdated and unknown ones are ignored.
+// Timer handles a timer of Host.SetTimer that is due. It ignores outdated timers and unknown tokens.
 func (b *Balancer) Timer(now time.Duration, token uint64) {
 	switch token {
 	case timerCheck:
