--- a/policy/periodic_check.go
+++ b/policy/periodic_check.go
@@ -1,6 +1,6 @@
 package policy
 
-// The periodic check of all active requests and its timer.
+// The periodic check of all active requests, and its timer.
 
 import (
 	"math"
@@ -9,7 +9,7 @@
 )
 
 const (
-	checkInterval = 10 * time.Millisecond // of the periodic check; the resolution of all deadlines
+	checkInterval = 10 * time.Millisecond // of the periodic check; also the resolution of all deadlines
 	maxTime       = time.Duration(math.MaxInt64)
 )
 
@@ -21,7 +21,7 @@
 
 func newCheckTimer(host Host) checkTimer { return checkTimer{host: host, due: maxTime} }
 
-// scheduleBy makes the next check run at a time or earlier.
+// scheduleBy schedules the next check for the given time, unless it is due earlier.
 func (c *checkTimer) scheduleBy(at time.Duration) {
 	if at < c.due {
 		c.due = at
@@ -29,20 +29,19 @@
 	}
 }
 
-// isDue reports whether a check is scheduled for now or earlier.
+// isDue reports whether the scheduled check is due.
 func (c *checkTimer) isDue(now time.Duration) bool { return now >= c.due }
 
-// clear drops the scheduled check, which runs now.
+// clear removes the scheduled check before it runs.
 func (c *checkTimer) clear() { c.due = maxTime }
 
-// periodicCheck sheds load and checks every active request. The next one runs by the earliest deadline,
-// since ResponseGrace may be shorter than checkInterval.
+// periodicCheck sheds load and checks every active request. The next check runs no later than the earliest
+// deadline, since ResponseGrace may be shorter than checkInterval.
 func (b *Balancer) periodicCheck(now time.Duration) {
 	b.refresh(now)
 	b.shedLoad(now)
 	next := now + checkInterval
-	// The order is backwards: when a request is completed, the last one, which has been checked, takes its
-	// index.
+	// Iterates backwards, because completing a request moves the last one, already checked, to its index.
 	for _, request := range slices.Backward(b.requests.active) {
 		b.checkRequest(now, request)
 		if !request.completed && request.inFlight == 0 {
@@ -55,10 +54,10 @@
 	}
 }
 
-// checkRequest handles what is due for an active request.
+// checkRequest performs the actions that are due for an active request.
 func (b *Balancer) checkRequest(now time.Duration, request *request) {
 	switch {
-	case request.streaming: // has no deadline any more
+	case request.streaming: // its deadline no longer applies
 	case request.inFlight > 0:
 		b.handleUnresponsiveAttempts(now, request)
 	case now >= request.deadline:
