--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -1,11 +1,11 @@
 package policy
 
-// The path of a request through the concerns: from the queue to a server, or to its termination.
+// The path of a request: from the admission queue to a server, or to its rejection or failure.
 
 import "time"
 
-// refresh brings the subset, the scores and all other estimates up to date. It does so once for all calls
-// with the same time, unless they have become outdated since.
+// refresh updates the subset, the scores and all other estimates. It runs at most once per timestamp, unless
+// needsRefresh is set.
 func (b *Balancer) refresh(now time.Duration) {
 	if !b.needsRefresh && b.refreshedAt == now {
 		return
@@ -20,13 +20,14 @@
 	b.means.updateScores(b.subset.servers)
 }
 
-// dispatch sends queued requests while servers have capacity, or terminates them if every breaker is open.
+// dispatch sends queued requests while servers have capacity. It rejects or fails them if every server of
+// the subset is ejected.
 func (b *Balancer) dispatch(now time.Duration) {
 	if len(b.queue.waiting) == 0 {
 		return
 	}
 	b.refresh(now)
-	noCapacity := false // for a first attempt, so that the requests behind it are not tried
+	noCapacity := false // for a first attempt; the requests behind it are then skipped
 	b.queue.removeFunc(func(request *request) bool {
 		if request.completed {
 			return true
@@ -39,15 +40,15 @@
 			b.rejectOrFail(request)
 			return true
 		}
-		// A first attempt may go to any ready server. A retry may be bound to the scope of its key, and does
-		// not stand for the requests behind it.
+		// A first attempt may go to any ready server, so the requests behind it find no capacity either. A
+		// retry may be restricted to the scope of its idempotency key and does not block them.
 		isFirstAttempt := len(request.attempts) == 0
 		noCapacity = noCapacity || isFirstAttempt
 		return false
 	})
 }
 
-// sendIfCapacity sends a queued request if a server has capacity, and reports whether it did.
+// sendIfCapacity sends a queued request if a server has capacity, and reports whether it was sent.
 func (b *Balancer) sendIfCapacity(now time.Duration, request *request) bool {
 	server := b.selectServer(now, request)
 	if server == nil {
@@ -58,7 +59,8 @@
 	return true
 }
 
-// shedLoad terminates queued requests that cannot be served in time; dispatch drops the completed ones.
+// shedLoad rejects or fails queued requests that cannot be served in time. It leaves completed requests in
+// the queue, from which dispatch removes them.
 func (b *Balancer) shedLoad(now time.Duration) {
 	b.queue.removeFunc(func(request *request) bool {
 		if request.completed || !b.shedder.shouldShed(now, request) {
@@ -70,9 +72,9 @@
 	})
 }
 
-// selectServer returns a server for the next attempt, or nil if no server has capacity. One that awaits
-// its trial comes first. Otherwise a first attempt gets the better of two random candidates, and a retry or
-// hedged request the best of all.
+// selectServer returns a server for the next attempt, or nil if no server has capacity. A server that awaits
+// its trial takes precedence. Otherwise a first attempt gets the better of two random candidates, and a
+// retry or hedged request the best of all candidates.
 func (b *Balancer) selectServer(now time.Duration, request *request) *server {
 	b.refresh(now)
 	b.collectCandidates(now, request)
@@ -87,9 +89,9 @@
 	return b.candidates.best()
 }
 
-// collectCandidates collects the servers that may get the next attempt. It stops at the first server that
-// gets the attempt as its trial. It refills the slow start budgets of the servers that the retry policy
-// permits.
+// collectCandidates collects the servers that may get the next attempt. It stops at the first server whose
+// half-open breaker accepts the attempt as its trial. It also refills the slow start budgets of the servers
+// that the retry policy permits.
 func (b *Balancer) collectCandidates(now time.Duration, request *request) {
 	b.candidates.reset()
 	work := request.baselineLatency()
@@ -111,21 +113,22 @@
 	}
 }
 
-// send starts an attempt that retryPolicy and slowStart permit.
+// send starts an attempt at a server returned by selectServer.
 func (b *Balancer) send(now time.Duration, request *request, server *server) {
 	b.startAttempt(now, request, server)
 	b.slowStart.recordSend(now, server, request.baselineLatency())
 	b.host.Send(request.ID, server.Server, 0)
 }
 
-// startAttempt counts a new attempt for its request, its server and the limit.
+// startAttempt records a new attempt with its request, its server and the concurrency limiter.
 func (b *Balancer) startAttempt(now time.Duration, request *request, server *server) {
 	attempt := request.startAttempt(now, server)
 	b.limiter.startAttempt(attempt, &b.subset)
 	server.startAttempt(attempt)
 }
 
-// scheduleRetry starts the backoff before a retry, or terminates the request if no retry fits.
+// scheduleRetry starts the backoff before a retry. It rejects or fails the request if a retry is not
+// permitted or would be late.
 func (b *Balancer) scheduleRetry(now time.Duration, request *request) {
 	retryAt := now + b.retry.jitteredBackoff(request)
 	if !b.retry.permitsRetryAt(retryAt, request, request.expectedLatency(b.means.relativeLatency)) {
@@ -136,7 +139,7 @@
 	b.checkTimer.scheduleBy(now + checkInterval)
 }
 
-// rejectOrFail rejects a request, or fails it if it may have been executed and must not be again.
+// rejectOrFail rejects a request if its client may safely retry it, and fails it otherwise.
 func (b *Balancer) rejectOrFail(request *request) {
 	if b.subset.regime.refundsQuotaToken {
 		b.quotas.refund(request)
@@ -149,7 +152,8 @@
 	b.complete(request)
 }
 
-// complete releases a request and cancels its attempts in flight. A completed request may be passed again.
+// complete completes a request, cancels its attempts in flight, and releases it when none are left. It has
+// no effect on a request that is already completed and still has attempts in flight.
 func (b *Balancer) complete(request *request) {
 	if !request.completed {
 		b.cancelAttempts(request, nil)
@@ -157,8 +161,8 @@
 	b.requests.release(request)
 }
 
-// cancelAttempts cancels the attempts in flight of a request, where permitted, except for one that may be
-// nil.
+// cancelAttempts cancels the attempts in flight of a request, if Limits.Cancel permits it. An attempt passed
+// as except is not cancelled; it may be nil.
 func (b *Balancer) cancelAttempts(request *request, except *attempt) {
 	if !b.settings.Limits.Cancel {
 		return
