--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -1,10 +1,11 @@
 package policy
 
-// What the outcomes of attempts say about their servers.
+// The effect of an attempt's outcome on the measurements of its server.
 
 import "time"
 
-// recordOutcome counts the outcome of an attempt for its server, unless the server has restarted since.
+// recordOutcome updates the measurements of a server with an attempt's outcome. It ignores the outcome if the
+// server has restarted since the attempt started.
 func (b *Balancer) recordOutcome(now time.Duration, request *request, attempt *attempt, outcome Outcome) {
 	server := attempt.server
 	if attempt.sentAt < server.StartedAt {
@@ -16,28 +17,28 @@
 	case ServerError, Reset, ConnectFailed:
 		b.recordFailure(now, attempt, outcome.Status)
 	case Timeout:
-		// A short time-out is the choice of the client and says nothing about the server. The time is
-		// compared with the baseline, since the mean latency rises with congestion until no time-out would
-		// count.
+		// A short timeout is the client's choice and not evidence against the server. The latency is
+		// compared with the baseline: the mean latency rises with congestion, until no timeout would
+		// count as a failure.
 		timeoutIsLong := request.relativeLatency(outcome.Latency) > unresponsiveMultiple
-		if timeoutIsLong && !attempt.unresponsive { // an unresponsive attempt has been counted before
+		if timeoutIsLong && !attempt.unresponsive { // an unresponsive attempt has already been counted
 			b.recordFailure(now, attempt, Timeout)
 		}
-	case Rejected: // lowers the score, since a full server would be selected again otherwise
+	case Rejected: // lowers the score, or a full server would be selected again
 		server.score.recordFailure(now)
-	case Cancelled, NotSent: // say nothing about the server
+	case Cancelled, NotSent: // no evidence about the server
 	}
 	server.breaker.abandonTrial(attempt)
 }
 
-// recordResponse counts a successful response. A very slow one is a failure for the breaker.
+// recordResponse records a successful response. The circuit breaker counts a very slow one as a failure.
 func (b *Balancer) recordResponse(
 	now time.Duration, request *request, attempt *attempt, latency time.Duration,
 ) {
 	relativeLatency := request.relativeLatency(latency)
 	attempt.server.score.recordSuccess(now, relativeLatency)
 	if relativeLatency > b.subset.regime.slowResponseMultiple {
-		b.recordBreakerFailure(now, attempt, Timeout) // the server is congested and needs time to recover
+		b.recordBreakerFailure(now, attempt, Timeout) // a congested server needs time to recover
 	} else {
 		attempt.server.recordSuccess(now, attempt)
 	}
@@ -45,14 +46,14 @@
 	b.limiter.adjust(now, &b.latency, &b.subset.regime, len(b.queue.waiting))
 }
 
-// recordFailure counts a failed attempt for the score and the breaker of its server.
+// recordFailure records a failed attempt in the score and the circuit breaker of its server.
 func (b *Balancer) recordFailure(now time.Duration, attempt *attempt, status Status) {
 	attempt.server.score.recordFailure(now)
 	b.recordBreakerFailure(now, attempt, status)
 }
 
-// recordBreakerFailure counts a failed attempt for the breaker of its server. It opens the breaker if the
-// attempt was its trial, or if the consecutive failures eject the server.
+// recordBreakerFailure records a failed attempt in the circuit breaker of its server. It opens the breaker if
+// the attempt was its trial or the consecutive failures eject the server.
 func (b *Balancer) recordBreakerFailure(now time.Duration, attempt *attempt, status Status) {
 	server := attempt.server
 	breaker := &server.breaker
@@ -68,9 +69,9 @@
 	breaker.open(now, b.random)
 }
 
-// shouldEject reports whether the consecutive failures of a server, the last one of the given status, open
-// its closed breaker. Time-outs may be due to a slowdown of all servers: they open no breaker once half of
-// the subset is ejected.
+// shouldEject reports whether the consecutive failures of a server, the last one with the given status, open
+// its closed breaker. Timeouts may be caused by a slowdown of all servers, so they open no further breaker
+// if more than half of the subset would then be ejected.
 func (b *Balancer) shouldEject(server *server, status Status) bool {
 	breaker := &server.breaker
 	if breaker.state != breakerClosed {
@@ -81,8 +82,7 @@
 		(status != Timeout || b.subset.mayEjectAnother())
 }
 
-// handleUnresponsiveAttempts counts unresponsive attempts as failures and, where permitted, hedges the
-// request.
+// handleUnresponsiveAttempts records unresponsive attempts as failures and, if permitted, hedges the request.
 func (b *Balancer) handleUnresponsiveAttempts(now time.Duration, request *request) {
 	expected := request.expectedLatency(b.means.relativeLatency)
 	for i := range request.attempts {
