--- a/policy/endpoint_set.go
+++ b/policy/endpoint_set.go
@@ -1,6 +1,6 @@
 package policy
 
-// The known servers by the endpoint list.
+// The servers known from the endpoint list.
 
 import (
 	"cmp"
@@ -9,8 +9,8 @@
 	"calicohinge/internal/hashring"
 )
 
-// endpointSet holds the servers of the endpoint list. It keeps removed ones while they have attempts in
-// flight.
+// endpointSet holds the servers of the endpoint list. It keeps a removed server while attempts are in flight
+// there.
 type endpointSet struct {
 	zone  int // of this node
 	byID  map[ServerID]*server
@@ -21,8 +21,8 @@
 	return endpointSet{zone: zone, byID: map[ServerID]*server{}}
 }
 
-// update applies an update of the endpoint list. It returns the attempts in flight at previous processes of
-// servers, which get no response any more.
+// update applies an update of the endpoint list. It returns the attempts that were in flight at servers which
+// have restarted. They no longer get a response.
 func (e *endpointSet) update(kind UpdateKind, endpoints []Endpoint) []*attempt {
 	if kind != UpdateDelta {
 		e.markAllRemoved()
@@ -35,8 +35,8 @@
 	return lost
 }
 
-// updateEndpoint applies one entry of the list. A server keeps its measurements until its process restarts.
-// In that case the attempts in flight at the previous process are returned.
+// updateEndpoint applies one entry of the list. If the server has restarted, it discards the measurements of
+// the previous process and returns the attempts in flight there.
 func (e *endpointSet) updateEndpoint(endpoint Endpoint) []*attempt {
 	var lost []*attempt
 	server := e.byID[endpoint.Server]
@@ -53,8 +53,8 @@
 	return lost
 }
 
-// markAllRemoved marks every server as removed, before a complete list is applied. That includes draining
-// servers, since the list and all later ones may leave them out.
+// markAllRemoved marks every server as removed before a complete list is applied. This includes draining
+// servers, because this list and all later ones may omit them.
 func (e *endpointSet) markAllRemoved() {
 	for _, s := range e.byID {
 		s.State = Removed
@@ -62,7 +62,8 @@
 	e.ready = e.ready[:0]
 }
 
-// dropRemoved sorts the ready servers and drops the removed ones without attempts in flight.
+// dropRemoved removes the servers that are no longer ready from the ready list and sorts it. It forgets
+// removed servers without attempts in flight.
 func (e *endpointSet) dropRemoved() {
 	e.ready = slices.DeleteFunc(e.ready, func(s *server) bool { return s.State != Ready })
 	slices.SortFunc(e.ready, func(x, y *server) int { return cmp.Compare(x.ringPosition, y.ringPosition) })
