--- a/policy/watch_schedule.go
+++ b/policy/watch_schedule.go
@@ -1,6 +1,6 @@
 package policy
 
-// When the endpoint list is watched or polled.
+// The timing of watches and polls of the endpoint list.
 
 import (
 	"math/rand/v2"
@@ -10,20 +10,20 @@
 )
 
 const (
-	initialWatchBackoff = 500 * time.Millisecond  // before the next call for the endpoint list; doubles
-	watchSpreadPerNode  = 60 * time.Millisecond   // each node's part of the time over which calls spread
-	watchResponseTime   = 1500 * time.Millisecond // time left for a response before the notification deadline
+	initialWatchBackoff = 500 * time.Millisecond  // delay after the first failed call; doubles
+	watchSpreadPerNode  = 60 * time.Millisecond   // for each node, added to the time over which calls spread
+	watchResponseTime   = 1500 * time.Millisecond // reserved for a response before the notification deadline
 
-	maxSpreadDivisor     = 2 // the first calls spread over half of MaxPollInterval at most
-	maxBackoffDivisor    = 4 // the backoff grows to about a quarter of MaxPollInterval
-	remainingTimeDivisor = 2 // a wait may take half of the time left, even if no response fits then
+	maxSpreadDivisor     = 2 // the first calls spread over at most half of MaxPollInterval
+	maxBackoffDivisor    = 4 // the backoff is limited to about a quarter of MaxPollInterval
+	remainingTimeDivisor = 2 // a delay may take half of the time left, even if a response may then be late
 )
 
-// watchSchedule says when a node calls for the endpoint list.
+// watchSchedule determines when a node watches or polls the endpoint list.
 type watchSchedule struct {
-	spread          time.Duration // over which the calls of all nodes spread
+	spread          time.Duration // time over which the calls of all nodes spread
 	maxPollInterval time.Duration
-	backoff         time.Duration // before the next call after a failed one
+	backoff         time.Duration // delay before the next call after a failed one
 	random          *rand.Rand
 }
 
@@ -36,10 +36,10 @@
 	}
 }
 
-// reset starts the backoff anew after a call has succeeded.
+// reset restores the initial backoff after a successful call.
 func (w *watchSchedule) reset() { w.backoff = initialWatchBackoff }
 
-// start makes the first call for the endpoint list, at once or within the initial span.
+// start makes the first call to discovery, immediately or after a random delay within initialSpread.
 func (w *watchSchedule) start(now time.Duration, host Host, cachedEndpoints int) {
 	spread := w.initialSpread(cachedEndpoints)
 	if spread == 0 {
@@ -49,10 +49,10 @@
 	host.SetTimer(now+jitter.Full(w.random, spread), timerWatch)
 }
 
-// initialSpread returns the time over which the first calls of nodes that start together spread. 0 means to
-// call at once, as few nodes do, and every node without a cached list. The discovery service may serve its
-// calls one after another, even abandoned ones: the calls of many nodes at once would time out, and so would
-// their repetitions.
+// initialSpread returns the time over which nodes that start together spread their first calls. It is 0, for
+// an immediate call, without a cached list or if the spread would not exceed initialWatchBackoff, as with
+// few nodes. The discovery service may serve calls one after another, including abandoned ones. Simultaneous
+// calls of many nodes would therefore time out, and so would their retries.
 func (w *watchSchedule) initialSpread(cachedEndpoints int) time.Duration {
 	spread := min(w.spread, w.maxPollInterval/maxSpreadDivisor, NotificationDeadline-watchResponseTime)
 	if spread <= initialWatchBackoff || cachedEndpoints == 0 {
@@ -61,9 +61,10 @@
 	return spread
 }
 
-// nextBackoff returns the delay of the next call after a failed one, and doubles the backoff. The response
-// has to come in the time left until the notification deadline. The first backoff has full jitter, which
-// keeps nodes apart that lost the discovery service together. Later ones are equal for all nodes.
+// nextBackoff returns the delay before the next call after a failed one, and doubles the backoff. The delay
+// leaves time for a response before the notification deadline, if possible, which is remainingTime away. The
+// first delay has full jitter, so that nodes that lost the discovery service together do not retry together.
+// Later delays have no jitter.
 func (w *watchSchedule) nextBackoff(remainingTime time.Duration) time.Duration {
 	longest := min(max(remainingTime-watchResponseTime, remainingTime/remainingTimeDivisor, 0),
 		max(w.maxPollInterval, initialWatchBackoff))
