--- a/policy/subset.go
+++ b/policy/subset.go
@@ -1,26 +1,28 @@
 package policy
 
-// The subset of the servers that this node uses. Its requests alone are too few to measure all servers.
+// The subset of the servers that this node uses. The requests of one node are too few to measure all
+// servers.
 
 import "time"
 
 const (
-	minSubsetSize         = 4               // warm servers whose breaker is not open
-	subsetRequestInterval = time.Second / 4 // time in which each server of the subset is to get one request
+	minSubsetSize         = 4               // in warm servers whose breaker is not open
+	subsetRequestInterval = time.Second / 4 // each server of the subset should get a request in this time
 )
 
-// subset is a contiguous part of the ring of ready servers. The subsets of all nodes cover the ring evenly.
+// subset is a contiguous section of the ring of ready servers. The subsets of all nodes cover the ring
+// evenly.
 type subset struct {
 	node, nodes    int
 	rules          Rules
 	servers        []*server
-	nodesPerServer float64        // mean number of nodes that use a server, at least 1
-	regime         samplingRegime // by nodesPerServer
-	targetSize     int            // warm servers whose breaker is not open, wanted at the last renewal
+	nodesPerServer float64        // mean number of nodes that use each server, at least 1
+	regime         samplingRegime // determined by nodesPerServer
+	targetSize     int            // as of the last update, in warm servers whose breaker is not open
 	updatedAt      time.Duration
 	stale          bool // the ready servers or their breakers have changed since updatedAt
 
-	closed, awaitingTrial int // servers by the state of their breaker, as of the last refresh
+	closed, awaitingTrial int // number of servers by breaker state, as of the last refresh
 }
 
 func newSubset(settings *Settings) subset {
@@ -29,17 +31,17 @@
 	return created
 }
 
-// setNodesPerServer sets the mean number of nodes that use a server, and the regime that follows from it.
+// setNodesPerServer sets the mean number of nodes that use each server, and the regime for it.
 func (s *subset) setNodesPerServer(nodesPerServer float64) {
 	s.nodesPerServer = nodesPerServer
 	s.regime = regimeFor(nodesPerServer)
 }
 
-// invalidate makes a renewal due, because the ready servers or their breakers have changed.
+// invalidate makes an update due, because the ready servers or their breakers have changed.
 func (s *subset) invalidate() { s.stale = true }
 
-// updateIfDue adapts the subset to the rate of arrivals and to the ready servers in the order of the ring. It
-// is due at intervals, and at once when the subset is stale or has to grow.
+// updateIfDue recomputes the subset from the rate of arrivals and the ready servers in ring order. An update
+// is due periodically, and immediately if the subset is stale or has to grow.
 func (s *subset) updateIfDue(now time.Duration, ring []*server, arrivalsPerSecond float64) {
 	rounded := int(arrivalsPerSecond*subsetRequestInterval.Seconds() + 0.5)
 	targetSize := max(minSubsetSize, rounded)
@@ -49,14 +51,14 @@
 	}
 	s.stale, s.targetSize, s.updatedAt = false, targetSize, now
 	nodes, ready := float64(s.nodes), len(ring)
-	middle := float64(s.node) + 0.5 // of this node's part of the ring, in parts of one node
+	middle := float64(s.node) + 0.5 // of this node's section, in units of one section per node
 	start := int(middle / nodes * float64(ready))
 	s.fill(now, ring, start)
 	s.setNodesPerServer(max(1, nodes*float64(len(s.servers))/float64(max(1, ready))))
 }
 
-// fill takes servers along the ring until the wanted number is reached. A warming server counts for its
-// share of the full capacity, and one with an open breaker does not count.
+// fill takes servers along the ring until targetSize is reached. A server that is warming up counts as its
+// share of full capacity, and one with an open breaker does not count.
 func (s *subset) fill(now time.Duration, ring []*server, start int) {
 	s.servers = s.servers[:0]
 	remaining := float64(s.targetSize)
@@ -69,7 +71,7 @@
 	}
 }
 
-// advanceBreakers turns those breakers half-open that are due, and counts the servers by their state.
+// advanceBreakers turns the open breakers that are due half-open, and counts the servers by breaker state.
 func (s *subset) advanceBreakers(now time.Duration) {
 	s.closed, s.awaitingTrial = 0, 0
 	for _, server := range s.servers {
@@ -86,7 +88,7 @@
 // allEjected reports whether no server may get a request, as of the last refresh.
 func (s *subset) allEjected() bool { return s.closed+s.awaitingTrial == 0 }
 
-// mayEjectAnother reports whether no more than half of the subset is ejected once another breaker opens.
+// mayEjectAnother reports whether at most half of the subset is ejected after another breaker opens.
 func (s *subset) mayEjectAnother() bool {
 	ejected := 0
 	for _, server := range s.servers {
