--- a/policy/sampling_regime.go
+++ b/policy/sampling_regime.go
@@ -1,57 +1,57 @@
 package policy
 
-// The rules that depend on how much of a server's load a node can see.
+// The parameters that depend on how much of a server's load a node observes.
 
 import (
 	"math"
 	"time"
 )
 
-// undersampledAbove is the number of nodes per server above which a node's own requests are too small a
-// sample of the server's load.
+// undersampledAbove is the number of nodes per server above which the requests of a single node are too small
+// a sample of the server's load.
 const undersampledAbove = 5.0
 
-// samplingRegime holds the constants of the rules that differ between few and many nodes per server.
+// samplingRegime holds the parameters that differ between few and many nodes per server.
 type samplingRegime struct {
-	noResponseThreshold  int           // consecutive missing responses or connections that open a breaker
-	slowResponseMultiple float64       // of the baseline latency, above which a response counts as a failure
-	maxOutcomeAge        time.Duration // age from which an outcome no longer counts for the scores
+	noResponseThreshold  int           // consecutive timeouts or failed connections that open a breaker
+	slowResponseMultiple float64       // of the baseline latency; a slower response counts as a failure
+	maxOutcomeAge        time.Duration // age at which an outcome no longer counts for the scores
 
-	limitAppliesToMean     bool    // the node's limit holds for the mean number of attempts in flight
-	additiveIncrease       bool    // the concurrency limit grows by steps instead of by a factor
-	firstCongestionFactor  float64 // on the concurrency limit when congestion shows for the first time
-	maxExcessCongestion    float64 // most congestion above the target that counts in one adjustment
-	minLimit               float64 // least concurrency limit for each server
-	knownGoodLimitFraction float64 // of the known good limit, below which the concurrency limit does not fall
+	limitAppliesToMean     bool    // the node's limit applies to the mean number of attempts in flight
+	additiveIncrease       bool    // the concurrency limit increases by steps instead of by a factor
+	firstCongestionFactor  float64 // applied to the concurrency limit at the first congestion
+	maxExcessCongestion    float64 // cap on the congestion above the target in one adjustment
+	minLimit               float64 // minimum concurrency limit for each server
+	knownGoodLimitFraction float64 // of knownGoodLimit, below which congestion does not reduce the limit
 
-	queuesPastObjective bool    // a request of high weight may wait beyond its latency objective
-	sheddingMargin      float64 // of the expected latency that must be left before the latency objective
-	refundsQuotaToken   bool    // a rejected request returns its token to the quota of its tenant
+	queuesPastObjective bool    // a request of high weight may be queued past its latency objective
+	sheddingMargin      float64 // multiple of the expected latency that must remain until the objective
+	refundsQuotaToken   bool    // a rejected or failed request returns its token to its tenant's quota
 }
 
 // regimeFor returns the regime for a mean number of nodes that use each server. It is the only place that
-// chooses between them:
+// selects the regime:
 //
 //	                                           well sampled           undersampled
 //	nodes per server                           5 at most              more than 5
-//	missing responses that open a breaker      5, as other failures   2
-//	a response counts as a failure             never                  above 5 x its baseline latency
+//	missing responses that open a breaker      5, like any failure    2
+//	a slow response counts as a failure        never                  above 5 x its baseline latency
 //	outcomes count for                         10 s                   4 s
-//	the limit of the node holds for            attempts in flight     their mean; peaks are bounded, and a
-//	                                                                  high priority does not wait for it
-//	the concurrency limit grows                by a factor            by steps
+//	the limit of the node applies to           attempts in flight     their mean, except for requests of
+//	                                                                  high priority; peaks are bounded
+//	the concurrency limit increases            by a factor            by steps
 //	the first congestion reduces the limit     not at all             to 0.6 of it
-//	congestion that counts in one adjustment   0.2                    1.0
+//	congestion counted in one adjustment       at most 0.2            at most 1.0
 //	the limit for each server is at least      1, and 0.9 of the      0.5
 //	                                           last good limit
-//	a queued request must be served by         its objective          its deadline, if late it still has
-//	                                                                  the mean weight, else its objective
+//	a queued request must be served by         its objective          its deadline if its late weight is at
+//	                                                                  least the mean, else its objective
 //	expected latencies left to the objective   1                      2.5
-//	a rejected request returns its token       no                     yes
+//	an unserved request returns its token      no                     yes
 //
-// An undersampled node meets each server rarely and does not see the congestion that the other nodes cause.
-// Its thresholds are therefore low and its adjustments large, and its limits lead nodes that share servers
-// to equal parts.
+// An undersampled node rarely uses each server and does not see the congestion that the other nodes cause.
+// Its thresholds are therefore low and its adjustments large, and its limits converge to equal shares among
+// the nodes that share servers.
 func regimeFor(nodesPerServer float64) samplingRegime {
 	if nodesPerServer > undersampledAbove {
 		return undersampled()
@@ -61,14 +61,14 @@
 
 func wellSampled() samplingRegime {
 	return samplingRegime{
-		noResponseThreshold:  math.MaxInt, // missing responses count like other failures
+		noResponseThreshold:  math.MaxInt, // missing responses count like any failure
 		slowResponseMultiple: math.Inf(1),
 		maxOutcomeAge:        10 * time.Second,
 
 		firstCongestionFactor:  1,
 		maxExcessCongestion:    0.2,
 		minLimit:               1,
-		knownGoodLimitFraction: 0.9, // a fleet that is slow as a whole looks congested
+		knownGoodLimitFraction: 0.9, // a fleet that is slow as a whole appears congested
 
 		sheddingMargin: 1,
 	}
@@ -76,18 +76,18 @@
 
 func undersampled() samplingRegime {
 	return samplingRegime{
-		noResponseThreshold:  2, // five would take seconds, while all nodes fill the server's queue
+		noResponseThreshold:  2, // 5 would take seconds, while all nodes fill the server's queue
 		slowResponseMultiple: 5,
-		maxOutcomeAge:        4 * time.Second, // many nodes move a server's load within seconds
+		maxOutcomeAge:        4 * time.Second, // many nodes change a server's load within seconds
 
 		limitAppliesToMean:    true,
 		additiveIncrease:      true,
-		firstCongestionFactor: 0.6, // congestion shows late
+		firstCongestionFactor: 0.6, // congestion is detected late
 		maxExcessCongestion:   1,   // adjustments are rare
-		minLimit:              0.5, // below one request, congested servers recover
+		minLimit:              0.5, // congested servers recover below one request each
 
 		queuesPastObjective: true,
-		sheddingMargin:      2.5, // the queues of other nodes are not seen
+		sheddingMargin:      2.5, // the queues of other nodes are not known
 		refundsQuotaToken:   true,
 	}
 }
