--- a/policy/request.go
+++ b/policy/request.go
@@ -9,11 +9,11 @@
 	"calicohinge/internal/tokenbucket"
 )
 
-// queueingDeadlineDivisor bounds the wait for the first attempt by one half of the client's time. A request
-// that was not sent by then is rejected, so that its client can retry elsewhere.
+// queueingDeadlineDivisor limits the wait for the first attempt to half of the client's timeout. A request
+// without an attempt by then is rejected, so that its client can retry it elsewhere.
 const queueingDeadlineDivisor = 2
 
-// attempt is one send of a request to a server. It keeps the server's zone and cell as of the send.
+// attempt is an attempt of a request at a server. It keeps the server's zone and cell as of its start.
 type attempt struct {
 	server       *server
 	request      *request
@@ -21,37 +21,37 @@
 	sentAt       time.Duration
 	inFlight     bool
 	notExecuted  bool // known not to have been executed
-	unloaded     bool // had the server to itself when it was sent
-	unresponsive bool // the limiter no longer counts it as in flight
+	unloaded     bool // the server was idle and the fleet lightly loaded at its start
+	unresponsive bool // the concurrency limiter no longer counts it as in flight
 }
 
-// isUnresponsive reports whether an attempt in flight has waited long for a response, while its server has
-// responded to no attempt since.
+// isUnresponsive reports whether an attempt in flight has far exceeded the expected latency and its server
+// has responded to no attempt since it started. It is false for an attempt already marked as unresponsive.
 func (a *attempt) isUnresponsive(now, expectedLatency time.Duration) bool {
 	return a.inFlight && !a.unresponsive && a.server.respondedAt < a.sentAt &&
 		float64(now-a.sentAt) > unresponsiveMultiple*float64(expectedLatency)
 }
 
-// request is a client's request with the state of its attempts.
+// request is a client's request and the state of its attempts.
 type request struct {
 	Request
 	class             *requestClass
-	deadline          time.Duration       // of the client's final response
-	objectiveDeadline time.Duration       // of a response of full weight
-	queueingDeadline  time.Duration       // of the first attempt
-	weight            float64             // priority weight of a response in time
-	quota             *tokenbucket.Bucket // of its tenant, if it took a token from it; nil otherwise
-	attempts          []attempt           // never reallocated, since servers point into it
+	deadline          time.Duration       // for the client's final response
+	objectiveDeadline time.Duration       // for a response of full weight
+	queueingDeadline  time.Duration       // for the first attempt
+	weight            float64             // priority weight of a response within the objective
+	quota             *tokenbucket.Bucket // its tenant's bucket, if it took a token there; nil otherwise
+	attempts          []attempt           // never reallocated, because servers hold pointers into it
 	inFlight          int                 // attempts in flight
-	retryAt           time.Duration       // end of its backoff; 0 if it is in none
+	retryAt           time.Duration       // end of the backoff; 0 if there is none
 	queued            bool                // in the admission queue
-	streaming         bool                // the response of an attempt streams to the client
-	completed         bool                // not active any more
+	streaming         bool                // the response of an attempt is being streamed to the client
+	completed         bool                // no longer active
 	activeIndex       int                 // in requestTable.active
 }
 
-// setDeadlines sets the deadlines of an arrival. A final response may be handled one tick late.
-// ResponseGrace covers a part of the tick, and the deadline is earlier by the rest.
+// setDeadlines sets the deadlines of a new request. Final responses may be handled up to one tick late.
+// ResponseGrace covers part of the tick, and the deadline is earlier by the rest of it.
 func (r *request) setDeadlines(now time.Duration, settings *Settings) {
 	timeout := min(r.Timeout, r.class.Deadline) - max(0, settings.Tick-settings.Rules.ResponseGrace)
 	r.deadline = now + max(0, timeout)
@@ -81,16 +81,16 @@
 	r.inFlight--
 }
 
-// startStream records that the response of an attempt streams to the client.
+// startStream records that the response of an attempt is being streamed to the client.
 func (r *request) startStream() { r.streaming = true }
 
-// startBackoff has a retry wait until a time.
+// startBackoff delays the next attempt until the given time.
 func (r *request) startBackoff(until time.Duration) { r.retryAt = until }
 
-// backoffOver reports whether the backoff of a retry has ended.
+// backoffOver reports whether a backoff was started and its time is over.
 func (r *request) backoffOver(now time.Duration) bool { return r.retryAt > 0 && now >= r.retryAt }
 
-// endBackoff ends the backoff of a retry that is due.
+// endBackoff clears the backoff of a retry that is due.
 func (r *request) endBackoff() { r.retryAt = 0 }
 
 // firstPossiblyExecuted returns the first attempt that may have been executed, or nil.
@@ -106,12 +106,12 @@
 // mayHaveBeenExecuted reports whether any attempt may have been executed.
 func (r *request) mayHaveBeenExecuted() bool { return r.firstPossiblyExecuted() != nil }
 
-// hasTried reports whether the request has had an attempt at a server.
+// hasTried reports whether the request has had an attempt at the server.
 func (r *request) hasTried(server *server) bool {
 	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.server == server })
 }
 
-// safeToReject reports whether the client may retry the request at any node.
+// safeToReject reports whether the client may safely retry the request at any node.
 func (r *request) safeToReject() bool {
 	return r.class.Idempotency == Idempotent || !r.mayHaveBeenExecuted() ||
 		r.class.Idempotency == IdempotentWithKey && r.class.KeyScope == KeyScopeAll
