--- a/policy/request_table.go
+++ b/policy/request_table.go
@@ -1,19 +1,19 @@
 package policy
 
-// requestTable holds the active requests, and the completed ones while they have attempts in flight. It
-// reuses their records.
+// requestTable holds the active requests, and completed requests until they are released. It reuses the
+// records of released requests.
 type requestTable struct {
 	byID        map[RequestID]*request
-	active      []*request // in no order; each knows its index
+	active      []*request // unordered; each request stores its index
 	free        []*request // records for reuse
-	maxAttempts int        // of a request, for which a record has room
+	maxAttempts int        // per request; the capacity of a record
 }
 
 func newRequestTable(maxAttempts int) requestTable {
 	return requestTable{byID: map[RequestID]*request{}, maxAttempts: maxAttempts}
 }
 
-// add returns the record of an arrival, which is active from now on.
+// add returns a record for a new request, which is active from now on.
 func (t *requestTable) add(arrival Request, class *requestClass) *request {
 	var record *request
 	if n := len(t.free); n > 0 {
@@ -34,7 +34,7 @@
 	return record
 }
 
-// findAttempt returns the attempt of an event, or nil if it is not in flight.
+// findAttempt returns a request and its attempt with the given index, or nils if it is not in flight.
 func (t *requestTable) findAttempt(id RequestID, index int) (*request, *attempt) {
 	request := t.byID[id]
 	if request == nil || index < 0 || index >= len(request.attempts) || !request.attempts[index].inFlight {
@@ -43,8 +43,8 @@
 	return request, &request.attempts[index]
 }
 
-// release marks a request as completed, and forgets it once no attempt is in flight. It is called when the
-// request is completed and again at the end of each later attempt.
+// release completes a request, and releases it once no attempt is in flight. It is called when the request
+// completes and after each of its attempts that ends later.
 func (t *requestTable) release(request *request) {
 	if !request.completed {
 		request.completed = true
@@ -55,7 +55,7 @@
 	}
 	if request.inFlight == 0 && t.byID[request.ID] == request {
 		delete(t.byID, request.ID)
-		if !request.queued { // the queue still refers to it otherwise
+		if !request.queued { // otherwise the queue still refers to the record
 			t.free = append(t.free, request)
 		}
 	}
