--- a/policy/quota.go
+++ b/policy/quota.go
@@ -1,6 +1,6 @@
 package policy
 
-// The quotas of the tenants.
+// The tenants' quotas.
 
 import (
 	"time"
@@ -8,7 +8,7 @@
 	"calicohinge/internal/tokenbucket"
 )
 
-// tenantQuotas holds this node's part of each tenant's quota.
+// tenantQuotas holds this node's share of each tenant's quota.
 type tenantQuotas struct {
 	buckets           []tokenbucket.Bucket // by tenant
 	overQuotaFraction float64
@@ -22,7 +22,8 @@
 	return quotas
 }
 
-// charge takes a token of the tenant's quota. A request that finds none keeps a fraction of its weight.
+// charge takes a token from the tenant's quota. If there is none, the request keeps only a fraction of its
+// weight.
 func (q *tenantQuotas) charge(now time.Duration, request *request) {
 	if request.Tenant < 0 || request.Tenant >= len(q.buckets) {
 		return
@@ -34,8 +35,8 @@
 	}
 }
 
-// refund returns the token of a request that ends unserved, since its client retries. Otherwise such requests
-// would use up the small part of a quota that an undersampled node has.
+// refund returns the token of a request that completes unserved, because its client retries it. Otherwise
+// such requests would exhaust the small share of a quota that an undersampled node has.
 func (q *tenantQuotas) refund(request *request) {
 	if request.quota != nil {
 		request.quota.Return()
