--- a/policy/arrivals.go
+++ b/policy/arrivals.go
@@ -1,6 +1,6 @@
 package policy
 
-// The rate and the priority weight of the requests that arrive at this node.
+// The rate and the mean priority weight of the requests that arrive at this node.
 
 import (
 	"time"
@@ -10,9 +10,9 @@
 )
 
 const (
-	rateTimeConstant     = 2 * time.Second // of the rates of arrivals and of work sent
+	rateTimeConstant     = 2 * time.Second // of the arrival rate and the rate of work sent
 	maxWeightSamples     = 100             // arrivals over which the priority weight is averaged
-	highPriorityMultiple = 2.0             // of the mean weight, above which a request has high priority
+	highPriorityMultiple = 2.0             // of the mean weight; a request above it has high priority
 )
 
 // arrivalStats measures the requests that arrive at this node.
@@ -28,18 +28,18 @@
 	}
 }
 
-// record counts an arrival. A quota has been charged for the request before, as that may lower its weight.
+// record counts an arrival. The quota must be charged first, because that may lower the request's weight.
 func (a *arrivalStats) record(now time.Duration, request *request) {
 	a.weightPerWork.Add(request.weightPerWork())
 	a.rate.Add(now, 1)
 }
 
-// meanWeight returns the priority weight of a request of the class that has the mean weight for its work.
+// meanWeight returns the weight that a request of the class has at the mean weight per unit of work.
 func (a *arrivalStats) meanWeight(class *requestClass) float64 {
 	return a.weightPerWork.Value() * class.workEstimate.Value()
 }
 
-// isHighPriority reports whether a request weighs far more than the mean for the work of its class.
+// isHighPriority reports whether a request's weight is far above the mean for the work of its class.
 func (a *arrivalStats) isHighPriority(request *request) bool {
 	return request.weight > highPriorityMultiple*a.meanWeight(request.class)
 }
