--- a/policy/admission.go
+++ b/policy/admission.go
@@ -1,36 +1,37 @@
 package policy
 
-// The queue of requests that wait for capacity.
+// The queue of requests waiting for capacity.
 
 import (
 	"slices"
 	"sort"
 )
 
-// admissionQueue holds the requests that wait for capacity, sorted by precedes. Each is marked as queued.
+// admissionQueue holds the requests waiting for capacity, sorted by precedes. Each is marked as queued.
 type admissionQueue struct{ waiting []*request }
 
-// add inserts a request at its place in the order.
+// add inserts a request in sorted order.
 func (q *admissionQueue) add(request *request) {
 	index := sort.Search(len(q.waiting), func(i int) bool { return request.precedes(q.waiting[i]) })
 	q.waiting = slices.Insert(q.waiting, index, request)
 	request.queued = true
 }
 
-// markRemoved clears the mark of a request that the function of removeFunc is about to send or to terminate.
-// Without the mark, requestTable may reuse the record of the request as soon as it is released.
+// markRemoved clears the queued mark of a request. A function passed to removeFunc calls it before it sends,
+// rejects or fails the request. Afterwards, requestTable may reuse the record as soon as the request is
+// released.
 func (q *admissionQueue) markRemoved(request *request) { request.queued = false }
 
-// removeFunc calls a function on each request in order and removes those for which it returns true.
+// removeFunc calls the function for each request in order and removes those for which it returns true.
 func (q *admissionQueue) removeFunc(remove func(*request) bool) {
 	q.waiting = slices.DeleteFunc(q.waiting, remove)
 }
 
-// precedes reports whether a queued request is served before another one.
+// precedes reports whether a queued request is served before another.
 func (r *request) precedes(other *request) bool {
 	x, y := r.weightPerWork(), other.weightPerWork()
 	return x > y || (x == y && r.objectiveDeadline < other.objectiveDeadline)
 }
 
-// weightPerWork returns the priority weight per unit of the work that is estimated for the class.
+// weightPerWork returns the priority weight per unit of the estimated work of the class.
 func (r *request) weightPerWork() float64 { return r.weight / r.class.workEstimate.Value() }
