--- a/policy/load_shedding.go
+++ b/policy/load_shedding.go
@@ -1,13 +1,13 @@
 package policy
 
-// Load shedding: queued requests that cannot be served in time are terminated.
+// Load shedding: queued requests that cannot be served in time are rejected or failed.
 
 import "time"
 
-// retryAfterDivisor makes Retry-After one half of the class's objective.
+// retryAfterDivisor sets Retry-After to half of the class's objective.
 const retryAfterDivisor = 2
 
-// loadShedder says which queued requests are terminated because they cannot be served in time.
+// loadShedder selects the queued requests to shed because they cannot be served in time.
 type loadShedder struct {
 	retry    *retryPolicy
 	arrivals *arrivalStats
@@ -15,15 +15,15 @@
 	means    *outcomeMeans
 }
 
-// shouldShed reports whether a queued request is terminated: no attempt is left, it was not sent by its
-// queueing deadline, or it would be late.
+// shouldShed reports whether to shed a queued request: it may have no further attempt, its queueing deadline
+// has passed and no attempt may have been executed, or its response would be late.
 func (l *loadShedder) shouldShed(now time.Duration, request *request) bool {
 	return l.retry.attemptsExhausted(now, request) ||
 		now >= request.queueingDeadline && !request.mayHaveBeenExecuted() ||
 		l.willMissDeadline(now, request)
 }
 
-// willMissDeadline reports whether a queued request cannot be served by its deadline any more.
+// willMissDeadline reports whether a queued request can no longer be served by its serving deadline.
 func (l *loadShedder) willMissDeadline(now time.Duration, request *request) bool {
 	required := request.expectedLatency(l.means.relativeLatency)
 	deadline := l.servingDeadline(request)
@@ -34,8 +34,8 @@
 }
 
 // servingDeadline returns the time by which a queued request must be served: its deadline or its objective.
-// An undersampled node rarely has capacity. A late response of high weight may earn more there than another
-// response in time.
+// On an undersampled node, which rarely has capacity, a late response of high weight may earn more than
+// another response within its objective.
 func (l *loadShedder) servingDeadline(request *request) time.Duration {
 	lateWeight := request.weight * request.class.LateFraction
 	if l.regime.queuesPastObjective && lateWeight >= l.arrivals.meanWeight(request.class) {
@@ -44,7 +44,7 @@
 	return request.objectiveDeadline
 }
 
-// retryAfter returns how long the client of a rejected request has to wait, within the operators' limit.
+// retryAfter returns how long the client of a rejected request has to wait, at most Limits.MaxRetryAfter.
 func retryAfter(class *requestClass, limits *Limits) time.Duration {
 	return min(class.Objective/retryAfterDivisor, limits.MaxRetryAfter)
 }
