--- a/policy/selection.go
+++ b/policy/selection.go
@@ -1,19 +1,19 @@
 package policy
 
-// The choice of a server by its score: the power of two random choices (Mitzenmacher 2001).
+// Server selection by score: the power of two random choices (Mitzenmacher 2001).
 
 import "math/rand/v2"
 
 // candidates are the servers that may get the next attempt of a request.
 type candidates struct {
 	closed []*server // with a closed breaker and capacity
-	trial  *server   // with a half-open breaker, whose trial the attempt becomes; nil if there is none
+	trial  *server   // with a half-open breaker that accepts the attempt as its trial; or nil
 }
 
 // reset removes all candidates.
 func (c *candidates) reset() { c.closed, c.trial = c.closed[:0], nil }
 
-// best returns the best of the servers with closed breakers, of which there must be one.
+// best returns the best server with a closed breaker. There must be at least one.
 func (c *candidates) best() *server {
 	best := c.closed[0]
 	for _, s := range c.closed[1:] {
@@ -22,8 +22,8 @@
 	return best
 }
 
-// betterOfTwoRandom returns the better of two random servers with closed breakers, of which there must be
-// one.
+// betterOfTwoRandom returns the better of two random servers with closed breakers. There must be at least one
+// such server.
 func (c *candidates) betterOfTwoRandom(random *rand.Rand) *server {
 	n := len(c.closed)
 	if n <= 2 {
@@ -34,8 +34,9 @@
 	return betterServer(c.closed[i], c.closed[j])
 }
 
-// betterServer returns the server with the higher score. If the scores are close, it returns the one with
-// fewer attempts in flight. If these are equal too, a server in this node's zone comes first, and then x.
+// betterServer returns the server with the higher score. If the scores are within scoreTieMargin, the one
+// with fewer attempts in flight wins. If these are equal too, a server in this node's zone wins, and
+// otherwise x.
 func betterServer(x, y *server) *server {
 	switch {
 	case x.score.value > y.score.value+scoreTieMargin:
