--- a/policy/score.go
+++ b/policy/score.go
@@ -1,6 +1,6 @@
 package policy
 
-// The score of each server, from its latest outcomes.
+// The score of each server, computed from its latest outcomes.
 
 import (
 	"time"
@@ -9,37 +9,37 @@
 )
 
 const (
-	outcomesPerServer      = 100  // latest outcomes that a server is judged by
-	priorOutcomes          = 3.0  // weight of the means beside a server's own outcomes, in outcomes
-	successWeight          = 0.7  // of the success rate in the score
-	latencyWeight          = 0.3  // of the latency in the score
-	minHighestLatency      = 1e-9 // multiple of the baseline, so that the score stays finite
-	scoreTieMargin         = 0.1  // difference up to which the attempts in flight decide
+	outcomesPerServer      = 100  // number of latest outcomes that determine the score
+	priorOutcomes          = 3.0  // weight of the means of the subset, in outcomes
+	successWeight          = 0.7  // weight of the success rate in the score
+	latencyWeight          = 0.3  // weight of the latency in the score
+	minHighestLatency      = 1e-9 // multiple of the baseline; keeps the score finite
+	scoreTieMargin         = 0.1  // score difference up to which the attempts in flight decide
 	initialSuccessRate     = 1.0  // without any outcome
-	initialRelativeLatency = 1.0  // multiple of the baseline, without any outcome
+	initialRelativeLatency = 1.0  // without any outcome; multiple of the baseline
 )
 
-// serverScore judges a server by its latest outcomes.
+// serverScore is the score of a server and the outcomes that determine it.
 type serverScore struct {
 	outcomes        outcomewindow.Window // latencies as multiples of the baseline latency
 	successRate     float64
 	relativeLatency float64 // multiple of the baseline latency
-	value           float64 // of successRate and relativeLatency, as of the last refresh
+	value           float64 // the score, as of the last refresh
 }
 
 func newServerScore() serverScore {
 	return serverScore{outcomes: outcomewindow.New(outcomesPerServer)}
 }
 
-// recordSuccess adds a response with its latency as a multiple of the baseline latency.
+// recordSuccess adds a response and its latency as a multiple of the baseline latency.
 func (s *serverScore) recordSuccess(now time.Duration, relativeLatency float64) {
 	s.outcomes.AddSuccess(now, relativeLatency)
 }
 
 func (s *serverScore) recordFailure(now time.Duration) { s.outcomes.AddFailure(now) }
 
-// estimate computes the success rate and the relative latency. The means count as priorOutcomes outcomes
-// beside the server's own, so that a server without outcomes has the means.
+// estimate computes the success rate and the relative latency. The means of the subset serve as a prior with
+// the weight of priorOutcomes outcomes, so a server without outcomes gets the means.
 func (s *serverScore) estimate(means outcomeMeans) {
 	outcomes, successes := float64(s.outcomes.Len()), float64(s.outcomes.Successes())
 	s.successRate = (successes + priorOutcomes*means.successRate) / (outcomes + priorOutcomes)
@@ -47,30 +47,30 @@
 	s.relativeLatency = latencySum / (successes + priorOutcomes)
 }
 
-// updateValue computes the score, which is the weighted sum of two values from 0 to 1: the success rate, and
+// updateValue computes the score as a weighted sum of two values from 0 to 1: the success rate, and
 // 1 - latency / highest latency.
 func (s *serverScore) updateValue(highestLatency float64) {
 	highest := max(highestLatency, s.relativeLatency, minHighestLatency)
 	s.value = successWeight*s.successRate + latencyWeight*(1-s.relativeLatency/highest)
 }
 
-// failureRateBefore returns the failure rate before a number of consecutive failures, which are the latest
-// outcomes.
+// failureRateBefore returns the failure rate without the latest outcomes, which are the given number of
+// consecutive failures.
 func (s *serverScore) failureRateBefore(consecutiveFailures int, means outcomeMeans) float64 {
 	earlierOutcomes := float64(max(0, s.outcomes.Len()-consecutiveFailures))
 	earlierFailures := float64(max(0, s.outcomes.Failures()-consecutiveFailures))
 	return (earlierFailures + priorOutcomes*(1-means.successRate)) / (earlierOutcomes + priorOutcomes)
 }
 
-// outcomeMeans are the means over all servers of the subset. They stay as they are while there are no
-// outcomes.
+// outcomeMeans holds the means over all servers of the subset. Without outcomes, they keep their previous
+// values.
 type outcomeMeans struct{ successRate, relativeLatency float64 }
 
 func newOutcomeMeans() outcomeMeans {
 	return outcomeMeans{successRate: initialSuccessRate, relativeLatency: initialRelativeLatency}
 }
 
-// update drops the expired outcomes of the servers and takes the means over the others.
+// update removes the expired outcomes of the servers and computes the means of the rest.
 func (m *outcomeMeans) update(now time.Duration, servers []*server, maxAge time.Duration) {
 	outcomes, successes, latencySum := 0, 0, 0.0
 	for _, s := range servers {
@@ -87,7 +87,7 @@
 	}
 }
 
-// updateScores computes the scores of the servers. Latencies are compared with the highest one among the
+// updateScores computes the scores of the servers. Latencies are relative to the highest one among the
 // servers with closed breakers.
 func (m *outcomeMeans) updateScores(servers []*server) {
 	highest := 0.0
