--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -1,6 +1,6 @@
 package policy
 
-// Slow start: a server that has just started has less capacity and fails when overloaded.
+// Slow start: a server that has just started has reduced capacity and fails when overloaded.
 
 import (
 	"math/rand/v2"
@@ -10,11 +10,11 @@
 )
 
 const (
-	slowStartSafetyFactor = 0.8  // part of a warming server's estimated capacity that is used
-	burstWindows          = 0.25 // budget that may be saved up, in overload windows
-	minWarmFraction       = 0.75 // part of the subset that must be warm for the estimate of their rate
+	slowStartSafetyFactor = 0.8  // fraction of the estimated capacity that is used while warming up
+	burstWindows          = 0.25 // maximum unused budget, in overload windows
+	minWarmFraction       = 0.75 // fraction of the subset that must be warm to estimate their work rate
 
-	warmServerWorkRateTimeConstant = 10 * time.Second // over which the rate of a warm server is smoothed
+	warmServerWorkRateTimeConstant = 10 * time.Second // of the smoothing of warmServerWorkRate
 )
 
 // slowStart limits the work that this node sends to servers that are warming up.
@@ -22,13 +22,13 @@
 	nodes              int
 	rules              Rules
 	random             *rand.Rand
-	sentWork           decayrate.Meter // work of this node's attempts: their baseline latencies
-	warmServerWorkRate float64         // work per second that a warm server gets from all nodes; 0: unknown
+	sentWork           decayrate.Meter // work of this node's attempts, as their baseline latencies
+	warmServerWorkRate float64         // work per second that all nodes send to a warm server; 0: unknown
 }
 
-// slowStartBudget is the work that this node may still send to a server that is warming up.
+// slowStartBudget is the work that this node may send to a server that is warming up.
 type slowStartBudget struct {
-	work      float64 // seconds; negative after a send that was larger than the budget
+	work      float64 // seconds; negative after an attempt that exceeded the budget
 	updatedAt time.Duration
 }
 
@@ -41,7 +41,7 @@
 	}
 }
 
-// capacityShare returns the share of its capacity that a server has at least, 1 once it is warm.
+// capacityShare returns the minimum fraction of full capacity that a server has. It is 1 for a warm server.
 func (s *server) capacityShare(rules *Rules, now time.Duration) float64 {
 	age := now - s.StartedAt
 	if s.StartedAt <= 0 || age >= rules.SlowStartDuration {
@@ -51,20 +51,20 @@
 	return rules.SlowStartShare + gained/rules.SlowStartDuration.Seconds()
 }
 
-// admits reports whether a server is warm or has a budget for more work.
+// admits reports whether a server is warm or has budget left.
 func (s *slowStart) admits(now time.Duration, server *server) bool {
 	return server.capacityShare(&s.rules, now) >= 1 || server.budget.work > 0
 }
 
-// recordSend takes the work of an attempt, in seconds, from the server's budget. A warm server's budget has
-// no effect.
+// recordSend records the work of an attempt, in seconds, and subtracts it from the server's budget. The
+// budget of a warm server has no effect.
 func (s *slowStart) recordSend(now time.Duration, server *server, work float64) {
 	s.sentWork.Add(now, work)
 	server.budget.work -= work
 }
 
-// updateWarmServerWorkRate adds the present rate to the smoothed one, for the time since the last call. It
-// leaves the rate as it was while less than minWarmFraction of the subset is warm.
+// updateWarmServerWorkRate adds the current rate to the smoothed rate, weighted by the time since the last
+// call. The rate does not change while less than minWarmFraction of the subset is warm.
 func (s *slowStart) updateWarmServerWorkRate(now, elapsed time.Duration, subset *subset, readyServers int) {
 	warm := 0
 	for _, server := range subset.servers {
@@ -80,10 +80,10 @@
 	s.warmServerWorkRate += (rate - s.warmServerWorkRate) * weight
 }
 
-// refillBudget adds to the budget of a warming server, before a request of the given work in seconds. A node
-// does not see the other nodes' sends. The budget therefore grows at this node's part of the rate that would
-// overload the server. It starts with a random debt of up to one request, since a send from each node at
-// once could overload the server.
+// refillBudget adds to the budget of a server that is warming up, before a request of the given work in
+// seconds. A node does not see the attempts of other nodes, so the budget grows at this node's share of the
+// rate that would overload the server. The initial budget is a random debt of up to one request, because
+// simultaneous attempts of all nodes could overload the server.
 func (s *slowStart) refillBudget(
 	now time.Duration, server *server, work float64, subset *subset, arrivals *arrivalStats,
 ) {
@@ -96,7 +96,7 @@
 		*budget = slowStartBudget{work: -work * s.random.Float64(), updatedAt: now}
 	}
 	rate := s.warmServerWorkRate / subset.nodesPerServer * s.rules.OverloadMultiple
-	if s.warmServerWorkRate == 0 { // unknown: a new node among warming servers knows only its own arrivals
+	if s.warmServerWorkRate == 0 { // unknown: a new node whose servers are warming up knows only its arrivals
 		rate = arrivals.rate.PerSecond(now) * work / float64(len(subset.servers))
 	}
 	rate *= share * slowStartSafetyFactor
