--- a/policy/circuit_breaker.go
+++ b/policy/circuit_breaker.go
@@ -1,6 +1,6 @@
 package policy
 
-// The circuit breaker of each server: consecutive failures open it, and a single trial closes it again.
+// The circuit breaker of each server. Consecutive failures open it, and a successful trial closes it.
 
 import (
 	"math"
@@ -12,31 +12,31 @@
 )
 
 const (
-	failureThreshold     = 5                // consecutive failures that open a breaker if not expected
+	failureThreshold     = 5                // consecutive failures that open a breaker unless expected
 	maxFailureThreshold  = 12               // consecutive failures that open a breaker in any case
-	runSignificanceLevel = 1e-5             // probability above which a run of failures is expected
-	failureWindow        = 60 * time.Second // time that consecutive failures must fall into
-	initialOpenDuration  = 2 * time.Second  // time that a breaker stays open; doubles with each failed trial
+	runSignificanceLevel = 1e-5             // probability above which consecutive failures are expected
+	failureWindow        = 60 * time.Second // time within which consecutive failures count
+	initialOpenDuration  = 2 * time.Second  // how long a breaker stays open; doubles with each failed trial
 	maxOpenDuration      = 30 * time.Second
 )
 
 type breakerState uint8
 
 const (
-	breakerClosed   breakerState = iota // the server gets requests
-	breakerOpen                         // the server gets none
-	breakerHalfOpen                     // the server gets a single trial
+	breakerClosed   breakerState = iota // the server receives requests
+	breakerOpen                         // the server receives no requests
+	breakerHalfOpen                     // the server receives a single trial
 )
 
 func (s breakerState) String() string { return enumName(s, "closed", "open", "half-open") }
 
-// circuitBreaker is the breaker of one server. It has a trial only while it is half-open.
+// circuitBreaker is the circuit breaker of one server. Only a half-open breaker has a trial.
 type circuitBreaker struct {
 	state        breakerState
 	failures     []time.Duration // times of the consecutive failures within failureWindow
-	openDuration time.Duration   // how long the breaker stays open when it opens next
-	halfOpenAt   time.Duration   // when an open breaker turns half-open
-	trial        *attempt        // the attempt in flight; nil while a half-open breaker awaits one
+	openDuration time.Duration   // how long the breaker stays open the next time
+	halfOpenAt   time.Duration   // when an open breaker becomes half-open
+	trial        *attempt        // attempt in flight; nil while a half-open breaker awaits one
 }
 
 func newCircuitBreaker() circuitBreaker {
@@ -49,41 +49,41 @@
 // isTrial reports whether an attempt is the trial of a half-open breaker.
 func (c *circuitBreaker) isTrial(a *attempt) bool { return c.state == breakerHalfOpen && c.trial == a }
 
-// acceptsTrial reports whether the next attempt of a request may be the trial. A request that is not
-// idempotent may only be once the trial is overdue.
+// acceptsTrial reports whether the next attempt of a request may be the trial. An attempt of a request that
+// is not idempotent may be the trial only if the trial is overdue.
 func (c *circuitBreaker) acceptsTrial(now time.Duration, idempotency Idempotency) bool {
 	return c.awaitsTrial() && (idempotency != NotIdempotent || c.trialOverdue(now))
 }
 
-// trialOverdue reports whether no request has become the trial for as long as the breaker was open.
+// trialOverdue reports whether a breaker has been half-open for longer than its open duration.
 func (c *circuitBreaker) trialOverdue(now time.Duration) bool {
 	return now > c.halfOpenAt+c.openDuration
 }
 
-// advance turns an open breaker half-open once that is due.
+// advance makes an open breaker half-open when its time is up.
 func (c *circuitBreaker) advance(now time.Duration) {
 	if c.state == breakerOpen && now >= c.halfOpenAt {
 		c.state, c.trial = breakerHalfOpen, nil
 	}
 }
 
-// startAttempt makes an attempt the trial of a half-open breaker.
+// startAttempt makes the attempt the trial if the breaker is half-open.
 func (c *circuitBreaker) startAttempt(a *attempt) {
 	if c.state == breakerHalfOpen {
 		c.trial = a
 	}
 }
 
-// abandonTrial ends a trial without a result. The breaker stays half-open and awaits another trial. An
-// attempt that is not the trial has no effect.
+// abandonTrial ends a trial without a result: the breaker stays half-open and awaits another trial. It has no
+// effect if the attempt is not the trial.
 func (c *circuitBreaker) abandonTrial(a *attempt) {
 	if c.trial == a {
 		c.trial = nil
 	}
 }
 
-// recordSuccess closes the breaker if the attempt was its trial. A response to an older attempt shows that
-// the server of an open breaker is alive, so that the trial may follow at once.
+// recordSuccess closes the breaker if the attempt was its trial. If the breaker is open, a response to an
+// earlier attempt shows that the server is alive, so the trial may start immediately.
 func (c *circuitBreaker) recordSuccess(now time.Duration, a *attempt) {
 	c.failures = c.failures[:0]
 	switch {
@@ -94,25 +94,25 @@
 	}
 }
 
-// recordFailure adds a consecutive failure and drops those before failureWindow.
+// recordFailure adds a consecutive failure and drops failures older than failureWindow.
 func (c *circuitBreaker) recordFailure(now time.Duration) {
 	expired := func(at time.Duration) bool { return now-at > failureWindow }
 	c.failures = slices.DeleteFunc(append(c.failures, now), expired)
 }
 
-// extendOpenDuration doubles the time for which the breaker opens next, after a failed trial.
+// extendOpenDuration doubles the open duration after a failed trial.
 func (c *circuitBreaker) extendOpenDuration() {
 	c.openDuration = min(2*c.openDuration, maxOpenDuration)
 }
 
-// open opens the breaker for about its open duration. Jitter keeps the trials of many nodes apart.
+// open opens the breaker for its open duration with jitter, which spreads the trials of many nodes.
 func (c *circuitBreaker) open(now time.Duration, random *rand.Rand) {
 	c.state, c.trial = breakerOpen, nil
 	c.halfOpenAt = now + jitter.Proportional(random, c.openDuration, jitterShare)
 }
 
-// reachedThreshold reports whether the consecutive failures, the last one of the given status, open a closed
-// breaker. A missing response or connection is stronger evidence than a quick error.
+// reachedThreshold reports whether the consecutive failures, the last one with the given status, open a
+// closed breaker. A missing response or connection is stronger evidence of a fault than a fast error.
 func (c *circuitBreaker) reachedThreshold(status Status, regime *samplingRegime, failureRate float64) bool {
 	failures := len(c.failures)
 	if (status == Timeout || status == ConnectFailed) && failures >= regime.noResponseThreshold {
@@ -121,9 +121,9 @@
 	return failures >= failureThreshold && !c.explainedByFailureRate(failureRate)
 }
 
-// explainedByFailureRate reports whether the consecutive failures are likely at the failure rate before
-// them. The score then steers requests away from the server; an open breaker would lose what it still
-// serves.
+// explainedByFailureRate reports whether the consecutive failures are plausible at the failure rate that
+// preceded them. The score then directs requests away from the server, whereas an open breaker would lose the
+// requests that it still serves.
 func (c *circuitBreaker) explainedByFailureRate(failureRate float64) bool {
 	failures := len(c.failures)
 	return failures < maxFailureThreshold && math.Pow(failureRate, float64(failures)) > runSignificanceLevel
