--- a/policy/retry.go
+++ b/policy/retry.go
@@ -12,39 +12,39 @@
 const (
 	initialBackoffShare  = 1.0 / 16 // of the class's objective; doubles with each attempt
 	maxBackoff           = 30 * time.Second
-	jitterShare          = 0.2 // of a delay either way; keeps doubled delays growing
-	unresponsiveMultiple = 4.0 // of the expected latency; an attempt without a response by then has failed
+	jitterShare          = 0.2 // of a delay, in either direction; lets doubled delays still grow
+	unresponsiveMultiple = 4.0 // of the expected latency; an attempt without a response is then unresponsive
 )
 
-// retryPolicy says which attempts a request may have, and when.
+// retryPolicy determines which attempts a request may have, and when.
 type retryPolicy struct {
 	limits Limits
 	random *rand.Rand
 }
 
-// jitteredBackoff returns the backoff before the next attempt.
+// jitteredBackoff returns the backoff before the next attempt, with jitter.
 func (p *retryPolicy) jitteredBackoff(request *request) time.Duration {
 	first := time.Duration(float64(request.class.Objective) * initialBackoffShare)
 	backoff := min(first<<(len(request.attempts)-1), maxBackoff)
 	return jitter.Proportional(p.random, backoff, jitterShare)
 }
 
-// attemptsExhausted reports whether a request may have no attempt at a time or later: it has had all of its
-// attempts, or it may have been executed and must not be repeated.
+// attemptsExhausted reports whether a request may have no attempt from the given time on: it has had all of
+// its attempts, or it may have been executed and must not be repeated.
 func (p *retryPolicy) attemptsExhausted(at time.Duration, request *request) bool {
 	executed := request.firstPossiblyExecuted()
 	return len(request.attempts) >= p.limits.MaxAttempts ||
 		executed != nil && !request.class.mayRepeatAfter(at-executed.sentAt)
 }
 
-// permitsRetryAt reports whether a retry at a time is permitted, and its response is expected while it still
-// has weight.
+// permitsRetryAt reports whether a retry at the given time is permitted and its response, expected after the
+// given latency, still earns weight.
 func (p *retryPolicy) permitsRetryAt(at time.Duration, request *request, latency time.Duration) bool {
 	return !p.attemptsExhausted(at, request) && at+latency <= request.retryDeadline()
 }
 
-// permits reports whether a request may have an attempt at a server. It checks every attempt, and enforces
-// deadlines, limits and idempotency.
+// permits reports whether a request may have an attempt at a server now. It is checked before every attempt
+// and enforces deadlines, limits and idempotency.
 func (p *retryPolicy) permits(now time.Duration, request *request, server *server) bool {
 	if request.completed || request.streaming || now >= request.deadline || server.State != Ready ||
 		p.attemptsExhausted(now, request) {
@@ -64,13 +64,13 @@
 		(request.class.Idempotency != IdempotentWithKey || request.class.sharesKeyScope(earlier, server))
 }
 
-// permitsHedging reports whether a request with one attempt in flight may have a second one. The response is
-// expected after the given latency and must meet the objective.
+// permitsHedging reports whether a request with one attempt in flight may be hedged. The response, expected
+// after the given latency, must meet the objective.
 func (p *retryPolicy) permitsHedging(now time.Duration, request *request, latency time.Duration) bool {
 	return request.inFlight == 1 && p.limits.Hedging && now+latency <= request.objectiveDeadline
 }
 
-// retryDeadline returns when a response stops earning any weight.
+// retryDeadline returns the time after which a response earns no weight.
 func (r *request) retryDeadline() time.Duration {
 	if r.class.LateFraction > 0 {
 		return r.deadline
@@ -78,13 +78,13 @@
 	return r.objectiveDeadline
 }
 
-// mayRepeatAfter reports whether a request may be executed again at an age of its first attempt that may
-// have been executed.
+// mayRepeatAfter reports whether a request may be executed again. The age is that of its first attempt that
+// may have been executed.
 func (c *requestClass) mayRepeatAfter(age time.Duration) bool {
 	return c.Idempotency == Idempotent || c.Idempotency == IdempotentWithKey && age < c.KeyRetention
 }
 
-// sharesKeyScope reports whether a server recognizes the idempotency keys of an earlier attempt.
+// sharesKeyScope reports whether a server recognizes the idempotency key of an earlier attempt.
 func (c *requestClass) sharesKeyScope(earlier *attempt, server *server) bool {
 	switch c.KeyScope {
 	case KeyScopeAll:
