--- a/policy/watch_schedule.go
+++ b/policy/watch_schedule.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	initialWatchBackoff = 500 * time.Millisecond  // delay after the first failed call; doubles
+	initialWatchBackoff = 500 * time.Millisecond  // backoff after the first failed call; doubles
 	watchSpreadPerNode  = 60 * time.Millisecond   // for each node, added to the time over which calls spread
 	watchResponseTime   = 1500 * time.Millisecond // reserved for a response before the notification deadline
 
@@ -61,10 +61,10 @@
 	return spread
 }
 
-// nextBackoff returns the delay before the next call after a failed one, and doubles the backoff. The delay
-// leaves time for a response before the notification deadline, if possible, which is remainingTime away. The
-// first delay has full jitter, so that nodes that lost the discovery service together do not retry together.
-// Later delays have no jitter.
+// nextBackoff returns the delay before the next call after a failed one, and doubles the backoff. The
+// notification deadline is remainingTime away, and the delay leaves time for a response before it, if
+// possible. The first delay has full jitter, so that nodes that lost the discovery service together do not
+// retry together. Later delays have no jitter.
 func (w *watchSchedule) nextBackoff(remainingTime time.Duration) time.Duration {
 	longest := min(max(remainingTime-watchResponseTime, remainingTime/remainingTimeDivisor, 0),
 		max(w.maxPollInterval, initialWatchBackoff))
