--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -12,7 +12,7 @@
 const (
 	slowStartSafetyFactor = 0.8  // fraction of the estimated capacity that is used while warming up
 	burstWindows          = 0.25 // maximum unused budget, in overload windows
-	minWarmFraction       = 0.75 // fraction of the subset that must be warm to estimate their work rate
+	minWarmFraction       = 0.75 // fraction of the subset that must be warm to update warmServerWorkRate
 
 	warmServerWorkRateTimeConstant = 10 * time.Second // of the smoothing of warmServerWorkRate
 )
