--- a/internal/simproto/decode.go
+++ b/internal/simproto/decode.go
@@ -13,11 +13,11 @@
 
 // decode decodes a record into event. Its errors have no position in the input.
 func (b *Batch) decode(rec record, event *Event) error {
-	const timerTokenAt = 1
-	event.Code = EventCode(rec[codeAt])
+	const timerTokenOffset = 1
+	event.Code = EventCode(rec[codeOffset])
 	switch event.Code {
 	case EventInstance:
-		event.Instance = rec.uint16(instanceAt)
+		event.Instance = rec.uint16(instanceOffset)
 	case EventOpen:
 		return b.decodeOpen(rec, event)
 	case EventEndpoints:
@@ -25,7 +25,7 @@
 	case EventRequest, EventStreamStarted, EventOutcome, EventClientDisconnected:
 		return decodeRequestEvent(rec, event)
 	case EventTimer:
-		event.Token = rec.uint64(timerTokenAt)
+		event.Token = rec.uint64(timerTokenOffset)
 	case EventPeerMessage:
 		return b.checkPeerMessage(rec)
 	case EventProbeResult, EventStop: // Event has no field for them
@@ -37,14 +37,14 @@
 
 func (b *Batch) decodeOpen(rec record, event *Event) error {
 	const (
-		seedAt     = 1
-		settingsAt = 9
+		seedOffset     = 1
+		settingsOffset = 9
 	)
-	settings, ok := b.tailItems(rec, settingsAt, 1)
+	settings, ok := b.tailItems(rec, settingsOffset, 1)
 	if !ok {
-		return fmt.Errorf("settings outside the tail: offset %d", rec.uint32(settingsAt))
+		return fmt.Errorf("settings outside the tail: offset %d", rec.uint32(settingsOffset))
 	}
-	event.Seed = rec.uint64(seedAt)
+	event.Seed = rec.uint64(seedOffset)
 	event.Settings = settings
 	return nil
 }
@@ -52,9 +52,9 @@
 // checkPeerMessage checks that the message is in the frame. It does not decode the message:
 // the instances use none.
 func (b *Batch) checkPeerMessage(rec record) error {
-	const messageAt = 5
-	if _, ok := b.tailItems(rec, messageAt, 1); !ok {
-		return fmt.Errorf("message outside the tail: offset %d", rec.uint32(messageAt))
+	const messageOffset = 5
+	if _, ok := b.tailItems(rec, messageOffset, 1); !ok {
+		return fmt.Errorf("message outside the tail: offset %d", rec.uint32(messageOffset))
 	}
 	return nil
 }
@@ -62,11 +62,11 @@
 // tailItems returns the items in the tail to which a record refers. The reference is the
 // offset of the first item, in bytes, and the number of items. It returns false if they are
 // not all in the tail.
-func (b *Batch) tailItems(rec record, referenceAt, itemSize int) ([]byte, bool) {
-	offset, count := uint64(rec.uint32(referenceAt)), uint64(rec.uint32(referenceAt+offsetSize))
-	end := offset + count*uint64(itemSize)
+func (b *Batch) tailItems(rec record, referenceOffset, itemSize int) ([]byte, bool) {
+	start, count := uint64(rec.uint32(referenceOffset)), uint64(rec.uint32(referenceOffset+tailOffsetSize))
+	end := start + count*uint64(itemSize)
 	if end > uint64(len(b.tail)) {
 		return nil, false
 	}
-	return b.tail[offset:end], true
+	return b.tail[start:end], true
 }
--- a/internal/simproto/decode_endpoints.go
+++ b/internal/simproto/decode_endpoints.go
@@ -9,18 +9,18 @@
 
 func (b *Batch) decodeEndpoints(rec record, event *Event) error {
 	const (
-		kindAt      = 1
-		endpointsAt = 10
+		kindOffset      = 1
+		endpointsOffset = 10
 	)
-	code := updateCode(rec[kindAt])
+	code := updateCode(rec[kindOffset])
 	event.WatchFailed = code == updateWatchFailed
 	kind, isUpdate := code.policyKind()
 	if !isUpdate && !event.WatchFailed {
 		return fmt.Errorf("unknown kind of update %d", code)
 	}
-	items, ok := b.tailItems(rec, endpointsAt, endpointSize)
+	items, ok := b.tailItems(rec, endpointsOffset, endpointSize)
 	if !ok {
-		return fmt.Errorf("endpoints outside the tail: offset %d", rec.uint32(endpointsAt))
+		return fmt.Errorf("endpoints outside the tail: offset %d", rec.uint32(endpointsOffset))
 	}
 	event.Kind = kind
 	event.Endpoints = event.Endpoints[:0] // reuses the memory
@@ -36,27 +36,27 @@
 
 func decodeEndpoint(rec record) (policy.Endpoint, error) {
 	const (
-		serverAt    = 0
-		zoneAt      = 6
-		cellAt      = 10
-		stateAt     = 12
-		weightAt    = 13
-		startedAtAt = 17
+		serverOffset    = 0
+		zoneOffset      = 6
+		cellOffset      = 10
+		stateOffset     = 12
+		weightOffset    = 13
+		startTimeOffset = 17
 	)
-	state, ok := stateCode(rec[stateAt]).policyState()
+	state, ok := stateCode(rec[stateOffset]).policyState()
 	if !ok {
-		return policy.Endpoint{}, fmt.Errorf("unknown state of a server %d", rec[stateAt])
+		return policy.Endpoint{}, fmt.Errorf("unknown state of a server %d", rec[stateOffset])
 	}
-	weight := rec.float32(weightAt)
+	weight := rec.float32(weightOffset)
 	if !(weight >= 0) || math.IsInf(weight, 1) { // NaN is not >= 0 either
 		return policy.Endpoint{}, fmt.Errorf("weight of a server %v", weight)
 	}
-	startedAt, err := rec.duration(startedAtAt, "start time of a server")
+	startedAt, err := rec.duration(startTimeOffset, "start time of a server")
 	if err != nil {
 		return policy.Endpoint{}, err
 	}
 	return policy.Endpoint{
-		Server: rec.serverID(serverAt), Zone: int(rec.uint16(zoneAt)), Cell: int(rec.uint16(cellAt)),
+		Server: rec.serverID(serverOffset), Zone: int(rec.uint16(zoneOffset)), Cell: int(rec.uint16(cellOffset)),
 		State: state, Weight: weight, StartedAt: startedAt,
 	}, nil
 }
--- a/internal/simproto/decode_request.go
+++ b/internal/simproto/decode_request.go
@@ -23,27 +23,27 @@
 
 func decodeRequest(rec record, event *Event) error {
 	const (
-		classAt    = 5
-		tenantAt   = 6
-		timeoutAt  = 16
-		costHintAt = 24
-		flagsAt    = 32
+		classOffset    = 5
+		tenantOffset   = 6
+		timeoutOffset  = 16
+		costHintOffset = 24
+		flagsOffset    = 32
 
 		flagCostHintValid = 1
 	)
-	timeout, err := rec.duration(timeoutAt, "timeout of a request")
+	timeout, err := rec.duration(timeoutOffset, "timeout of a request")
 	if err != nil {
 		return err
 	}
-	costHint, err := rec.duration(costHintAt, "cost hint of a request")
+	costHint, err := rec.duration(costHintOffset, "cost hint of a request")
 	if err != nil {
 		return err
 	}
-	if rec[flagsAt]&flagCostHintValid == 0 {
+	if rec[flagsOffset]&flagCostHintValid == 0 {
 		costHint = 0
 	}
 	event.Request = policy.Request{
-		ID: rec.requestID(), Class: int(rec[classAt]), Tenant: int(rec.uint16(tenantAt)),
+		ID: rec.requestID(), Class: int(rec[classOffset]), Tenant: int(rec.uint16(tenantOffset)),
 		Timeout: timeout, CostHint: costHint,
 	}
 	return nil
@@ -51,34 +51,34 @@
 
 func decodeStreamStarted(rec record, event *Event) {
 	const (
-		attemptAt = 5
-		serverAt  = 15
+		attemptOffset = 5
+		serverOffset  = 15
 	)
 	event.Outcome = policy.Outcome{
-		ID: rec.requestID(), Attempt: int(rec.uint16(attemptAt)), Server: rec.serverID(serverAt),
+		ID: rec.requestID(), Attempt: int(rec.uint16(attemptOffset)), Server: rec.serverID(serverOffset),
 	}
 }
 
 func decodeOutcome(rec record, event *Event) error {
 	const (
-		statusAt       = 5
-		requestEndedAt = 7
-		serverAt       = 8
-		attemptAt      = 14
-		latencyAt      = 16
+		statusOffset           = 5
+		requestCompletedOffset = 7
+		serverOffset           = 8
+		attemptOffset          = 14
+		latencyOffset          = 16
 	)
-	code := statusCode(rec.uint16(statusAt))
+	code := statusCode(rec.uint16(statusOffset))
 	status, ok := code.policyStatus()
 	if !ok {
 		return fmt.Errorf("unknown status %d", code)
 	}
-	latency, err := rec.duration(latencyAt, "latency")
+	latency, err := rec.duration(latencyOffset, "latency")
 	if err != nil {
 		return err
 	}
 	event.Outcome = policy.Outcome{
-		ID: rec.requestID(), Attempt: int(rec.uint16(attemptAt)), Server: rec.serverID(serverAt),
-		Status: status, RequestCompleted: rec[requestEndedAt] != 0, Latency: latency,
+		ID: rec.requestID(), Attempt: int(rec.uint16(attemptOffset)), Server: rec.serverID(serverOffset),
+		Status: status, RequestCompleted: rec[requestCompletedOffset] != 0, Latency: latency,
 	}
 	return nil
 }
--- a/internal/simproto/decode_test.go
+++ b/internal/simproto/decode_test.go
@@ -20,7 +20,7 @@
 		eventRecord(t, "06 0e6f2b19"),
 		eventRecord(t, "04 5d3a91c4 0002 4022800000000000 0a124a07 1f93"),
 		eventRecord(t, "0a"),
-	), unhex(t, "0a124a07 1f93 0001 0000 0002 01 3f800000 0000000000000000"+
+	), decodeHex(t, "0a124a07 1f93 0001 0000 0002 01 3f800000 0000000000000000"+
 		"0a9011f2 1fbc 0000 0000 0000 02 3fc00000 40b7d40000000000"))
 	events, err := decodeAll(raw)
 	if !errors.Is(err, io.EOF) || errors.Is(err, ErrFormat) {
--- a/internal/simproto/encode.go
+++ b/internal/simproto/encode.go
@@ -24,9 +24,9 @@
 
 // The positions of the fields in a reply's header.
 const (
-	replyCountAt    = 0
-	replyBodySizeAt = 4
-	replyBatchAt    = 8
+	replyCountOffset    = 0
+	replyBodySizeOffset = 4
+	replyBatchOffset    = 8
 )
 
 // initialReplyCapacity holds the reply to a usual batch, in bytes.
@@ -35,11 +35,11 @@
 // Reply collects the actions that reply to one batch. It implements policy.Host for the instance
 // selected. Reset must be called before the first use. It is not safe for concurrent use.
 type Reply struct {
-	frame    []byte // the header, filled in by WriteTo, and the records
-	tail     []byte
-	count    uint32 // records so far
-	selected uint16 // the instance of the next action
-	written  int    // the instance of the last context record, or noInstance
+	frame            []byte // the header, filled in by WriteTo, and the records
+	tail             []byte
+	count            uint32 // records so far
+	selectedInstance uint16 // the instance of the next action
+	contextInstance  int    // the instance of the last context record, or noInstance
 }
 
 var _ policy.Host = (*Reply)(nil)
@@ -52,17 +52,17 @@
 	r.frame = r.frame[:replyHeaderSize]
 	r.tail = r.tail[:0]
 	r.count = 0
-	r.written = noInstance
+	r.contextInstance = noInstance
 }
 
 // SelectInstance sets the instance to which the following actions belong.
-func (r *Reply) SelectInstance(instance uint16) { r.selected = instance }
+func (r *Reply) SelectInstance(instance uint16) { r.selectedInstance = instance }
 
 // action appends an action record, after a context record if the instance has changed.
 func (r *Reply) action(code actionCode) record {
-	if r.written != int(r.selected) {
-		r.written = int(r.selected)
-		r.appendRecord(actionContext).putUint16(instanceAt, r.selected)
+	if r.contextInstance != int(r.selectedInstance) {
+		r.contextInstance = int(r.selectedInstance)
+		r.appendRecord(actionContext).putUint16(instanceOffset, r.selectedInstance)
 	}
 	return r.appendRecord(code)
 }
@@ -70,11 +70,11 @@
 // appendRecord appends an empty record with a code. The record is valid until the next one is
 // appended.
 func (r *Reply) appendRecord(code actionCode) record {
-	var blank [actionSize]byte
-	r.frame = append(r.frame, blank[:]...)
+	var emptyRecord [actionSize]byte
+	r.frame = append(r.frame, emptyRecord[:]...)
 	r.count++
 	rec := record(r.frame[len(r.frame)-actionSize:])
-	rec[codeAt] = byte(code)
+	rec[codeOffset] = byte(code)
 	return rec
 }
 
@@ -88,24 +88,24 @@
 // Send implements policy.Host.
 func (r *Reply) Send(id policy.RequestID, server policy.ServerID, timeout time.Duration) {
 	const (
-		serverAt  = 5
-		timeoutAt = 11
+		serverOffset  = 5
+		timeoutOffset = 11
 	)
 	rec := r.requestAction(actionSend, id)
-	rec.putServerID(serverAt, server)
-	rec.putDuration(timeoutAt, timeout)
+	rec.putServerID(serverOffset, server)
+	rec.putDuration(timeoutOffset, timeout)
 }
 
 // Cancel implements policy.Host.
 func (r *Reply) Cancel(id policy.RequestID, attempt int) {
-	const attemptAt = 5
-	r.requestAction(actionCancel, id).putUint16(attemptAt, uint16(attempt))
+	const attemptOffset = 5
+	r.requestAction(actionCancel, id).putUint16(attemptOffset, uint16(attempt))
 }
 
 // Reject implements policy.Host.
 func (r *Reply) Reject(id policy.RequestID, retryAfter time.Duration) {
-	const retryAfterAt = 5
-	r.requestAction(actionReject, id).putDuration(retryAfterAt, retryAfter)
+	const retryAfterOffset = 5
+	r.requestAction(actionReject, id).putDuration(retryAfterOffset, retryAfter)
 }
 
 // Fail implements policy.Host.
@@ -114,41 +114,41 @@
 // SetTimer implements policy.Host.
 func (r *Reply) SetTimer(at time.Duration, token uint64) {
 	const (
-		timeAt  = 1
-		tokenAt = 9
+		timeOffset  = 1
+		tokenOffset = 9
 	)
 	rec := r.action(actionSetTimer)
-	rec.putDuration(timeAt, at)
-	rec.putUint64(tokenAt, token)
+	rec.putDuration(timeOffset, at)
+	rec.putUint64(tokenOffset, token)
 }
 
 // WatchEndpoints implements policy.Host.
 func (r *Reply) WatchEndpoints() {
 	const (
-		subscribeAt = 1
-		subscribe   = 1 // 0 would end the subscription
+		subscribeOffset = 1
+		subscribe       = 1 // 0 would end the subscription
 	)
-	r.action(actionWatchEndpoints)[subscribeAt] = subscribe
+	r.action(actionWatchEndpoints)[subscribeOffset] = subscribe
 }
 
 // Fatal reports that the decision code has failed, which ends the simulation with the text.
 func (r *Reply) Fatal(text string) {
 	const (
-		textOffsetAt = 1
-		textSizeAt   = 5
+		textReferenceOffset = 1
+		textSizeOffset      = 5
 	)
 	rec := r.action(actionFatal)
-	rec.putUint32(textOffsetAt, uint32(len(r.tail)))
-	rec.putUint32(textSizeAt, uint32(len(text)))
+	rec.putUint32(textReferenceOffset, uint32(len(r.tail)))
+	rec.putUint32(textSizeOffset, uint32(len(text)))
 	r.tail = append(r.tail, text...)
 }
 
 // WriteTo writes the reply to the batch of the given number and flushes the writer.
 func (r *Reply) WriteTo(w *bufio.Writer, batch uint32) error {
 	header := record(r.frame[:replyHeaderSize])
-	header.putUint32(replyCountAt, r.count)
-	header.putUint32(replyBodySizeAt, uint32(len(r.frame)-replyHeaderSize+len(r.tail)))
-	header.putUint32(replyBatchAt, batch)
+	header.putUint32(replyCountOffset, r.count)
+	header.putUint32(replyBodySizeOffset, uint32(len(r.frame)-replyHeaderSize+len(r.tail)))
+	header.putUint32(replyBatchOffset, batch)
 	// A bufio.Writer keeps its first error, which Flush returns.
 	_, _ = w.Write(r.frame)
 	_, _ = w.Write(r.tail)
--- a/internal/simproto/encode_test.go
+++ b/internal/simproto/encode_test.go
@@ -10,8 +10,8 @@
 	"calicohinge/policy"
 )
 
-// expectWritten writes the reply to a batch and compares its bytes.
-func expectWritten(t *testing.T, reply *Reply, batch uint32, want []byte) {
+// expectReplyBytes writes the reply to a batch and compares its bytes.
+func expectReplyBytes(t *testing.T, reply *Reply, batch uint32, want []byte) {
 	t.Helper()
 	var out bytes.Buffer
 	if err := reply.WriteTo(bufio.NewWriter(&out), batch); err != nil {
@@ -35,13 +35,13 @@
 	reply.Fail(7)
 	reply.WatchEndpoints()
 	reply.Fatal("broken")
-	action := func(text string) []byte { return padded(t, actionSize, text) }
-	want := join(unhex(t, "00000009 000000de 0000000c"),
+	action := func(text string) []byte { return paddedRecord(t, actionSize, text) }
+	want := join(decodeHex(t, "00000009 000000de 0000000c"),
 		action("44 0003"), action("42 5d3a91c4 0a124a07 1f93 4054000000000000"),
 		action("48 40c0680000000000 000000000000004d"),
 		action("41 5d3a91c4 0001"), action("44 0005"), action("47 0e6f2b19 406f400000000000"), action("49 00000007"),
 		action("4b 01"), action("4d 00000000 00000006"), []byte("broken"))
-	expectWritten(t, &reply, 12, want)
+	expectReplyBytes(t, &reply, 12, want)
 }
 
 func TestSecondReplyHasNothingOfTheFirst(t *testing.T) {
@@ -51,24 +51,24 @@
 	reply.Fatal("broken")
 	reply.Reset()
 	reply.Fail(7)
-	want := join(unhex(t, "00000002 00000030 0000000d"),
-		padded(t, actionSize, "44 0003"), padded(t, actionSize, "49 00000007"))
-	expectWritten(t, &reply, 13, want)
+	want := join(decodeHex(t, "00000002 00000030 0000000d"),
+		paddedRecord(t, actionSize, "44 0003"), paddedRecord(t, actionSize, "49 00000007"))
+	expectReplyBytes(t, &reply, 13, want)
 }
 
-var errBroken = errors.New("broken pipe")
+var errBrokenPipe = errors.New("broken pipe")
 
-type brokenWriter struct{}
+type failingWriter struct{}
 
-func (brokenWriter) Write([]byte) (int, error) { return 0, errBroken }
+func (failingWriter) Write([]byte) (int, error) { return 0, errBrokenPipe }
 
 func TestWriteToReturnsTheErrorOfTheWriter(t *testing.T) {
 	for name, size := range map[string]int{"at the flush": 4096, "at the first write": 16} {
 		var reply Reply
 		reply.Reset()
 		reply.Fail(7)
-		if err := reply.WriteTo(bufio.NewWriterSize(brokenWriter{}, size), 12); !errors.Is(err, errBroken) {
-			t.Errorf("%s: error %v, want one that wraps %v", name, err, errBroken)
+		if err := reply.WriteTo(bufio.NewWriterSize(failingWriter{}, size), 12); !errors.Is(err, errBrokenPipe) {
+			t.Errorf("%s: error %v, want one that wraps %v", name, err, errBrokenPipe)
 		}
 	}
 }
--- a/internal/simproto/frame_test.go
+++ b/internal/simproto/frame_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// unhex reads hexadecimal digits; spaces are ignored.
-func unhex(tb testing.TB, text string) []byte {
+// decodeHex reads hexadecimal digits; spaces are ignored.
+func decodeHex(tb testing.TB, text string) []byte {
 	tb.Helper()
 	raw, err := hex.DecodeString(strings.ReplaceAll(text, " ", ""))
 	if err != nil {
@@ -19,16 +19,16 @@
 	return raw
 }
 
-// padded returns a record of a size that begins with the given bytes, in hexadecimal digits.
-func padded(tb testing.TB, size int, text string) []byte {
+// paddedRecord returns a record of a size that begins with the given bytes, in hexadecimal digits.
+func paddedRecord(tb testing.TB, size int, text string) []byte {
 	tb.Helper()
-	raw := unhex(tb, text)
+	raw := decodeHex(tb, text)
 	return append(raw, make([]byte, size-len(raw))...)
 }
 
 func eventRecord(tb testing.TB, text string) []byte {
 	tb.Helper()
-	return padded(tb, eventSize, text)
+	return paddedRecord(tb, eventSize, text)
 }
 
 // frame builds batch 12, whose clock is 8,500 ms.
--- a/internal/simproto/malformed_test.go
+++ b/internal/simproto/malformed_test.go
@@ -14,8 +14,8 @@
 	return map[string][]byte{
 		"truncated header":           frame(0, nil, nil)[:7],
 		"truncated body":             frame(1, eventRecord(tb, "0b 0003"), nil)[:40],
-		"huge claimed length":        replaced(frame(0, nil, nil), 0, 0xff),
-		"long claimed length":        replaced(frame(0, nil, nil), 0, 0x30),
+		"huge claimed length":        overwrite(frame(0, nil, nil), 0, 0xff),
+		"long claimed length":        overwrite(frame(0, nil, nil), 0, 0x30),
 		"more records than bytes":    frame(9, eventRecord(tb, "0b 0003"), nil),
 		"unknown event":              frame(1, eventRecord(tb, "63"), nil),
 		"settings outside the tail":  frame(1, eventRecord(tb, "01 0000000000000001 00000000 00000009"), []byte("{}")),
@@ -25,17 +25,17 @@
 		"latency not a number":       frame(1, eventRecord(tb, "05 5d3a91c4 00c8 01 0a124a07 1f93 0000 7ff8000000000001"), nil),
 		"timeout not finite":         frame(1, eventRecord(tb, "03 5d3a91c4 00 0000 91f03b7c55d20a64 7ff0000000000000"), nil),
 		"message outside the tail":   frame(1, eventRecord(tb, "09 00000002 00000000 00000004"), nil),
-		"clock not a number":         replaced(frame(0, nil, nil), 4, 0x7f, 0xf8),
+		"clock not a number":         overwrite(frame(0, nil, nil), 4, 0x7f, 0xf8),
 		"unknown server state": frame(1, eventRecord(tb, "02 01 0000000000000001 00000000 00000001"),
-			unhex(tb, "0a124a07 1f93 0000 0000 0000 07 3f800000 0000000000000000")),
+			decodeHex(tb, "0a124a07 1f93 0000 0000 0000 07 3f800000 0000000000000000")),
 		"weight not a number": frame(1, eventRecord(tb, "02 01 0000000000000001 00000000 00000001"),
-			unhex(tb, "0a124a07 1f93 0000 0000 0000 01 7fc00000 0000000000000000")),
+			decodeHex(tb, "0a124a07 1f93 0000 0000 0000 01 7fc00000 0000000000000000")),
 	}
 }
 
-// replaced overwrites bytes of a frame, from the given position on.
-func replaced(frame []byte, at int, other ...byte) []byte {
-	copy(frame[at:], other)
+// overwrite overwrites bytes of a frame, from the given position on.
+func overwrite(frame []byte, offset int, other ...byte) []byte {
+	copy(frame[offset:], other)
 	return frame
 }
 
--- a/internal/simproto/reader.go
+++ b/internal/simproto/reader.go
@@ -10,17 +10,17 @@
 
 const (
 	readBufferSize = 1 << 16
-	// bodyGrowth is the number of bytes by which the body grows ahead of the input: memory
+	// bodyChunkSize is the number of bytes by which the body grows ahead of the input: memory
 	// grows with what is read, and not with the length that a malformed header claims.
-	bodyGrowth = 1 << 20
+	bodyChunkSize = 1 << 20
 )
 
 // The positions of the fields in a batch's header.
 const (
-	batchBodySizeAt = 0
-	batchTimeAt     = 4
-	batchCountAt    = 12
-	batchNumberAt   = 16
+	batchBodySizeOffset = 0
+	batchTimeOffset     = 4
+	batchCountOffset    = 12
+	batchNumberOffset   = 16
 )
 
 // Batch is one frame of events. It is valid until the next Reader.Read.
@@ -56,15 +56,15 @@
 		return nil, r.formatError(fmt.Errorf("header of the next batch: %w", err))
 	}
 	header := record(r.header[:])
-	size, count := header.uint32(batchBodySizeAt), header.uint32(batchCountAt)
-	r.batch.Number = header.uint32(batchNumberAt)
+	size, count := header.uint32(batchBodySizeOffset), header.uint32(batchCountOffset)
+	r.batch.Number = header.uint32(batchNumberOffset)
 	if size > maxBodySize || uint64(count)*eventSize > uint64(size) {
 		return nil, r.formatError(fmt.Errorf("%d records in %d bytes", count, size))
 	}
 	if err := r.readBody(int(size)); err != nil {
 		return nil, r.formatError(fmt.Errorf("body: %w", err))
 	}
-	now, err := header.duration(batchTimeAt, "clock")
+	now, err := header.duration(batchTimeOffset, "clock")
 	if err != nil {
 		return nil, r.formatError(err)
 	}
@@ -85,7 +85,7 @@
 	r.body = r.body[:0]
 	for len(r.body) < size {
 		start := len(r.body)
-		end := min(size, start+bodyGrowth)
+		end := min(size, start+bodyChunkSize)
 		if cap(r.body) < end {
 			r.body = append(r.body, make([]byte, end-start)...)
 		}
