--- a/internal/upstream/call.go
+++ b/internal/upstream/call.go
@@ -38,13 +38,13 @@
 
 // Revoke prevents the attempt from being written. It returns false if the attempt
 // has started or was revoked before.
-func (c *Call) Revoke() bool { return c.state.revoke() }
+func (c *Call) Revoke() bool { return c.state.markRevoked() }
 
 // Revoked reports whether Revoke came before the first byte.
 func (c *Call) Revoked() bool { return c.state.is(callRevoked) }
 
 // Started reports whether writing the first byte has been permitted.
-func (c *Call) Started() bool { return c.state.is(callStarted) }
+func (c *Call) Started() bool { return c.state.is(callSent) }
 
 // SetWriteDeadline sets the time from which on no byte of the attempt is written.
 // It has no effect on an attempt that has started.
@@ -58,20 +58,20 @@
 	return time.Time{}
 }
 
-// start permits the first byte to be written, or returns why nothing may be written. It checks
+// permitSend permits the first byte to be written, or returns why nothing may be written. It checks
 // the write deadline itself: the owner of the attempt may revoke it too late.
 //
 // It also checks the client itself: the event of a disconnect may still be queued. An attempt
 // must not begin 0.1 s after its client has disconnected, and the process may be paused for
 // longer after it has read the clock. So the client is checked after the clock.
-func (c *Call) start() error {
+func (c *Call) permitSend() error {
 	if deadline := c.writeDeadlineOrZero(); !deadline.IsZero() && !time.Now().Before(deadline) {
 		return errWriteDeadline
 	}
 	if c.clientDisconnected() {
 		return errClientDisconnected
 	}
-	if !c.state.start() {
+	if !c.state.markSent() {
 		return errRevoked
 	}
 	return nil
--- a/internal/upstream/call_state.go
+++ b/internal/upstream/call_state.go
@@ -15,7 +15,7 @@
 // The states of a call.
 const (
 	callWaiting callState = iota // for its connection; nothing is written
-	callStarted                  // its first byte may be written
+	callSent                     // its first byte may be written
 	callRevoked                  // nothing will be written
 )
 
@@ -26,12 +26,12 @@
 // is reports whether the present state is the given one.
 func (s *atomicCallState) is(state callState) bool { return s.value.Load() == int32(state) }
 
-// start permits the first byte to be written. It returns false if the call was revoked.
-func (s *atomicCallState) start() bool { return s.leaveWaiting(callStarted) }
+// markSent permits the first byte to be written. It returns false if the call was revoked.
+func (s *atomicCallState) markSent() bool { return s.leaveWaiting(callSent) }
 
-// revoke prevents the first byte from being written. It returns false if the call has
+// markRevoked prevents the first byte from being written. It returns false if the call has
 // started or was revoked before.
-func (s *atomicCallState) revoke() bool { return s.leaveWaiting(callRevoked) }
+func (s *atomicCallState) markRevoked() bool { return s.leaveWaiting(callRevoked) }
 
 // leaveWaiting changes the state from callWaiting to next. It returns false in any other state.
 func (s *atomicCallState) leaveWaiting(next callState) bool {
--- a/internal/upstream/dial_test.go
+++ b/internal/upstream/dial_test.go
@@ -22,12 +22,12 @@
 		syscall.ENETUNREACH: policy.ConnectFailed, syscall.EHOSTUNREACH: policy.ConnectFailed,
 		syscall.ECONNREFUSED: policy.ConnectFailed, syscall.ETIMEDOUT: policy.ConnectFailed,
 	} {
-		pool, id := poolTo(poolConfig(), "127.0.0.1:1")
+		pool, id := newPoolWithServer(testPoolConfig(), "127.0.0.1:1")
 		pool.dial = func(context.Context, string, string) (net.Conn, error) {
 			return nil, &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", errno)}
 		}
-		expectStatus(t, pool, id, want)
-		expectOpen(t, pool, 0)
+		expectAttemptStatus(t, pool, id, want)
+		expectOpenConnections(t, pool, 0)
 	}
 }
 
@@ -36,14 +36,14 @@
 func TestTimeForTheConnectionIsTakenFromTheTimeout(t *testing.T) {
 	const timeout, connecting = 10 * time.Second, 300 * time.Millisecond
 	backend := testkit.NewBackend(t, testkit.OK)
-	pool, id := poolTo(poolConfig(), backend.Address())
+	pool, id := newPoolWithServer(testPoolConfig(), backend.Address())
 	var dialer net.Dialer
 	pool.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 		time.Sleep(connecting)
 		return dialer.DialContext(ctx, network, address)
 	}
 
-	result := pool.Send(NewCall(t.Context(), connected), id, anyRequest(), time.Now().Add(timeout))
+	result := pool.Send(NewCall(t.Context(), neverDisconnected), id, newTestRequest(), time.Now().Add(timeout))
 	if result.Status != policy.OK {
 		t.Fatalf("status %v", result.Status)
 	}
@@ -57,10 +57,10 @@
 // Nothing is written if the client's deadline has passed when the connection is established.
 func TestRequestIsNotWrittenAfterTheDeadline(t *testing.T) {
 	backend := testkit.NewBackend(t, testkit.OK)
-	pool, id := poolTo(poolConfig(), backend.Address())
-	call := NewCall(t.Context(), connected)
+	pool, id := newPoolWithServer(testPoolConfig(), backend.Address())
+	call := NewCall(t.Context(), neverDisconnected)
 
-	result := pool.Send(call, id, anyRequest(), time.Now())
+	result := pool.Send(call, id, newTestRequest(), time.Now())
 
 	if result.Status != policy.NotSent || call.Started() || len(backend.Requests) > 0 {
 		t.Errorf("status %v, started %v, %d requests received", result.Status, call.Started(), len(backend.Requests))
@@ -75,7 +75,7 @@
 		return false
 	})
 	call.SetWriteDeadline(time.Now())
-	if err := call.start(); !errors.Is(err, errWriteDeadline) {
+	if err := call.permitSend(); !errors.Is(err, errWriteDeadline) {
 		t.Errorf("start returned %v", err)
 	}
 }
--- a/internal/upstream/endpoints_test.go
+++ b/internal/upstream/endpoints_test.go
@@ -32,7 +32,7 @@
 		"with another weight": {policy.UpdateDelta, changed(func(e *endpoint.Endpoint) { e.Weight = 2 }), false, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			pool := NewPool(poolConfig())
+			pool := NewPool(testPoolConfig())
 			if revoked := pool.UpdateEndpoints(policy.UpdateSnapshot, []endpoint.Endpoint{known}); !revoked.Contains(known.ID) {
 				t.Error("a new server is not in the set")
 			}
@@ -52,16 +52,16 @@
 // A connection in use when its server is replaced is closed at its release.
 func TestReplacedServerKeepsNoConnections(t *testing.T) {
 	server := testkit.NewScriptedServer(t, okResponse, testkit.KeepAlive)
-	pool, id := poolTo(poolConfig(), server.Address)
+	pool, id := newPoolWithServer(testPoolConfig(), server.Address)
 	inUse, err := pool.acquire(t.Context(), id)
 	if err != nil {
 		t.Fatal(err)
 	}
-	expectStatus(t, pool, id, policy.OK) // leaves an idle connection
+	expectAttemptStatus(t, pool, id, policy.OK) // leaves an idle connection
 
 	replaced := endpoint.Endpoint{ID: id, Address: server.Address, State: policy.Ready, StartedAt: time.UnixMilli(1)}
 	pool.UpdateEndpoints(policy.UpdateDelta, []endpoint.Endpoint{replaced})
-	expectOpen(t, pool, 1)
+	expectOpenConnections(t, pool, 1)
 	pool.release(inUse)
-	expectOpen(t, pool, 0)
+	expectOpenConnections(t, pool, 0)
 }
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -27,7 +27,7 @@
 	if _, err := c.Write(request.message); err != nil {
 		return Result{Status: policy.ConnectFailed} // its last byte was not written
 	}
-	c.responseBudget = maxResponse
+	c.responseBytesLeft = maxResponse
 	response, err := c.readFinalHeader(request)
 	if err != nil {
 		return Result{Status: c.failureStatus(err)}
@@ -36,7 +36,7 @@
 	if err != nil {
 		return Result{Status: c.failureStatus(err)}
 	}
-	c.limitRead(time.Time{})
+	c.setReadDeadline(time.Time{})
 	// Bytes beyond the response could be taken for the next one.
 	c.reusable = !response.Close && c.reader.Buffered() == 0
 	return classify(response, body)
@@ -63,11 +63,11 @@
 // The rest of the response has to arrive within responseReadTimeout after that: otherwise a
 // server that stops within a response would use up the time for a retry.
 func (c *connection) readHeader(request *encodedRequest) (*http.Response, error) {
-	c.limitRead(time.Time{})
+	c.setReadDeadline(time.Time{})
 	if _, err := c.reader.Peek(1); err != nil {
 		return nil, err
 	}
-	c.limitRead(time.Now().Add(request.responseReadTimeout))
+	c.setReadDeadline(time.Now().Add(request.responseReadTimeout))
 	prefix, err := c.reader.Peek(len(responsePrefix))
 	if err != nil {
 		return nil, err
--- a/internal/upstream/exchange_test.go
+++ b/internal/upstream/exchange_test.go
@@ -87,7 +87,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			server := testkit.NewScriptedServer(t, c.response, c.persistence)
-			pool, id := poolTo(poolConfig(), server.Address)
+			pool, id := newPoolWithServer(testPoolConfig(), server.Address)
 			for range 2 {
 				testResponse(t, pool, id, c.status)
 			}
@@ -104,7 +104,7 @@
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), testkit.WaitTimeout)
 	defer cancel()
-	result := send(ctx, pool, id, anyRequest())
+	result := send(ctx, pool, id, newTestRequest())
 	if ctx.Err() != nil {
 		t.Error("the attempt lasted until its context ended")
 	}
@@ -128,15 +128,15 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			attemptEnded := make(chan struct{})
-			backend := testkit.NewBackend(t, hijacking(func(conn net.Conn) {
+			backend := testkit.NewBackend(t, hijackHandler(func(conn net.Conn) {
 				writeByteByByte(conn, okResponse[:len(okResponse)/2])
 				if c.want != policy.OK {
 					<-attemptEnded
 				}
 				writeByteByByte(conn, okResponse[len(okResponse)/2:])
 			}))
-			pool, id := poolTo(poolConfig(), backend.Address())
-			request := anyRequest()
+			pool, id := newPoolWithServer(testPoolConfig(), backend.Address())
+			request := newTestRequest()
 			request.ResponseReadTimeout = c.readTimeout
 			if result := send(t.Context(), pool, id, request); result.Status != c.want {
 				t.Errorf("status %v, want %v", result.Status, c.want)
@@ -163,16 +163,16 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			backend := testkit.NewBackend(t, hijacking(func(conn net.Conn) {
+			backend := testkit.NewBackend(t, hijackHandler(func(conn net.Conn) {
 				_, err := io.WriteString(conn, start)
 				for err == nil {
 					time.Sleep(time.Millisecond) // the slow writes are what is under test
 					_, err = io.WriteString(conn, "x")
 				}
 			}))
-			pool, id := poolTo(poolConfig(), backend.Address())
-			expectStatus(t, pool, id, policy.ServerError)
-			expectOpen(t, pool, 0)
+			pool, id := newPoolWithServer(testPoolConfig(), backend.Address())
+			expectAttemptStatus(t, pool, id, policy.ServerError)
+			expectOpenConnections(t, pool, 0)
 		})
 	}
 }
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -29,9 +29,9 @@
 // writeQuietly writes to a client that may have closed the connection.
 func writeQuietly(conn net.Conn, text string) { _, _ = io.WriteString(conn, text) }
 
-// hijacking returns a handler that serves the raw connection of each request and
+// hijackHandler returns a handler that serves the raw connection of each request and
 // closes it afterwards.
-func hijacking(serve func(conn net.Conn)) http.HandlerFunc {
+func hijackHandler(serve func(conn net.Conn)) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		conn, _, err := w.(http.Hijacker).Hijack()
 		if err != nil {
@@ -42,44 +42,44 @@
 	}
 }
 
-// poolConfig permits a connection to be reused at once.
-func poolConfig() Config {
+// testPoolConfig permits a connection to be reused at once.
+func testPoolConfig() Config {
 	return Config{MaxOpen: 10, IdleTimeout: 15 * time.Second, ConnectTimeout: 5 * time.Second}
 }
 
-// poolTo returns a pool that knows one server.
-func poolTo(config Config, address string) (*Pool, policy.ServerID) {
+// newPoolWithServer returns a pool that knows one server.
+func newPoolWithServer(config Config, address string) (*Pool, policy.ServerID) {
 	pool := NewPool(config)
 	server := endpoint.Endpoint{ID: 1, Address: address, State: policy.Ready}
 	pool.UpdateEndpoints(policy.UpdateSnapshot, []endpoint.Endpoint{server})
 	return pool, server.ID
 }
 
-// connected is a client that does not disconnect.
-func connected() bool { return false }
+// neverDisconnected is a client that does not disconnect.
+func neverDisconnected() bool { return false }
 
 // send makes one attempt for a connected client.
 func send(ctx context.Context, pool *Pool, id policy.ServerID, request *Request) Result {
-	return pool.Send(NewCall(ctx, connected), id, request, clientDeadline())
+	return pool.Send(NewCall(ctx, neverDisconnected), id, request, clientDeadline())
 }
 
-// expectStatus makes one attempt and checks its status.
-func expectStatus(t *testing.T, pool *Pool, id policy.ServerID, want policy.Status) {
+// expectAttemptStatus makes one attempt and checks its status.
+func expectAttemptStatus(t *testing.T, pool *Pool, id policy.ServerID, want policy.Status) {
 	t.Helper()
-	if result := send(t.Context(), pool, id, anyRequest()); result.Status != want {
+	if result := send(t.Context(), pool, id, newTestRequest()); result.Status != want {
 		t.Errorf("status %v, want %v", result.Status, want)
 	}
 }
 
-// expectOpen checks the number of connections that the pool counts.
-func expectOpen(t *testing.T, pool *Pool, want int) {
+// expectOpenConnections checks the number of connections that the pool counts.
+func expectOpenConnections(t *testing.T, pool *Pool, want int) {
 	t.Helper()
 	if open := pool.Stats().Open; open != want {
 		t.Errorf("%d connections are open, want %d", open, want)
 	}
 }
 
-func anyRequest() *Request {
+func newTestRequest() *Request {
 	return &Request{
 		Method:              "POST",
 		URL:                 &url.URL{Path: "/pay"},
--- a/internal/upstream/retire.go
+++ b/internal/upstream/idle_timeout.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// retireChecks is how often RetireIdle checks within the longest idle time.
-	retireChecks = 8
-	// minRetireInterval bounds the checks' cost when that time is short.
-	minRetireInterval = 10 * time.Millisecond
+	// checksPerMaxIdleTime is how often RetireIdle checks within the longest idle time.
+	checksPerMaxIdleTime = 8
+	// minIdleCheckInterval bounds the checks' cost when that time is short.
+	minIdleCheckInterval = 10 * time.Millisecond
 )
 
 // RetireIdle closes connections that have been idle for too long, until ctx ends.
 func (p *Pool) RetireIdle(ctx context.Context) {
-	ticker := time.NewTicker(max(p.maxIdle/retireChecks, minRetireInterval))
+	ticker := time.NewTicker(max(p.maxIdleTime/checksPerMaxIdleTime, minIdleCheckInterval))
 	defer ticker.Stop()
 	for {
 		select {
@@ -33,7 +33,7 @@
 	defer p.mu.Unlock()
 	for _, s := range p.servers {
 		expired := 0
-		for expired < len(s.idle) && time.Since(s.idle[expired].idleSince) > p.maxIdle {
+		for expired < len(s.idle) && time.Since(s.idle[expired].idleSince) > p.maxIdleTime {
 			p.closeLocked(s.idle[expired])
 			expired++
 		}
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -20,9 +20,9 @@
 )
 
 const (
-	// idleTimeoutShare is the part of the servers' idle timeout after which the
+	// idleTimeoutFraction is the part of the servers' idle timeout after which the
 	// pool closes an idle connection, so that it does so before the server.
-	idleTimeoutShare = 0.6
+	idleTimeoutFraction = 0.6
 	// maxIdlePerServer bounds the idle connections kept to a server.
 	maxIdlePerServer = 32
 )
@@ -51,9 +51,9 @@
 // decided by the caller. Its methods may be called from several goroutines; those
 // whose names end in Locked need mu.
 type Pool struct {
-	config  Config
-	dial    netdial.Func
-	maxIdle time.Duration // time after which an idle connection is closed
+	config      Config
+	dial        netdial.Func
+	maxIdleTime time.Duration // time after which an idle connection is closed
 
 	mu      sync.Mutex
 	servers map[policy.ServerID]*server
@@ -78,10 +78,10 @@
 func NewPool(config Config) *Pool {
 	dialer := net.Dialer{KeepAlive: -1}
 	return &Pool{
-		config:  config,
-		dial:    netdial.Repeat(dialer.DialContext),
-		maxIdle: time.Duration(float64(config.IdleTimeout) * idleTimeoutShare),
-		servers: map[policy.ServerID]*server{},
+		config:      config,
+		dial:        netdial.Repeat(dialer.DialContext),
+		maxIdleTime: time.Duration(float64(config.IdleTimeout) * idleTimeoutFraction),
+		servers:     map[policy.ServerID]*server{},
 	}
 }
 
@@ -124,7 +124,7 @@
 		target.idle = slices.Delete(target.idle, i, i+1)
 		// The server closes idle connections too, and a request written to a closed
 		// one counts as possibly executed.
-		if idleFor <= p.maxIdle {
+		if idleFor <= p.maxIdleTime {
 			return conn
 		}
 		p.closeLocked(conn)
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -14,19 +14,19 @@
 const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
 
 func TestRefusedConnectionFailsAndFreesItsCapacity(t *testing.T) {
-	pool, id := poolTo(poolConfig(), testkit.FreeAddr(t))
-	expectStatus(t, pool, id, policy.ConnectFailed)
-	expectOpen(t, pool, 0)
+	pool, id := newPoolWithServer(testPoolConfig(), testkit.FreeAddr(t))
+	expectAttemptStatus(t, pool, id, policy.ConnectFailed)
+	expectOpenConnections(t, pool, 0)
 }
 
 // A connection that is established after the connect timeout carries nothing.
 func TestConnectTimeoutSendsNothingAndFreesItsCapacity(t *testing.T) {
 	t.Parallel()
 	server := testkit.NewStuckServer(t)
-	config := poolConfig()
+	config := testPoolConfig()
 	config.ConnectTimeout = 50 * time.Millisecond
-	pool, id := poolTo(config, server.Addr().String())
-	expectStatus(t, pool, id, policy.ConnectFailed)
+	pool, id := newPoolWithServer(config, server.Addr().String())
+	expectAttemptStatus(t, pool, id, policy.ConnectFailed)
 
 	received := server.Admit()
 	later, err := net.Dial("tcp", server.Addr().String())
@@ -40,16 +40,16 @@
 	if text := testkit.Wait(t, received, "bytes on the later connection"); text != "mine" {
 		t.Errorf("%q was sent", text)
 	}
-	expectOpen(t, pool, 0)
+	expectOpenConnections(t, pool, 0)
 }
 
 func TestIdleConnectionIsClosedAfterTheIdleTimeout(t *testing.T) {
 	server := testkit.NewScriptedServer(t, okResponse, testkit.KeepAlive)
-	pool, id := poolTo(poolConfig(), server.Address)
-	pool.maxIdle = 20 * time.Millisecond
+	pool, id := newPoolWithServer(testPoolConfig(), server.Address)
+	pool.maxIdleTime = 20 * time.Millisecond
 	go pool.RetireIdle(t.Context())
 
-	send(t.Context(), pool, id, anyRequest())
+	send(t.Context(), pool, id, newTestRequest())
 
 	testkit.Wait(t, server.Conns, "a connection")
 	testkit.Until(t, "the idle connection to be closed", func() bool { return pool.Stats().Open == 0 })
@@ -58,22 +58,22 @@
 // No server is at fault when the limit is reached.
 func TestAttemptIsNotSentAtTheConnectionLimit(t *testing.T) {
 	backend := testkit.NewBackend(t, testkit.OK)
-	config := poolConfig()
+	config := testPoolConfig()
 	config.MaxOpen = 1
-	pool, id := poolTo(config, backend.Address())
+	pool, id := newPoolWithServer(config, backend.Address())
 	pool.open = 1 // in use
 
-	expectStatus(t, pool, id, policy.NotSent)
+	expectAttemptStatus(t, pool, id, policy.NotSent)
 }
 
 func TestIdleConnectionIsEvictedAtTheConnectionLimit(t *testing.T) {
-	config := poolConfig()
+	config := testPoolConfig()
 	config.MaxOpen = 1
-	pool, id := poolTo(config, testkit.NewBackend(t, testkit.OK).Address())
+	pool, id := newPoolWithServer(config, testkit.NewBackend(t, testkit.OK).Address())
 	other := endpoint.Endpoint{ID: 2, Address: testkit.NewBackend(t, testkit.OK).Address(), State: policy.Ready}
 	pool.UpdateEndpoints(policy.UpdateDelta, []endpoint.Endpoint{other})
 	for _, target := range []policy.ServerID{id, other.ID, id} {
-		expectStatus(t, pool, target, policy.OK)
+		expectAttemptStatus(t, pool, target, policy.OK)
 	}
 }
 
@@ -97,19 +97,19 @@
 func testSettleDelay(t *testing.T, afterResponse func(conn net.Conn)) {
 	t.Helper()
 	served := make(chan struct{}, 10)
-	backend := testkit.NewBackend(t, hijacking(func(conn net.Conn) {
+	backend := testkit.NewBackend(t, hijackHandler(func(conn net.Conn) {
 		writeQuietly(conn, okResponse)
 		time.Sleep(time.Millisecond) // long for a server, short for a connection to settle
 		afterResponse(conn)
 		served <- struct{}{}
 		<-t.Context().Done() // the connection stays open until then
 	}))
-	config := poolConfig()
+	config := testPoolConfig()
 	config.SettleDelay = time.Hour
-	pool, id := poolTo(config, backend.Address())
+	pool, id := newPoolWithServer(config, backend.Address())
 	expectServed := func() {
 		t.Helper()
-		result := send(t.Context(), pool, id, anyRequest())
+		result := send(t.Context(), pool, id, newTestRequest())
 		if result.Status != policy.OK || string(result.Body) != "hi" {
 			t.Errorf("status %v, body %q", result.Status, result.Body)
 		}
@@ -122,6 +122,6 @@
 	testkit.Wait(t, served, "the end of the second handler")
 	pool.config.SettleDelay = 0
 
-	expectServed()         // on a new connection: both have settled and are not quiet
-	expectOpen(t, pool, 1) // the last one
+	expectServed()                    // on a new connection: both have settled and are not quiet
+	expectOpenConnections(t, pool, 1) // the last one
 }
--- a/internal/upstream/send.go
+++ b/internal/upstream/send.go
@@ -33,7 +33,7 @@
 			p.release(conn)
 			return Result{Status: policy.NotSent}
 		}
-		if conn.quiet() {
+		if conn.readyForRequest() {
 			return p.sendOn(conn, call, encoded)
 		}
 		conn.reusable = false
@@ -50,14 +50,14 @@
 	// A server does not begin a request before its last byte, so a deadline within
 	// the write is early enough.
 	writeDeadline := call.writeDeadlineOrZero()
-	conn.limitWrite(writeDeadline)
-	if err := call.start(); err != nil {
+	conn.setWriteDeadline(writeDeadline)
+	if err := call.permitSend(); err != nil {
 		conn.reusable = stopAbort() // false: the call was cancelled, and the connection is closed
 		p.release(conn)
 		return Result{Status: policy.NotSent, ClientDisconnected: errors.Is(err, errClientDisconnected)}
 	}
 	if latest := call.writeDeadlineOrZero(); !latest.Equal(writeDeadline) {
-		conn.limitWrite(latest) // it was set meanwhile
+		conn.setWriteDeadline(latest) // it was set meanwhile
 	}
 	result := conn.exchange(request)
 	if aborted := !stopAbort(); aborted {
--- a/internal/upstream/send_test.go
+++ b/internal/upstream/send_test.go
@@ -19,14 +19,14 @@
 // another one. The attempt must not be written any more.
 func TestRevokedCallIsNotSent(t *testing.T) {
 	backend := testkit.NewBackend(t, testkit.OK)
-	pool, id := poolTo(poolConfig(), backend.Address())
-	call := NewCall(t.Context(), connected)
+	pool, id := newPoolWithServer(testPoolConfig(), backend.Address())
+	call := NewCall(t.Context(), neverDisconnected)
 	call.Revoke()
 
-	if result := pool.Send(call, id, anyRequest(), clientDeadline()); result.Status != policy.NotSent {
+	if result := pool.Send(call, id, newTestRequest(), clientDeadline()); result.Status != policy.NotSent {
 		t.Errorf("status %v", result.Status)
 	}
-	send(t.Context(), pool, id, anyRequest())
+	send(t.Context(), pool, id, newTestRequest())
 	if len(backend.Requests) != 1 {
 		t.Errorf("%d requests were received, want the second one only", len(backend.Requests))
 	}
@@ -34,10 +34,10 @@
 
 func TestCallOfADisconnectedClientIsNotSent(t *testing.T) {
 	backend := testkit.NewBackend(t, testkit.OK)
-	pool, id := poolTo(poolConfig(), backend.Address())
+	pool, id := newPoolWithServer(testPoolConfig(), backend.Address())
 	call := NewCall(t.Context(), func() bool { return true })
 
-	result := pool.Send(call, id, anyRequest(), clientDeadline())
+	result := pool.Send(call, id, newTestRequest(), clientDeadline())
 
 	if result.Status != policy.NotSent || !result.ClientDisconnected {
 		t.Errorf("status %v, client disconnected %v", result.Status, result.ClientDisconnected)
@@ -51,9 +51,9 @@
 }
 
 func TestStartedCallCannotBeRevoked(t *testing.T) {
-	pool, id := poolTo(poolConfig(), testkit.NewBackend(t, testkit.OK).Address())
-	call := NewCall(t.Context(), connected)
-	if result := pool.Send(call, id, anyRequest(), clientDeadline()); result.Status != policy.OK {
+	pool, id := newPoolWithServer(testPoolConfig(), testkit.NewBackend(t, testkit.OK).Address())
+	call := NewCall(t.Context(), neverDisconnected)
+	if result := pool.Send(call, id, newTestRequest(), clientDeadline()); result.Status != policy.OK {
 		t.Errorf("status %v", result.Status)
 	}
 	if call.Revoke() || call.Revoked() || !call.Started() {
@@ -65,7 +65,7 @@
 // repeated on another server.
 func TestNewConnectionThatWasClosedIsConnectFailed(t *testing.T) {
 	listener := testkit.Listen(t)
-	pool, id := poolTo(poolConfig(), listener.Addr().String())
+	pool, id := newPoolWithServer(testPoolConfig(), listener.Addr().String())
 	conn, err := pool.acquire(t.Context(), id)
 	if err != nil {
 		t.Fatal(err)
@@ -79,7 +79,7 @@
 
 	conn.server.idle = append(conn.server.idle, conn) // the next attempt gets it as a new connection
 	conn.idleSince = time.Now()
-	expectStatus(t, pool, id, policy.ConnectFailed)
+	expectAttemptStatus(t, pool, id, policy.ConnectFailed)
 }
 
 // A server reads a long request so slowly that its last byte would be written after the
@@ -87,10 +87,10 @@
 func TestRequestIsNotCompletedPastTheWriteDeadline(t *testing.T) {
 	t.Parallel()
 	listener := listenWithSmallBuffers(t)
-	pool, id := poolTo(poolConfig(), listener.Addr().String())
-	request := anyRequest()
+	pool, id := newPoolWithServer(testPoolConfig(), listener.Addr().String())
+	request := newTestRequest()
 	request.Body = make([]byte, maxBody)
-	call := NewCall(t.Context(), connected)
+	call := NewCall(t.Context(), neverDisconnected)
 	defer call.Cancel()
 	call.SetWriteDeadline(time.Now().Add(200 * time.Millisecond))
 	results := make(chan Result, 1)
