--- a/internal/simproto/simproto.go
+++ b/internal/simproto/simproto.go
@@ -1,22 +1,24 @@
-// Package simproto decodes and encodes the frames of the simulator's binary protocol: batches
-// of event records from the simulator and replies of action records to it. Frames are
-// big-endian. They have a header, records of a fixed size, and a tail for data of any size.
+// Package simproto implements the simulator's binary protocol. The simulator sends batches of
+// event records and gets a reply with action records for each of them. Both kinds of frame are
+// big-endian and consist of a header, records of a fixed size, and a tail that holds data of
+// variable size.
 //
-// It translates between records and the types of package policy, makes no decisions and keeps
-// no state between batches but its buffers. The protocol's names and codes occur only here.
-// cmd/simadapter is its only caller: it reads a Batch, decodes each Event, and fills one Reply.
-// Any input may be malformed, which Reader.Read and Batch.Event report as a *FormatError.
+// The package translates between records and the types of package policy. It makes no decisions
+// and keeps no state between batches except its buffers. The protocol's record layouts and numeric
+// codes are defined only here. The only caller is cmd/simadapter, which reads a Batch, decodes each
+// Event and fills one Reply. Reader.Read and Batch.Event report malformed input as a *FormatError.
 package simproto
 
-// The sizes of a frame's parts, in bytes.
+// Sizes of the parts of a frame, in bytes.
 const (
 	batchHeaderSize = 20
 	replyHeaderSize = 12
 	eventSize       = 48
 	actionSize      = 24
 	endpointSize    = 25
-	maxBodySize     = 1 << 30 // a longer body is taken for a malformed header
+	maxBodySize     = 1 << 30 // a header that claims a longer body is malformed
 )
 
-// noInstance stands for no instance. The numbers of instances have 16 bits.
+// noInstance is the value of Reply.contextInstance while the reply has no context record. It is not
+// an instance number: those have 16 bits and are not negative.
 const noInstance = -1
