--- a/internal/simproto/codes.go
+++ b/internal/simproto/codes.go
@@ -2,7 +2,7 @@
 
 import "calicohinge/policy"
 
-// statusCode is the protocol's code of how an attempt ended.
+// statusCode is the protocol's code for the status of an attempt that has ended.
 type statusCode uint16
 
 const (
@@ -16,7 +16,7 @@
 	statusConnectFailed statusCode = 521
 )
 
-// policyStatus translates the code; it returns false for an unknown one.
+// policyStatus returns the policy.Status for the code, and false if the code is unknown.
 func (c statusCode) policyStatus() (policy.Status, bool) {
 	switch c {
 	case statusOK:
@@ -39,18 +39,18 @@
 	return 0, false
 }
 
-// updateCode is the protocol's code of what an update of the endpoint list holds.
+// updateCode is the protocol's code for the kind of an endpoint list update.
 type updateCode uint8
 
 const (
 	updateDelta       updateCode = 0
 	updateSnapshot    updateCode = 1
 	updateCached      updateCode = 2
-	updateWatchFailed updateCode = 3 // no update: a watch of the endpoint list has failed
+	updateWatchFailed updateCode = 3 // not an update: a watch of the endpoint list has failed
 )
 
-// policyKind translates the code; it returns false for an unknown one, and for
-// updateWatchFailed, which is no update.
+// policyKind returns the policy.UpdateKind for the code, and false if the code is unknown or
+// is updateWatchFailed, which is not an update.
 func (c updateCode) policyKind() (policy.UpdateKind, bool) {
 	switch c {
 	case updateDelta:
@@ -65,7 +65,7 @@
 	return 0, false
 }
 
-// stateCode is the protocol's code of a server's state.
+// stateCode is the protocol's code for the state of a server.
 type stateCode uint8
 
 const (
@@ -74,7 +74,7 @@
 	stateDraining stateCode = 2
 )
 
-// policyState translates the code; it returns false for an unknown one.
+// policyState returns the policy.EndpointState for the code, and false if the code is unknown.
 func (c stateCode) policyState() (policy.EndpointState, bool) {
 	switch c {
 	case stateRemoved:
