--- a/internal/simproto/event.go
+++ b/internal/simproto/event.go
@@ -6,25 +6,25 @@
 	"calicohinge/policy"
 )
 
-// EventCode is the code of an event record.
+// EventCode is the protocol's code for the kind of an event record.
 type EventCode uint8
 
-// The events.
+// The kinds of event.
 const (
-	EventOpen               EventCode = 1  // an instance starts without state
-	EventEndpoints          EventCode = 2  // an update of the endpoint list, or a failed watch
+	EventOpen               EventCode = 1  // an instance starts, with no state
+	EventEndpoints          EventCode = 2  // the endpoint list was updated, or a watch of it has failed
 	EventRequest            EventCode = 3  // a client's request has arrived
 	EventStreamStarted      EventCode = 4  // the response to an attempt of a streaming class has started
 	EventOutcome            EventCode = 5  // an attempt has ended
 	EventClientDisconnected EventCode = 6  // a client has disconnected, or its final response is overdue
 	EventTimer              EventCode = 7  // a timer has expired
 	EventProbeResult        EventCode = 8  // a health check has ended
-	EventPeerMessage        EventCode = 9  // a message of another instance
+	EventPeerMessage        EventCode = 9  // another instance has sent a message
 	EventStop               EventCode = 10 // the instance has been terminated
 	EventInstance           EventCode = 11 // selects the instance of the events that follow
 )
 
-// String returns the name of the event, or its code if it has none.
+// String returns the name of the kind of event, or its number if the code is unknown.
 func (c EventCode) String() string {
 	names := [...]string{
 		EventOpen:               "open",
@@ -45,20 +45,20 @@
 	return names[c]
 }
 
-// Event is one record of a batch. Only the fields that name its code are valid.
+// Event is a decoded event record. A field is valid only for the codes that its comment names.
 type Event struct {
 	Code     EventCode
 	Instance uint16 // EventInstance
 	Seed     uint64 // EventOpen
 	Settings []byte // EventOpen: JSON, valid until the next Reader.Read
 	// EventEndpoints: the update, valid until the next event is decoded into this Event. If
-	// WatchFailed is set, a watch of the endpoint list has failed and there is no update.
+	// WatchFailed is set, there is no update: a watch of the endpoint list has failed.
 	Kind        policy.UpdateKind
 	WatchFailed bool
 	Endpoints   []policy.Endpoint
 	Request     policy.Request // EventRequest
-	// Outcome is complete for EventOutcome. EventStreamStarted gives ID, Attempt and Server,
-	// EventClientDisconnected the ID only.
+	// EventOutcome sets the whole Outcome, EventStreamStarted only ID, Attempt and Server, and
+	// EventClientDisconnected only ID.
 	Outcome policy.Outcome
-	Token   uint64 // EventTimer: as given to Reply.SetTimer
+	Token   uint64 // EventTimer: the token passed to Reply.SetTimer
 }
