--- a/internal/simproto/error.go
+++ b/internal/simproto/error.go
@@ -5,20 +5,20 @@
 	"fmt"
 )
 
-// ErrFormat is wrapped by every error about a malformed frame, see FormatError.
+// ErrFormat is wrapped by every FormatError.
 var ErrFormat = errors.New("malformed frame")
 
-// WholeFrame is the Record of a FormatError that does not concern a single record.
+// WholeFrame is the value of FormatError.Record if the error is not about a single record.
 const WholeFrame = -1
 
-// FormatError reports a malformed frame or record. It wraps ErrFormat and the cause.
+// FormatError reports a malformed frame or record. It wraps both ErrFormat and its cause.
 type FormatError struct {
-	Batch  uint32 // number of the batch
+	Batch  uint32 // sequence number of the batch
 	Record int    // index of the record in the batch, from 0, or WholeFrame
 	Err    error  // the cause
 }
 
-// Error names the batch, the record if there is one, and the cause, in one line.
+// Error returns one line with the batch, the record unless it is WholeFrame, and the cause.
 func (e *FormatError) Error() string {
 	if e.Record == WholeFrame {
 		return fmt.Sprintf("%v: batch %d: %v", ErrFormat, e.Batch, e.Err)
