--- a/internal/simproto/decode_request.go
+++ b/internal/simproto/decode_request.go
@@ -6,7 +6,7 @@
 	"calicohinge/policy"
 )
 
-// decodeRequestEvent decodes the events that concern a single request.
+// decodeRequestEvent decodes an event about a request.
 func decodeRequestEvent(rec record, event *Event) error {
 	switch event.Code {
 	case EventRequest:
@@ -31,11 +31,11 @@
 
 		flagCostHintValid = 1
 	)
-	timeout, err := rec.duration(timeoutOffset, "timeout of a request")
+	timeout, err := rec.duration(timeoutOffset, "request timeout")
 	if err != nil {
 		return err
 	}
-	costHint, err := rec.duration(costHintOffset, "cost hint of a request")
+	costHint, err := rec.duration(costHintOffset, "request cost hint")
 	if err != nil {
 		return err
 	}
@@ -70,7 +70,7 @@
 	code := statusCode(rec.uint16(statusOffset))
 	status, ok := code.policyStatus()
 	if !ok {
-		return fmt.Errorf("unknown status %d", code)
+		return fmt.Errorf("unknown status: %d", code)
 	}
 	latency, err := rec.duration(latencyOffset, "latency")
 	if err != nil {
--- a/internal/simproto/reader.go
+++ b/internal/simproto/reader.go
@@ -10,12 +10,13 @@
 
 const (
 	readBufferSize = 1 << 16
-	// bodyChunkSize is the number of bytes by which the body grows ahead of the input: memory
-	// grows with what is read, and not with the length that a malformed header claims.
+	// bodyChunkSize is the number of bytes by which the body buffer grows ahead of the input.
+	// Growing it step by step ties memory use to the bytes that arrive, and not to the size
+	// that a malformed header claims.
 	bodyChunkSize = 1 << 20
 )
 
-// The positions of the fields in a batch's header.
+// Offsets of the fields in the header of a batch.
 const (
 	batchBodySizeOffset = 0
 	batchTimeOffset     = 4
@@ -23,10 +24,10 @@
 	batchNumberOffset   = 16
 )
 
-// Batch is one frame of events. It is valid until the next Reader.Read.
+// Batch is a frame of event records. It is valid until the next call of Reader.Read.
 type Batch struct {
-	Now    time.Duration // time of all events of the batch
-	Number uint32        // sequence number, which the reply repeats
+	Now    time.Duration // simulated time of all events in the batch
+	Number uint32        // sequence number, repeated in the reply
 	Count  int           // number of event records
 
 	records []byte
@@ -46,23 +47,23 @@
 	return &Reader{in: bufio.NewReaderSize(in, readBufferSize)}
 }
 
-// Read returns the next batch. It returns io.EOF if the input ends between two batches, and a
-// *FormatError if it ends elsewhere, cannot be read or is malformed.
+// Read returns the next batch. It returns io.EOF if the input ends between batches, and a
+// *FormatError if the input ends within a batch, cannot be read or is malformed.
 func (r *Reader) Read() (*Batch, error) {
 	if n, err := io.ReadFull(r.in, r.header[:]); err != nil {
 		if n == 0 && errors.Is(err, io.EOF) {
 			return nil, io.EOF
 		}
-		return nil, r.formatError(fmt.Errorf("header of the next batch: %w", err))
+		return nil, r.formatError(fmt.Errorf("read header of the next batch: %w", err))
 	}
 	header := record(r.header[:])
 	size, count := header.uint32(batchBodySizeOffset), header.uint32(batchCountOffset)
 	r.batch.Number = header.uint32(batchNumberOffset)
 	if size > maxBodySize || uint64(count)*eventSize > uint64(size) {
-		return nil, r.formatError(fmt.Errorf("%d records in %d bytes", count, size))
+		return nil, r.formatError(fmt.Errorf("header claims %d records in a body of %d bytes", count, size))
 	}
 	if err := r.readBody(int(size)); err != nil {
-		return nil, r.formatError(fmt.Errorf("body: %w", err))
+		return nil, r.formatError(fmt.Errorf("read body: %w", err))
 	}
 	now, err := header.duration(batchTimeOffset, "clock")
 	if err != nil {
@@ -75,12 +76,12 @@
 	return &r.batch, nil
 }
 
-// formatError returns an error about the present frame as a whole.
+// formatError returns a *FormatError about the current frame as a whole.
 func (r *Reader) formatError(cause error) error {
 	return &FormatError{Batch: r.batch.Number, Record: WholeFrame, Err: cause}
 }
 
-// readBody reads size bytes into the body.
+// readBody replaces the content of r.body with the next size bytes of the input.
 func (r *Reader) readBody(size int) error {
 	r.body = r.body[:0]
 	for len(r.body) < size {
