--- a/internal/simproto/record.go
+++ b/internal/simproto/record.go
@@ -10,25 +10,25 @@
 	"calicohinge/policy"
 )
 
-// serverIDPortBits is the number of low bits of a policy.ServerID that hold the port; the
-// address is above them.
+// serverIDPortBits is the width of the port in a policy.ServerID. The port is in the low bits,
+// the address is above it.
 const serverIDPortBits = 16
 
-// The positions of fields that several events and actions share.
+// Offsets of the fields that several kinds of event and action have in common.
 const (
 	codeOffset      = 0
-	requestIDOffset = 1 // if the record concerns a request
-	instanceOffset  = 1 // if the record selects an instance
+	requestIDOffset = 1 // in records about a request
+	instanceOffset  = 1 // in records that select an instance
 )
 
-// The sizes of parts of a value, in bytes.
+// Sizes of the parts of a value, in bytes.
 const (
-	addressSize    = 4 // of a server's address, which precedes its port
-	tailOffsetSize = 4 // of an offset in the tail, which precedes the number of items
+	addressSize    = 4 // a server's address; its port follows
+	tailOffsetSize = 4 // an offset in the tail; the number of items follows
 )
 
-// record is the bytes of a header, an event, an action or an endpoint. Positions count from
-// its first byte.
+// record holds the bytes of a header, an event, an action or an endpoint. Field offsets count
+// from its first byte.
 type record []byte
 
 func (r record) uint16(offset int) uint16 { return binary.BigEndian.Uint16(r[offset:]) }
@@ -38,20 +38,20 @@
 func (r record) float32(offset int) float64 { return float64(math.Float32frombits(r.uint32(offset))) }
 func (r record) float64(offset int) float64 { return math.Float64frombits(r.uint64(offset)) }
 
-// duration reads a time in milliseconds. If it is not a number or out of range, duration returns
-// an error that names the field.
+// duration reads a time in milliseconds. It returns an error that names the field if the value is
+// NaN or out of range.
 func (r record) duration(offset int, field string) (time.Duration, error) {
 	value := r.float64(offset)
 	duration, ok := milliseconds.ToDuration(value)
 	if !ok {
-		return 0, fmt.Errorf("%s %v", field, value)
+		return 0, fmt.Errorf("%s out of range: %v ms", field, value)
 	}
 	return duration, nil
 }
 
 func (r record) requestID() policy.RequestID { return policy.RequestID(r.uint32(requestIDOffset)) }
 
-// serverID reads four bytes of address and a port.
+// serverID reads a four-byte address and the port that follows it.
 func (r record) serverID(offset int) policy.ServerID {
 	return policy.ServerID(r.uint32(offset))<<serverIDPortBits | policy.ServerID(r.uint16(offset+addressSize))
 }
