--- a/internal/simproto/decode.go
+++ b/internal/simproto/decode.go
@@ -11,7 +11,7 @@
 	return nil
 }
 
-// decode decodes a record into event. Its errors have no position in the input.
+// decode decodes a record into event. Its errors do not name the batch or the record.
 func (b *Batch) decode(rec record, event *Event) error {
 	const timerTokenOffset = 1
 	event.Code = EventCode(rec[codeOffset])
@@ -28,7 +28,7 @@
 		event.Token = rec.uint64(timerTokenOffset)
 	case EventPeerMessage:
 		return b.checkPeerMessage(rec)
-	case EventProbeResult, EventStop: // Event has no field for them
+	case EventProbeResult, EventStop: // nothing to decode
 	default:
 		return fmt.Errorf("unknown %v", event.Code)
 	}
@@ -49,8 +49,8 @@
 	return nil
 }
 
-// checkPeerMessage checks that the message is in the frame. It does not decode the message:
-// the instances use none.
+// checkPeerMessage returns an error if the message lies outside the frame. It does not decode the
+// message, because instances ignore messages from their peers.
 func (b *Batch) checkPeerMessage(rec record) error {
 	const messageOffset = 5
 	if _, ok := b.tailItems(rec, messageOffset, 1); !ok {
@@ -59,9 +59,9 @@
 	return nil
 }
 
-// tailItems returns the items in the tail to which a record refers. The reference is the
-// offset of the first item, in bytes, and the number of items. It returns false if they are
-// not all in the tail.
+// tailItems returns the items in the tail that a record refers to. The reference consists of
+// the byte offset of the first item in the tail and the number of items. tailItems returns
+// false if an item lies outside the tail.
 func (b *Batch) tailItems(rec record, referenceOffset, itemSize int) ([]byte, bool) {
 	start, count := uint64(rec.uint32(referenceOffset)), uint64(rec.uint32(referenceOffset+tailOffsetSize))
 	end := start + count*uint64(itemSize)
