--- a/internal/simproto/decode_endpoints.go
+++ b/internal/simproto/decode_endpoints.go
@@ -16,14 +16,14 @@
 	event.WatchFailed = code == updateWatchFailed
 	kind, isUpdate := code.policyKind()
 	if !isUpdate && !event.WatchFailed {
-		return fmt.Errorf("unknown kind of update %d", code)
+		return fmt.Errorf("unknown kind of update: %d", code)
 	}
 	items, ok := b.tailItems(rec, endpointsOffset, endpointSize)
 	if !ok {
 		return fmt.Errorf("endpoints outside the tail: offset %d", rec.uint32(endpointsOffset))
 	}
 	event.Kind = kind
-	event.Endpoints = event.Endpoints[:0] // reuses the memory
+	event.Endpoints = event.Endpoints[:0] // keeps the capacity
 	for ; len(items) > 0; items = items[endpointSize:] {
 		endpoint, err := decodeEndpoint(record(items[:endpointSize]))
 		if err != nil {
@@ -45,13 +45,13 @@
 	)
 	state, ok := stateCode(rec[stateOffset]).policyState()
 	if !ok {
-		return policy.Endpoint{}, fmt.Errorf("unknown state of a server %d", rec[stateOffset])
+		return policy.Endpoint{}, fmt.Errorf("unknown server state: %d", rec[stateOffset])
 	}
 	weight := rec.float32(weightOffset)
-	if !(weight >= 0) || math.IsInf(weight, 1) { // NaN is not >= 0 either
-		return policy.Endpoint{}, fmt.Errorf("weight of a server %v", weight)
+	if !(weight >= 0) || math.IsInf(weight, 1) { // !(weight >= 0) is true for NaN too
+		return policy.Endpoint{}, fmt.Errorf("server weight out of range: %v", weight)
 	}
-	startedAt, err := rec.duration(startTimeOffset, "start time of a server")
+	startedAt, err := rec.duration(startTimeOffset, "server start time")
 	if err != nil {
 		return policy.Endpoint{}, err
 	}
