--- a/internal/simproto/encode.go
+++ b/internal/simproto/encode.go
@@ -8,7 +8,7 @@
 	"calicohinge/policy"
 )
 
-// actionCode is the code of an action record.
+// actionCode is the protocol's code for the kind of an action record.
 type actionCode uint8
 
 const (
@@ -22,29 +22,29 @@
 	actionFatal          actionCode = 77
 )
 
-// The positions of the fields in a reply's header.
+// Offsets of the fields in the header of a reply.
 const (
 	replyCountOffset    = 0
 	replyBodySizeOffset = 4
 	replyBatchOffset    = 8
 )
 
-// initialReplyCapacity holds the reply to a usual batch, in bytes.
+// initialReplyCapacity is the initial capacity of Reply.frame in bytes, enough for a typical reply.
 const initialReplyCapacity = 1 << 14
 
-// Reply collects the actions that reply to one batch. It implements policy.Host for the instance
-// selected. Reset must be called before the first use. It is not safe for concurrent use.
+// Reply encodes the actions that answer one batch. It implements policy.Host for the selected
+// instance. Reset must be called before the first use. A Reply is not safe for concurrent use.
 type Reply struct {
-	frame            []byte // the header, filled in by WriteTo, and the records
+	frame            []byte // space for the header, which WriteTo fills in, and the records
 	tail             []byte
-	count            uint32 // records so far
-	selectedInstance uint16 // the instance of the next action
-	contextInstance  int    // the instance of the last context record, or noInstance
+	count            uint32 // number of records
+	selectedInstance uint16 // instance of the next action
+	contextInstance  int    // instance of the last context record, or noInstance
 }
 
 var _ policy.Host = (*Reply)(nil)
 
-// Reset starts a new reply.
+// Reset discards the collected actions, so that a new reply can be filled.
 func (r *Reply) Reset() {
 	if r.frame == nil {
 		r.frame = make([]byte, 0, initialReplyCapacity)
@@ -58,7 +58,7 @@
 // SelectInstance sets the instance to which the following actions belong.
 func (r *Reply) SelectInstance(instance uint16) { r.selectedInstance = instance }
 
-// action appends an action record, after a context record if the instance has changed.
+// action appends an action record. If the instance has changed, it appends a context record first.
 func (r *Reply) action(code actionCode) record {
 	if r.contextInstance != int(r.selectedInstance) {
 		r.contextInstance = int(r.selectedInstance)
@@ -67,8 +67,8 @@
 	return r.appendRecord(code)
 }
 
-// appendRecord appends an empty record with a code. The record is valid until the next one is
-// appended.
+// appendRecord appends a record in which only the code is set. The returned record is valid
+// until the next one is appended.
 func (r *Reply) appendRecord(code actionCode) record {
 	var emptyRecord [actionSize]byte
 	r.frame = append(r.frame, emptyRecord[:]...)
@@ -78,7 +78,7 @@
 	return rec
 }
 
-// requestAction appends an action record that concerns a request.
+// requestAction appends an action record about a request.
 func (r *Reply) requestAction(code actionCode, id policy.RequestID) record {
 	rec := r.action(code)
 	rec.putRequestID(id)
@@ -126,12 +126,12 @@
 func (r *Reply) WatchEndpoints() {
 	const (
 		subscribeOffset = 1
-		subscribe       = 1 // 0 would end the subscription
+		subscribe       = 1 // 0 unsubscribes
 	)
 	r.action(actionWatchEndpoints)[subscribeOffset] = subscribe
 }
 
-// Fatal reports that the decision code has failed, which ends the simulation with the text.
+// Fatal appends an action that ends the simulation with an error text.
 func (r *Reply) Fatal(text string) {
 	const (
 		textReferenceOffset = 1
@@ -143,17 +143,17 @@
 	r.tail = append(r.tail, text...)
 }
 
-// WriteTo writes the reply to the batch of the given number and flushes the writer.
+// WriteTo writes the reply to the given batch and flushes the writer.
 func (r *Reply) WriteTo(w *bufio.Writer, batch uint32) error {
 	header := record(r.frame[:replyHeaderSize])
 	header.putUint32(replyCountOffset, r.count)
 	header.putUint32(replyBodySizeOffset, uint32(len(r.frame)-replyHeaderSize+len(r.tail)))
 	header.putUint32(replyBatchOffset, batch)
-	// A bufio.Writer keeps its first error, which Flush returns.
+	// A bufio.Writer remembers its first error, and Flush returns it.
 	_, _ = w.Write(r.frame)
 	_, _ = w.Write(r.tail)
 	if err := w.Flush(); err != nil {
-		return fmt.Errorf("write reply %d: %w", batch, err)
+		return fmt.Errorf("write reply to batch %d: %w", batch, err)
 	}
 	return nil
 }
