--- a/internal/simproto/frame_test.go
+++ b/internal/simproto/frame_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// decodeHex reads hexadecimal digits; spaces are ignored.
+// decodeHex decodes hexadecimal digits and ignores spaces.
 func decodeHex(tb testing.TB, text string) []byte {
 	tb.Helper()
 	raw, err := hex.DecodeString(strings.ReplaceAll(text, " ", ""))
@@ -19,19 +19,20 @@
 	return raw
 }
 
-// paddedRecord returns a record of a size that begins with the given bytes, in hexadecimal digits.
+// paddedRecord returns a record that starts with the bytes in text, in hexadecimal, and ends in zeros.
 func paddedRecord(tb testing.TB, size int, text string) []byte {
 	tb.Helper()
 	raw := decodeHex(tb, text)
 	return append(raw, make([]byte, size-len(raw))...)
 }
 
+// eventRecord returns an event record that starts with the bytes in text, in hexadecimal.
 func eventRecord(tb testing.TB, text string) []byte {
 	tb.Helper()
 	return paddedRecord(tb, eventSize, text)
 }
 
-// frame builds batch 12, whose clock is 8,500 ms.
+// frame returns a frame that holds batch 12 at the time 8,500 ms. Its header claims count records.
 func frame(count int, records, tail []byte) []byte {
 	header := make([]byte, batchHeaderSize)
 	binary.BigEndian.PutUint32(header[0:], uint32(len(records)+len(tail)))
@@ -43,7 +44,7 @@
 
 func join(parts ...[]byte) []byte { return bytes.Join(parts, nil) }
 
-// decodeAll decodes batches until the first error, which is io.EOF at the end of the input.
+// decodeAll decodes batches until the first error and returns that error, io.EOF at a clean end of the input.
 func decodeAll(raw []byte) ([]Event, error) {
 	reader := NewReader(bytes.NewReader(raw))
 	var events []Event
