--- a/internal/simproto/decode_test.go
+++ b/internal/simproto/decode_test.go
@@ -24,7 +24,7 @@
 		"0a9011f2 1fbc 0000 0000 0000 02 3fc00000 40b7d40000000000"))
 	events, err := decodeAll(raw)
 	if !errors.Is(err, io.EOF) || errors.Is(err, ErrFormat) {
-		t.Fatalf("ends with %v, want a clean end", err)
+		t.Fatalf("decoding ended with %v, want io.EOF", err)
 	}
 	const server = policy.ServerID(0x0a124a071f93)
 	want := []Event{
@@ -46,16 +46,16 @@
 		{Code: EventStop},
 	}
 	if len(events) != len(want) {
-		t.Fatalf("%d events, want %d", len(events), len(want))
+		t.Fatalf("decoded %d events, want %d", len(events), len(want))
 	}
 	for i := range want {
 		if !reflect.DeepEqual(events[i], want[i]) {
-			t.Errorf("event %d is %+v, want %+v", i, events[i], want[i])
+			t.Errorf("event %d: got %+v, want %+v", i, events[i], want[i])
 		}
 	}
 }
 
-func TestEachStatusCodeIsTranslated(t *testing.T) {
+func TestStatusCodesMapToPolicyStatuses(t *testing.T) {
 	want := map[uint16]policy.Status{
 		200: policy.OK, 502: policy.ServerError, 429: policy.Rejected, 408: policy.Timeout,
 		521: policy.ConnectFailed, 520: policy.Reset, 444: policy.Cancelled, 409: policy.NotSent,
@@ -63,36 +63,36 @@
 	for code := range uint16(1000) {
 		status, ok := statusCode(code).policyStatus()
 		if wanted, known := want[code]; ok != known || status != wanted {
-			t.Errorf("code %d: status %v, known %v, want %v, %v", code, status, ok, wanted, known)
+			t.Errorf("code %d: got status %v, known %v; want %v, %v", code, status, ok, wanted, known)
 		}
 	}
 }
 
-// decodeOne decodes a batch of one event, written as hexadecimal digits.
+// decodeOne decodes a batch with one event record, which starts with the bytes in text, in hexadecimal.
 func decodeOne(t *testing.T, text string) Event {
 	t.Helper()
 	events, err := decodeAll(frame(1, eventRecord(t, text), nil))
 	if !errors.Is(err, io.EOF) || len(events) != 1 {
-		t.Fatalf("%d events, error %v", len(events), err)
+		t.Fatalf("decoded %d events with error %v, want one event and io.EOF", len(events), err)
 	}
 	return events[0]
 }
 
-func TestFailedWatchHasNoUpdate(t *testing.T) {
+func TestFailedWatchCarriesNoUpdate(t *testing.T) {
 	event := decodeOne(t, "02 03")
 	if !event.WatchFailed || len(event.Endpoints) != 0 {
-		t.Errorf("event %+v, want a failed watch", event)
+		t.Errorf("got %+v, want a failed watch without endpoints", event)
 	}
 }
 
-func TestCostHintThatIsNotMarkedValidIsIgnored(t *testing.T) {
+func TestCostHintWithoutValidFlagIsIgnored(t *testing.T) {
 	event := decodeOne(t, "03 5d3a91c4 00 0001 91f03b7c55d20a64 406e000000000000 4028000000000000 06")
 	if event.Request.CostHint != 0 {
-		t.Errorf("cost hint %v, want none", event.Request.CostHint)
+		t.Errorf("cost hint is %v, want 0", event.Request.CostHint)
 	}
 }
 
-func TestEventCodesHaveNames(t *testing.T) {
+func TestEventCodesHaveDistinctNames(t *testing.T) {
 	names := map[string]EventCode{}
 	for code := EventOpen; code <= EventInstance; code++ {
 		if other, taken := names[code.String()]; taken || code.String() == "" {
@@ -101,6 +101,6 @@
 		names[code.String()] = code
 	}
 	if got := EventCode(99).String(); got != "event code 99" {
-		t.Errorf("unknown code is named %q", got)
+		t.Errorf("unknown code is named %q, want \"event code 99\"", got)
 	}
 }
