--- a/internal/simproto/encode_test.go
+++ b/internal/simproto/encode_test.go
@@ -10,7 +10,7 @@
 	"calicohinge/policy"
 )
 
-// expectReplyBytes writes the reply to a batch and compares its bytes.
+// expectReplyBytes fails the test unless the reply to the batch is encoded as the given bytes.
 func expectReplyBytes(t *testing.T, reply *Reply, batch uint32, want []byte) {
 	t.Helper()
 	var out bytes.Buffer
@@ -18,7 +18,7 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(out.Bytes(), want) {
-		t.Fatalf("got\n%x\nwant\n%x", out.Bytes(), want)
+		t.Fatalf("encoded reply:\n%x\nwant:\n%x", out.Bytes(), want)
 	}
 }
 
@@ -44,7 +44,7 @@
 	expectReplyBytes(t, &reply, 12, want)
 }
 
-func TestSecondReplyHasNothingOfTheFirst(t *testing.T) {
+func TestResetDiscardsThePreviousReply(t *testing.T) {
 	var reply Reply
 	reply.Reset()
 	reply.SelectInstance(3)
@@ -58,17 +58,18 @@
 
 var errBrokenPipe = errors.New("broken pipe")
 
+// failingWriter fails every write.
 type failingWriter struct{}
 
 func (failingWriter) Write([]byte) (int, error) { return 0, errBrokenPipe }
 
-func TestWriteToReturnsTheErrorOfTheWriter(t *testing.T) {
-	for name, size := range map[string]int{"at the flush": 4096, "at the first write": 16} {
+func TestWriteToReturnsWriterError(t *testing.T) {
+	for name, size := range map[string]int{"error at the flush": 4096, "error at the first write": 16} {
 		var reply Reply
 		reply.Reset()
 		reply.Fail(7)
 		if err := reply.WriteTo(bufio.NewWriterSize(failingWriter{}, size), 12); !errors.Is(err, errBrokenPipe) {
-			t.Errorf("%s: error %v, want one that wraps %v", name, err, errBrokenPipe)
+			t.Errorf("%s: got %v, want an error that wraps %v", name, err, errBrokenPipe)
 		}
 	}
 }
