--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -81,10 +81,10 @@
 // moment: it closes, or sends the response again. A request written meanwhile
 // would be lost, or get a response to another one.
 func TestConnectionIsNotReusedWithinTheSettleDelay(t *testing.T) {
-	const again = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nold"
+	const surplusResponse = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nold"
 	for name, afterResponse := range map[string]func(conn net.Conn){
 		"closed":          func(conn net.Conn) { closeQuietly(conn) },
-		"second response": func(conn net.Conn) { writeQuietly(conn, again) },
+		"second response": func(conn net.Conn) { writeQuietly(conn, surplusResponse) },
 		"invalid bytes":   func(conn net.Conn) { writeQuietly(conn, "\x00\x01") },
 	} {
 		t.Run(name, func(t *testing.T) {
