--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -1,11 +1,14 @@
-// Package upstream owns the connections to servers and carries out single
-// attempts over them. Its caller is the event loop of package node, which passes
-// on the endpoint list and decides which server gets an attempt, and when. Each
-// Send writes a request at most once; retries are the caller's. The package does
-// not touch the state of requests or of package policy: an attempt is described by
-// its Call and its Result alone. While Send waits for a connection its Call may be
-// revoked, and at any time canceled; see callState. An idle connection may be closed at
-// any time: by its server, by RetireIdle, or for a connection to another server.
+// Package upstream manages the connections to servers and makes single attempts over them. Its
+// caller is the event loop of package node, which passes on the endpoint list and decides when an
+// attempt starts and on which server.
+//
+// Each call of Pool.Send writes a request at most once; the caller decides on retries. The package
+// does not touch the state of requests or of package policy: the caller controls an attempt through
+// its Call and learns from its Result how it ended. A Call can be revoked while Send waits for a
+// connection (see callState) and cancelled at any time.
+//
+// An idle connection can be closed at any time: by its server, by RetireIdle, or to make room for a
+// connection to another server.
 package upstream
 
 import (
@@ -20,17 +23,17 @@
 )
 
 const (
-	// idleTimeoutFraction is the part of the servers' idle timeout after which the
-	// pool closes an idle connection, so that it does so before the server.
+	// idleTimeoutFraction is the fraction of the servers' idle timeout after which the pool
+	// closes an idle connection, so that the pool closes it before the server does.
 	idleTimeoutFraction = 0.6
-	// maxIdlePerServer bounds the idle connections kept to a server.
+	// maxIdlePerServer is the maximum number of idle connections to one server.
 	maxIdlePerServer = 32
 )
 
-// DefaultSettleDelay is the shortest time between a response and the next request
-// on its connection. A server may close its connection after a response, or send
-// more than the response, and that takes a moment to show. With a longer delay more
-// connections stay idle, and servers reset more of them.
+// DefaultSettleDelay is the minimum time between a response and the next request on the same
+// connection. A server may close the connection after a response or send surplus bytes, and it
+// takes a moment until this is visible here. A longer delay leaves more connections idle, and
+// servers then reset more of them.
 const DefaultSettleDelay = time.Millisecond
 
 var (
@@ -40,41 +43,40 @@
 
 // Config sets the limits of a Pool.
 type Config struct {
-	MaxOpen        int           // connections to all servers
-	IdleTimeout    time.Duration // time after which the servers close an idle connection
-	ConnectTimeout time.Duration // limit for opening a connection
+	MaxOpen        int           // maximum number of connections to all servers
+	IdleTimeout    time.Duration // idle time after which servers close a connection
+	ConnectTimeout time.Duration // maximum time for opening a connection
 	SettleDelay    time.Duration // see DefaultSettleDelay
 }
 
-// Pool holds the servers' addresses and the idle connections to them. It does not
-// use http.Transport, which retries a request by itself: every attempt has to be
-// decided by the caller. Its methods may be called from several goroutines; those
-// whose names end in Locked need mu.
+// Pool holds the addresses of the servers and the idle connections to them. It does not use
+// http.Transport, which retries requests on its own: the caller has to decide on every attempt.
+// Its methods are safe for concurrent use. Methods whose names end in Locked require p.mu.
 type Pool struct {
 	config      Config
 	dial        netdial.Func
-	maxIdleTime time.Duration // time after which an idle connection is closed
+	maxIdleTime time.Duration // idle time after which the pool closes a connection
 
 	mu      sync.Mutex
 	servers map[policy.ServerID]*server
-	open    int // connections to all servers, those being opened included
+	open    int // connections to all servers, including those being opened
 }
 
-// server is one incarnation of a server: its process at one address since one start.
+// server is one incarnation of a server, identified by its address and the start time of its process.
 type server struct {
 	address   string
-	startedAt time.Time     // of its process, by the wall clock of its machine
-	idle      []*connection // in the order of their release
-	removed   bool          // no longer listed, or replaced: connections are not kept
+	startedAt time.Time     // of the process, by the wall clock of its machine
+	idle      []*connection // ordered by release, oldest first
+	removed   bool          // no longer listed, or replaced by another incarnation: its connections are not kept
 }
 
-// reservation is the right to use one connection to a server.
+// reservation permits its holder to use one connection to a server.
 type reservation struct {
 	server *server
-	idle   *connection // nil: a new connection, which Pool.open already counts
+	idle   *connection // nil for a new connection, which Pool.open already counts
 }
 
-// NewPool returns a pool that knows no server yet.
+// NewPool returns a pool without servers. UpdateEndpoints adds them.
 func NewPool(config Config) *Pool {
 	dialer := net.Dialer{KeepAlive: -1}
 	return &Pool{
@@ -85,8 +87,8 @@
 	}
 }
 
-// reserve reserves an idle connection or the capacity for a new one. At the limit
-// of connections it closes an idle connection to any server for it. It returns
+// reserve reserves an idle connection to a server, or the capacity for a new one. At the
+// connection limit it makes room by closing an idle connection to any server. Its error is
 // errUnknownServer or errPoolExhausted.
 func (p *Pool) reserve(id policy.ServerID) (reservation, error) {
 	p.mu.Lock()
@@ -105,16 +107,17 @@
 	return reservation{server: target}, nil
 }
 
-// cancelReservation gives back the capacity for a connection that was not opened.
+// cancelReservation frees the capacity for a connection that could not be opened.
 func (p *Pool) cancelReservation() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.open--
 }
 
-// takeIdleLocked removes an idle connection from the pool and returns it, or nil: of those that
-// have settled, the one that was released last. On a connection that has not settled a request
-// may be lost, or get bytes of the previous response: nothing in a response names its request.
+// takeIdleLocked removes an idle connection from the pool and returns it, or nil if there is none.
+// It takes the connection that was released last, among those idle for at least the settle delay.
+// On a connection used earlier than that, a request may be lost or be answered with bytes that
+// belong to the previous response, because a response does not identify its request.
 func (p *Pool) takeIdleLocked(target *server) *connection {
 	for i, conn := range slices.Backward(target.idle) {
 		idleFor := time.Since(conn.idleSince)
@@ -122,8 +125,8 @@
 			continue
 		}
 		target.idle = slices.Delete(target.idle, i, i+1)
-		// The server closes idle connections too, and a request written to a closed
-		// one counts as possibly executed.
+		// The server may have closed a connection that was idle for longer. A request written
+		// to a closed connection would count as possibly executed.
 		if idleFor <= p.maxIdleTime {
 			return conn
 		}
@@ -132,8 +135,8 @@
 	return nil
 }
 
-// evictLocked closes the connection that has been idle for the longest time. It
-// returns false if none is idle.
+// evictLocked closes the connection that has been idle for the longest time. It returns false if
+// no connection is idle.
 func (p *Pool) evictLocked() bool {
 	var owner *server
 	for _, s := range p.servers {
@@ -149,8 +152,9 @@
 	return true
 }
 
-// release returns a connection to the pool, which keeps it for a further request
-// if it is reusable and closes it otherwise.
+// release returns a connection to the pool. The pool closes it if it is not reusable, if its server
+// was removed, or if the server already has maxIdlePerServer idle connections. Otherwise the pool
+// keeps it for another request.
 func (p *Pool) release(conn *connection) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -164,7 +168,7 @@
 	target.idle = append(target.idle, conn)
 }
 
-// closeLocked closes a connection that counts as open and frees its capacity.
+// closeLocked closes a connection and frees its capacity.
 func (p *Pool) closeLocked(conn *connection) {
 	p.open--
 	conn.abort()
