--- a/internal/upstream/limits.go
+++ b/internal/upstream/limits.go
@@ -3,20 +3,20 @@
 import "errors"
 
 const (
-	// maxBody bounds the body of a response, in bytes.
+	// maxBody is the maximum size of a response body, in bytes.
 	maxBody = 64 << 10
-	// maxResponse bounds a response with its header and framing, interim responses
-	// included, in bytes.
+	// maxResponse is the maximum size of a response, in bytes. It includes the header, the
+	// framing of the body and all interim responses.
 	maxResponse = maxBody + 64<<10
-	// maxInterimResponses bounds the 1xx responses ahead of the final one.
+	// maxInterimResponses is the maximum number of 1xx responses before the final response.
 	maxInterimResponses = 8
 )
 
-// The ways in which a response exceeds its limits or breaks the protocol.
+// Errors for responses that exceed a limit or violate the protocol.
 var (
 	errResponseTooLarge   = errors.New("response is too large")
-	errBodyTooLarge       = errors.New("body of the response is too large")
+	errBodyTooLarge       = errors.New("response body is too large")
 	errInterimResponses   = errors.New("too many interim responses")
-	errSwitchingProtocols = errors.New("server switches protocols without an upgrade request")
-	errNotHTTP            = errors.New("response is not HTTP/1")
+	errSwitchingProtocols = errors.New("server switched protocols without an upgrade request")
+	errNotHTTP            = errors.New("response is not HTTP/1.x")
 )
