--- a/internal/upstream/endpoints.go
+++ b/internal/upstream/endpoints.go
@@ -5,8 +5,8 @@
 	"calicohinge/policy"
 )
 
-// RevokedServers is the set of servers for which an update of the endpoint list revokes
-// attempts: one that was decided before the update may not be written any more.
+// RevokedServers is the set of servers for which an endpoint list update revokes attempts. An
+// attempt on such a server that was decided on before the update must not be sent after it.
 type RevokedServers map[policy.ServerID]struct{}
 
 // Contains reports whether id is in the set.
@@ -17,11 +17,14 @@
 
 func (s RevokedServers) add(id policy.ServerID) { s[id] = struct{}{} }
 
-// UpdateEndpoints applies an update of the endpoint list: a delta holds the endpoints that
-// changed, any other update the complete list. A server with a new address or a new start time
-// is another incarnation. UpdateEndpoints closes the idle connections to the previous one;
-// those in use are closed when they are released. It returns the servers that were added or
-// removed, that are not ready, or that are another incarnation now.
+// UpdateEndpoints applies an update of the endpoint list. A delta contains only the endpoints that
+// changed; any other update contains all endpoints.
+//
+// A server with a new address or start time is another incarnation. Idle connections to a server
+// that was removed, or to a previous incarnation, are closed at once; connections in use are closed
+// when they are released. UpdateEndpoints returns the servers in the update that were added or
+// removed, are not ready, or have become another incarnation. From an update with all endpoints it
+// also returns the servers that are no longer listed.
 func (p *Pool) UpdateEndpoints(kind policy.UpdateKind, endpoints []endpoint.Endpoint) RevokedServers {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -51,8 +54,8 @@
 	return revoked
 }
 
-// updateLocked records an endpoint that was not removed. It returns true if the server
-// is new or another incarnation than before.
+// updateLocked records an endpoint that was not removed. It returns true if the server is new or is
+// another incarnation.
 func (p *Pool) updateLocked(id policy.ServerID, current endpoint.Endpoint) bool {
 	old := p.servers[id]
 	if old != nil && old.address == current.Address && old.startedAt.Equal(current.StartedAt) {
@@ -63,8 +66,8 @@
 	return true
 }
 
-// removeLocked closes the idle connections to a server, which may be nil, and
-// removes it from the pool.
+// removeLocked removes a server from the pool and closes the idle connections to it. It does nothing
+// if s is nil.
 func (p *Pool) removeLocked(id policy.ServerID, s *server) {
 	if s == nil {
 		return
