--- a/internal/upstream/call.go
+++ b/internal/upstream/call.go
@@ -7,50 +7,50 @@
 	"time"
 )
 
-// The reasons why an attempt that has its connection is not written.
+// Reasons for which an attempt that has a connection is not sent.
 var (
 	errClientDisconnected = errors.New("client disconnected")
 	errWriteDeadline      = errors.New("write deadline has passed")
 	errRevoked            = errors.New("attempt was revoked")
 )
 
-// Call controls one attempt from outside of its Send, which may run in another goroutine. It
-// holds the attempt's context, as http.Request does. Its methods may be called from several
-// goroutines.
+// Call controls one attempt while Pool.Send carries it out, usually in another goroutine. It holds
+// the context of the attempt, as http.Request does. Its methods are safe for concurrent use.
 type Call struct {
 	ctx                context.Context
 	cancel             context.CancelFunc
 	clientDisconnected func() bool
 	state              atomicCallState
-	writeDeadline      atomic.Pointer[time.Time] // nil: none
+	writeDeadline      atomic.Pointer[time.Time] // nil if there is none
 }
 
-// NewCall prepares an attempt that ends with ctx or Cancel. clientDisconnected is
-// called just before the first byte is written: nothing is written if it returns true.
+// NewCall returns the Call of a new attempt, which ends when ctx is done or Cancel is called.
+// clientDisconnected is called right before the attempt is sent. If it returns true, the attempt is
+// not sent.
 func NewCall(ctx context.Context, clientDisconnected func() bool) *Call {
 	call := &Call{clientDisconnected: clientDisconnected}
 	call.ctx, call.cancel = context.WithCancel(ctx)
 	return call
 }
 
-// Cancel ends the attempt: its connection is closed.
+// Cancel ends the attempt and closes its connection.
 func (c *Call) Cancel() { c.cancel() }
 
-// Revoke prevents the attempt from being written. It returns false if the attempt
-// has started or was revoked before.
+// Revoke prevents the attempt from being sent. It returns false if the attempt was sent or revoked
+// before.
 func (c *Call) Revoke() bool { return c.state.markRevoked() }
 
-// Revoked reports whether Revoke came before the first byte.
+// Revoked reports whether the attempt was revoked.
 func (c *Call) Revoked() bool { return c.state.is(callRevoked) }
 
-// Started reports whether writing the first byte has been permitted.
+// Started reports whether the attempt counts as sent: its first byte may have been written.
 func (c *Call) Started() bool { return c.state.is(callSent) }
 
-// SetWriteDeadline sets the time from which on no byte of the attempt is written.
-// It has no effect on an attempt that has started.
+// SetWriteDeadline sets a deadline: at that time and later, no byte of the attempt is written. It has
+// no effect on an attempt that was sent.
 func (c *Call) SetWriteDeadline(deadline time.Time) { c.writeDeadline.Store(&deadline) }
 
-// writeDeadlineOrZero returns the write deadline, zero if there is none.
+// writeDeadlineOrZero returns the write deadline, or the zero time if there is none.
 func (c *Call) writeDeadlineOrZero() time.Time {
 	if deadline := c.writeDeadline.Load(); deadline != nil {
 		return *deadline
@@ -58,12 +58,13 @@
 	return time.Time{}
 }
 
-// permitSend permits the first byte to be written, or returns why nothing may be written. It checks
-// the write deadline itself: the owner of the attempt may revoke it too late.
+// permitSend marks the attempt as sent, right before its first byte is written. It returns an error
+// if the attempt must not be sent.
 //
-// It also checks the client itself: the event of a disconnect may still be queued. An attempt
-// must not begin 0.1 s after its client has disconnected, and the process may be paused for
-// longer after it has read the clock. So the client is checked after the clock.
+// It checks the write deadline and the client itself, because the owner of the attempt may react too
+// late: its revocation may come after the deadline, and the disconnect of the client may still be in
+// its event queue. An attempt must not be sent 0.1 s after its client has disconnected. The process may
+// be paused for longer than that after it has read the clock, so it checks the client after the clock.
 func (c *Call) permitSend() error {
 	if deadline := c.writeDeadlineOrZero(); !deadline.IsZero() && !time.Now().Before(deadline) {
 		return errWriteDeadline
