--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// timeoutHeader carries the milliseconds for which the client still waits.
+// timeoutHeader tells a server how many milliseconds the client will still wait.
 const timeoutHeader = "X-Timeout-Ms"
 
 // Request is the part of a client's request that is forwarded to a server.
@@ -17,20 +17,20 @@
 	Method string
 	URL    *url.URL
 	Host   string
-	Header http.Header // end-to-end fields
+	Header http.Header // only end-to-end fields
 	Body   []byte
-	// ResponseReadTimeout bounds the time from a response's first byte to its last.
+	// ResponseReadTimeout is the maximum time from the first byte of a response to its last.
 	ResponseReadTimeout time.Duration
 }
 
-// encodedRequest is a request in the form in which a connection writes it.
+// encodedRequest is a serialized request.
 type encodedRequest struct {
-	http                *http.Request // the request that its response is parsed for
+	http                *http.Request // needed to parse the response
 	message             []byte
 	responseReadTimeout time.Duration
 }
 
-// encode serializes the request for one attempt; see httpRequest for the timeout.
+// encode serializes the request for one attempt, with a header that tells the server the timeout.
 func (r *Request) encode(timeout time.Duration) (*encodedRequest, error) {
 	request := r.httpRequest(timeout)
 	var message bytes.Buffer
@@ -44,8 +44,8 @@
 	}, nil
 }
 
-// httpRequest returns the request to a server. It carries the timeout in whole
-// milliseconds, at least one.
+// httpRequest returns the request to a server. Its timeout header holds the timeout in whole
+// milliseconds and is at least 1.
 func (r *Request) httpRequest(timeout time.Duration) *http.Request {
 	request := &http.Request{
 		Method:        r.Method,
@@ -59,7 +59,7 @@
 		request.Body = io.NopCloser(bytes.NewReader(r.Body))
 	}
 	if request.Header["User-Agent"] == nil {
-		request.Header.Set("User-Agent", "") // http.Request.Write adds its own otherwise
+		request.Header.Set("User-Agent", "") // otherwise http.Request.Write adds its default value
 	}
 	request.Header.Set(timeoutHeader, strconv.FormatInt(max(1, timeout.Milliseconds()), 10))
 	return request
