--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -8,17 +8,17 @@
 	"calicohinge/internal/sockstate"
 )
 
-// connection is a connection to a server. While it is idle the pool's lock guards
-// it; while it is acquired only its Send uses it.
+// connection is a connection to a server. While it is idle, Pool.mu guards it. While an attempt uses
+// it, only the Send of that attempt accesses it.
 type connection struct {
 	net.Conn
 	server            *server
-	reader            *bufio.Reader // reads through connection.Read
-	responseBytesLeft int           // bytes that the present response may still take
-	readErr           error         // result of the last read from the socket
-	reusable          bool          // the pool may keep it for a further request
-	reused            bool          // the pool has kept it before
-	idleSince         time.Time     // when the pool last kept it
+	reader            *bufio.Reader // reads from connection.Read
+	responseBytesLeft int           // number of bytes that the current response may still take
+	readErr           error         // error of the last read from the socket, or nil
+	reusable          bool          // the pool may keep the connection for another request
+	reused            bool          // the pool has kept the connection before
+	idleSince         time.Time     // when the connection last became idle
 }
 
 func newConnection(socket net.Conn, target *server) *connection {
@@ -27,8 +27,8 @@
 	return conn
 }
 
-// Read implements io.Reader. It bounds what a server may send for one request and
-// returns errResponseTooLarge beyond that.
+// Read implements io.Reader. It returns errResponseTooLarge when the current response has reached its
+// maximum size.
 func (c *connection) Read(buffer []byte) (int, error) {
 	if c.responseBytesLeft <= 0 {
 		return 0, errResponseTooLarge
@@ -39,21 +39,21 @@
 	return n, err
 }
 
-// readyForRequest reports whether the connection is open and has nothing to read. Bytes that arrive
+// readyForRequest reports whether the connection is open and has no unread bytes. Bytes that arrive
 // before a request is written cannot belong to its response.
 func (c *connection) readyForRequest() bool { return sockstate.Peek(c.Conn) == sockstate.Quiet }
 
-// setReadDeadline sets the time at which reads fail; zero is none.
+// setReadDeadline sets the time after which reads fail. The zero time removes the deadline.
 func (c *connection) setReadDeadline(deadline time.Time) {
-	_ = c.SetReadDeadline(deadline) // fails on a closed connection, as the next read does
+	_ = c.SetReadDeadline(deadline) // an error means that the connection is closed; the next read fails too
 }
 
-// setWriteDeadline sets the time at which writes fail; zero is none.
+// setWriteDeadline sets the time after which writes fail. The zero time removes the deadline.
 func (c *connection) setWriteDeadline(deadline time.Time) {
-	_ = c.SetWriteDeadline(deadline) // fails on a closed connection, as the next write does
+	_ = c.SetWriteDeadline(deadline) // an error means that the connection is closed; the next write fails too
 }
 
-// abort closes the socket; reads and writes in progress fail.
+// abort closes the connection. Reads and writes in progress fail.
 func (c *connection) abort() {
-	_ = c.Close() // nothing is buffered for writing that an error could concern
+	_ = c.Close() // no written data is buffered, so an error loses nothing
 }
