--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -8,8 +8,8 @@
 	"calicohinge/policy"
 )
 
-// acquire returns a connection to a server, an idle or a new one. It returns
-// errUnknownServer, errPoolExhausted or the error of the dialer.
+// acquire returns an idle or a new connection to a server. Its error is errUnknownServer,
+// errPoolExhausted or the error of the dialer.
 func (p *Pool) acquire(ctx context.Context, id policy.ServerID) (*connection, error) {
 	reserved, err := p.reserve(id)
 	if err != nil {
@@ -26,7 +26,7 @@
 	return conn, nil
 }
 
-// connect opens a connection for which there is a reservation, within the connect timeout.
+// connect opens a connection that was reserved, within the connect timeout.
 func (p *Pool) connect(ctx context.Context, target *server) (*connection, error) {
 	ctx, cancel := context.WithTimeout(ctx, p.config.ConnectTimeout)
 	defer cancel()
@@ -37,10 +37,10 @@
 	return newConnection(socket, target), nil
 }
 
-// acquireStatus is the status of an attempt whose acquire failed with err.
+// acquireStatus returns the status of an attempt for which acquire returned err.
 func acquireStatus(err error) policy.Status {
 	if errors.Is(err, errPoolExhausted) || netdial.IsLocalFailure(err) {
-		return policy.NotSent // no server is at fault
+		return policy.NotSent // the server is not at fault
 	}
 	return policy.ConnectFailed
 }
