--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	// responsePrefix begins every response that can be parsed.
+	// responsePrefix is the start of every response that the parser accepts.
 	responsePrefix = "HTTP/1."
-	// notProcessedHeader is "1" where a server guarantees that it did not execute
-	// the request.
+	// notProcessedHeader has the value "1" if the server guarantees that it has not executed the
+	// request.
 	notProcessedHeader = "X-Not-Processed"
 )
 
-// exchange writes a request and reads its response. The server may have executed the request
-// once its last byte is written, and not before. The connection is reusable afterwards only
-// if the response is complete and nothing follows it.
+// exchange writes a request and reads its response. A server cannot execute the request before its
+// last byte is written, but may have executed it at any time after that. The connection is
+// reusable afterwards only if the response is complete and no further bytes were read.
 func (c *connection) exchange(request *encodedRequest) Result {
 	c.reusable = false
 	if _, err := c.Write(request.message); err != nil {
-		return Result{Status: policy.ConnectFailed} // its last byte was not written
+		return Result{Status: policy.ConnectFailed} // the last byte was not written
 	}
 	c.responseBytesLeft = maxResponse
 	response, err := c.readFinalHeader(request)
@@ -37,13 +37,13 @@
 		return Result{Status: c.failureStatus(err)}
 	}
 	c.setReadDeadline(time.Time{})
-	// Bytes beyond the response could be taken for the next one.
+	// Bytes after the response could be mistaken for the next response.
 	c.reusable = !response.Close && c.reader.Buffered() == 0
 	return classify(response, body)
 }
 
-// readFinalHeader skips interim responses, reads the header of the final response and returns
-// that response.
+// readFinalHeader skips interim responses and returns the final response, of which only the header
+// has been read.
 func (c *connection) readFinalHeader(request *encodedRequest) (*http.Response, error) {
 	for range maxInterimResponses + 1 {
 		response, err := c.readHeader(request)
@@ -59,9 +59,9 @@
 	return nil, errInterimResponses
 }
 
-// readHeader reads the header of one response. It waits for the first byte without a limit of its own.
-// The rest of the response has to arrive within responseReadTimeout after that: otherwise a
-// server that stops within a response would use up the time for a retry.
+// readHeader reads the header of one response, interim or final. It sets no time limit for the
+// first byte. The rest of the response must arrive within responseReadTimeout after the first byte:
+// otherwise a server that stops in the middle of a response would use up the time for a retry.
 func (c *connection) readHeader(request *encodedRequest) (*http.Response, error) {
 	c.setReadDeadline(time.Time{})
 	if _, err := c.reader.Peek(1); err != nil {
@@ -73,15 +73,15 @@
 		return nil, err
 	}
 	if string(prefix) != responsePrefix {
-		return nil, errNotHTTP // the parser would wait for the end of a line
+		return nil, errNotHTTP // the parser would wait for the end of the line
 	}
 	return http.ReadResponse(c.reader, request.http)
 }
 
-// readBody reads the body of a response. A body without a length is complete when the server
-// closes the connection (RFC 9112, 6.3); after a reset it is incomplete. readBody does not
-// close response.Body, which would read a body of any length to its end: if the body is not
-// read, the connection is closed.
+// readBody reads the body of a response. A body without a length is complete when the server closes
+// the connection (RFC 9112, section 6.3), and incomplete after a reset. readBody does not close
+// response.Body: Close would read the body to its end, whatever its length. A connection whose
+// response was not read to the end is closed instead.
 func readBody(response *http.Response) ([]byte, error) {
 	if response.ContentLength > maxBody {
 		return nil, errBodyTooLarge
@@ -96,7 +96,7 @@
 	return body, nil
 }
 
-// classify returns the result of an attempt that got a complete response.
+// classify returns the result of an attempt with a complete response.
 func classify(response *http.Response, body []byte) Result {
 	switch response.StatusCode {
 	case http.StatusOK:
@@ -109,8 +109,9 @@
 	return Result{Status: policy.ServerError}
 }
 
-// failureStatus returns the status of an attempt whose response failed with err: Reset if the
-// connection ended, ServerError if the response is invalid, too large or stopped.
+// failureStatus returns the status of an attempt whose response could not be read because of err. It
+// is Reset if the connection ended, and ServerError if the response is invalid or too large, or did
+// not end within its read timeout.
 func (c *connection) failureStatus(err error) policy.Status {
 	switch {
 	case errors.Is(err, errBodyTooLarge),
