--- a/internal/upstream/send.go
+++ b/internal/upstream/send.go
@@ -12,15 +12,15 @@
 // Result is the outcome of an attempt.
 type Result struct {
 	Status             policy.Status
-	ClientDisconnected bool        // the attempt was not sent as its client had disconnected
-	Header             http.Header // end-to-end fields of the response, if Status is policy.OK
-	Body               []byte      // of the response, if Status is policy.OK
+	ClientDisconnected bool        // the attempt was not sent because its client had disconnected
+	Header             http.Header // end-to-end fields of the response if Status is policy.OK
+	Body               []byte      // response body if Status is policy.OK
 }
 
-// Send makes one attempt on a server and returns its outcome. The deadline is when the client
-// stops waiting. The request carries the time that is left until then, and is not sent if none
-// is left. The deadline does not end Send. Cancelling the call does; its result has no meaning
-// then.
+// Send makes one attempt on a server and returns its outcome. The deadline is the time at which the
+// client stops waiting. The request tells the server how much time is left until then, and is not
+// sent if none is left. The deadline does not end Send. Cancelling the call does, and then the
+// result has no meaning.
 func (p *Pool) Send(call *Call, id policy.ServerID, request *Request, deadline time.Time) Result {
 	for {
 		conn, err := p.acquire(call.ctx, id)
@@ -38,26 +38,28 @@
 		}
 		conn.reusable = false
 		p.release(conn)
-		if !conn.reused { // a server may close an idle connection: only then is another one tried
+		// A server may close a connection that was idle: then another connection is tried. A new
+		// connection that is already closed counts as a failure.
+		if !conn.reused {
 			return Result{Status: policy.ConnectFailed}
 		}
 	}
 }
 
-// sendOn carries out an attempt on an acquired connection and releases the connection.
+// sendOn makes an attempt on an acquired connection and releases the connection.
 func (p *Pool) sendOn(conn *connection, call *Call, request *encodedRequest) Result {
 	stopAbort := context.AfterFunc(call.ctx, conn.abort)
-	// A server does not begin a request before its last byte, so a deadline within
-	// the write is early enough.
+	// A server does not execute a request before it has the last byte, so it suffices that the
+	// deadline interrupts the write.
 	writeDeadline := call.writeDeadlineOrZero()
 	conn.setWriteDeadline(writeDeadline)
 	if err := call.permitSend(); err != nil {
-		conn.reusable = stopAbort() // false: the call was cancelled, and the connection is closed
+		conn.reusable = stopAbort() // false if the call was cancelled, which closes the connection
 		p.release(conn)
 		return Result{Status: policy.NotSent, ClientDisconnected: errors.Is(err, errClientDisconnected)}
 	}
 	if latest := call.writeDeadlineOrZero(); !latest.Equal(writeDeadline) {
-		conn.setWriteDeadline(latest) // it was set meanwhile
+		conn.setWriteDeadline(latest) // the owner has changed the deadline in the meantime
 	}
 	result := conn.exchange(request)
 	if aborted := !stopAbort(); aborted {
