--- a/internal/upstream/idle_timeout.go
+++ b/internal/upstream/idle_timeout.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	// checksPerMaxIdleTime is how often RetireIdle checks within the longest idle time.
+	// checksPerMaxIdleTime is the number of checks that RetireIdle makes within Pool.maxIdleTime.
 	checksPerMaxIdleTime = 8
-	// minIdleCheckInterval bounds the checks' cost when that time is short.
+	// minIdleCheckInterval limits the cost of the checks if Pool.maxIdleTime is short.
 	minIdleCheckInterval = 10 * time.Millisecond
 )
 
-// RetireIdle closes connections that have been idle for too long, until ctx ends.
+// RetireIdle closes connections whose idle time has reached its limit. It returns when ctx is done.
 func (p *Pool) RetireIdle(ctx context.Context) {
 	ticker := time.NewTicker(max(p.maxIdleTime/checksPerMaxIdleTime, minIdleCheckInterval))
 	defer ticker.Stop()
@@ -27,7 +27,7 @@
 	}
 }
 
-// closeExpired closes the connections whose idle time has expired now.
+// closeExpired closes the connections that have been idle for longer than p.maxIdleTime.
 func (p *Pool) closeExpired() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
