--- a/internal/upstream/stats.go
+++ b/internal/upstream/stats.go
@@ -2,19 +2,19 @@
 
 import "calicohinge/policy"
 
-// Stats describes a pool at one moment.
+// Stats is the state of a Pool at one moment.
 type Stats struct {
-	Open    int // connections to all servers, those being opened included
+	Open    int // connections to all servers, including those being opened
 	Servers map[policy.ServerID]ServerStats
 }
 
-// ServerStats describes one server of a pool.
+// ServerStats is the state of one server of a Pool at one moment.
 type ServerStats struct {
 	Address string
-	Idle    int // connections that wait for a request
+	Idle    int // number of idle connections
 }
 
-// Idle counts the idle connections to all servers.
+// Idle returns the number of idle connections to all servers.
 func (s Stats) Idle() int {
 	count := 0
 	for _, server := range s.Servers {
@@ -23,7 +23,7 @@
 	return count
 }
 
-// Stats returns the pool's present state.
+// Stats returns the current state of the pool.
 func (p *Pool) Stats() Stats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
