--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -13,14 +13,14 @@
 
 const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
 
-func TestRefusedConnectionFailsAndFreesItsCapacity(t *testing.T) {
+func TestRefusedConnectionIsConnectFailedAndFreesCapacity(t *testing.T) {
 	pool, id := newPoolWithServer(testPoolConfig(), testkit.FreeAddr(t))
 	expectAttemptStatus(t, pool, id, policy.ConnectFailed)
 	expectOpenConnections(t, pool, 0)
 }
 
-// A connection that is established after the connect timeout carries nothing.
-func TestConnectTimeoutSendsNothingAndFreesItsCapacity(t *testing.T) {
+// Nothing is sent on a connection that is established after the connect timeout.
+func TestConnectTimeoutSendsNothingAndFreesCapacity(t *testing.T) {
 	t.Parallel()
 	server := testkit.NewStuckServer(t)
 	config := testPoolConfig()
@@ -34,11 +34,11 @@
 		t.Fatal(err)
 	}
 	defer closeQuietly(later)
-	if _, err := io.WriteString(later, "mine"); err != nil {
+	if _, err := io.WriteString(later, "later"); err != nil {
 		t.Fatal(err)
 	}
-	if text := testkit.Wait(t, received, "bytes on the later connection"); text != "mine" {
-		t.Errorf("%q was sent", text)
+	if text := testkit.Wait(t, received, "bytes on the later connection"); text != "later" {
+		t.Errorf("the server received %q, want only the bytes of the later connection", text)
 	}
 	expectOpenConnections(t, pool, 0)
 }
@@ -55,13 +55,13 @@
 	testkit.Until(t, "the idle connection to be closed", func() bool { return pool.Stats().Open == 0 })
 }
 
-// No server is at fault when the limit is reached.
+// An attempt at the connection limit is NotSent rather than ConnectFailed: the server is not at fault.
 func TestAttemptIsNotSentAtTheConnectionLimit(t *testing.T) {
 	backend := testkit.NewBackend(t, testkit.OK)
 	config := testPoolConfig()
 	config.MaxOpen = 1
 	pool, id := newPoolWithServer(config, backend.Address())
-	pool.open = 1 // in use
+	pool.open = 1 // one connection is in use
 
 	expectAttemptStatus(t, pool, id, policy.NotSent)
 }
@@ -77,15 +77,15 @@
 	}
 }
 
-// What a server does with a connection after its response shows only after a
-// moment: it closes, or sends the response again. A request written meanwhile
-// would be lost, or get a response to another one.
+// After its response, a server may close the connection or send another response, which takes a
+// moment to arrive. A request that is written before that would be lost, or would get a response that
+// does not belong to it.
 func TestConnectionIsNotReusedWithinTheSettleDelay(t *testing.T) {
 	const surplusResponse = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nold"
 	for name, afterResponse := range map[string]func(conn net.Conn){
-		"closed":          func(conn net.Conn) { closeQuietly(conn) },
-		"second response": func(conn net.Conn) { writeQuietly(conn, surplusResponse) },
-		"invalid bytes":   func(conn net.Conn) { writeQuietly(conn, "\x00\x01") },
+		"connection closed": func(conn net.Conn) { closeQuietly(conn) },
+		"second response":   func(conn net.Conn) { writeQuietly(conn, surplusResponse) },
+		"invalid bytes":     func(conn net.Conn) { writeQuietly(conn, "\x00\x01") },
 	} {
 		t.Run(name, func(t *testing.T) {
 			testSettleDelay(t, afterResponse)
@@ -93,16 +93,16 @@
 	}
 }
 
-// testSettleDelay checks that a connection is not reused before afterResponse shows on it.
+// testSettleDelay checks that a connection is not reused before the effect of afterResponse is visible.
 func testSettleDelay(t *testing.T, afterResponse func(conn net.Conn)) {
 	t.Helper()
 	served := make(chan struct{}, 10)
 	backend := testkit.NewBackend(t, hijackHandler(func(conn net.Conn) {
 		writeQuietly(conn, okResponse)
-		time.Sleep(time.Millisecond) // long for a server, short for a connection to settle
+		time.Sleep(time.Millisecond) // the effect arrives later than the response, but within the settle delay
 		afterResponse(conn)
 		served <- struct{}{}
-		<-t.Context().Done() // the connection stays open until then
+		<-t.Context().Done() // keeps the connection open until the end of the test
 	}))
 	config := testPoolConfig()
 	config.SettleDelay = time.Hour
@@ -111,17 +111,17 @@
 		t.Helper()
 		result := send(t.Context(), pool, id, newTestRequest())
 		if result.Status != policy.OK || string(result.Body) != "hi" {
-			t.Errorf("status %v, body %q", result.Status, result.Body)
+			t.Errorf("status %v, body %q; want %v, %q", result.Status, result.Body, policy.OK, "hi")
 		}
 	}
 
 	expectServed()
-	expectServed() // on a new connection: the first has not settled
+	expectServed() // on a new connection, because the settle delay of the first has not passed
 
 	testkit.Wait(t, served, "the end of the first handler")
 	testkit.Wait(t, served, "the end of the second handler")
 	pool.config.SettleDelay = 0
 
-	expectServed()                    // on a new connection: both have settled and are not quiet
-	expectOpenConnections(t, pool, 1) // the last one
+	expectServed()                    // on a new connection: the first two are closed or have unread bytes
+	expectOpenConnections(t, pool, 1) // only the last one
 }
