--- a/internal/upstream/dial_test.go
+++ b/internal/upstream/dial_test.go
@@ -14,9 +14,9 @@
 	"calicohinge/policy"
 )
 
-// If this machine lacks something for a connection, no server is at fault: the status is
-// NotSent. If the server cannot be reached it is ConnectFailed. Either frees the capacity.
-func TestStatusOfAFailedDial(t *testing.T) {
+// If this machine lacks a resource for a connection, the server is not at fault and the status is
+// NotSent. If the server cannot be reached, the status is ConnectFailed. Both free the capacity.
+func TestFailedDialStatus(t *testing.T) {
 	for errno, want := range map[syscall.Errno]policy.Status{
 		syscall.EMFILE: policy.NotSent, syscall.ENOBUFS: policy.NotSent, syscall.EADDRNOTAVAIL: policy.NotSent,
 		syscall.ENETUNREACH: policy.ConnectFailed, syscall.EHOSTUNREACH: policy.ConnectFailed,
@@ -31,9 +31,9 @@
 	}
 }
 
-// The timeout that a server gets is what the client has left as the request is written,
-// after the time that its connection took.
-func TestTimeForTheConnectionIsTakenFromTheTimeout(t *testing.T) {
+// The timeout in a request is the time that the client has left when the request is written. The time
+// for opening the connection is not part of it.
+func TestTimeoutHeaderExcludesConnectTime(t *testing.T) {
 	const timeout, connecting = 10 * time.Second, 300 * time.Millisecond
 	backend := testkit.NewBackend(t, testkit.OK)
 	pool, id := newPoolWithServer(testPoolConfig(), backend.Address())
@@ -45,17 +45,17 @@
 
 	result := pool.Send(NewCall(t.Context(), neverDisconnected), id, newTestRequest(), time.Now().Add(timeout))
 	if result.Status != policy.OK {
-		t.Fatalf("status %v", result.Status)
+		t.Fatalf("attempt ended with status %v, want %v", result.Status, policy.OK)
 	}
 	received := testkit.Wait(t, backend.Requests, "the request")
 	milliseconds, err := strconv.Atoi(received.Header.Get(timeoutHeader))
 	if err != nil || milliseconds <= 0 || time.Duration(milliseconds)*time.Millisecond > timeout-connecting {
-		t.Errorf("the server got a timeout of %d ms, %v; want %v at most", milliseconds, err, timeout-connecting)
+		t.Errorf("the server got a timeout of %d ms (error %v), want at most %v", milliseconds, err, timeout-connecting)
 	}
 }
 
-// Nothing is written if the client's deadline has passed when the connection is established.
-func TestRequestIsNotWrittenAfterTheDeadline(t *testing.T) {
+// An attempt is not sent if the client's deadline has passed when the connection is established.
+func TestAttemptIsNotSentAfterClientDeadline(t *testing.T) {
 	backend := testkit.NewBackend(t, testkit.OK)
 	pool, id := newPoolWithServer(testPoolConfig(), backend.Address())
 	call := NewCall(t.Context(), neverDisconnected)
@@ -63,19 +63,20 @@
 	result := pool.Send(call, id, newTestRequest(), time.Now())
 
 	if result.Status != policy.NotSent || call.Started() || len(backend.Requests) > 0 {
-		t.Errorf("status %v, started %v, %d requests received", result.Status, call.Started(), len(backend.Requests))
+		t.Errorf("status %v, sent %v, %d requests received; want %v, false, 0", result.Status, call.Started(),
+			len(backend.Requests), policy.NotSent)
 	}
 }
 
-// The client is checked after the clock is read for the last time. The process may be paused
-// there, and an attempt must not begin long after its client has disconnected.
-func TestClientIsCheckedAfterTheWriteDeadline(t *testing.T) {
+// The client is checked after the last reading of the clock. If the process is paused after that
+// reading, the client may have disconnected long before the attempt would be sent.
+func TestClientIsCheckedAfterWriteDeadline(t *testing.T) {
 	call := NewCall(t.Context(), func() bool {
-		t.Error("the client was checked although the deadline has passed")
+		t.Error("the client was checked before the write deadline, which has passed")
 		return false
 	})
 	call.SetWriteDeadline(time.Now())
 	if err := call.permitSend(); !errors.Is(err, errWriteDeadline) {
-		t.Errorf("start returned %v", err)
+		t.Errorf("permitSend returned %v, want %v", err, errWriteDeadline)
 	}
 }
