--- a/internal/upstream/endpoints_test.go
+++ b/internal/upstream/endpoints_test.go
@@ -9,7 +9,7 @@
 	"calicohinge/policy"
 )
 
-func TestUpdateEndpointsRevokesServersThatMayNotGetAttempts(t *testing.T) {
+func TestUpdateEndpointsReturnsServersToRevoke(t *testing.T) {
 	known := endpoint.Endpoint{ID: 1, Address: "10.0.0.1:80", State: policy.Ready, StartedAt: time.UnixMilli(1)}
 	changed := func(change func(e *endpoint.Endpoint)) []endpoint.Endpoint {
 		next := known
@@ -20,21 +20,31 @@
 		kind      policy.UpdateKind
 		endpoints []endpoint.Endpoint
 		revoked   bool
-		listed    bool // the pool still knows the server
+		listed    bool // the server is still in the pool
 	}{
-		"unchanged":           {policy.UpdateSnapshot, []endpoint.Endpoint{known}, false, true},
-		"not in a delta":      {policy.UpdateDelta, nil, false, true},
-		"not in a full list":  {policy.UpdateSnapshot, nil, true, false},
-		"draining":            {policy.UpdateDelta, changed(func(e *endpoint.Endpoint) { e.State = policy.Draining }), true, true},
-		"removed":             {policy.UpdateDelta, changed(func(e *endpoint.Endpoint) { e.State = policy.Removed }), true, false},
-		"at a new address":    {policy.UpdateDelta, changed(func(e *endpoint.Endpoint) { e.Address = "10.0.0.2:80" }), true, true},
-		"with a new start":    {policy.UpdateDelta, changed(func(e *endpoint.Endpoint) { e.StartedAt = time.UnixMilli(2) }), true, true},
-		"with another weight": {policy.UpdateDelta, changed(func(e *endpoint.Endpoint) { e.Weight = 2 }), false, true},
+		"unchanged":         {policy.UpdateSnapshot, []endpoint.Endpoint{known}, false, true},
+		"not in a delta":    {policy.UpdateDelta, nil, false, true},
+		"not in a snapshot": {policy.UpdateSnapshot, nil, true, false},
+		"draining": {policy.UpdateDelta, changed(func(e *endpoint.Endpoint) {
+			e.State = policy.Draining
+		}), true, true},
+		"removed": {policy.UpdateDelta, changed(func(e *endpoint.Endpoint) {
+			e.State = policy.Removed
+		}), true, false},
+		"new address": {policy.UpdateDelta, changed(func(e *endpoint.Endpoint) {
+			e.Address = "10.0.0.2:80"
+		}), true, true},
+		"new start time": {policy.UpdateDelta, changed(func(e *endpoint.Endpoint) {
+			e.StartedAt = time.UnixMilli(2)
+		}), true, true},
+		"new weight": {policy.UpdateDelta, changed(func(e *endpoint.Endpoint) {
+			e.Weight = 2
+		}), false, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			pool := NewPool(testPoolConfig())
 			if revoked := pool.UpdateEndpoints(policy.UpdateSnapshot, []endpoint.Endpoint{known}); !revoked.Contains(known.ID) {
-				t.Error("a new server is not in the set")
+				t.Error("a new server is not among the servers to revoke")
 			}
 
 			revoked := pool.UpdateEndpoints(c.kind, c.endpoints)
@@ -49,7 +59,7 @@
 	}
 }
 
-// A connection in use when its server is replaced is closed at its release.
+// A connection that is in use when its server is replaced by another incarnation is closed at its release.
 func TestReplacedServerKeepsNoConnections(t *testing.T) {
 	server := testkit.NewScriptedServer(t, okResponse, testkit.KeepAlive)
 	pool, id := newPoolWithServer(testPoolConfig(), server.Address)
