--- a/internal/upstream/send_test.go
+++ b/internal/upstream/send_test.go
@@ -15,24 +15,24 @@
 	"calicohinge/policy"
 )
 
-// While an attempt waits for its connection, the request may get its final response from
-// another one. The attempt must not be written any more.
-func TestRevokedCallIsNotSent(t *testing.T) {
+// While an attempt waits for its connection, another attempt may get the final response of the request.
+// The waiting attempt is then revoked and must not be sent.
+func TestRevokedAttemptIsNotSent(t *testing.T) {
 	backend := testkit.NewBackend(t, testkit.OK)
 	pool, id := newPoolWithServer(testPoolConfig(), backend.Address())
 	call := NewCall(t.Context(), neverDisconnected)
 	call.Revoke()
 
 	if result := pool.Send(call, id, newTestRequest(), clientDeadline()); result.Status != policy.NotSent {
-		t.Errorf("status %v", result.Status)
+		t.Errorf("revoked attempt ended with status %v, want %v", result.Status, policy.NotSent)
 	}
 	send(t.Context(), pool, id, newTestRequest())
 	if len(backend.Requests) != 1 {
-		t.Errorf("%d requests were received, want the second one only", len(backend.Requests))
+		t.Errorf("the server received %d requests, want only the second one", len(backend.Requests))
 	}
 }
 
-func TestCallOfADisconnectedClientIsNotSent(t *testing.T) {
+func TestAttemptOfDisconnectedClientIsNotSent(t *testing.T) {
 	backend := testkit.NewBackend(t, testkit.OK)
 	pool, id := newPoolWithServer(testPoolConfig(), backend.Address())
 	call := NewCall(t.Context(), func() bool { return true })
@@ -40,30 +40,31 @@
 	result := pool.Send(call, id, newTestRequest(), clientDeadline())
 
 	if result.Status != policy.NotSent || !result.ClientDisconnected {
-		t.Errorf("status %v, client disconnected %v", result.Status, result.ClientDisconnected)
+		t.Errorf("status %v, client disconnected %v; want %v, true",
+			result.Status, result.ClientDisconnected, policy.NotSent)
 	}
 	if len(backend.Requests) != 0 || call.Started() {
-		t.Errorf("%d requests were received, started %v", len(backend.Requests), call.Started())
+		t.Errorf("%d requests received, sent %v; want 0, false", len(backend.Requests), call.Started())
 	}
 	if pool.Stats().Idle() != 1 {
-		t.Error("the unused connection is not kept")
+		t.Error("the unused connection was not kept")
 	}
 }
 
-func TestStartedCallCannotBeRevoked(t *testing.T) {
+func TestSentAttemptCannotBeRevoked(t *testing.T) {
 	pool, id := newPoolWithServer(testPoolConfig(), testkit.NewBackend(t, testkit.OK).Address())
 	call := NewCall(t.Context(), neverDisconnected)
 	if result := pool.Send(call, id, newTestRequest(), clientDeadline()); result.Status != policy.OK {
-		t.Errorf("status %v", result.Status)
+		t.Errorf("attempt ended with status %v, want %v", result.Status, policy.OK)
 	}
 	if call.Revoke() || call.Revoked() || !call.Started() {
-		t.Errorf("revoked %v, started %v", call.Revoked(), call.Started())
+		t.Errorf("after Revoke: revoked %v, sent %v; want a sent attempt that stays so", call.Revoked(), call.Started())
 	}
 }
 
-// Nothing was written to a new connection that the server has closed: the attempt may be
-// repeated on another server.
-func TestNewConnectionThatWasClosedIsConnectFailed(t *testing.T) {
+// If the server has closed a new connection, nothing was written to it. The status ConnectFailed allows
+// a retry on another server.
+func TestClosedNewConnectionIsConnectFailed(t *testing.T) {
 	listener := testkit.Listen(t)
 	pool, id := newPoolWithServer(testPoolConfig(), listener.Addr().String())
 	conn, err := pool.acquire(t.Context(), id)
@@ -75,16 +76,16 @@
 		t.Fatal(err)
 	}
 	closeQuietly(accepted)
-	testkit.Until(t, "the close to show", func() bool { return sockstate.Peek(conn.Conn) != sockstate.Quiet })
+	testkit.Until(t, "the close to be visible", func() bool { return sockstate.Peek(conn.Conn) != sockstate.Quiet })
 
 	conn.server.idle = append(conn.server.idle, conn) // the next attempt gets it as a new connection
 	conn.idleSince = time.Now()
 	expectAttemptStatus(t, pool, id, policy.ConnectFailed)
 }
 
-// A server reads a long request so slowly that its last byte would be written after the
-// write deadline. The server never gets that byte, and so does not begin the request.
-func TestRequestIsNotCompletedPastTheWriteDeadline(t *testing.T) {
+// The server reads a long request so slowly that the last byte would be written after the write
+// deadline. It must not get that byte, so that it cannot execute the request.
+func TestRequestIsNotFullyWrittenAfterWriteDeadline(t *testing.T) {
 	t.Parallel()
 	listener := listenWithSmallBuffers(t)
 	pool, id := newPoolWithServer(testPoolConfig(), listener.Addr().String())
@@ -103,15 +104,14 @@
 
 	result := testkit.Wait(t, results, "the end of the attempt")
 	if result.Status != policy.ConnectFailed && result.Status != policy.NotSent {
-		t.Errorf("status %v", result.Status)
+		t.Errorf("attempt ended with status %v, want %v or %v", result.Status, policy.ConnectFailed, policy.NotSent)
 	}
 	if err := readRequest(conn); err == nil || testkit.IsTimeout(err) {
-		t.Errorf("the request is complete or continues: %v", err)
+		t.Errorf("reading the request returned %v, want a truncated request on a closed connection", err)
 	}
 }
 
-// listenWithSmallBuffers opens a listener whose connections take in a few bytes at
-// a time.
+// listenWithSmallBuffers opens a listener whose connections receive only a few bytes at a time.
 func listenWithSmallBuffers(t *testing.T) net.Listener {
 	t.Helper()
 	config := net.ListenConfig{Control: func(_, _ string, socket syscall.RawConn) error {
@@ -131,7 +131,7 @@
 	return listener
 }
 
-// readRequest reads a request with its body.
+// readRequest reads a request and its body.
 func readRequest(conn net.Conn) error {
 	if err := conn.SetDeadline(time.Now().Add(testkit.WaitTimeout)); err != nil {
 		return err
