--- a/internal/upstream/call.go
+++ b/internal/upstream/call.go
@@ -47,7 +47,7 @@
 func (c *Call) Started() bool { return c.state.is(callSent) }
 
 // SetWriteDeadline sets a deadline: at that time and later, no byte of the attempt is written. It has
-// no effect on an attempt that was sent.
+// no effect once writing has begun.
 func (c *Call) SetWriteDeadline(deadline time.Time) { c.writeDeadline.Store(&deadline) }
 
 // writeDeadlineOrZero returns the write deadline, or the zero time if there is none.
