--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -13,20 +13,20 @@
 
 const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
 
-func TestRefusedConnectionFailsAndFreesItsCapacity(t *testing.T) {
-	pool, id := poolTo(poolConfig(), testkit.FreeAddr(t))
-	expectStatus(t, pool, id, policy.ConnectFailed)
-	expectOpen(t, pool, 0)
+func TestRefusedConnectionIsConnectFailedAndFreesCapacity(t *testing.T) {
+	pool, id := newPoolWithServer(testPoolConfig(), testkit.FreeAddr(t))
+	expectAttemptStatus(t, pool, id, policy.ConnectFailed)
+	expectOpenConnections(t, pool, 0)
 }
 
-// A connection that is established after the connect timeout carries nothing.
-func TestConnectTimeoutSendsNothingAndFreesItsCapacity(t *testing.T) {
+// Nothing is sent on a connection that is established after the connect timeout.
+func TestConnectTimeoutSendsNothingAndFreesCapacity(t *testing.T) {
 	t.Parallel()
 	server := testkit.NewStuckServer(t)
-	config := poolConfig()
+	config := testPoolConfig()
 	config.ConnectTimeout = 50 * time.Millisecond
-	pool, id := poolTo(config, server.Addr().String())
-	expectStatus(t, pool, id, policy.ConnectFailed)
+	pool, id := newPoolWithServer(config, server.Addr().String())
+	expectAttemptStatus(t, pool, id, policy.ConnectFailed)
 
 	received := server.Admit()
 	later, err := net.Dial("tcp", server.Addr().String())
@@ -34,58 +34,58 @@
 		t.Fatal(err)
 	}
 	defer closeQuietly(later)
-	if _, err := io.WriteString(later, "mine"); err != nil {
+	if _, err := io.WriteString(later, "later"); err != nil {
 		t.Fatal(err)
 	}
-	if text := testkit.Wait(t, received, "bytes on the later connection"); text != "mine" {
-		t.Errorf("%q was sent", text)
+	if text := testkit.Wait(t, received, "bytes on the later connection"); text != "later" {
+		t.Errorf("the server received %q, want only the bytes of the later connection", text)
 	}
-	expectOpen(t, pool, 0)
+	expectOpenConnections(t, pool, 0)
 }
 
 func TestIdleConnectionIsClosedAfterTheIdleTimeout(t *testing.T) {
 	server := testkit.NewScriptedServer(t, okResponse, testkit.KeepAlive)
-	pool, id := poolTo(poolConfig(), server.Address)
-	pool.maxIdle = 20 * time.Millisecond
+	pool, id := newPoolWithServer(testPoolConfig(), server.Address)
+	pool.maxIdleTime = 20 * time.Millisecond
 	go pool.RetireIdle(t.Context())
 
-	send(t.Context(), pool, id, anyRequest())
+	send(t.Context(), pool, id, newTestRequest())
 
 	testkit.Wait(t, server.Conns, "a connection")
 	testkit.Until(t, "the idle connection to be closed", func() bool { return pool.Stats().Open == 0 })
 }
 
-// No server is at fault when the limit is reached.
+// An attempt at the connection limit is NotSent rather than ConnectFailed: the server is not at fault.
 func TestAttemptIsNotSentAtTheConnectionLimit(t *testing.T) {
 	backend := testkit.NewBackend(t, testkit.OK)
-	config := poolConfig()
+	config := testPoolConfig()
 	config.MaxOpen = 1
-	pool, id := poolTo(config, backend.Address())
-	pool.open = 1 // in use
+	pool, id := newPoolWithServer(config, backend.Address())
+	pool.open = 1 // one connection is in use
 
-	expectStatus(t, pool, id, policy.NotSent)
+	expectAttemptStatus(t, pool, id, policy.NotSent)
 }
 
 func TestIdleConnectionIsEvictedAtTheConnectionLimit(t *testing.T) {
-	config := poolConfig()
+	config := testPoolConfig()
 	config.MaxOpen = 1
-	pool, id := poolTo(config, testkit.NewBackend(t, testkit.OK).Address())
+	pool, id := newPoolWithServer(config, testkit.NewBackend(t, testkit.OK).Address())
 	other := endpoint.Endpoint{ID: 2, Address: testkit.NewBackend(t, testkit.OK).Address(), State: policy.Ready}
 	pool.UpdateEndpoints(policy.UpdateDelta, []endpoint.Endpoint{other})
 	for _, target := range []policy.ServerID{id, other.ID, id} {
-		expectStatus(t, pool, target, policy.OK)
+		expectAttemptStatus(t, pool, target, policy.OK)
 	}
 }
 
-// What a server does with a connection after its response shows only after a
-// moment: it closes, or sends the response again. A request written meanwhile
-// would be lost, or get a response to another one.
+// After its response, a server may close the connection or send another response, which takes a
+// moment to arrive. A request that is written before that would be lost, or would get a response that
+// does not belong to it.
 func TestConnectionIsNotReusedWithinTheSettleDelay(t *testing.T) {
-	const again = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nold"
+	const surplusResponse = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nold"
 	for name, afterResponse := range map[string]func(conn net.Conn){
-		"closed":          func(conn net.Conn) { closeQuietly(conn) },
-		"second response": func(conn net.Conn) { writeQuietly(conn, again) },
-		"invalid bytes":   func(conn net.Conn) { writeQuietly(conn, "\x00\x01") },
+		"connection closed": func(conn net.Conn) { closeQuietly(conn) },
+		"second response":   func(conn net.Conn) { writeQuietly(conn, surplusResponse) },
+		"invalid bytes":     func(conn net.Conn) { writeQuietly(conn, "\x00\x01") },
 	} {
 		t.Run(name, func(t *testing.T) {
 			testSettleDelay(t, afterResponse)
@@ -93,35 +93,35 @@
 	}
 }
 
-// testSettleDelay checks that a connection is not reused before afterResponse shows on it.
+// testSettleDelay checks that a connection is not reused before the effect of afterResponse is visible.
 func testSettleDelay(t *testing.T, afterResponse func(conn net.Conn)) {
 	t.Helper()
 	served := make(chan struct{}, 10)
-	backend := testkit.NewBackend(t, hijacking(func(conn net.Conn) {
+	backend := testkit.NewBackend(t, hijackHandler(func(conn net.Conn) {
 		writeQuietly(conn, okResponse)
-		time.Sleep(time.Millisecond) // long for a server, short for a connection to settle
+		time.Sleep(time.Millisecond) // the effect arrives later than the response, but within the settle delay
 		afterResponse(conn)
 		served <- struct{}{}
-		<-t.Context().Done() // the connection stays open until then
+		<-t.Context().Done() // keeps the connection open until the end of the test
 	}))
-	config := poolConfig()
+	config := testPoolConfig()
 	config.SettleDelay = time.Hour
-	pool, id := poolTo(config, backend.Address())
+	pool, id := newPoolWithServer(config, backend.Address())
 	expectServed := func() {
 		t.Helper()
-		result := send(t.Context(), pool, id, anyRequest())
+		result := send(t.Context(), pool, id, newTestRequest())
 		if result.Status != policy.OK || string(result.Body) != "hi" {
-			t.Errorf("status %v, body %q", result.Status, result.Body)
+			t.Errorf("status %v, body %q; want %v, %q", result.Status, result.Body, policy.OK, "hi")
 		}
 	}
 
 	expectServed()
-	expectServed() // on a new connection: the first has not settled
+	expectServed() // on a new connection, because the settle delay of the first has not passed
 
 	testkit.Wait(t, served, "the end of the first handler")
 	testkit.Wait(t, served, "the end of the second handler")
 	pool.config.SettleDelay = 0
 
-	expectServed()         // on a new connection: both have settled and are not quiet
-	expectOpen(t, pool, 1) // the last one
+	expectServed()                    // on a new connection: the first two are closed or have unread bytes
+	expectOpenConnections(t, pool, 1) // only the last one
 }
