--- a/cmd/balancer/main.go
+++ b/cmd/balancer/main.go
@@ -27,9 +27,9 @@
 	// gcPercent lets the heap grow to five times the live heap between collections: the
 	// live heap is small, and processor time is scarce.
 	gcPercent = 400
-	// heapShareNumerator and heapShareDenominator give the share of the granted memory at
+	// memoryLimitNumerator and memoryLimitDenominator give the share of the granted memory at
 	// which the runtime collects more often. The rest is for stacks and socket buffers.
-	heapShareNumerator, heapShareDenominator = 7, 10
+	memoryLimitNumerator, memoryLimitDenominator = 7, 10
 	// logFlushTimeout bounds the wait for unwritten log lines at the exit. It is short
 	// beside the margin of a shutdown.
 	logFlushTimeout = 20 * time.Millisecond
@@ -58,9 +58,9 @@
 func run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	hangups := make(chan os.Signal, 1)
-	signal.Notify(hangups, syscall.SIGHUP)
-	defer signal.Stop(hangups)
+	sighup := make(chan os.Signal, 1)
+	signal.Notify(sighup, syscall.SIGHUP)
+	defer signal.Stop(sighup)
 	cfg, err := config.Load(os.Getenv)
 	if err != nil {
 		return err
@@ -70,19 +70,19 @@
 	if err != nil {
 		return err
 	}
-	go reloadOnHangup(ctx, hangups, balancer)
+	go reloadOnSIGHUP(ctx, sighup, balancer)
 	return balancer.Run(ctx)
 }
 
-// reloadOnHangup rereads the configuration file at each signal, until the context
+// reloadOnSIGHUP rereads the configuration file at each signal, until the context
 // ends. Only the address of the discovery service may change while a node runs. A file
 // that cannot be read changes nothing.
-func reloadOnHangup(ctx context.Context, hangups <-chan os.Signal, balancer *node.Node) {
+func reloadOnSIGHUP(ctx context.Context, sighup <-chan os.Signal, balancer *node.Node) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-hangups:
+		case <-sighup:
 		}
 		address, err := config.ReloadDiscovery(os.Getenv)
 		if err != nil {
@@ -99,8 +99,8 @@
 		runtime.GOMAXPROCS(int(math.Ceil(limits.Cores)))
 	}
 	if limits.MemoryMB > 0 {
-		granted := int64(limits.MemoryMB) * bytesPerMB
-		debug.SetMemoryLimit(granted * heapShareNumerator / heapShareDenominator)
+		memoryBytes := int64(limits.MemoryMB) * bytesPerMB
+		debug.SetMemoryLimit(memoryBytes * memoryLimitNumerator / memoryLimitDenominator)
 	}
 	debug.SetGCPercent(gcPercent)
 }
