--- a/cmd/simadapter/adapter.go
+++ b/cmd/simadapter/adapter.go
@@ -69,9 +69,9 @@
 // reported as fatal, which ends the simulation.
 func (a *adapter) handleEvent(batch *simproto.Batch, event *simproto.Event) {
 	defer func() {
-		if cause := recover(); cause != nil {
-			fmt.Fprintf(os.Stderr, "simadapter: batch %d: panic: %v\n%s", batch.Number, cause, debug.Stack())
-			a.reply.Fatal(fmt.Sprintf("panic: %v", cause))
+		if panicValue := recover(); panicValue != nil {
+			fmt.Fprintf(os.Stderr, "simadapter: batch %d: panic: %v\n%s", batch.Number, panicValue, debug.Stack())
+			a.reply.Fatal(fmt.Sprintf("panic: %v", panicValue))
 		}
 	}()
 	a.dispatch(batch.Now, event)
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -36,8 +36,8 @@
 // testInstance is the number of the instance in these tests.
 const testInstance = uint16(4)
 
-// concat encodes values one after the other.
-func concat(values ...any) []byte {
+// encodeFields encodes values one after the other.
+func encodeFields(values ...any) []byte {
 	var raw []byte
 	for _, value := range values {
 		var err error
@@ -48,25 +48,25 @@
 	return raw
 }
 
-// eventRecord encodes an event from its fields, one after the other.
-func eventRecord(fields ...any) []byte {
-	raw := concat(fields...)
+// encodeEvent encodes an event from its fields, one after the other.
+func encodeEvent(fields ...any) []byte {
+	raw := encodeFields(fields...)
 	return append(raw, make([]byte, eventSize-len(raw))...)
 }
 
 // encodeBatch encodes batch 7, whose clock is 5,000 ms.
 func encodeBatch(tail string, records ...[]byte) []byte {
 	body := bytes.Join(records, nil)
-	header := concat(uint32(len(body)+len(tail)), math.Float64bits(5000), uint32(len(records)), uint32(7))
+	header := encodeFields(uint32(len(body)+len(tail)), math.Float64bits(5000), uint32(len(records)), uint32(7))
 	return append(append(header, body...), tail...)
 }
 
-func selectInstance() []byte { return eventRecord(eventInstance, testInstance) }
+func selectInstanceEvent() []byte { return encodeEvent(eventInstance, testInstance) }
 
-// openInstance encodes the event that opens an instance. Its settings are at the start of the
+// openInstanceEvent encodes the event that opens an instance. Its settings are at the start of the
 // tail.
-func openInstance(settings string) []byte {
-	return eventRecord(eventOpen, uint64(1), uint32(0), uint32(len(settings)))
+func openInstanceEvent(settings string) []byte {
+	return encodeEvent(eventOpen, uint64(1), uint32(0), uint32(len(settings)))
 }
 
 // actionCodes lists the action codes of all replies.
@@ -84,13 +84,13 @@
 }
 
 func TestRunRepliesToBatchesUntilTheInputEnds(t *testing.T) {
-	entry := "\x0a\x00\x00\x01\x1f\x90" +
+	endpoint := "\x0a\x00\x00\x01\x1f\x90" +
 		"\x00\x00\x00\x00\x00\x00\x01\x3f\x80\x00\x00" + strings.Repeat("\x00", 8)
 	in := bytes.Join([][]byte{
 		encodeBatch(""),
-		encodeBatch(settings, selectInstance(), openInstance(settings)),
-		encodeBatch(entry, selectInstance(), eventRecord(eventEndpoints, uint8(2), uint64(1), uint32(0), uint32(1)),
-			eventRecord(eventRequest, uint32(9), uint8(0), uint16(0), uint64(0), float64(800))),
+		encodeBatch(settings, selectInstanceEvent(), openInstanceEvent(settings)),
+		encodeBatch(endpoint, selectInstanceEvent(), encodeEvent(eventEndpoints, uint8(2), uint64(1), uint32(0), uint32(1)),
+			encodeEvent(eventRequest, uint32(9), uint8(0), uint16(0), uint64(0), float64(800))),
 	}, nil)
 	var out bytes.Buffer
 	if err := run(bytes.NewReader(in), &out); err != nil {
@@ -104,7 +104,7 @@
 func TestImpossibleSettingsAreReportedAsFatalWithTheirKey(t *testing.T) {
 	text := `{"Classes": [{"DeadlineMs": -5, "Effect": "pure"}]}`
 	var out bytes.Buffer
-	if err := run(bytes.NewReader(encodeBatch(text, selectInstance(), openInstance(text))), &out); err != nil {
+	if err := run(bytes.NewReader(encodeBatch(text, selectInstanceEvent(), openInstanceEvent(text))), &out); err != nil {
 		t.Fatal(err)
 	}
 	if !bytes.Contains(out.Bytes(), []byte("settings.Classes[0].DeadlineMs is -5")) ||
@@ -115,10 +115,10 @@
 
 func TestRunRejectsEventsForInstancesThatAreNotOpen(t *testing.T) {
 	for name, in := range map[string][]byte{
-		"never opened": encodeBatch("", selectInstance(), eventRecord(eventTimer, uint64(0))),
-		"not selected": encodeBatch("", eventRecord(eventTimer, uint64(0))),
-		"stopped": encodeBatch(settings, selectInstance(), openInstance(settings), eventRecord(eventStop),
-			eventRecord(eventTimer, uint64(0))),
+		"never opened": encodeBatch("", selectInstanceEvent(), encodeEvent(eventTimer, uint64(0))),
+		"not selected": encodeBatch("", encodeEvent(eventTimer, uint64(0))),
+		"stopped": encodeBatch(settings, selectInstanceEvent(), openInstanceEvent(settings), encodeEvent(eventStop),
+			encodeEvent(eventTimer, uint64(0))),
 	} {
 		var out bytes.Buffer
 		err := run(bytes.NewReader(in), &out)
