--- a/internal/config/address.go
+++ b/internal/config/address.go
@@ -5,8 +5,8 @@
 	"strconv"
 )
 
-// addressInWords describes the allowed addresses.
-const addressInWords = "an address of the form host:port"
+// addressFormat describes the allowed addresses.
+const addressFormat = "an address of the form host:port"
 
 // validateAddress checks the form of an address found under a key.
 func validateAddress(key, address string) error {
@@ -15,7 +15,7 @@
 		_, err = strconv.ParseUint(port, 10, 16)
 	}
 	if err != nil {
-		return &Error{Key: key, Value: address, Allowed: addressInWords, Err: err}
+		return &Error{Key: key, Value: address, Allowed: addressFormat, Err: err}
 	}
 	return nil
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -52,10 +52,10 @@
 	override(&config.Listen, getenv(envListen))
 	override(&config.Discovery, getenv(envDiscovery))
 	if config.Listen == "" {
-		return nil, &Error{File: path, Key: "listen", Allowed: addressInWords}
+		return nil, &Error{File: path, Key: "listen", Allowed: addressFormat}
 	}
 	if config.Discovery == "" {
-		return nil, &Error{File: path, Key: "discovery", Allowed: addressInWords}
+		return nil, &Error{File: path, Key: "discovery", Allowed: addressFormat}
 	}
 	if getenv(envDiscovery) != "" {
 		err = validateAddress(envDiscovery, config.Discovery)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -16,8 +16,8 @@
 
 const validSettings = `{"Classes": [{"Name": "read", "Effect": "pure", "DeadlineMs": 1400}]}`
 
-// writeFile writes a configuration file and returns its path.
-func writeFile(t *testing.T, text string) string {
+// writeConfigFile writes a configuration file and returns its path.
+func writeConfigFile(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -26,29 +26,29 @@
 	return path
 }
 
-// environment returns a getenv that knows the path of the file and the other variables.
-func environment(path string, others map[string]string) func(string) string {
+// fakeGetenv returns a getenv that knows the path of the file and the other variables.
+func fakeGetenv(path string, overrides map[string]string) func(string) string {
 	return func(name string) string {
 		if name == "BALANCER_CONFIG" {
 			return path
 		}
-		return others[name]
+		return overrides[name]
 	}
 }
 
-// fileWith returns a valid configuration file with additional keys, given as JSON, which may be invalid.
-func fileWith(additional string) string {
+// validFileWith returns a valid configuration file with additional keys, given as JSON, which may be invalid.
+func validFileWith(additional string) string {
 	return `{"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", ` + additional + `"settings": ` + validSettings + `}`
 }
 
 func TestLoadReadsTheFile(t *testing.T) {
-	path := writeFile(t, `{"name": "n3", "listen": "10.0.0.4:8000", "discovery": "10.2.0.1:8500", "novel": [1],
+	path := writeConfigFile(t, `{"name": "n3", "listen": "10.0.0.4:8000", "discovery": "10.2.0.1:8500", "novel": [1],
 		"seed": "8c1f30d27a5be964", "limits": {"cores": 1.5, "memory_mb": 192, "sockets": 128},
 		"known": {"generation": 7, "instances": [{"instanceId": "s-1", "zone": "b"}]},
 		"settings": {"Balancers": 3, "Accounts": [{"Name": "one"}, {"Name": "two"}], "Zones": ["a", "b"],
 			"Classes": [{"Name": "read", "DeadlineMs": 100}, {"Name": "pay", "DeadlineMs": 200}],
 			"Limits": {"ConnIdleMs": 9000, "ConnectTimeoutMs": 150}, "Contract": {"DrainGraceMs": 1000}}}`)
-	config, err := Load(environment(path, nil))
+	config, err := Load(fakeGetenv(path, nil))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -81,7 +81,7 @@
 
 func TestLoadKeepsDefaultsWithoutTheOptionalKeys(t *testing.T) {
 	for name, additional := range map[string]string{"absent": "", "null": `"limits": null, "seed": null, `} {
-		config, err := Load(environment(writeFile(t, fileWith(additional)), nil))
+		config, err := Load(fakeGetenv(writeConfigFile(t, validFileWith(additional)), nil))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -94,7 +94,7 @@
 }
 
 func TestLoadCountsTimeoutsOfZeroAndLessAsAbsent(t *testing.T) {
-	config, err := Load(environment(writeFile(t, `{"listen": ":0", "discovery": ":1", "settings": {
+	config, err := Load(fakeGetenv(writeConfigFile(t, `{"listen": ":0", "discovery": ":1", "settings": {
 		"Classes": [{"Name": "read", "DeadlineMs": 100}],
 		"Limits": {"ConnIdleMs": 0, "ConnectTimeoutMs": -3}, "Contract": {"DrainGraceMs": -1}}}`), nil))
 	if err != nil {
@@ -106,7 +106,7 @@
 }
 
 func TestEnvironmentOverridesTheFileAtTheStart(t *testing.T) {
-	config, err := Load(environment(writeFile(t, fileWith(`"name": "n1", `)), map[string]string{
+	config, err := Load(fakeGetenv(writeConfigFile(t, validFileWith(`"name": "n1", `)), map[string]string{
 		"BALANCER_NAME": "n2", "BALANCER_LISTEN": "127.0.0.1:7", "BALANCER_DISCOVERY": "127.0.0.1:8"}))
 	if err != nil {
 		t.Fatal(err)
@@ -117,13 +117,13 @@
 }
 
 func TestEnvironmentSuppliesAddressesThatTheFileLacks(t *testing.T) {
-	path := writeFile(t, `{"settings": `+validSettings+`}`)
-	for missing, others := range map[string]map[string]string{
+	path := writeConfigFile(t, `{"settings": `+validSettings+`}`)
+	for missing, overrides := range map[string]map[string]string{
 		"":          {"BALANCER_LISTEN": "127.0.0.1:7", "BALANCER_DISCOVERY": "127.0.0.1:8"},
 		"listen":    {"BALANCER_DISCOVERY": "127.0.0.1:8"},
 		"discovery": {"BALANCER_LISTEN": "127.0.0.1:7"},
 	} {
-		_, err := Load(environment(path, others))
+		_, err := Load(fakeGetenv(path, overrides))
 		if missing == "" {
 			if err != nil {
 				t.Errorf("both given: error %v", err)
@@ -138,7 +138,7 @@
 }
 
 func TestBadAddressFromTheEnvironmentNamesTheVariable(t *testing.T) {
-	_, err := Load(environment(writeFile(t, fileWith("")), map[string]string{"BALANCER_DISCOVERY": "nowhere"}))
+	_, err := Load(fakeGetenv(writeConfigFile(t, validFileWith("")), map[string]string{"BALANCER_DISCOVERY": "nowhere"}))
 	configError, ok := errors.AsType[*Error](err)
 	if !ok || configError.Key != "BALANCER_DISCOVERY" || configError.File != "" ||
 		configError.Value != "nowhere" {
@@ -147,16 +147,16 @@
 }
 
 func TestReloadDiscoveryPrefersTheFileToTheEnvironment(t *testing.T) {
-	path := writeFile(t, fileWith(""))
-	others := map[string]string{"BALANCER_DISCOVERY": "127.0.0.1:8"}
-	if address, err := ReloadDiscovery(environment(path, others)); err != nil || address != "127.0.0.1:1" {
+	path := writeConfigFile(t, validFileWith(""))
+	overrides := map[string]string{"BALANCER_DISCOVERY": "127.0.0.1:8"}
+	if address, err := ReloadDiscovery(fakeGetenv(path, overrides)); err != nil || address != "127.0.0.1:1" {
 		t.Errorf("address %q, error %v", address, err)
 	}
 }
 
-// badFiles returns files that neither Load nor ReloadDiscovery accepts, each with the key and a part of the
+// invalidFiles returns files that neither Load nor ReloadDiscovery accepts, each with the key and a part of the
 // text of its error.
-func badFiles() map[string]struct{ text, key, part string } {
+func invalidFiles() map[string]struct{ text, key, part string } {
 	withSettings := func(settings string) string {
 		return `{"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": ` + settings + `}`
 	}
@@ -165,16 +165,16 @@
 		"no object":         {`[1]`, "", "a JSON array, must be an object"},
 		"cut off":           {`{"listen": "127.0.0.1:0"`, "", "unexpected end of JSON input"},
 		"line break":        {"{\"name\": \"a\nb\"}", "", `invalid character '\n'`},
-		"mistyped name":     {fileWith(`"name": 3, `), "name", "a JSON number, must be a string"},
-		"mistyped limit":    {fileWith(`"limits": {"sockets": "all"}, `), "limits.sockets", "must be a whole number"},
-		"fractional limit":  {fileWith(`"limits": {"sockets": 99.5}, `), "limits.sockets", "a JSON number 99.5"},
-		"negative cores":    {fileWith(`"limits": {"cores": -1}, `), "limits.cores", "is -1, must be at least 0"},
-		"negative memory":   {fileWith(`"limits": {"memory_mb": -2}, `), "limits.memory_mb", "is -2, must be"},
-		"negative sockets":  {fileWith(`"limits": {"sockets": -3}, `), "limits.sockets", "is -3, must be"},
-		"too few sockets":   {fileWith(`"limits": {"sockets": 63}, `), "limits.sockets", "is 63, must be at least 64"},
-		"mistyped list":     {fileWith(`"known": {"generation": -1}, `), "known.generation", "of at least 0"},
-		"malformed seed":    {fileWith(`"seed": "x", `), "seed", `is "x", must be a hexadecimal number`},
-		"seed too long":     {fileWith(`"seed": "10000000000000000", `), "seed", "must be a hexadecimal number"},
+		"mistyped name":     {validFileWith(`"name": 3, `), "name", "a JSON number, must be a string"},
+		"mistyped limit":    {validFileWith(`"limits": {"sockets": "all"}, `), "limits.sockets", "must be a whole number"},
+		"fractional limit":  {validFileWith(`"limits": {"sockets": 99.5}, `), "limits.sockets", "a JSON number 99.5"},
+		"negative cores":    {validFileWith(`"limits": {"cores": -1}, `), "limits.cores", "is -1, must be at least 0"},
+		"negative memory":   {validFileWith(`"limits": {"memory_mb": -2}, `), "limits.memory_mb", "is -2, must be"},
+		"negative sockets":  {validFileWith(`"limits": {"sockets": -3}, `), "limits.sockets", "is -3, must be"},
+		"too few sockets":   {validFileWith(`"limits": {"sockets": 63}, `), "limits.sockets", "is 63, must be at least 64"},
+		"mistyped list":     {validFileWith(`"known": {"generation": -1}, `), "known.generation", "of at least 0"},
+		"malformed seed":    {validFileWith(`"seed": "x", `), "seed", `is "x", must be a hexadecimal number`},
+		"seed too long":     {validFileWith(`"seed": "10000000000000000", `), "seed", "must be a hexadecimal number"},
 		"no settings":       {`{"listen": ":0", "discovery": ":1"}`, "settings", "missing, must be an object"},
 		"settings list":     {withSettings(`[]`), "settings", "is a JSON array, must be an object"},
 		"no class":          {withSettings(`{}`), "settings.Classes", "is 0, must be at least 1"},
@@ -192,26 +192,26 @@
 		"drain grace too long": {withSettings(`{"Classes": [{"Name": "a", "DeadlineMs": 8}], "Contract": {"DrainGraceMs": -1e300}}`),
 			"settings.Contract.DrainGraceMs", "is -1e+300, must be"},
 		"mistyped zones":      {withSettings(`{"Classes": [{"Name": "a", "DeadlineMs": 8}], "Zones": [1]}`), "settings.Zones", "must be a string"},
-		"malformed discovery": {strings.Replace(fileWith(""), "127.0.0.1:1", "nowhere", 1), "discovery", `is "nowhere", must be an address`},
-		"impossible port":     {strings.Replace(fileWith(""), "127.0.0.1:1", "127.0.0.1:700000", 1), "discovery", "must be an address"},
+		"malformed discovery": {strings.Replace(validFileWith(""), "127.0.0.1:1", "nowhere", 1), "discovery", `is "nowhere", must be an address`},
+		"impossible port":     {strings.Replace(validFileWith(""), "127.0.0.1:1", "127.0.0.1:700000", 1), "discovery", "must be an address"},
 	}
 }
 
 func TestBadFilesNameTheFileKeyAndValue(t *testing.T) {
-	for name, bad := range badFiles() {
+	for name, invalid := range invalidFiles() {
 		t.Run(name, func(t *testing.T) {
-			path := writeFile(t, bad.text)
-			getenv := environment(path, nil)
+			path := writeConfigFile(t, invalid.text)
+			getenv := fakeGetenv(path, nil)
 			_, loadErr := Load(getenv)
 			_, reloadErr := ReloadDiscovery(getenv)
 			for _, err := range []error{loadErr, reloadErr} {
 				configError, ok := errors.AsType[*Error](err)
-				if !ok || configError.File != path || configError.Key != bad.key {
-					t.Fatalf("error %v, want the file %s and the key %q", err, path, bad.key)
+				if !ok || configError.File != path || configError.Key != invalid.key {
+					t.Fatalf("error %v, want the file %s and the key %q", err, path, invalid.key)
 				}
-				if !strings.Contains(err.Error(), path) || !strings.Contains(err.Error(), bad.key) ||
-					!strings.Contains(err.Error(), bad.part) || strings.Contains(err.Error(), "\n") {
-					t.Errorf("error %q, want one line with %q", err, bad.part)
+				if !strings.Contains(err.Error(), path) || !strings.Contains(err.Error(), invalid.key) ||
+					!strings.Contains(err.Error(), invalid.part) || strings.Contains(err.Error(), "\n") {
+					t.Errorf("error %q, want one line with %q", err, invalid.part)
 				}
 			}
 		})
@@ -221,8 +221,8 @@
 func TestAbsentFileIsReported(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "none.json")
 	for name, getenv := range map[string]func(string) string{
-		path:              environment(path, nil),
-		"BALANCER_CONFIG": environment("", nil),
+		path:              fakeGetenv(path, nil),
+		"BALANCER_CONFIG": fakeGetenv("", nil),
 	} {
 		_, loadErr := Load(getenv)
 		_, reloadErr := ReloadDiscovery(getenv)
@@ -239,7 +239,7 @@
 }
 
 func TestLoadedSettingsAreAcceptedByPolicyNew(t *testing.T) {
-	config, err := Load(environment(writeFile(t, fileWith("")), nil))
+	config, err := Load(fakeGetenv(writeConfigFile(t, validFileWith("")), nil))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/config/error.go
+++ b/internal/config/error.go
@@ -67,7 +67,7 @@
 	}
 	return &Error{
 		Key: joinKeys(key, typeError.Field), Value: jsonType(typeError.Value),
-		Allowed: typeInWords(typeError.Type), Err: err,
+		Allowed: allowedJSONType(typeError.Type), Err: err,
 	}
 }
 
@@ -79,8 +79,8 @@
 	return outer + "." + inner
 }
 
-// typeInWords describes the JSON values that a Go type holds.
-func typeInWords(t reflect.Type) string {
+// allowedJSONType describes the JSON values that a Go type holds.
+func allowedJSONType(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.Bool:
 		return "true or false"
--- a/internal/config/example_config_test.go
+++ b/internal/config/example_config_test.go
@@ -10,13 +10,13 @@
 const exampleConfig = "../../deploy/example/config.json"
 
 // loadExample loads the example configuration with the given environment.
-func loadExample(t *testing.T, environment map[string]string) *Config {
+func loadExample(t *testing.T, overrides map[string]string) *Config {
 	t.Helper()
 	loaded, err := Load(func(name string) string {
 		if name == "BALANCER_CONFIG" {
 			return exampleConfig
 		}
-		return environment[name]
+		return overrides[name]
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -34,7 +34,7 @@
 		t.Errorf("%d cached endpoints, want 2", len(loaded.CachedList.Endpoints))
 	}
 	for _, server := range loaded.CachedList.Endpoints {
-		if _, known := loaded.Zones[server.Zone]; !known || server.State != policy.Ready {
+		if _, knownZone := loaded.Zones[server.Zone]; !knownZone || server.State != policy.Ready {
 			t.Errorf("endpoint %x: zone %q, state %v", server.ID, server.Zone, server.State)
 		}
 	}
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -39,9 +39,9 @@
 	if sockets == 0 {
 		sockets = defaultSockets
 	}
-	var openFiles syscall.Rlimit
-	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &openFiles); err == nil {
-		sockets = int(min(uint64(sockets), openFiles.Cur))
+	var openFileLimit syscall.Rlimit
+	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &openFileLimit); err == nil {
+		sockets = int(min(uint64(sockets), openFileLimit.Cur))
 	}
 	if sockets < minSockets {
 		return 0, &Error{
--- a/internal/config/node_settings.go
+++ b/internal/config/node_settings.go
@@ -38,7 +38,7 @@
 	c.Classes, c.Tenants, c.Zones = map[string]int{}, map[string]int{}, map[string]int{}
 	for i, class := range settings.Classes {
 		// Clients give the class as one segment of the URL's path.
-		if _, taken := c.Classes[class.Name]; taken || class.Name == "" || strings.Contains(class.Name, "/") {
+		if _, duplicate := c.Classes[class.Name]; duplicate || class.Name == "" || strings.Contains(class.Name, "/") {
 			return &Error{
 				Key: fmt.Sprintf("settings.Classes[%d].Name", i), Value: class.Name,
 				Allowed: "a name that no other class has, not empty and without /",
--- a/internal/config/setting_error.go
+++ b/internal/config/setting_error.go
@@ -13,13 +13,13 @@
 	if !ok {
 		return &Error{Key: settingsKey, Err: err}
 	}
-	setting, ok := settingOfField(settingError.Field)
+	setting, ok := settingForField(settingError.Field)
 	if !ok {
 		return &Error{Key: settingsKey, Err: err}
 	}
 	return &Error{
 		Key:     joinKeys(settingsKey, setting.key),
-		Value:   setting.operatorsValue(settingError.Value),
+		Value:   setting.valueInSettingUnit(settingError.Value),
 		Allowed: settingError.Allowed,
 		Err:     err,
 	}
--- a/internal/config/setting_error_test.go
+++ b/internal/config/setting_error_test.go
@@ -10,16 +10,16 @@
 	"calicohinge/policy"
 )
 
-// spoil gives every number below the value an impossible value.
-func spoil(value reflect.Value) {
+// invalidateNumbers gives every number below the value an impossible value.
+func invalidateNumbers(value reflect.Value) {
 	switch value.Kind() {
 	case reflect.Struct:
 		for _, field := range value.Fields() {
-			spoil(field)
+			invalidateNumbers(field)
 		}
 	case reflect.Slice:
 		for i := range value.Len() {
-			spoil(value.Index(i))
+			invalidateNumbers(value.Index(i))
 		}
 	case reflect.Uint8:
 		value.SetUint(255)
@@ -31,8 +31,8 @@
 	}
 }
 
-// repair gives the field at a path such as "Classes[0].Deadline" a possible value.
-func repair(t *testing.T, settings *policy.Settings, path string) {
+// setValidNumber gives the field at a path such as "Classes[0].Deadline" a possible value.
+func setValidNumber(t *testing.T, settings *policy.Settings, path string) {
 	t.Helper()
 	value := reflect.ValueOf(settings).Elem()
 	for _, part := range strings.FieldsFunc(path, func(r rune) bool { return strings.ContainsRune(".[]", r) }) {
@@ -54,12 +54,12 @@
 	}
 }
 
-// namedFields returns the fields that Validate names, found by repairing one after the other
+// rejectedFields returns the fields that Validate names, found by repairing one after the other
 // in settings that are wrong throughout.
-func namedFields(t *testing.T) []string {
+func rejectedFields(t *testing.T) []string {
 	t.Helper()
 	settings := policy.Settings{Classes: make([]policy.Class, 3), Tenants: make([]policy.Tenant, 2)}
-	spoil(reflect.ValueOf(&settings).Elem())
+	invalidateNumbers(reflect.ValueOf(&settings).Elem())
 	fields := []string{"Classes"} // named for an empty list only
 	for {
 		err := settings.Validate()
@@ -71,7 +71,7 @@
 			t.Fatalf("Validate returned %v, want a *policy.SettingError", err)
 		}
 		fields = append(fields, settingError.Field)
-		repair(t, &settings, settingError.Field)
+		setValidNumber(t, &settings, settingError.Field)
 	}
 }
 
@@ -95,8 +95,8 @@
 			want[path+field] = path + key
 		}
 	}
-	for _, field := range namedFields(t) {
-		got, ok := settingOfField(field)
+	for _, field := range rejectedFields(t) {
+		got, ok := settingForField(field)
 		if !ok || got.key != want[field] {
 			t.Errorf("field %s: key %q, in the table %v, want %q", field, got.key, ok, want[field])
 		}
@@ -109,7 +109,7 @@
 
 func TestUnknownFieldsHaveNoKey(t *testing.T) {
 	for _, field := range []string{"", "Novel", "Classes[0].Novel", "Tenants[0].Novel", "Novel[0].Deadline"} {
-		if found, ok := settingOfField(field); ok {
+		if found, ok := settingForField(field); ok {
 			t.Errorf("field %q has the key %q, want none", field, found.key)
 		}
 	}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -10,15 +10,15 @@
 // settingsKey is the key of the settings within the configuration file.
 const settingsKey = "settings"
 
-// settingsFile holds the settings that package policy needs, under the operators' keys. A
+// settingsJSON holds the settings that package policy needs, under the operators' keys. A
 // pointer is nil where the key is absent and the default applies. Times are in milliseconds.
-type settingsFile struct {
+type settingsJSON struct {
 	Accounts       []struct{ QuotaPerS float64 }
 	Balancers      *int
-	Classes        []classSettings
-	Contract       contractSettings
+	Classes        []classJSON
+	Contract       contractJSON
 	CountedBy      string
-	Limits         limitSettings
+	Limits         limitsJSON
 	Locality       int
 	Me             int
 	OverShareWorth *float64
@@ -26,7 +26,7 @@
 	TickMs         *float64
 }
 
-type classSettings struct {
+type classJSON struct {
 	DeadlineMs, PromiseMs *float64
 	AimStretch, LateWorth float64
 	Importance            *float64
@@ -35,12 +35,12 @@
 	Streaming             bool
 }
 
-type contractSettings struct {
+type contractJSON struct {
 	ColdFrom, FallMultiple                       *float64
 	ColdMs, FallMs, GraceToAnswerMs, MustAskInMs *float64
 }
 
-type limitSettings struct {
+type limitsJSON struct {
 	Cancel, RetryAfter, SecondCopies bool
 	MaxAttempts                      *int
 	MaxRetryAfterMs                  *float64
@@ -50,12 +50,12 @@
 // ignored and absent ones keep the values of policy.Defaults; a class without an effect is
 // not idempotent. An error is an *Error.
 func ParseSettings(text []byte) (policy.Settings, error) {
-	var file settingsFile
-	if err := decodeJSON(text, settingsKey, &file); err != nil {
+	var source settingsJSON
+	if err := decodeJSON(text, settingsKey, &source); err != nil {
 		return policy.Settings{}, err
 	}
 	var t translator
-	settings := t.settings(&file)
+	settings := t.settings(&source)
 	if t.err != nil {
 		return policy.Settings{}, t.err
 	}
@@ -66,69 +66,69 @@
 }
 
 // settings translates all settings. Absent ones keep the values of policy.Defaults.
-func (t *translator) settings(file *settingsFile) policy.Settings {
+func (t *translator) settings(source *settingsJSON) policy.Settings {
 	settings := policy.Defaults()
-	setIfGiven(&settings.Nodes, file.Balancers)
-	setIfGiven(&settings.OverQuotaFraction, file.OverShareWorth)
-	settings.Node = file.Me
-	settings.Zone = file.Locality
-	settings.WeightByWork = file.CountedBy == "work"
-	settings.PollEndpoints = t.pollEndpoints(file.RegistryMode)
-	t.duration(&settings.Tick, "TickMs", file.TickMs)
-	t.limits(&settings.Limits, &file.Limits)
-	t.rules(&settings.Rules, &file.Contract)
-	for i := range file.Classes {
-		settings.Classes = append(settings.Classes, t.class(fmt.Sprintf("Classes[%d].", i), &file.Classes[i]))
+	setIfPresent(&settings.Nodes, source.Balancers)
+	setIfPresent(&settings.OverQuotaFraction, source.OverShareWorth)
+	settings.Node = source.Me
+	settings.Zone = source.Locality
+	settings.WeightByWork = source.CountedBy == "work"
+	settings.PollEndpoints = t.pollEndpoints(source.RegistryMode)
+	t.duration(&settings.Tick, "TickMs", source.TickMs)
+	t.limits(&settings.Limits, &source.Limits)
+	t.rules(&settings.Rules, &source.Contract)
+	for i := range source.Classes {
+		settings.Classes = append(settings.Classes, t.class(fmt.Sprintf("Classes[%d].", i), &source.Classes[i]))
 	}
-	for _, account := range file.Accounts {
+	for _, account := range source.Accounts {
 		settings.Tenants = append(settings.Tenants, policy.Tenant{QuotaPerS: account.QuotaPerS})
 	}
 	return settings
 }
 
 // limits translates what clients and servers permit.
-func (t *translator) limits(limits *policy.Limits, file *limitSettings) {
-	setIfGiven(&limits.MaxAttempts, file.MaxAttempts)
-	limits.Cancel = file.Cancel
-	limits.Hedging = file.SecondCopies
+func (t *translator) limits(limits *policy.Limits, source *limitsJSON) {
+	setIfPresent(&limits.MaxAttempts, source.MaxAttempts)
+	limits.Cancel = source.Cancel
+	limits.Hedging = source.SecondCopies
 	var maxRetryAfter time.Duration
-	t.duration(&maxRetryAfter, "Limits.MaxRetryAfterMs", file.MaxRetryAfterMs)
-	if file.RetryAfter {
+	t.duration(&maxRetryAfter, "Limits.MaxRetryAfterMs", source.MaxRetryAfterMs)
+	if source.RetryAfter {
 		limits.MaxRetryAfter = maxRetryAfter
 	}
 }
 
 // rules translates the operators' rules for polling, slow start and responses.
-func (t *translator) rules(rules *policy.Rules, file *contractSettings) {
-	setIfGiven(&rules.SlowStartShare, file.ColdFrom)
-	setIfGiven(&rules.OverloadMultiple, file.FallMultiple)
-	t.duration(&rules.SlowStartDuration, "Contract.ColdMs", file.ColdMs)
-	t.duration(&rules.OverloadWindow, "Contract.FallMs", file.FallMs)
-	t.duration(&rules.ResponseGrace, "Contract.GraceToAnswerMs", file.GraceToAnswerMs)
-	t.duration(&rules.MaxPollInterval, "Contract.MustAskInMs", file.MustAskInMs)
+func (t *translator) rules(rules *policy.Rules, source *contractJSON) {
+	setIfPresent(&rules.SlowStartShare, source.ColdFrom)
+	setIfPresent(&rules.OverloadMultiple, source.FallMultiple)
+	t.duration(&rules.SlowStartDuration, "Contract.ColdMs", source.ColdMs)
+	t.duration(&rules.OverloadWindow, "Contract.FallMs", source.FallMs)
+	t.duration(&rules.ResponseGrace, "Contract.GraceToAnswerMs", source.GraceToAnswerMs)
+	t.duration(&rules.MaxPollInterval, "Contract.MustAskInMs", source.MustAskInMs)
 }
 
 // class translates the class whose keys start with path.
-func (t *translator) class(path string, file *classSettings) policy.Class {
+func (t *translator) class(path string, source *classJSON) policy.Class {
 	class := policy.Class{
-		ObjectivePerWork: file.AimStretch,
-		LateFraction:     file.LateWorth,
+		ObjectivePerWork: source.AimStretch,
+		LateFraction:     source.LateWorth,
 		PriorityWeight:   1,
-		Idempotency:      t.idempotency(path+"Effect", file.Effect),
-		KeyScope:         t.keyScope(path+"DedupScope", file.DedupScope),
-		Streaming:        file.Streaming,
+		Idempotency:      t.idempotency(path+"Effect", source.Effect),
+		KeyScope:         t.keyScope(path+"DedupScope", source.DedupScope),
+		Streaming:        source.Streaming,
 	}
-	setIfGiven(&class.PriorityWeight, file.Importance)
-	t.duration(&class.Deadline, path+"DeadlineMs", file.DeadlineMs)
+	setIfPresent(&class.PriorityWeight, source.Importance)
+	t.duration(&class.Deadline, path+"DeadlineMs", source.DeadlineMs)
 	class.Objective = class.Deadline
-	t.duration(&class.Objective, path+"PromiseMs", file.PromiseMs)
-	t.duration(&class.KeyRetention, path+"KeyTtlMs", file.KeyTTLMs)
+	t.duration(&class.Objective, path+"PromiseMs", source.PromiseMs)
+	t.duration(&class.KeyRetention, path+"KeyTtlMs", source.KeyTTLMs)
 	return class
 }
 
-// setIfGiven replaces a default by the value given, if there is one.
-func setIfGiven[T any](field, given *T) {
-	if given != nil {
-		*field = *given
+// setIfPresent replaces a default by the value given, if there is one.
+func setIfPresent[T any](field, value *T) {
+	if value != nil {
+		*field = *value
 	}
 }
--- a/internal/config/settings_table.go
+++ b/internal/config/settings_table.go
@@ -13,8 +13,8 @@
 const (
 	// kindMilliseconds is a floating-point number of milliseconds, which becomes a time.Duration.
 	kindMilliseconds kind = iota + 1
-	// kindWord is one of a few words, which becomes a value of an enumeration or a bool.
-	kindWord
+	// kindEnum is one of a few words, which becomes a value of an enumeration or a bool.
+	kindEnum
 	// kindList is a list; its elements have settings of their own.
 	kindList
 )
@@ -35,7 +35,7 @@
 		{key: "Me", field: "Node"},
 		{key: "Zones"},
 		{key: "Locality", field: "Zone"},
-		{key: "RegistryMode", field: "PollEndpoints", kind: kindWord},
+		{key: "RegistryMode", field: "PollEndpoints", kind: kindEnum},
 		{key: "TickMs", field: "Tick", kind: kindMilliseconds},
 		{key: "CountedBy", field: "WeightByWork"}, // every word but "work" counts as "request"
 		{key: "OverShareWorth", field: "OverQuotaFraction"},
@@ -44,8 +44,8 @@
 		{key: "Accounts[].QuotaPerS", field: "Tenants[].QuotaPerS"},
 		{key: "Classes", field: "Classes", kind: kindList},
 		{key: "Classes[].Name"},
-		{key: "Classes[].Effect", field: "Classes[].Idempotency", kind: kindWord},
-		{key: "Classes[].DedupScope", field: "Classes[].KeyScope", kind: kindWord},
+		{key: "Classes[].Effect", field: "Classes[].Idempotency", kind: kindEnum},
+		{key: "Classes[].DedupScope", field: "Classes[].KeyScope", kind: kindEnum},
 		{key: "Classes[].KeyTtlMs", field: "Classes[].KeyRetention", kind: kindMilliseconds},
 		{key: "Classes[].DeadlineMs", field: "Classes[].Deadline", kind: kindMilliseconds},
 		{key: "Classes[].PromiseMs", field: "Classes[].Objective", kind: kindMilliseconds},
@@ -70,10 +70,10 @@
 	}
 }
 
-// settingOfField returns the setting of a field, which is given as policy.SettingError gives it, such as
+// settingForField returns the setting of a field, which is given as policy.SettingError gives it, such as
 // "Classes[2].Deadline", with the index in its key. It returns false for a field that the table does not have.
-func settingOfField(path string) (setting, bool) {
-	field, index := cutIndex(path)
+func settingForField(path string) (setting, bool) {
+	field, index := splitIndex(path)
 	for _, s := range settingsTable() {
 		if s.field != "" && s.field == field {
 			s.key = strings.Replace(s.key, "[]", "["+index+"]", 1)
@@ -83,9 +83,9 @@
 	return setting{}, false
 }
 
-// cutIndex cuts the index of an element out of a path: from "Classes[2].Deadline", it makes
+// splitIndex cuts the index of an element out of a path: from "Classes[2].Deadline", it makes
 // "Classes[].Deadline" and "2". The index of a path without one is empty.
-func cutIndex(path string) (string, string) {
+func splitIndex(path string) (string, string) {
 	list, rest, found := strings.Cut(path, "[")
 	if !found {
 		return path, ""
@@ -94,8 +94,8 @@
 	return list + "[]" + rest, index
 }
 
-// operatorsValue returns the value of a field in the operators' unit.
-func (s setting) operatorsValue(value any) any {
+// valueInSettingUnit returns the value of a field in the operators' unit.
+func (s setting) valueInSettingUnit(value any) any {
 	if duration, ok := value.(time.Duration); ok && s.kind == kindMilliseconds {
 		return milliseconds.FromDuration(duration)
 	}
--- a/internal/config/settings_table_test.go
+++ b/internal/config/settings_table_test.go
@@ -13,9 +13,9 @@
 	"calicohinge/policy"
 )
 
-// leaves returns the paths of the values in a struct type with their types, by the names in JSON. A list of
+// valueTypes returns the paths of the values in a struct type with their types, by the names in JSON. A list of
 // structs is a value, and so are the values in its elements.
-func leaves(structType reflect.Type, prefix string) map[string]reflect.Type {
+func valueTypes(structType reflect.Type, prefix string) map[string]reflect.Type {
 	found := map[string]reflect.Type{}
 	for field := range structType.Fields() {
 		path := prefix + field.Name
@@ -28,10 +28,10 @@
 		}
 		switch {
 		case fieldType.Kind() == reflect.Struct:
-			maps.Copy(found, leaves(fieldType, path+"."))
+			maps.Copy(found, valueTypes(fieldType, path+"."))
 		case fieldType.Kind() == reflect.Slice && fieldType.Elem().Kind() == reflect.Struct:
 			found[path] = fieldType
-			maps.Copy(found, leaves(fieldType.Elem(), path+"[]."))
+			maps.Copy(found, valueTypes(fieldType.Elem(), path+"[]."))
 		default:
 			found[path] = fieldType
 		}
@@ -39,8 +39,8 @@
 	return found
 }
 
-// checkSameSet fails the test for each element that is in one list only.
-func checkSameSet(t *testing.T, got, want []string) {
+// checkSameElements fails the test for each element that is in one list only.
+func checkSameElements(t *testing.T, got, want []string) {
 	t.Helper()
 	for _, element := range got {
 		if !slices.Contains(want, element) {
@@ -55,8 +55,8 @@
 }
 
 func TestTableHasEachKeyThatIsDecodedOnce(t *testing.T) {
-	decoded := leaves(reflect.TypeFor[settingsFile](), "")
-	maps.Copy(decoded, leaves(reflect.TypeFor[nodeSettings](), ""))
+	decoded := valueTypes(reflect.TypeFor[settingsJSON](), "")
+	maps.Copy(decoded, valueTypes(reflect.TypeFor[nodeSettings](), ""))
 	var keys []string
 	for _, s := range settingsTable() {
 		if slices.Contains(keys, s.key) {
@@ -64,26 +64,26 @@
 		}
 		keys = append(keys, s.key)
 	}
-	checkSameSet(t, keys, slices.Collect(maps.Keys(decoded)))
+	checkSameElements(t, keys, slices.Collect(maps.Keys(decoded)))
 }
 
 func TestTableHasEachFieldOfThePolicyOnce(t *testing.T) {
-	fields := leaves(reflect.TypeFor[policy.Settings](), "")
-	var named []string
+	fields := valueTypes(reflect.TypeFor[policy.Settings](), "")
+	var mapped []string
 	for _, s := range settingsTable() {
 		if s.field == "" {
 			continue
 		}
-		if slices.Contains(named, s.field) {
+		if slices.Contains(mapped, s.field) {
 			t.Errorf("%s is in the table twice", s.field)
 		}
-		named = append(named, s.field)
+		mapped = append(mapped, s.field)
 		isDuration := fields[s.field] == reflect.TypeFor[time.Duration]()
 		if isDuration != (s.kind == kindMilliseconds) {
 			t.Errorf("%s has the kind %d, is a duration: %v", s.field, s.kind, isDuration)
 		}
 	}
-	checkSameSet(t, named, slices.Collect(maps.Keys(fields)))
+	checkSameElements(t, mapped, slices.Collect(maps.Keys(fields)))
 }
 
 func TestKeysOfMillisecondsSayTheirUnit(t *testing.T) {
@@ -94,8 +94,8 @@
 	}
 }
 
-// settingAlone returns settings that have one key only, with a value in JSON.
-func settingAlone(key, value string) string {
+// settingsWithOnly returns settings that have one key only, with a value in JSON.
+func settingsWithOnly(key, value string) string {
 	path := strings.Split(key, ".")
 	for _, name := range slices.Backward(path) {
 		if list, isList := strings.CutSuffix(name, "[]"); isList {
@@ -109,13 +109,13 @@
 
 // A value that cannot be translated is reported under the key of the table.
 func TestUntranslatableSettingsNameTheirKey(t *testing.T) {
-	impossible := map[kind]string{kindMilliseconds: "1e300", kindWord: `"unknown"`}
+	invalidValues := map[kind]string{kindMilliseconds: "1e300", kindEnum: `"unknown"`}
 	for _, s := range settingsTable() {
-		value, canFail := impossible[s.kind]
-		if !canFail {
+		value, canBeInvalid := invalidValues[s.kind]
+		if !canBeInvalid {
 			continue
 		}
-		text := []byte(settingAlone(s.key, value))
+		text := []byte(settingsWithOnly(s.key, value))
 		_, err := ParseSettings(text)
 		if s.field == "" {
 			err = (&Config{}).applyNodeSettings(text)
@@ -173,7 +173,7 @@
 			want = append(want, s.key)
 		}
 	}
-	checkSameSet(t, documented, want)
+	checkSameElements(t, documented, want)
 }
 
 func TestPageHasEachKeyOfTheFile(t *testing.T) {
@@ -183,11 +183,11 @@
 			documented = append(documented, row.key)
 		}
 	}
-	for key := range leaves(reflect.TypeFor[configFile](), "") {
+	for key := range valueTypes(reflect.TypeFor[configFile](), "") {
 		if !strings.HasPrefix(key, "known.") { // the form of the list is that of discovery
 			want = append(want, key)
 		}
 	}
 	want = append(want, "known")
-	checkSameSet(t, documented, want)
+	checkSameElements(t, documented, want)
 }
