--- a/internal/wireformat/examples_test.go
+++ b/internal/wireformat/examples_test.go
@@ -39,55 +39,57 @@
 // localRequest is a request to which the node responds itself.
 type localRequest struct{ name, request, response string }
 
-// text returns a response with a body of one line. The headers precede the usual ones.
-func text(status, headers, line string) string {
+// textResponse returns a response with a body of one line. The headers precede the usual ones.
+func textResponse(status, headers, line string) string {
 	return status + "\r\n" + headers + "Content-Length: " + strconv.Itoa(len(line)+1) +
 		"\r\nContent-Type: text/plain; charset=utf-8\r\nX-Content-Type-Options: nosniff\r\nDate: DATE\r\n\r\n" + line + "\n"
 }
 
 func localRequests() []localRequest {
 	const (
-		required   = "Host: n\r\nX-Request-ID: r9\r\nX-Tenant-Id: acme\r\nX-Timeout-Ms: 8000\r\n"
-		badRequest = "HTTP/1.1 400 Bad Request"
-		closes     = "Connection: close\r\n"
+		requiredHeaders = "Host: n\r\nX-Request-ID: r9\r\nX-Tenant-Id: acme\r\nX-Timeout-Ms: 8000\r\n"
+		badRequest      = "HTTP/1.1 400 Bad Request"
+		connectionClose = "Connection: close\r\n"
 	)
 	return []localRequest{
 		{
 			"health check", "GET /health/ready HTTP/1.1\r\nHost: n\r\n\r\n",
-			text("HTTP/1.1 200 OK", "", "ready"),
+			textResponse("HTTP/1.1 200 OK", "", "ready"),
 		}, {
-			"unknown class", "GET /none HTTP/1.1\r\n" + required + "\r\n",
-			text("HTTP/1.1 404 Not Found", "", "unknown class"),
+			"unknown class", "GET /none HTTP/1.1\r\n" + requiredHeaders + "\r\n",
+			textResponse("HTTP/1.1 404 Not Found", "", "unknown class"),
 		}, {
 			"no request ID", "GET /read HTTP/1.1\r\nHost: n\r\nX-Tenant-Id: acme\r\nX-Timeout-Ms: 8000\r\n\r\n",
-			text(badRequest, "", "X-Request-ID is missing or malformed"),
+			textResponse(badRequest, "", "X-Request-ID is missing or malformed"),
 		}, {
 			"no tenant", "GET /read HTTP/1.1\r\nHost: n\r\nX-Request-ID: r9\r\nX-Timeout-Ms: 8000\r\n\r\n",
-			text(badRequest, "", "X-Tenant-Id is missing or unknown"),
+			textResponse(badRequest, "", "X-Tenant-Id is missing or unknown"),
 		}, {
 			"no timeout", "GET /read HTTP/1.1\r\nHost: n\r\nX-Request-ID: r9\r\nX-Tenant-Id: acme\r\n\r\n",
-			text(badRequest, "", "X-Timeout-Ms is missing or no whole number of milliseconds"),
+			textResponse(badRequest, "", "X-Timeout-Ms is missing or no whole number of milliseconds"),
 		}, {
-			"wrong method", "POST /read HTTP/1.1\r\n" + required + "Content-Length: 0\r\n\r\n",
-			text("HTTP/1.1 405 Method Not Allowed", "Allow: GET\r\n", "the class wants GET"),
+			"wrong method", "POST /read HTTP/1.1\r\n" + requiredHeaders + "Content-Length: 0\r\n\r\n",
+			textResponse("HTTP/1.1 405 Method Not Allowed", "Allow: GET\r\n", "the class wants GET"),
 		}, {
-			"body with GET", "GET /read HTTP/1.1\r\n" + required + "Content-Length: 1\r\n\r\nx",
-			text(badRequest, closes, "the class takes no body"),
+			"body with GET", "GET /read HTTP/1.1\r\n" + requiredHeaders + "Content-Length: 1\r\n\r\nx",
+			textResponse(badRequest, connectionClose, "the class takes no body"),
 		}, {
-			"no key", "POST /order HTTP/1.1\r\n" + required + "Content-Length: 0\r\n\r\n",
-			text(badRequest, "", "Idempotency-Key is missing"),
+			"no key", "POST /order HTTP/1.1\r\n" + requiredHeaders + "Content-Length: 0\r\n\r\n",
+			textResponse(badRequest, "", "Idempotency-Key is missing"),
 		}, {
-			"key not permitted", "POST /notify HTTP/1.1\r\n" + required + "Idempotency-Key: k\r\nContent-Length: 0\r\n\r\n",
-			text(badRequest, "", "the class takes no Idempotency-Key"),
+			"key not permitted",
+			"POST /notify HTTP/1.1\r\n" + requiredHeaders + "Idempotency-Key: k\r\nContent-Length: 0\r\n\r\n",
+			textResponse(badRequest, "", "the class takes no Idempotency-Key"),
 		}, {
-			"no length", "POST /notify HTTP/1.1\r\n" + required + "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
-			text("HTTP/1.1 411 Length Required", closes, "a Content-Length is required, with no transfer coding"),
+			"no length", "POST /notify HTTP/1.1\r\n" + requiredHeaders + "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+			textResponse("HTTP/1.1 411 Length Required", connectionClose,
+				"a Content-Length is required, with no transfer coding"),
 		}, {
-			"too large", "POST /notify HTTP/1.1\r\n" + required + "Content-Length: 65537\r\n\r\n",
-			text("HTTP/1.1 413 Request Entity Too Large", closes, "the body is too large"),
+			"too large", "POST /notify HTTP/1.1\r\n" + requiredHeaders + "Content-Length: 65537\r\n\r\n",
+			textResponse("HTTP/1.1 413 Request Entity Too Large", connectionClose, "the body is too large"),
 		}, {
-			"old version", "GET /read HTTP/1.0\r\n" + required + "\r\n",
-			text("HTTP/1.0 505 HTTP Version Not Supported", closes, "HTTP/1.1 is required"),
+			"old version", "GET /read HTTP/1.0\r\n" + requiredHeaders + "\r\n",
+			textResponse("HTTP/1.0 505 HTTP Version Not Supported", connectionClose, "HTTP/1.1 is required"),
 		},
 	}
 }
--- a/internal/wireformat/simulator_test.go
+++ b/internal/wireformat/simulator_test.go
@@ -106,8 +106,8 @@
 	return raw
 }
 
-// framesAsText returns the text of reply frames in the form of simulatorReplies.
-func framesAsText(replies []byte) string {
+// formatReplies returns the text of reply frames in the form of simulatorReplies.
+func formatReplies(replies []byte) string {
 	const headerSize, actionSize = 12, 24
 	var text strings.Builder
 	for len(replies) >= headerSize {
--- a/internal/wireformat/wireformat_test.go
+++ b/internal/wireformat/wireformat_test.go
@@ -34,24 +34,24 @@
 	return path
 }
 
-// rawService is a service that records the bytes of each request and responds with the next text of a list.
-type rawService struct {
+// scriptedServer is a service that records the bytes of each request and responds with the next text of a list.
+type scriptedServer struct {
 	address  string
 	requests chan string
 }
 
-// newRawService starts a service. After the last of the responses it leaves requests without a response.
-func newRawService(t *testing.T, responses ...string) *rawService {
+// startScriptedServer starts a service. After the last of the responses it leaves requests without a response.
+func startScriptedServer(t *testing.T, responses ...string) *scriptedServer {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = listener.Close() }) // ends the goroutine that accepts
-	service := &rawService{address: listener.Addr().String(), requests: make(chan string, 100)}
-	next := make(chan string, len(responses))
+	server := &scriptedServer{address: listener.Addr().String(), requests: make(chan string, 100)}
+	pending := make(chan string, len(responses))
 	for _, response := range responses {
-		next <- response
+		pending <- response
 	}
 	go func() {
 		for {
@@ -59,14 +59,14 @@
 			if err != nil {
 				return
 			}
-			go service.serve(conn, next)
+			go server.serve(conn, pending)
 		}
 	}()
-	return service
+	return server
 }
 
 // serve reads requests from a connection until it ends.
-func (s *rawService) serve(conn net.Conn, responses <-chan string) {
+func (s *scriptedServer) serve(conn net.Conn, pending <-chan string) {
 	defer func() { _ = conn.Close() }() // the test is over
 	reader := bufio.NewReader(conn)
 	for {
@@ -76,7 +76,7 @@
 		}
 		s.requests <- request
 		select {
-		case response := <-responses:
+		case response := <-pending:
 			_, _ = io.WriteString(conn, response) // the test sees what is missing
 		default: // the connection stays open without a response
 		}
@@ -84,7 +84,7 @@
 }
 
 // nextRequest returns the next request, with the service's own address replaced.
-func (s *rawService) nextRequest(t *testing.T) string {
+func (s *scriptedServer) nextRequest(t *testing.T) string {
 	t.Helper()
 	select {
 	case request := <-s.requests:
@@ -121,8 +121,8 @@
 	return message.String(), nil
 }
 
-// withLength returns a response of status 200 with a body.
-func withLength(body string) string {
+// okResponse returns a response of status 200 with a body.
+func okResponse(body string) string {
 	return "HTTP/1.1 200 OK\r\nContent-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n" + body
 }
 
@@ -154,9 +154,9 @@
 		t.Fatal(err)
 	}
 	serving := make(chan string, 1)
-	ended := make(chan struct{})
+	exited := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(exited)
 		for lines := bufio.NewScanner(stderr); lines.Scan(); {
 			if _, address, ok := strings.Cut(lines.Text(), " addr="); ok && strings.Contains(lines.Text(), " serving ") {
 				serving <- address
@@ -164,7 +164,7 @@
 		}
 		_ = cmd.Wait() // it is killed at the end of the test
 	}()
-	t.Cleanup(func() { <-ended })
+	t.Cleanup(func() { <-exited })
 	select {
 	case address := <-serving:
 		return address
@@ -174,9 +174,9 @@
 	}
 }
 
-// exchange sends a request over a connection of its own and returns the bytes of the response, with the value of
+// sendRequest sends a request over a connection of its own and returns the bytes of the response, with the value of
 // its Date replaced.
-func exchange(t *testing.T, address, request string) string {
+func sendRequest(t *testing.T, address, request string) string {
 	t.Helper()
 	conn, err := net.DialTimeout("tcp", address, waitTimeout)
 	if err != nil {
@@ -196,19 +196,20 @@
 	return regexp.MustCompile(`\r\nDate: [^\r]*`).ReplaceAllString(response, "\r\nDate: DATE")
 }
 
-// awaitReady waits until the node reports that it is ready.
-func awaitReady(t *testing.T, address string) {
+// waitUntilReady waits until the node reports that it is ready.
+func waitUntilReady(t *testing.T, address string) {
 	t.Helper()
-	const check = "GET /health/ready HTTP/1.1\r\nHost: n\r\n\r\n"
-	for end := time.Now().Add(waitTimeout); !strings.HasPrefix(exchange(t, address, check), "HTTP/1.1 200 "); {
-		if time.Now().After(end) {
+	const healthCheck = "GET /health/ready HTTP/1.1\r\nHost: n\r\n\r\n"
+	deadline := time.Now().Add(waitTimeout)
+	for !strings.HasPrefix(sendRequest(t, address, healthCheck), "HTTP/1.1 200 ") {
+		if time.Now().After(deadline) {
 			t.Fatal("the node does not become ready")
 		}
 	}
 }
 
-// equalText checks that two texts are equal. It quotes both if they differ.
-func equalText(t *testing.T, name, got, want string) {
+// checkEqual checks that two texts are equal. It quotes both if they differ.
+func checkEqual(t *testing.T, name, got, want string) {
 	t.Helper()
 	if got != want {
 		t.Errorf("%s:\n got %q\nwant %q", name, got, want)
@@ -221,8 +222,9 @@
 	{"Name": "order", "Effect": "token", "DedupScope": "all", "KeyTtlMs": 6000, "DeadlineMs": 8000},
 	{"Name": "notify", "Effect": "side_effect", "DeadlineMs": 8000}]}`
 
-// list returns an endpoint list in the form in which discovery sends it. The indentation is arbitrary.
-func list(generation int, reset bool, server string) string {
+// endpointListJSON returns an endpoint list in the form in which discovery sends it. The indentation
+// is arbitrary.
+func endpointListJSON(generation int, reset bool, server string) string {
 	return `{
   "generation": ` + strconv.Itoa(generation) + `,
   "reset": ` + strconv.FormatBool(reset) + `,
@@ -246,17 +248,17 @@
 	program := buildProgram(t, "balancer")
 	for _, mode := range []string{"pushed", "on_request"} {
 		t.Run(mode, func(t *testing.T) {
-			server := newRawService(t, withLength("ok"))
-			discovery := newRawService(t, withLength(list(7, true, server.address)), withLength(`{"generation":9,"reset":false,"instances":[]}`))
+			server := startScriptedServer(t, okResponse("ok"))
+			discovery := startScriptedServer(t, okResponse(endpointListJSON(7, true, server.address)), okResponse(`{"generation":9,"reset":false,"instances":[]}`))
 			address := startNode(t, program, map[string]any{
 				"discovery": discovery.address, "settings": json.RawMessage(strings.Replace(settings, "MODE", mode, 1)),
 			})
 			const headers = " HTTP/1.1\r\nHost: ADDRESS\r\nUser-Agent: Go-http-client/1.1\r\nAccept-Encoding: gzip\r\n\r\n"
-			equalText(t, "first call", discovery.nextRequest(t), "GET /registry/instances"+headers)
-			equalText(t, "second call", discovery.nextRequest(t), "GET /registry/instances?after=7&wait_ms=3000"+headers)
-			equalText(t, "third call", discovery.nextRequest(t), "GET /registry/instances?after=9&wait_ms=3000"+headers)
-			awaitReady(t, address)
-			exchange(t, address, "GET /read HTTP/1.1\r\nHost: n\r\nX-Request-ID: r1\r\nX-Tenant-Id: acme\r\nX-Timeout-Ms: 8000\r\n\r\n")
+			checkEqual(t, "first call", discovery.nextRequest(t), "GET /registry/instances"+headers)
+			checkEqual(t, "second call", discovery.nextRequest(t), "GET /registry/instances?after=7&wait_ms=3000"+headers)
+			checkEqual(t, "third call", discovery.nextRequest(t), "GET /registry/instances?after=9&wait_ms=3000"+headers)
+			waitUntilReady(t, address)
+			sendRequest(t, address, "GET /read HTTP/1.1\r\nHost: n\r\nX-Request-ID: r1\r\nX-Tenant-Id: acme\r\nX-Timeout-Ms: 8000\r\n\r\n")
 			if !strings.HasPrefix(server.nextRequest(t), "GET /read HTTP/1.1\r\n") {
 				t.Error("the server that is ready got another request")
 			}
@@ -268,20 +270,20 @@
 func TestRequestsAndResponsesKeepTheirBytes(t *testing.T) {
 	program := buildProgram(t, "balancer")
 	const response = "HTTP/1.1 200 OK\r\nContent-Type: text/x\r\nX-Server: s-1\r\nConnection: keep-alive\r\nContent-Length: 2\r\n\r\nok"
-	server := newRawService(t, response, response, response)
+	server := startScriptedServer(t, response, response, response)
 	address := startNode(t, program, map[string]any{
 		"discovery": "127.0.0.1:1", "settings": json.RawMessage(strings.Replace(settings, "MODE", "pushed", 1)),
-		"known": json.RawMessage(list(7, true, server.address)),
+		"known": json.RawMessage(endpointListJSON(7, true, server.address)),
 	})
-	awaitReady(t, address)
+	waitUntilReady(t, address)
 	timeout := regexp.MustCompile(`X-Timeout-Ms: 7\d\d\d\r\n`)
 	for _, c := range forwardedRequests() {
-		got := exchange(t, address, c.request)
-		equalText(t, c.name+", response", got, forwardedResponse)
-		equalText(t, c.name+", request to the server", timeout.ReplaceAllString(server.nextRequest(t), "X-Timeout-Ms: LEFT\r\n"), c.forwarded)
+		got := sendRequest(t, address, c.request)
+		checkEqual(t, c.name+", response", got, forwardedResponse)
+		checkEqual(t, c.name+", request to the server", timeout.ReplaceAllString(server.nextRequest(t), "X-Timeout-Ms: LEFT\r\n"), c.forwarded)
 	}
 	for _, c := range localRequests() {
-		equalText(t, c.name, exchange(t, address, c.request), c.response)
+		checkEqual(t, c.name, sendRequest(t, address, c.request), c.response)
 	}
 }
 
@@ -297,7 +299,7 @@
 		if err == nil {
 			t.Errorf("%s %s is accepted", c.key, c.value)
 		}
-		equalText(t, c.key+" "+c.value, strings.ReplaceAll(string(output), path, "FILE"), c.message+"\n")
+		checkEqual(t, c.key+" "+c.value, strings.ReplaceAll(string(output), path, "FILE"), c.message+"\n")
 	}
 }
 
@@ -324,10 +326,10 @@
 func TestFramesOfTheSimulatorKeepTheirBytes(t *testing.T) {
 	cmd := exec.CommandContext(t.Context(), buildProgram(t, "simadapter"))
 	cmd.Stdin = bytes.NewReader(simulatorInput(t))
-	var output, problems bytes.Buffer
-	cmd.Stdout, cmd.Stderr = &output, &problems
+	var output, stderr bytes.Buffer
+	cmd.Stdout, cmd.Stderr = &output, &stderr
 	if err := cmd.Run(); err != nil {
-		t.Fatalf("%v: %s", err, problems.Bytes())
+		t.Fatalf("%v: %s", err, stderr.Bytes())
 	}
-	equalText(t, "replies", framesAsText(output.Bytes()), simulatorReplies)
+	checkEqual(t, "replies", formatReplies(output.Bytes()), simulatorReplies)
 }
