--- a/cmd/balancer/main.go
+++ b/cmd/balancer/main.go
@@ -1,8 +1,8 @@
-// Command balancer is one node of the load balancer. It reads its configuration
-// from the file that BALANCER_CONFIG names and serves until SIGTERM or SIGINT,
-// which begin a graceful shutdown. SIGHUP rereads the file and changes the address
-// of the discovery service to the one that it gives. The program exits with status 1
-// and one line on standard error if it cannot start or serve.
+// Command balancer runs one node of the load balancer. It reads its configuration
+// from the file named by BALANCER_CONFIG and serves until SIGTERM or SIGINT starts
+// a graceful shutdown. On SIGHUP it rereads the file and switches to the address of
+// the discovery service given there. If it cannot start or serve, it writes one line
+// to standard error and exits with status 1.
 package main
 
 import (
@@ -24,23 +24,26 @@
 )
 
 const (
-	// gcPercent lets the heap grow to five times the live heap between collections: the
-	// live heap is small, and processor time is scarce.
+	// gcPercent lets the heap grow to five times the live heap between garbage
+	// collections. The live heap is small, whereas CPU time is scarce.
 	gcPercent = 400
-	// memoryLimitNumerator and memoryLimitDenominator give the share of the granted memory at
-	// which the runtime collects more often. The rest is for stacks and socket buffers.
+	// memoryLimitNumerator and memoryLimitDenominator give the Go runtime's soft memory
+	// limit as a fraction of the configured memory. Above the limit, garbage collections
+	// become more frequent. The rest is left for stacks and socket buffers.
 	memoryLimitNumerator, memoryLimitDenominator = 7, 10
-	// logFlushTimeout bounds the wait for unwritten log lines at the exit. It is short
-	// beside the margin of a shutdown.
+	// logFlushTimeout limits how long a regular exit waits for queued log lines to be
+	// written. It takes little of the time that a shutdown leaves before the platform
+	// kills the process.
 	logFlushTimeout = 20 * time.Millisecond
-	// errorFlushTimeout is the same for a process that exits with an error.
+	// errorFlushTimeout is the same limit for an exit with an error.
 	errorFlushTimeout = time.Second
-	// bytesPerMB is the unit of the configured memory.
+	// bytesPerMB converts the configured memory to bytes.
 	bytesPerMB = 1 << 20
 )
 
 func main() {
-	// A reader of standard error that is slow or has exited must not block or end the process.
+	// The process must neither block nor be killed when the reader of standard error is slow or
+	// has exited.
 	signal.Ignore(syscall.SIGPIPE)
 	stderr := asyncwriter.New(os.Stderr)
 	log.SetOutput(stderr)
@@ -54,7 +57,8 @@
 	os.Exit(1)
 }
 
-// run starts the node and serves until SIGTERM or SIGINT.
+// run starts the node and serves requests. SIGTERM or SIGINT starts a graceful
+// shutdown, after which run returns.
 func run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
@@ -74,9 +78,10 @@
 	return balancer.Run(ctx)
 }
 
-// reloadOnSIGHUP rereads the configuration file at each signal, until the context
-// ends. Only the address of the discovery service may change while a node runs. A file
-// that cannot be read changes nothing.
+// reloadOnSIGHUP rereads the configuration file on each SIGHUP until the context is
+// done. Only the address of the discovery service can change while a node runs; other
+// changes in the file have no effect until a restart. If the configuration cannot be
+// read or is invalid, the node keeps its current address.
 func reloadOnSIGHUP(ctx context.Context, sighup <-chan os.Signal, balancer *node.Node) {
 	for {
 		select {
@@ -93,7 +98,7 @@
 	}
 }
 
-// applyLimits sets the runtime to the cores and the memory that the machine grants.
+// applyLimits configures the Go runtime for the configured cores and memory.
 func applyLimits(limits config.Limits) {
 	if limits.Cores > 0 {
 		runtime.GOMAXPROCS(int(math.Ceil(limits.Cores)))
