--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,11 +1,11 @@
-// Package config reads the operators' configuration: the configuration file of a node with its environment
-// overrides, and the settings, which the simulator adapter gets without a file. It owns the operators' keys and
-// words, which appear in no other package, and translates them into the types of package policy and the fields
-// of Config.
+// Package config reads and validates the configuration. For a node, that is the configuration file together
+// with the environment variables that override it. The simulator adapter has no file and passes the settings
+// as JSON text. The package translates both into the fields of Config and the types of package policy, so that
+// no other package of these programs depends on the keys and enumerated values of the settings.
 //
-// cmd/balancer and cmd/simadapter call it. It keeps no state and logs nothing. Each of its errors is an *Error
-// that names the key: at the start the program exits with it, at SIGHUP it logs the error and keeps the old
-// address.
+// cmd/balancer and cmd/simadapter call it. It keeps no state and logs nothing. All its errors are of type
+// *Error and name the key at fault. At startup, the program exits with the error; on SIGHUP, it logs the error
+// and keeps the current discovery address.
 package config
 
 import (
@@ -23,26 +23,26 @@
 	envDiscovery = "BALANCER_DISCOVERY"
 )
 
-// Config is the configuration of a node. Only Discovery can change while the node runs; see
-// ReloadDiscovery.
+// Config is the configuration of a node. Only the discovery address can change while the node
+// runs; see ReloadDiscovery.
 type Config struct {
-	Name           string // the node's name, used in logs only
-	Listen         string // address on which clients connect
+	Name           string // name of the node, used in logs only
+	Listen         string // address at which the node accepts client connections
 	Discovery      string // address of the discovery service
 	Seed           uint64
 	Limits         Limits
-	CachedList     endpoint.List // the endpoint list that the node starts with
+	CachedList     endpoint.List // endpoint list used until discovery has sent one
 	Policy         policy.Settings
-	Classes        map[string]int // name to index in Policy.Classes
-	Tenants        map[string]int // name to index in Policy.Tenants
-	Zones          map[string]int // name to the number that package policy uses
-	IdleTimeout    time.Duration  // servers close a connection after this idle time
-	ConnectTimeout time.Duration  // of a connection to a server
-	DrainGrace     time.Duration  // time after a drain notification in which an attempt may still be sent
+	Classes        map[string]int // class name to index in Policy.Classes
+	Tenants        map[string]int // tenant name to index in Policy.Tenants
+	Zones          map[string]int // zone name to zone number in package policy
+	IdleTimeout    time.Duration  // idle time after which servers close a connection
+	ConnectTimeout time.Duration  // limit for establishing a connection to a server
+	DrainGrace     time.Duration  // how long after a drain notification an attempt may still be sent to the server
 }
 
-// Load reads the file named by BALANCER_CONFIG. The other BALANCER variables override the
-// file where they are set. An error is an *Error.
+// Load reads the configuration file named by BALANCER_CONFIG. BALANCER_NAME, BALANCER_LISTEN
+// and BALANCER_DISCOVERY override the values in the file. Errors are of type *Error.
 func Load(getenv func(string) string) (*Config, error) {
 	config, path, err := readConfig(getenv)
 	if err != nil {
@@ -68,9 +68,10 @@
 	return config, nil
 }
 
-// ReloadDiscovery reads the address of the discovery service again from the file named by
-// BALANCER_CONFIG. Here the file has precedence over BALANCER_DISCOVERY: it may have been
-// replaced since the start, whereas the environment cannot have changed.
+// ReloadDiscovery rereads the address of the discovery service from the file named by
+// BALANCER_CONFIG. Here the file takes precedence over BALANCER_DISCOVERY, because the file may
+// have been replaced since startup, whereas the environment cannot have changed. Errors are of
+// type *Error.
 func ReloadDiscovery(getenv func(string) string) (string, error) {
 	config, path, err := readConfig(getenv)
 	if err != nil {
@@ -82,7 +83,7 @@
 	return config.Discovery, nil
 }
 
-// override replaces a value of the file by one of the environment, if there is one.
+// override replaces a value from the file with the value of an environment variable, if it is set.
 func override(field *string, value string) {
 	if value != "" {
 		*field = value
