--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -9,7 +9,7 @@
 	"calicohinge/internal/syserror"
 )
 
-// configFile is the configuration file.
+// configFile is the JSON form of the configuration file.
 type configFile struct {
 	Name      string            `json:"name"`
 	Listen    string            `json:"listen"`
@@ -20,7 +20,8 @@
 	Settings  json.RawMessage   `json:"settings"`
 }
 
-// readConfig reads the file without the overrides. It returns the path of the file as well.
+// readConfig reads the configuration file without applying the environment overrides. It also
+// returns the path of the file.
 func readConfig(getenv func(string) string) (*Config, string, error) {
 	path := getenv(envFile)
 	if path == "" {
@@ -37,7 +38,7 @@
 	return config, path, nil
 }
 
-// readFile reads a file, with retries after transient errors of the system.
+// readFile reads a file and retries after transient system errors.
 func readFile(path string) ([]byte, error) {
 	var text []byte
 	err := syserror.Retry(func() error {
@@ -48,7 +49,8 @@
 	return text, err
 }
 
-// parseConfig reads the configuration from the text of the file.
+// parseConfig parses and validates the text of a configuration file. The addresses are not
+// validated, since the environment may override them.
 func parseConfig(text []byte) (*Config, error) {
 	var file configFile
 	if err := decodeJSON(text, "", &file); err != nil {
@@ -83,7 +85,7 @@
 	return config, nil
 }
 
-// parseSeed reads a seed of up to 16 hexadecimal digits; an absent one is 0.
+// parseSeed parses a hexadecimal seed of up to 64 bits. An absent seed is 0.
 func parseSeed(text string) (uint64, error) {
 	if text == "" {
 		return 0, nil
