--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -7,11 +7,11 @@
 	"calicohinge/policy"
 )
 
-// settingsKey is the key of the settings within the configuration file.
+// settingsKey is the key of the settings in the configuration file.
 const settingsKey = "settings"
 
-// settingsJSON holds the settings that package policy needs, under the operators' keys. A
-// pointer is nil where the key is absent and the default applies. Times are in milliseconds.
+// settingsJSON is the JSON form of the settings that package policy uses. A pointer is nil if
+// its key is absent, so that the default applies. Times are in milliseconds.
 type settingsJSON struct {
 	Accounts       []struct{ QuotaPerS float64 }
 	Balancers      *int
@@ -46,9 +46,9 @@
 	MaxRetryAfterMs                  *float64
 }
 
-// ParseSettings reads the settings of one instance and validates them. Unknown keys are
-// ignored and absent ones keep the values of policy.Defaults; a class without an effect is
-// not idempotent. An error is an *Error.
+// ParseSettings parses and validates the JSON text of the settings. Unknown keys are ignored.
+// Absent keys keep the values of policy.Defaults, and a class without an Effect counts as not
+// idempotent. Errors are of type *Error.
 func ParseSettings(text []byte) (policy.Settings, error) {
 	var source settingsJSON
 	if err := decodeJSON(text, settingsKey, &source); err != nil {
@@ -65,7 +65,7 @@
 	return settings, nil
 }
 
-// settings translates all settings. Absent ones keep the values of policy.Defaults.
+// settings translates all settings. Absent keys keep the values of policy.Defaults.
 func (t *translator) settings(source *settingsJSON) policy.Settings {
 	settings := policy.Defaults()
 	setIfPresent(&settings.Nodes, source.Balancers)
@@ -86,7 +86,8 @@
 	return settings
 }
 
-// limits translates what clients and servers permit.
+// limits translates what clients and servers permit: the number of attempts, hedged requests,
+// cancellation and Retry-After. MaxRetryAfter stays 0 unless Retry-After is permitted.
 func (t *translator) limits(limits *policy.Limits, source *limitsJSON) {
 	setIfPresent(&limits.MaxAttempts, source.MaxAttempts)
 	limits.Cancel = source.Cancel
@@ -98,7 +99,7 @@
 	}
 }
 
-// rules translates the operators' rules for polling, slow start and responses.
+// rules translates the rules for polling, slow start, overload and the response grace.
 func (t *translator) rules(rules *policy.Rules, source *contractJSON) {
 	setIfPresent(&rules.SlowStartShare, source.ColdFrom)
 	setIfPresent(&rules.OverloadMultiple, source.FallMultiple)
@@ -108,7 +109,7 @@
 	t.duration(&rules.MaxPollInterval, "Contract.MustAskInMs", source.MustAskInMs)
 }
 
-// class translates the class whose keys start with path.
+// class translates one class. path is the prefix of its keys in errors, such as "Classes[2].".
 func (t *translator) class(path string, source *classJSON) policy.Class {
 	class := policy.Class{
 		ObjectivePerWork: source.AimStretch,
@@ -126,7 +127,7 @@
 	return class
 }
 
-// setIfPresent replaces a default by the value given, if there is one.
+// setIfPresent replaces a default with the configured value; nil keeps the default.
 func setIfPresent[T any](field, value *T) {
 	if value != nil {
 		*field = *value
