--- a/internal/config/settings_table.go
+++ b/internal/config/settings_table.go
@@ -7,28 +7,29 @@
 	"calicohinge/internal/milliseconds"
 )
 
-// kind is the form of a setting's value. The zero kind is a value that has the same form in package policy.
+// kind says how the value of a setting is translated. The zero kind is a value that package policy uses
+// unchanged.
 type kind int
 
 const (
-	// kindMilliseconds is a floating-point number of milliseconds, which becomes a time.Duration.
+	// kindMilliseconds is a floating-point number of milliseconds, translated to a time.Duration.
 	kindMilliseconds kind = iota + 1
-	// kindEnum is one of a few words, which becomes a value of an enumeration or a bool.
+	// kindEnum is one of a fixed set of strings, translated to an enumerated value or a bool.
 	kindEnum
-	// kindList is a list; its elements have settings of their own.
+	// kindList is a list whose elements have settings of their own.
 	kindList
 )
 
-// setting is one of the operators' settings.
+// setting maps a key of the settings to a field of policy.Settings.
 type setting struct {
-	key   string // path within the settings; "[]" stands for the index of an element
-	field string // path within policy.Settings; empty where that has no field of its own for the setting
+	key   string // path in the settings; "[]" stands for the index of an element
+	field string // path in policy.Settings; empty if no field corresponds to the key
 	kind  kind
 }
 
-// settingsTable maps the operators' keys to the fields of package policy. translateSettingError uses it. Tests
-// check against it the structs that the settings are decoded into, the keys in errors of this package, and
-// docs/CONFIGURATION.md.
+// settingsTable returns all settings. translateSettingError uses it to find the key of an invalid field. Tests
+// compare it with the structs that the settings are decoded into, the keys in errors of this package, the
+// fields of policy.Settings, and docs/CONFIGURATION.md.
 func settingsTable() []setting {
 	return []setting{
 		{key: "Balancers", field: "Nodes"},
@@ -37,7 +38,7 @@
 		{key: "Locality", field: "Zone"},
 		{key: "RegistryMode", field: "PollEndpoints", kind: kindEnum},
 		{key: "TickMs", field: "Tick", kind: kindMilliseconds},
-		{key: "CountedBy", field: "WeightByWork"}, // every word but "work" counts as "request"
+		{key: "CountedBy", field: "WeightByWork"}, // any value other than "work" means "request"
 		{key: "OverShareWorth", field: "OverQuotaFraction"},
 		{key: "Accounts", field: "Tenants", kind: kindList},
 		{key: "Accounts[].Name"},
@@ -56,7 +57,7 @@
 		{key: "Limits.MaxAttempts", field: "Limits.MaxAttempts"},
 		{key: "Limits.SecondCopies", field: "Limits.Hedging"},
 		{key: "Limits.Cancel", field: "Limits.Cancel"},
-		{key: "Limits.RetryAfter"}, // if false, MaxRetryAfter is 0
+		{key: "Limits.RetryAfter"}, // false sets Limits.MaxRetryAfter to 0
 		{key: "Limits.MaxRetryAfterMs", field: "Limits.MaxRetryAfter", kind: kindMilliseconds},
 		{key: "Limits.ConnIdleMs", kind: kindMilliseconds},
 		{key: "Limits.ConnectTimeoutMs", kind: kindMilliseconds},
@@ -70,8 +71,9 @@
 	}
 }
 
-// settingForField returns the setting of a field, which is given as policy.SettingError gives it, such as
-// "Classes[2].Deadline", with the index in its key. It returns false for a field that the table does not have.
+// settingForField returns the setting for the path of a field, in the form of policy.SettingError.Field, such as
+// "Classes[2].Deadline". The key of the result has the same index. It returns false if the table has no such
+// field.
 func settingForField(path string) (setting, bool) {
 	field, index := splitIndex(path)
 	for _, s := range settingsTable() {
@@ -83,8 +85,8 @@
 	return setting{}, false
 }
 
-// splitIndex cuts the index of an element out of a path: from "Classes[2].Deadline", it makes
-// "Classes[].Deadline" and "2". The index of a path without one is empty.
+// splitIndex removes the index of an element from a path and returns both: "Classes[2].Deadline" gives
+// "Classes[].Deadline" and "2". A path without an index gives an empty index.
 func splitIndex(path string) (string, string) {
 	list, rest, found := strings.Cut(path, "[")
 	if !found {
@@ -94,7 +96,8 @@
 	return list + "[]" + rest, index
 }
 
-// valueInSettingUnit returns the value of a field in the operators' unit.
+// valueInSettingUnit returns the value of a field in the unit of its setting: a duration becomes a number of
+// milliseconds.
 func (s setting) valueInSettingUnit(value any) any {
 	if duration, ok := value.(time.Duration); ok && s.kind == kindMilliseconds {
 		return milliseconds.FromDuration(duration)
