--- a/internal/config/node_settings.go
+++ b/internal/config/node_settings.go
@@ -6,14 +6,15 @@
 	"time"
 )
 
-// The timeouts where the operators give none.
+// Defaults for absent timeouts.
 const (
 	defaultIdleTimeout    = 15 * time.Second
 	defaultConnectTimeout = 250 * time.Millisecond
 )
 
-// nodeSettings are the settings that only a node needs: names, which package policy replaces
-// by indexes, and the timeouts of connections to servers.
+// nodeSettings is the JSON form of the settings that only a node uses: the timeouts for
+// connections to servers, the grace period of draining servers, and the names of classes,
+// tenants and zones, which package policy identifies by number.
 type nodeSettings struct {
 	Accounts, Classes []struct{ Name string }
 	Zones             []string
@@ -21,7 +22,7 @@
 	Contract          struct{ DrainGraceMs *float64 }
 }
 
-// applyNodeSettings reads the names and timeouts from the settings.
+// applyNodeSettings parses the names and timeouts in the settings and stores them in the configuration.
 func (c *Config) applyNodeSettings(text []byte) error {
 	var settings nodeSettings
 	if err := decodeJSON(text, settingsKey, &settings); err != nil {
@@ -33,11 +34,11 @@
 	return c.applyTimeouts(&settings)
 }
 
-// indexNames sets the maps from the names of classes, tenants and zones to their indexes.
+// indexNames builds the maps from the names of classes, tenants and zones to their indexes.
 func (c *Config) indexNames(settings *nodeSettings) error {
 	c.Classes, c.Tenants, c.Zones = map[string]int{}, map[string]int{}, map[string]int{}
 	for i, class := range settings.Classes {
-		// Clients give the class as one segment of the URL's path.
+		// Clients give the class as one segment of the URL path.
 		if _, duplicate := c.Classes[class.Name]; duplicate || class.Name == "" || strings.Contains(class.Name, "/") {
 			return &Error{
 				Key: fmt.Sprintf("settings.Classes[%d].Name", i), Value: class.Name,
@@ -55,7 +56,7 @@
 	return nil
 }
 
-// applyTimeouts sets the timeouts. Values of 0 and less count as not given.
+// applyTimeouts sets the timeouts. Values of 0 or less count as absent.
 func (c *Config) applyTimeouts(settings *nodeSettings) error {
 	var t translator
 	var idle, connect, drain time.Duration
@@ -68,7 +69,7 @@
 	return t.err
 }
 
-// positiveOr returns a value, or its default if it is not positive.
+// positiveOr returns value if it is positive and defaultValue otherwise.
 func positiveOr(value, defaultValue time.Duration) time.Duration {
 	if value > 0 {
 		return value
