--- a/internal/config/translator.go
+++ b/internal/config/translator.go
@@ -7,20 +7,21 @@
 	"calicohinge/policy"
 )
 
-// translator translates the operators' values. It keeps its first error, so that a caller can translate many
-// values and check once. Its keys are those of settingsTable, with indexes.
+// translator translates the values of settings. It keeps the first error, so that a caller can translate many
+// values and check for an error once. Keys have the form used in settingsTable, but with the index of an element
+// in place of "[]".
 type translator struct {
 	err error
 }
 
-// fail records an error, unless there is one already.
+// fail records an error about the value of a key, unless an earlier error is already recorded.
 func (t *translator) fail(key string, value any, allowed string) {
 	if t.err == nil {
 		t.err = &Error{Key: joinKeys(settingsKey, key), Value: value, Allowed: allowed}
 	}
 }
 
-// duration sets the field to a time given in milliseconds; nil leaves it as it is.
+// duration sets the field to a time in milliseconds. If ms is nil, the field is unchanged.
 func (t *translator) duration(field *time.Duration, key string, ms *float64) {
 	if ms == nil {
 		return
@@ -33,7 +34,7 @@
 	*field = duration
 }
 
-// idempotency translates the effect of a class. An absent one counts as not idempotent.
+// idempotency translates the effect of a class. An absent effect means not idempotent.
 func (t *translator) idempotency(key, value string) policy.Idempotency {
 	switch value {
 	case "pure":
@@ -47,8 +48,8 @@
 	return policy.NotIdempotent
 }
 
-// keyScope translates the scope of a class's idempotency keys. An absent one counts as the
-// narrowest.
+// keyScope translates the scope of a class's idempotency keys. An absent scope means the narrowest,
+// "cell".
 func (t *translator) keyScope(key, value string) policy.KeyScope {
 	switch value {
 	case "all":
@@ -62,7 +63,7 @@
 	return policy.KeyScopeCell
 }
 
-// pollEndpoints translates the mode of discovery. An absent one counts as pushed.
+// pollEndpoints reports whether the discovery mode requires polling. An absent mode means "pushed".
 func (t *translator) pollEndpoints(value string) bool {
 	switch value {
 	case "on_request":
