--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -3,21 +3,20 @@
 import "syscall"
 
 const (
-	// defaultSockets is the number of sockets if the file gives none.
+	// defaultSockets applies if the file gives no number of sockets.
 	defaultSockets = 1024
-	// minSockets is the least number of sockets with which a node has enough for clients and servers.
+	// minSockets is the smallest number of sockets that suffices for clients and servers together.
 	minSockets = 64
 )
 
-// Limits are the resources that the operators grant the process. Cores and MemoryMB of 0
-// mean no limit.
+// Limits holds the resources that the process may use. For Cores and MemoryMB, 0 means no limit.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
 }
 
-// validate rejects negative numbers.
+// validate returns an error if a limit is negative.
 func (l Limits) validate() error {
 	const allowed = "at least 0"
 	switch {
@@ -31,9 +30,10 @@
 	return nil
 }
 
-// effectiveSockets returns the number of sockets to use: the operators' number or its default, but no more than
-// the system's limit of open files. A node at that limit could not accept clients or connect to discovery and
-// servers, and would not evict an idle client to free a socket.
+// effectiveSockets returns the number of sockets to use: the configured number, or the default if that is 0, but
+// no more than the process's limit of open files. With a larger number, the node would reach the limit of open
+// files before its own: it could then neither accept clients nor connect to discovery and servers, and would not
+// evict idle clients to free sockets.
 func effectiveSockets(configured int) (int, error) {
 	sockets := configured
 	if sockets == 0 {
