--- a/internal/config/address.go
+++ b/internal/config/address.go
@@ -5,10 +5,10 @@
 	"strconv"
 )
 
-// addressFormat describes the allowed addresses.
+// addressFormat describes a valid address in error messages.
 const addressFormat = "an address of the form host:port"
 
-// validateAddress checks the form of an address found under a key.
+// validateAddress checks that the address configured under key has the form host:port.
 func validateAddress(key, address string) error {
 	_, port, err := net.SplitHostPort(address)
 	if err == nil {
