--- a/internal/config/error.go
+++ b/internal/config/error.go
@@ -7,17 +7,18 @@
 	"reflect"
 )
 
-// Error reports a configuration that cannot be used. Its text is one line and names the
-// key as the operators write it.
+// Error reports an invalid configuration. Its text is a single line that names the key as it is
+// written in the configuration.
 type Error struct {
-	File    string // path of the configuration file; empty where the text came from elsewhere
+	File    string // path of the configuration file; empty if the value is not from a file
 	Key     string // such as "limits.sockets", "settings.Classes[2].DeadlineMs" or "BALANCER_CONFIG"
-	Value   any    // the value found, nil where there is none
-	Allowed string // the allowed values in words, such as "at least 64"; empty where Err says what is wrong
+	Value   any    // the invalid value; nil if it is missing
+	Allowed string // description of the allowed values, such as "at least 64"; empty if Err describes the fault
 	Err     error  // the cause; may be nil
 }
 
-// Error says where the fault is and, if Allowed is set, what is expected, otherwise the cause.
+// Error returns the file, the key, the value and the allowed values. If Allowed is empty, the cause replaces the
+// last two.
 func (e *Error) Error() string {
 	text := "configuration"
 	if e.File != "" {
@@ -41,7 +42,7 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// withFile adds the path of the file to an error of this package.
+// withFile sets the path of the file in an *Error and returns it. Other errors are returned unchanged.
 func withFile(err error, path string) error {
 	if configError, ok := errors.AsType[*Error](err); ok {
 		configError.File = path
@@ -49,13 +50,13 @@
 	return err
 }
 
-// jsonType is the Value of an error about a value of a wrong type. encoding/json does not give that value but
-// its type, such as "string" or "number 1.5".
+// jsonType is the Value of an error about a value of the wrong JSON type. encoding/json reports only the type of
+// the value, such as "string" or "number 1.5".
 type jsonType string
 
 func (t jsonType) String() string { return "a JSON " + string(t) }
 
-// decodeJSON decodes the text found under key; the empty key stands for the whole file.
+// decodeJSON decodes the JSON text at the given key. An empty key stands for the whole file.
 func decodeJSON(text []byte, key string, target any) error {
 	err := json.Unmarshal(text, target)
 	if err == nil {
@@ -71,7 +72,7 @@
 	}
 }
 
-// joinKeys joins two paths of keys, each of which may be empty.
+// joinKeys joins two key paths with a dot. Either may be empty.
 func joinKeys(outer, inner string) string {
 	if outer == "" || inner == "" {
 		return outer + inner
@@ -79,7 +80,7 @@
 	return outer + "." + inner
 }
 
-// allowedJSONType describes the JSON values that a Go type holds.
+// allowedJSONType describes the JSON values that can be decoded into a Go type.
 func allowedJSONType(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.Bool:
