--- a/internal/config/setting_error.go
+++ b/internal/config/setting_error.go
@@ -6,8 +6,8 @@
 	"calicohinge/policy"
 )
 
-// translateSettingError turns an error of policy.Settings.Validate into one that names the
-// operators' key and gives the value in their unit.
+// translateSettingError converts an error of policy.Settings.Validate into an *Error that names
+// the key of the setting and gives the value in the unit of the setting.
 func translateSettingError(err error) error {
 	settingError, ok := errors.AsType[*policy.SettingError](err)
 	if !ok {
