--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -26,7 +26,8 @@
 	return path
 }
 
-// fakeGetenv returns a getenv that knows the path of the file and the other variables.
+// fakeGetenv returns a substitute for os.Getenv. BALANCER_CONFIG has the given path, and overrides holds the other
+// variables.
 func fakeGetenv(path string, overrides map[string]string) func(string) string {
 	return func(name string) string {
 		if name == "BALANCER_CONFIG" {
@@ -36,13 +37,13 @@
 	}
 }
 
-// validFileWith returns a valid configuration file with additional keys, given as JSON, which may be invalid.
+// validFileWith returns a valid configuration file with additional JSON members inserted. They may make it invalid.
 func validFileWith(additional string) string {
 	return `{"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", ` + additional + `"settings": ` + validSettings + `}`
 }
 
-func TestLoadReadsTheFile(t *testing.T) {
-	path := writeConfigFile(t, `{"name": "n3", "listen": "10.0.0.4:8000", "discovery": "10.2.0.1:8500", "novel": [1],
+func TestLoadReadsConfigFile(t *testing.T) {
+	path := writeConfigFile(t, `{"name": "n3", "listen": "10.0.0.4:8000", "discovery": "10.2.0.1:8500", "unknown": [1],
 		"seed": "8c1f30d27a5be964", "limits": {"cores": 1.5, "memory_mb": 192, "sockets": 128},
 		"known": {"generation": 7, "instances": [{"instanceId": "s-1", "zone": "b"}]},
 		"settings": {"Balancers": 3, "Accounts": [{"Name": "one"}, {"Name": "two"}], "Zones": ["a", "b"],
@@ -79,7 +80,7 @@
 	}
 }
 
-func TestLoadKeepsDefaultsWithoutTheOptionalKeys(t *testing.T) {
+func TestLoadUsesDefaultsForAbsentAndNullKeys(t *testing.T) {
 	for name, additional := range map[string]string{"absent": "", "null": `"limits": null, "seed": null, `} {
 		config, err := Load(fakeGetenv(writeConfigFile(t, validFileWith(additional)), nil))
 		if err != nil {
@@ -88,12 +89,12 @@
 		if config.Seed != 0 || config.IdleTimeout != 15*time.Second ||
 			config.ConnectTimeout != 250*time.Millisecond || config.DrainGrace != 0 ||
 			config.Limits.Cores != 0 || config.Limits.MemoryMB != 0 || config.Limits.Sockets > 1024 {
-			t.Errorf("%s: configuration %+v", name, config)
+			t.Errorf("%s keys: configuration %+v, want the defaults", name, config)
 		}
 	}
 }
 
-func TestLoadCountsTimeoutsOfZeroAndLessAsAbsent(t *testing.T) {
+func TestLoadTreatsNonPositiveTimeoutsAsAbsent(t *testing.T) {
 	config, err := Load(fakeGetenv(writeConfigFile(t, `{"listen": ":0", "discovery": ":1", "settings": {
 		"Classes": [{"Name": "read", "DeadlineMs": 100}],
 		"Limits": {"ConnIdleMs": 0, "ConnectTimeoutMs": -3}, "Contract": {"DrainGraceMs": -1}}}`), nil))
@@ -101,22 +102,24 @@
 		t.Fatal(err)
 	}
 	if config.IdleTimeout != 15*time.Second || config.ConnectTimeout != 250*time.Millisecond || config.DrainGrace != 0 {
-		t.Errorf("timeouts %v, %v, %v", config.IdleTimeout, config.ConnectTimeout, config.DrainGrace)
+		t.Errorf("idle timeout %v, connect timeout %v, drain grace %v, want 15s, 250ms and 0s",
+			config.IdleTimeout, config.ConnectTimeout, config.DrainGrace)
 	}
 }
 
-func TestEnvironmentOverridesTheFileAtTheStart(t *testing.T) {
+func TestLoadPrefersEnvironmentToFile(t *testing.T) {
 	config, err := Load(fakeGetenv(writeConfigFile(t, validFileWith(`"name": "n1", `)), map[string]string{
 		"BALANCER_NAME": "n2", "BALANCER_LISTEN": "127.0.0.1:7", "BALANCER_DISCOVERY": "127.0.0.1:8"}))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if config.Name != "n2" || config.Listen != "127.0.0.1:7" || config.Discovery != "127.0.0.1:8" {
-		t.Errorf("name %q, listen %q, discovery %q", config.Name, config.Listen, config.Discovery)
+		t.Errorf("name %q, listen %q, discovery %q, want the values of the environment",
+			config.Name, config.Listen, config.Discovery)
 	}
 }
 
-func TestEnvironmentSuppliesAddressesThatTheFileLacks(t *testing.T) {
+func TestEnvironmentSuppliesAddressesMissingInFile(t *testing.T) {
 	path := writeConfigFile(t, `{"settings": `+validSettings+`}`)
 	for missing, overrides := range map[string]map[string]string{
 		"":          {"BALANCER_LISTEN": "127.0.0.1:7", "BALANCER_DISCOVERY": "127.0.0.1:8"},
@@ -126,78 +129,111 @@
 		_, err := Load(fakeGetenv(path, overrides))
 		if missing == "" {
 			if err != nil {
-				t.Errorf("both given: error %v", err)
+				t.Errorf("both addresses in the environment: error %v", err)
 			}
 			continue
 		}
 		configError, ok := errors.AsType[*Error](err)
 		if !ok || configError.Key != missing || configError.Value != nil {
-			t.Errorf("error %v, want one for the missing %s", err, missing)
+			t.Errorf("error %v, want one that reports %s as missing", err, missing)
 		}
 	}
 }
 
-func TestBadAddressFromTheEnvironmentNamesTheVariable(t *testing.T) {
+func TestInvalidAddressFromEnvironmentNamesVariable(t *testing.T) {
 	_, err := Load(fakeGetenv(writeConfigFile(t, validFileWith("")), map[string]string{"BALANCER_DISCOVERY": "nowhere"}))
 	configError, ok := errors.AsType[*Error](err)
 	if !ok || configError.Key != "BALANCER_DISCOVERY" || configError.File != "" ||
 		configError.Value != "nowhere" {
-		t.Errorf("error %+v, want one that names BALANCER_DISCOVERY and no file", err)
+		t.Errorf("error %+v, want one that names BALANCER_DISCOVERY but no file", err)
 	}
 }
 
-func TestReloadDiscoveryPrefersTheFileToTheEnvironment(t *testing.T) {
+func TestReloadDiscoveryPrefersFileToEnvironment(t *testing.T) {
 	path := writeConfigFile(t, validFileWith(""))
 	overrides := map[string]string{"BALANCER_DISCOVERY": "127.0.0.1:8"}
 	if address, err := ReloadDiscovery(fakeGetenv(path, overrides)); err != nil || address != "127.0.0.1:1" {
-		t.Errorf("address %q, error %v", address, err)
+		t.Errorf("address %q, error %v, want the address in the file", address, err)
 	}
 }
 
-// invalidFiles returns files that neither Load nor ReloadDiscovery accepts, each with the key and a part of the
-// text of its error.
+// invalidFiles returns files that both Load and ReloadDiscovery reject, each with the key of the error and a part of
+// its text.
 func invalidFiles() map[string]struct{ text, key, part string } {
 	withSettings := func(settings string) string {
 		return `{"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": ` + settings + `}`
 	}
 	return map[string]struct{ text, key, part string }{
-		"empty":             {``, "", "unexpected end of JSON input"},
-		"no object":         {`[1]`, "", "a JSON array, must be an object"},
-		"cut off":           {`{"listen": "127.0.0.1:0"`, "", "unexpected end of JSON input"},
-		"line break":        {"{\"name\": \"a\nb\"}", "", `invalid character '\n'`},
-		"mistyped name":     {validFileWith(`"name": 3, `), "name", "a JSON number, must be a string"},
-		"mistyped limit":    {validFileWith(`"limits": {"sockets": "all"}, `), "limits.sockets", "must be a whole number"},
-		"fractional limit":  {validFileWith(`"limits": {"sockets": 99.5}, `), "limits.sockets", "a JSON number 99.5"},
-		"negative cores":    {validFileWith(`"limits": {"cores": -1}, `), "limits.cores", "is -1, must be at least 0"},
-		"negative memory":   {validFileWith(`"limits": {"memory_mb": -2}, `), "limits.memory_mb", "is -2, must be"},
-		"negative sockets":  {validFileWith(`"limits": {"sockets": -3}, `), "limits.sockets", "is -3, must be"},
-		"too few sockets":   {validFileWith(`"limits": {"sockets": 63}, `), "limits.sockets", "is 63, must be at least 64"},
-		"mistyped list":     {validFileWith(`"known": {"generation": -1}, `), "known.generation", "of at least 0"},
-		"malformed seed":    {validFileWith(`"seed": "x", `), "seed", `is "x", must be a hexadecimal number`},
-		"seed too long":     {validFileWith(`"seed": "10000000000000000", `), "seed", "must be a hexadecimal number"},
-		"no settings":       {`{"listen": ":0", "discovery": ":1"}`, "settings", "missing, must be an object"},
-		"settings list":     {withSettings(`[]`), "settings", "is a JSON array, must be an object"},
-		"no class":          {withSettings(`{}`), "settings.Classes", "is 0, must be at least 1"},
-		"unnamed class":     {withSettings(`{"Classes": [{"DeadlineMs": 8}]}`), "settings.Classes[0].Name", `is "", must`},
-		"class with slash":  {withSettings(`{"Classes": [{"Name": "a/b", "DeadlineMs": 8}]}`), "settings.Classes[0].Name", `"a/b"`},
-		"class named twice": {withSettings(`{"Classes": [{"Name": "a", "DeadlineMs": 8}, {"Name": "a", "DeadlineMs": 8}]}`), "settings.Classes[1].Name", `is "a", must be a name that no other`},
-		"unknown effect":    {withSettings(`{"Classes": [{"Name": "a", "Effect": "odd"}]}`), "settings.Classes[0].Effect", `is "odd", must be "pure", "token" or`},
-		"mistyped deadline": {withSettings(`{"Classes": [{"DeadlineMs": "soon"}]}`), "settings.Classes.DeadlineMs", "must be a number"},
-		"deadline too long": {withSettings(`{"Classes": [{"DeadlineMs": 1e300}]}`), "settings.Classes[0].DeadlineMs", "is 1e+300, must be"},
-		"impossible share":  {withSettings(`{"Classes": [{"DeadlineMs": 8}], "Contract": {"ColdFrom": 2}}`), "settings.Contract.ColdFrom", "between 0 and 1"},
-		"idle time too long": {withSettings(`{"Classes": [{"Name": "a", "DeadlineMs": 8}], "Limits": {"ConnIdleMs": 1e300}}`),
-			"settings.Limits.ConnIdleMs", "is 1e+300, must be"},
-		"connect timeout too long": {withSettings(`{"Classes": [{"Name": "a", "DeadlineMs": 8}], "Limits": {"ConnectTimeoutMs": 1e13}}`),
-			"settings.Limits.ConnectTimeoutMs", "is 1e+13, must be"},
-		"drain grace too long": {withSettings(`{"Classes": [{"Name": "a", "DeadlineMs": 8}], "Contract": {"DrainGraceMs": -1e300}}`),
-			"settings.Contract.DrainGraceMs", "is -1e+300, must be"},
-		"mistyped zones":      {withSettings(`{"Classes": [{"Name": "a", "DeadlineMs": 8}], "Zones": [1]}`), "settings.Zones", "must be a string"},
-		"malformed discovery": {strings.Replace(validFileWith(""), "127.0.0.1:1", "nowhere", 1), "discovery", `is "nowhere", must be an address`},
-		"impossible port":     {strings.Replace(validFileWith(""), "127.0.0.1:1", "127.0.0.1:700000", 1), "discovery", "must be an address"},
+		"empty":               {``, "", "unexpected end of JSON input"},
+		"not an object":       {`[1]`, "", "a JSON array, must be an object"},
+		"truncated":           {`{"listen": "127.0.0.1:0"`, "", "unexpected end of JSON input"},
+		"line break":          {"{\"name\": \"a\nb\"}", "", `invalid character '\n'`},
+		"name not a string":   {validFileWith(`"name": 3, `), "name", "a JSON number, must be a string"},
+		"sockets not numeric": {validFileWith(`"limits": {"sockets": "all"}, `), "limits.sockets", "must be a whole number"},
+		"fractional sockets":  {validFileWith(`"limits": {"sockets": 99.5}, `), "limits.sockets", "a JSON number 99.5"},
+		"negative cores":      {validFileWith(`"limits": {"cores": -1}, `), "limits.cores", "is -1, must be at least 0"},
+		"negative memory":     {validFileWith(`"limits": {"memory_mb": -2}, `), "limits.memory_mb", "is -2, must be"},
+		"negative sockets":    {validFileWith(`"limits": {"sockets": -3}, `), "limits.sockets", "is -3, must be"},
+		"too few sockets":     {validFileWith(`"limits": {"sockets": 63}, `), "limits.sockets", "is 63, must be at least 64"},
+		"negative generation": {validFileWith(`"known": {"generation": -1}, `), "known.generation", "of at least 0"},
+		"malformed seed":      {validFileWith(`"seed": "x", `), "seed", `is "x", must be a hexadecimal number`},
+		"seed too long":       {validFileWith(`"seed": "10000000000000000", `), "seed", "must be a hexadecimal number"},
+		"settings missing":    {`{"listen": ":0", "discovery": ":1"}`, "settings", "missing, must be an object"},
+		"settings array":      {withSettings(`[]`), "settings", "is a JSON array, must be an object"},
+		"no classes":          {withSettings(`{}`), "settings.Classes", "is 0, must be at least 1"},
+		"unnamed class":       {withSettings(`{"Classes": [{"DeadlineMs": 8}]}`), "settings.Classes[0].Name", `is "", must`},
+		"class name with slash": {
+			withSettings(`{"Classes": [{"Name": "a/b", "DeadlineMs": 8}]}`),
+			"settings.Classes[0].Name", `"a/b"`,
+		},
+		"duplicate class name": {
+			withSettings(`{"Classes": [{"Name": "a", "DeadlineMs": 8}, {"Name": "a", "DeadlineMs": 8}]}`),
+			"settings.Classes[1].Name", `is "a", must be a name that no other`,
+		},
+		"unknown effect": {
+			withSettings(`{"Classes": [{"Name": "a", "Effect": "unknown"}]}`),
+			"settings.Classes[0].Effect", `is "unknown", must be "pure", "token" or`,
+		},
+		"deadline not a number": {
+			withSettings(`{"Classes": [{"DeadlineMs": "x"}]}`),
+			"settings.Classes.DeadlineMs", "must be a number",
+		},
+		"deadline out of range": {
+			withSettings(`{"Classes": [{"DeadlineMs": 1e300}]}`),
+			"settings.Classes[0].DeadlineMs", "is 1e+300, must be",
+		},
+		"share out of range": {
+			withSettings(`{"Classes": [{"DeadlineMs": 8}], "Contract": {"ColdFrom": 2}}`),
+			"settings.Contract.ColdFrom", "between 0 and 1",
+		},
+		"idle timeout out of range": {
+			withSettings(`{"Classes": [{"Name": "a", "DeadlineMs": 8}], "Limits": {"ConnIdleMs": 1e300}}`),
+			"settings.Limits.ConnIdleMs", "is 1e+300, must be",
+		},
+		"connect timeout out of range": {
+			withSettings(`{"Classes": [{"Name": "a", "DeadlineMs": 8}], "Limits": {"ConnectTimeoutMs": 1e13}}`),
+			"settings.Limits.ConnectTimeoutMs", "is 1e+13, must be",
+		},
+		"drain grace out of range": {
+			withSettings(`{"Classes": [{"Name": "a", "DeadlineMs": 8}], "Contract": {"DrainGraceMs": -1e300}}`),
+			"settings.Contract.DrainGraceMs", "is -1e+300, must be",
+		},
+		"zone not a string": {
+			withSettings(`{"Classes": [{"Name": "a", "DeadlineMs": 8}], "Zones": [1]}`),
+			"settings.Zones", "must be a string",
+		},
+		"malformed discovery address": {
+			strings.Replace(validFileWith(""), "127.0.0.1:1", "nowhere", 1),
+			"discovery", `is "nowhere", must be an address`,
+		},
+		"port out of range": {
+			strings.Replace(validFileWith(""), "127.0.0.1:1", "127.0.0.1:700000", 1),
+			"discovery", "must be an address",
+		},
 	}
 }
 
-func TestBadFilesNameTheFileKeyAndValue(t *testing.T) {
+func TestErrorsOfInvalidFilesNameFileKeyAndValue(t *testing.T) {
 	for name, invalid := range invalidFiles() {
 		t.Run(name, func(t *testing.T) {
 			path := writeConfigFile(t, invalid.text)
@@ -211,14 +247,14 @@
 				}
 				if !strings.Contains(err.Error(), path) || !strings.Contains(err.Error(), invalid.key) ||
 					!strings.Contains(err.Error(), invalid.part) || strings.Contains(err.Error(), "\n") {
-					t.Errorf("error %q, want one line with %q", err, invalid.part)
+					t.Errorf("error %q, want a single line that contains %q", err, invalid.part)
 				}
 			}
 		})
 	}
 }
 
-func TestAbsentFileIsReported(t *testing.T) {
+func TestMissingFileIsReported(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "none.json")
 	for name, getenv := range map[string]func(string) string{
 		path:              fakeGetenv(path, nil),
