--- a/internal/config/example_config_test.go
+++ b/internal/config/example_config_test.go
@@ -9,7 +9,7 @@
 
 const exampleConfig = "../../deploy/example/config.json"
 
-// loadExample loads the example configuration with the given environment.
+// loadExample loads the example configuration with the given environment variables.
 func loadExample(t *testing.T, overrides map[string]string) *Config {
 	t.Helper()
 	loaded, err := Load(func(name string) string {
@@ -24,18 +24,20 @@
 	return loaded
 }
 
-// The example is what a newcomer starts from, so it has to load and to build a Balancer.
-func TestExampleConfigurationLoads(t *testing.T) {
+// New operators start from the example, so it must be valid for Load and for policy.New.
+func TestExampleConfigurationIsValid(t *testing.T) {
 	loaded := loadExample(t, nil)
 	if loaded.Name != "node-0" || loaded.Listen != "127.0.0.1:8000" || loaded.Discovery != "127.0.0.1:8500" {
-		t.Errorf("name %q, listen %q, discovery %q", loaded.Name, loaded.Listen, loaded.Discovery)
+		t.Errorf("name %q, listen %q, discovery %q, want the values of the example",
+			loaded.Name, loaded.Listen, loaded.Discovery)
 	}
 	if len(loaded.CachedList.Endpoints) != 2 {
 		t.Errorf("%d cached endpoints, want 2", len(loaded.CachedList.Endpoints))
 	}
 	for _, server := range loaded.CachedList.Endpoints {
 		if _, knownZone := loaded.Zones[server.Zone]; !knownZone || server.State != policy.Ready {
-			t.Errorf("endpoint %x: zone %q, state %v", server.ID, server.Zone, server.State)
+			t.Errorf("endpoint %x: zone %q, state %v, want a configured zone and a ready server",
+				server.ID, server.Zone, server.State)
 		}
 	}
 	if loaded.ConnectTimeout != 150*time.Millisecond || loaded.DrainGrace != time.Second {
@@ -46,8 +48,8 @@
 	}
 }
 
-// Each class of the example shows one kind of idempotency.
-func TestExampleConfigurationShowsEveryKindOfClass(t *testing.T) {
+// The example has one class for each kind of idempotency.
+func TestExampleConfigurationHasEachKindOfIdempotency(t *testing.T) {
 	loaded := loadExample(t, nil)
 	want := map[string]policy.Idempotency{
 		"read": policy.Idempotent, "order": policy.IdempotentWithKey, "notify": policy.NotIdempotent,
@@ -55,7 +57,7 @@
 	for name, idempotency := range want {
 		index, listed := loaded.Classes[name]
 		if !listed || loaded.Policy.Classes[index].Idempotency != idempotency {
-			t.Errorf("class %s: listed %v, want it to be %v", name, listed, idempotency)
+			t.Errorf("class %s: found %v, want it to be %v", name, listed, idempotency)
 		}
 	}
 	if len(loaded.Classes) != len(want) {
@@ -68,6 +70,7 @@
 		"BALANCER_NAME": "node-7", "BALANCER_LISTEN": "127.0.0.1:8007", "BALANCER_DISCOVERY": "127.0.0.1:8507",
 	})
 	if loaded.Name != "node-7" || loaded.Listen != "127.0.0.1:8007" || loaded.Discovery != "127.0.0.1:8507" {
-		t.Errorf("name %q, listen %q, discovery %q", loaded.Name, loaded.Listen, loaded.Discovery)
+		t.Errorf("name %q, listen %q, discovery %q, want the values of the environment",
+			loaded.Name, loaded.Listen, loaded.Discovery)
 	}
 }
