--- a/internal/config/setting_error_test.go
+++ b/internal/config/setting_error_test.go
@@ -10,7 +10,7 @@
 	"calicohinge/policy"
 )
 
-// invalidateNumbers gives every number below the value an impossible value.
+// invalidateNumbers sets every number in value, at any depth, to an invalid one.
 func invalidateNumbers(value reflect.Value) {
 	switch value.Kind() {
 	case reflect.Struct:
@@ -27,11 +27,11 @@
 		value.SetInt(-1)
 	case reflect.Float64:
 		value.SetFloat(-1)
-	default: // every bool is possible
+	default: // every bool is valid
 	}
 }
 
-// setValidNumber gives the field at a path such as "Classes[0].Deadline" a possible value.
+// setValidNumber sets the number at a path such as "Classes[0].Deadline" to a valid one.
 func setValidNumber(t *testing.T, settings *policy.Settings, path string) {
 	t.Helper()
 	value := reflect.ValueOf(settings).Elem()
@@ -50,17 +50,17 @@
 	case reflect.Float64:
 		value.SetFloat(1)
 	default:
-		t.Fatalf("field %s has no number: %v", path, value.Kind())
+		t.Fatalf("field %s is not a number but a %v", path, value.Kind())
 	}
 }
 
-// rejectedFields returns the fields that Validate names, found by repairing one after the other
-// in settings that are wrong throughout.
+// rejectedFields returns every field that an error of Validate can name. It starts from settings in
+// which all numbers are invalid, and corrects the field that Validate reports until none is left.
 func rejectedFields(t *testing.T) []string {
 	t.Helper()
 	settings := policy.Settings{Classes: make([]policy.Class, 3), Tenants: make([]policy.Tenant, 2)}
 	invalidateNumbers(reflect.ValueOf(&settings).Elem())
-	fields := []string{"Classes"} // named for an empty list only
+	fields := []string{"Classes"} // reported only if the list is empty
 	for {
 		err := settings.Validate()
 		if err == nil {
@@ -75,7 +75,7 @@
 	}
 }
 
-func TestEveryFieldThatValidateNamesHasAKey(t *testing.T) {
+func TestEachFieldRejectedByValidateHasKey(t *testing.T) {
 	want := map[string]string{
 		"Nodes": "Balancers", "Node": "Me", "Zone": "Locality", "Classes": "Classes",
 		"OverQuotaFraction": "OverShareWorth", "Tick": "TickMs",
@@ -98,24 +98,24 @@
 	for _, field := range rejectedFields(t) {
 		got, ok := settingForField(field)
 		if !ok || got.key != want[field] {
-			t.Errorf("field %s: key %q, in the table %v, want %q", field, got.key, ok, want[field])
+			t.Errorf("field %s: key %q, in the table: %v, want %q", field, got.key, ok, want[field])
 		}
 		delete(want, field)
 	}
 	for field := range want {
-		t.Errorf("Validate does not name %s", field)
+		t.Errorf("Validate did not reject the invalid %s", field)
 	}
 }
 
 func TestUnknownFieldsHaveNoKey(t *testing.T) {
-	for _, field := range []string{"", "Novel", "Classes[0].Novel", "Tenants[0].Novel", "Novel[0].Deadline"} {
+	for _, field := range []string{"", "Unknown", "Classes[0].Unknown", "Tenants[0].Unknown", "Unknown[0].Deadline"} {
 		if found, ok := settingForField(field); ok {
 			t.Errorf("field %q has the key %q, want none", field, found.key)
 		}
 	}
 }
 
-func TestImpossibleSettingsNameTheKeyAndTheOperatorsValue(t *testing.T) {
+func TestErrorsOfInvalidSettingsNameKeyAndConfiguredValue(t *testing.T) {
 	for text, want := range map[string]Error{
 		`{}`:                 {Key: "settings.Classes", Value: 0, Allowed: "at least 1"},
 		`{"Balancers": 0}`:   {Key: "settings.Balancers", Value: 0, Allowed: "at least 1"},
@@ -149,11 +149,11 @@
 	}
 }
 
-func TestErrorOfAnImpossibleSettingWrapsThePolicyError(t *testing.T) {
+func TestErrorOfInvalidSettingWrapsPolicyError(t *testing.T) {
 	_, err := ParseSettings([]byte(`{"Classes": [{"DeadlineMs": -5}]}`))
 	settingError, ok := errors.AsType[*policy.SettingError](err)
 	if !ok || settingError.Field != "Classes[0].Deadline" {
-		t.Errorf("error %v wraps %+v, want the field Classes[0].Deadline", err, settingError)
+		t.Errorf("error %v wraps %+v, want a *policy.SettingError of the field Classes[0].Deadline", err, settingError)
 	}
 	const want = "configuration: settings.Classes[0].DeadlineMs is -5, must be more than 0"
 	if err.Error() != want {
