--- a/internal/config/settings_table_test.go
+++ b/internal/config/settings_table_test.go
@@ -13,8 +13,8 @@
 	"calicohinge/policy"
 )
 
-// valueTypes returns the paths of the values in a struct type with their types, by the names in JSON. A list of
-// structs is a value, and so are the values in its elements.
+// valueTypes returns the type of each value in a struct type, by its path. The parts of a path are JSON names, or
+// field names if there are no tags. A list of structs has an entry itself, and so do the values in its elements.
 func valueTypes(structType reflect.Type, prefix string) map[string]reflect.Type {
 	found := map[string]reflect.Type{}
 	for field := range structType.Fields() {
@@ -39,12 +39,12 @@
 	return found
 }
 
-// checkSameElements fails the test for each element that is in one list only.
+// checkSameElements reports an error for each element that is in only one of the lists.
 func checkSameElements(t *testing.T, got, want []string) {
 	t.Helper()
 	for _, element := range got {
 		if !slices.Contains(want, element) {
-			t.Errorf("%s is not expected", element)
+			t.Errorf("%s is unexpected", element)
 		}
 	}
 	for _, element := range want {
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestTableHasEachKeyThatIsDecodedOnce(t *testing.T) {
+func TestTableHasEachDecodedKeyOnce(t *testing.T) {
 	decoded := valueTypes(reflect.TypeFor[settingsJSON](), "")
 	maps.Copy(decoded, valueTypes(reflect.TypeFor[nodeSettings](), ""))
 	var keys []string
@@ -67,7 +67,7 @@
 	checkSameElements(t, keys, slices.Collect(maps.Keys(decoded)))
 }
 
-func TestTableHasEachFieldOfThePolicyOnce(t *testing.T) {
+func TestTableHasEachPolicyFieldOnce(t *testing.T) {
 	fields := valueTypes(reflect.TypeFor[policy.Settings](), "")
 	var mapped []string
 	for _, s := range settingsTable() {
@@ -80,21 +80,21 @@
 		mapped = append(mapped, s.field)
 		isDuration := fields[s.field] == reflect.TypeFor[time.Duration]()
 		if isDuration != (s.kind == kindMilliseconds) {
-			t.Errorf("%s has the kind %d, is a duration: %v", s.field, s.kind, isDuration)
+			t.Errorf("%s has the kind %d; its field is a duration: %v", s.field, s.kind, isDuration)
 		}
 	}
 	checkSameElements(t, mapped, slices.Collect(maps.Keys(fields)))
 }
 
-func TestKeysOfMillisecondsSayTheirUnit(t *testing.T) {
+func TestKeysEndInMsIfInMilliseconds(t *testing.T) {
 	for _, s := range settingsTable() {
 		if strings.HasSuffix(s.key, "Ms") != (s.kind == kindMilliseconds) {
-			t.Errorf("%s has the kind %d", s.key, s.kind)
+			t.Errorf("%s has the kind %d, want kindMilliseconds exactly if the key ends in Ms", s.key, s.kind)
 		}
 	}
 }
 
-// settingsWithOnly returns settings that have one key only, with a value in JSON.
+// settingsWithOnly returns settings that consist of a single key with a JSON value.
 func settingsWithOnly(key, value string) string {
 	path := strings.Split(key, ".")
 	for _, name := range slices.Backward(path) {
@@ -107,8 +107,8 @@
 	return value
 }
 
-// A value that cannot be translated is reported under the key of the table.
-func TestUntranslatableSettingsNameTheirKey(t *testing.T) {
+// Each key that the package passes to the translator must be the one in the table.
+func TestErrorsOfUntranslatableValuesNameKey(t *testing.T) {
 	invalidValues := map[kind]string{kindMilliseconds: "1e300", kindEnum: `"unknown"`}
 	for _, s := range settingsTable() {
 		value, canBeInvalid := invalidValues[s.kind]
@@ -122,15 +122,15 @@
 		}
 		want := settingsKey + "." + strings.Replace(s.key, "[]", "[0]", 1)
 		if got, ok := errors.AsType[*Error](err); !ok || got.Key != want {
-			t.Errorf("%s: error %v, want one of %s", text, err, want)
+			t.Errorf("%s: error %v, want one with the key %s", text, err, want)
 		}
 	}
 }
 
-// documentedKey is a row of one of the tables of keys in docs/CONFIGURATION.md.
+// documentedKey is a row in one of the tables of keys in docs/CONFIGURATION.md.
 type documentedKey struct{ key, unit string }
 
-// documentedKeys returns the rows of the tables of keys in docs/CONFIGURATION.md.
+// documentedKeys returns the rows of all tables in docs/CONFIGURATION.md whose first column is "key".
 func documentedKeys(t *testing.T) []documentedKey {
 	t.Helper()
 	text, err := os.ReadFile("../../docs/CONFIGURATION.md")
@@ -141,7 +141,7 @@
 	header := ""
 	for line := range strings.Lines(string(text)) {
 		cells := strings.Split(line, "|")
-		if len(cells) < 3 { // not in a table
+		if len(cells) < 3 { // not a row of a table
 			header = ""
 			continue
 		}
@@ -155,28 +155,29 @@
 	return rows
 }
 
-// isSetting reports whether a key is one of the settings: the keys of the file start in lower case.
+// isSetting distinguishes the keys of the settings, which start with an upper-case letter, from the other keys of
+// the configuration file.
 func (r documentedKey) isSetting() bool { return strings.ToLower(r.key[:1]) != r.key[:1] }
 
-func TestPageHasEachSettingWithItsUnit(t *testing.T) {
+func TestDocumentationHasEachSettingWithUnit(t *testing.T) {
 	var documented, want []string
 	for _, row := range documentedKeys(t) {
 		if row.isSetting() {
 			documented = append(documented, row.key)
 			if (row.unit == "ms") != strings.HasSuffix(row.key, "Ms") {
-				t.Errorf("%s has the unit %q", row.key, row.unit)
+				t.Errorf("%s has the unit %q, want ms exactly if the key ends in Ms", row.key, row.unit)
 			}
 		}
 	}
 	for _, s := range settingsTable() {
-		if s.kind != kindList { // the settings of its elements have rows
+		if s.kind != kindList { // the documentation has rows for the settings of the elements instead
 			want = append(want, s.key)
 		}
 	}
 	checkSameElements(t, documented, want)
 }
 
-func TestPageHasEachKeyOfTheFile(t *testing.T) {
+func TestDocumentationHasEachConfigFileKey(t *testing.T) {
 	var documented, want []string
 	for _, row := range documentedKeys(t) {
 		if !row.isSetting() {
@@ -184,7 +185,7 @@
 		}
 	}
 	for key := range valueTypes(reflect.TypeFor[configFile](), "") {
-		if !strings.HasPrefix(key, "known.") { // the form of the list is that of discovery
+		if !strings.HasPrefix(key, "known.") { // the format of the endpoint list is that of discovery
 			want = append(want, key)
 		}
 	}
