--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -13,7 +13,7 @@
 	settings, err := ParseSettings([]byte(`{"Balancers": 2, "Locality": 1, "CountedBy": "work",
 		"RegistryMode": "on_request",
 		"Accounts": [{"Name": "a", "QuotaPerS": 84.0}], "OverShareWorth": 0.05,
-		"Novel": {"x": []},
+		"Unknown": {"x": []},
 		"Classes": [{"DeadlineMs": 1400.0, "DedupScope": "zone", "Effect": "token", "Importance": 2,
 			"KeyTtlMs": 5000,
 			"LateWorth": 0.5, "PromiseMs": 580, "Streaming": true, "AimStretch": 4}, {"DeadlineMs": 100}],
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestEachWordOfTheSettingsIsTranslated(t *testing.T) {
+func TestEachEnumeratedValueIsTranslated(t *testing.T) {
 	for word, want := range map[string]policy.Idempotency{
 		"pure": policy.Idempotent, "token": policy.IdempotentWithKey, "side_effect": policy.NotIdempotent,
 		"": policy.NotIdempotent,
@@ -82,7 +82,7 @@
 func TestRetryAfterIsOffUnlessPermitted(t *testing.T) {
 	settings, err := ParseSettings([]byte(`{"Classes": [{"DeadlineMs": 1}], "Limits": {"MaxRetryAfterMs": 600}}`))
 	if err != nil || settings.Limits.MaxRetryAfter != 0 {
-		t.Errorf("longest Retry-After %v, error %v, want 0", settings.Limits.MaxRetryAfter, err)
+		t.Errorf("MaxRetryAfter %v, error %v, want 0 and no error", settings.Limits.MaxRetryAfter, err)
 	}
 }
 
@@ -105,14 +105,14 @@
 	}
 }
 
-func TestErrorsOfUnknownWordsAndValuesNameTheKey(t *testing.T) {
+func TestErrorsOfInvalidValuesNameKey(t *testing.T) {
 	for text, key := range map[string]string{
-		`{`:                                     "settings",
-		`{"Classes": [{"Effect": "perhaps"}]}`:  "Classes[0].Effect",
-		`{"Classes": [{"DedupScope": "moon"}]}`: "Classes[0].DedupScope",
-		`{"RegistryMode": "sung"}`:              "RegistryMode",
-		`{"Limits": {"MaxAttempts": "many"}}`:   "MaxAttempts",
-		`{"Contract": {"ColdMs": 1e300}}`:       "settings.Contract.ColdMs is 1e+300",
+		`{`:                                    "settings",
+		`{"Classes": [{"Effect": "unknown"}]}`: "Classes[0].Effect",
+		`{"Classes": [{"DedupScope": "unknown"}]}`: "Classes[0].DedupScope",
+		`{"RegistryMode": "unknown"}`:              "RegistryMode",
+		`{"Limits": {"MaxAttempts": "many"}}`:      "MaxAttempts",
+		`{"Contract": {"ColdMs": 1e300}}`:          "settings.Contract.ColdMs is 1e+300",
 	} {
 		if _, err := ParseSettings([]byte(text)); err == nil || !strings.Contains(err.Error(), key) {
 			t.Errorf("%s: error %v does not name %s", text, err, key)
@@ -120,21 +120,21 @@
 	}
 }
 
-func TestErrorsOfMistypedSettingsNameTheKey(t *testing.T) {
+func TestErrorsOfInvalidTypesAndValuesNameKey(t *testing.T) {
 	for key, text := range map[string]string{
 		"Balancers":     `{"Balancers": "two"}`,
-		"DeadlineMs":    `{"Classes": [{"DeadlineMs": "soon"}]}`,
-		"Effect":        `{"Classes": [{"Effect": "odd"}]}`,
+		"DeadlineMs":    `{"Classes": [{"DeadlineMs": "x"}]}`,
+		"Effect":        `{"Classes": [{"Effect": "unknown"}]}`,
 		"ColdMs":        `{"Contract": {"ColdMs": []}}`,
-		"RegistryMode":  `{"RegistryMode": "guess"}`,
+		"RegistryMode":  `{"RegistryMode": "unknown"}`,
 		"QuotaPerS":     `{"Accounts": [{"QuotaPerS": "all"}]}`,
 		"FallMultiple":  `{"Contract": {"FallMultiple": {}}}`,
 		"SecondCopies":  `{"Limits": {"SecondCopies": 1}}`,
-		"TickMs":        `{"TickMs": "fast"}`,
+		"TickMs":        `{"TickMs": "x"}`,
 		"GraceToAnswer": `{"Contract": {"GraceToAnswerMs": true}}`,
 	} {
 		if _, err := ParseSettings([]byte(text)); err == nil || !strings.Contains(err.Error(), key) {
-			t.Errorf("%s: error %v does not name it", key, err)
+			t.Errorf("%s: error %v does not name the key %s", text, err, key)
 		}
 	}
 }
