--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,6 +1,6 @@
-// Command simadapter runs instances of the decision module in the simulator: it reads batches
-// of events from standard input and writes one reply of actions to each to standard output.
-// It exits when its input ends. It writes only errors to standard error.
+// Command simadapter runs instances of policy.Balancer for the simulator. It reads batches of
+// events from standard input and answers each batch with a reply of actions on standard
+// output. It exits when its input ends, and writes nothing but errors to standard error.
 package main
 
 import (
@@ -15,8 +15,8 @@
 )
 
 const (
-	// gcPercent trades memory for time: the live heap is small, and the simulator counts the
-	// time of collections.
+	// gcPercent trades memory for time: the live heap is small, and the simulator's time
+	// measurements include garbage collection.
 	gcPercent       = 800
 	writeBufferSize = 1 << 16
 )
@@ -29,7 +29,7 @@
 	}
 }
 
-// run replies to batches until the input ends between two of them.
+// run replies to batches until the input ends. An end within a batch is an error.
 func run(in io.Reader, out io.Writer) error {
 	adapter := newAdapter()
 	reader := simproto.NewReader(in)
