--- a/cmd/simadapter/adapter.go
+++ b/cmd/simadapter/adapter.go
@@ -12,28 +12,29 @@
 	"calicohinge/policy"
 )
 
-// errNoInstance is the cause of a *simproto.FormatError for an event when no open instance is
-// selected.
+// errNoInstance is the cause of the *simproto.FormatError for an event that requires an open
+// instance when none is selected.
 var errNoInstance = errors.New("the selected instance is not open")
 
-// adapter passes the events of batches to the instances and collects their actions. The
-// instances share nothing but the buffers of the reply.
+// adapter passes the events of each batch to the instances and collects their actions in a reply.
+// The buffers of the reply are all that the instances share.
 type adapter struct {
-	instances map[uint16]*policy.Balancer // by number; only those that are open
-	selected  uint16                      // the instance that the events concern
-	reply     simproto.Reply              // the actions of the current batch
-	event     simproto.Event              // reused, so that decoding need not allocate
+	instances map[uint16]*policy.Balancer // the open instances by number
+	selected  uint16                      // number of the instance that receives the events
+	reply     simproto.Reply              // actions of the current batch
+	event     simproto.Event              // reused to avoid allocations
 }
 
 func newAdapter() *adapter {
 	return &adapter{instances: map[uint16]*policy.Balancer{}}
 }
 
-// handleBatch passes on the events of a batch and replaces the reply. It returns a
-// *simproto.FormatError if an event is malformed or no instance can get it.
+// handleBatch passes the events of a batch to the selected instances and replaces the reply with
+// their actions. It returns a *simproto.FormatError if an event is malformed or no instance can
+// receive it.
 func (a *adapter) handleBatch(batch *simproto.Batch) error {
 	a.reply.Reset()
-	instanceSelected := false // a selection does not last beyond its batch
+	instanceSelected := false // each batch must select an instance anew
 	for i := range batch.Count {
 		event := &a.event
 		if err := batch.Event(i, event); err != nil {
@@ -59,14 +60,14 @@
 	a.reply.SelectInstance(instance)
 }
 
-// accepts reports whether the selected instance may get an event. An instance that is not open
-// may only be opened.
+// accepts reports whether the selected instance can receive an event. An instance that is not
+// open can receive only the event that opens it.
 func (a *adapter) accepts(code simproto.EventCode) bool {
 	return code == simproto.EventOpen || a.instances[a.selected] != nil
 }
 
-// handleEvent passes one event to the selected instance. A panic of the decision module is
-// reported as fatal, which ends the simulation.
+// handleEvent passes one event to the selected instance. If the instance panics, the panic is
+// reported to the simulator as a fatal action, which ends the simulation.
 func (a *adapter) handleEvent(batch *simproto.Batch, event *simproto.Event) {
 	defer func() {
 		if panicValue := recover(); panicValue != nil {
@@ -77,7 +78,7 @@
 	a.dispatch(batch.Now, event)
 }
 
-// dispatch calls the method of the selected instance that handles an event.
+// dispatch calls the method of the selected instance that handles the event.
 func (a *adapter) dispatch(now time.Duration, event *simproto.Event) {
 	balancer := a.instances[a.selected]
 	switch event.Code {
@@ -98,11 +99,11 @@
 	case simproto.EventTimer:
 		balancer.Timer(now, event.Token)
 	case simproto.EventProbeResult, simproto.EventPeerMessage, simproto.EventInstance:
-		// The instances use no probe results or peer messages; handleBatch selects instances.
+		// Instances use neither probe results nor peer messages. handleBatch handles EventInstance.
 	}
 }
 
-// updateEndpoints passes on an update of the endpoint list or the failure of a watch.
+// updateEndpoints passes an update of the endpoint list, or the failure of a watch, to the instance.
 func updateEndpoints(balancer *policy.Balancer, now time.Duration, event *simproto.Event) {
 	if event.WatchFailed {
 		balancer.WatchFailed(now, now+policy.NotificationDeadline)
@@ -111,7 +112,8 @@
 	balancer.UpdateEndpoints(now, event.Kind, event.Endpoints)
 }
 
-// open starts the selected instance anew. Settings that cannot be used are reported as fatal.
+// open creates the selected instance, or replaces it if it is already open. Invalid settings are
+// reported to the simulator as a fatal action.
 func (a *adapter) open(event *simproto.Event) {
 	settings, err := config.ParseSettings(event.Settings)
 	if err != nil {
