--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -13,8 +13,8 @@
 
 const settings = `{"Classes": [{"DeadlineMs": 1000, "Effect": "pure"}], "Limits": {"MaxAttempts": 2}}`
 
-// The sizes and codes of the protocol. They are not taken from package simproto, so that the
-// tests do not depend on the code that they test.
+// Sizes and codes of the protocol. They are repeated here instead of taken from package simproto,
+// so that a wrong value there fails the tests.
 const (
 	replyHeaderSize = 12
 	eventSize       = 48
@@ -33,28 +33,28 @@
 	actionFatal    = 77
 )
 
-// testInstance is the number of the instance in these tests.
+// testInstance is the number of the instance that the tests use.
 const testInstance = uint16(4)
 
-// encodeFields encodes values one after the other.
+// encodeFields encodes consecutive fields in big-endian order.
 func encodeFields(values ...any) []byte {
 	var raw []byte
 	for _, value := range values {
 		var err error
 		if raw, err = binary.Append(raw, binary.BigEndian, value); err != nil {
-			panic(err) // a type that has no fixed size
+			panic(err) // the type has no fixed size
 		}
 	}
 	return raw
 }
 
-// encodeEvent encodes an event from its fields, one after the other.
+// encodeEvent encodes an event record with the given fields, padded with zeros.
 func encodeEvent(fields ...any) []byte {
 	raw := encodeFields(fields...)
 	return append(raw, make([]byte, eventSize-len(raw))...)
 }
 
-// encodeBatch encodes batch 7, whose clock is 5,000 ms.
+// encodeBatch encodes a batch with the number 7 and a clock of 5,000 ms.
 func encodeBatch(tail string, records ...[]byte) []byte {
 	body := bytes.Join(records, nil)
 	header := encodeFields(uint32(len(body)+len(tail)), math.Float64bits(5000), uint32(len(records)), uint32(7))
@@ -63,13 +63,13 @@
 
 func selectInstanceEvent() []byte { return encodeEvent(eventInstance, testInstance) }
 
-// openInstanceEvent encodes the event that opens an instance. Its settings are at the start of the
-// tail.
+// openInstanceEvent encodes the event that opens the selected instance. It refers to settings at the
+// start of the tail.
 func openInstanceEvent(settings string) []byte {
 	return encodeEvent(eventOpen, uint64(1), uint32(0), uint32(len(settings)))
 }
 
-// actionCodes lists the action codes of all replies.
+// actionCodes returns the codes of the actions in all replies.
 func actionCodes(t *testing.T, replies []byte) []byte {
 	t.Helper()
 	var codes []byte
@@ -97,11 +97,11 @@
 		t.Fatal(err)
 	}
 	if got := actionCodes(t, out.Bytes()); !bytes.Equal(got, []byte{actionContext, actionSend, actionSetTimer}) {
-		t.Fatalf("action codes %v, want context, send and set timer", got)
+		t.Fatalf("action codes %v, want those of context, send and set timer", got)
 	}
 }
 
-func TestImpossibleSettingsAreReportedAsFatalWithTheirKey(t *testing.T) {
+func TestInvalidSettingsAreReportedAsFatalWithTheirKey(t *testing.T) {
 	text := `{"Classes": [{"DeadlineMs": -5, "Effect": "pure"}]}`
 	var out bytes.Buffer
 	if err := run(bytes.NewReader(encodeBatch(text, selectInstanceEvent(), openInstanceEvent(text))), &out); err != nil {
@@ -109,7 +109,7 @@
 	}
 	if !bytes.Contains(out.Bytes(), []byte("settings.Classes[0].DeadlineMs is -5")) ||
 		!bytes.Contains(actionCodes(t, out.Bytes()), []byte{actionFatal}) {
-		t.Fatalf("reply %q does not name the key and the value", out.Bytes())
+		t.Fatalf("reply %q, want a fatal action that names the key and the value", out.Bytes())
 	}
 }
 
@@ -123,7 +123,7 @@
 		var out bytes.Buffer
 		err := run(bytes.NewReader(in), &out)
 		if err == nil || !strings.Contains(err.Error(), "batch 7, record") {
-			t.Errorf("%s: error %v, want batch and record", name, err)
+			t.Errorf("%s: error %v, want one that names the batch and the record", name, err)
 		}
 	}
 }
@@ -139,6 +139,6 @@
 	}
 	if got := actionCodes(t, out.Bytes()); !bytes.Equal(got, []byte{actionContext, actionFatal}) ||
 		!bytes.Contains(out.Bytes(), []byte("panic")) {
-		t.Fatalf("action codes %v, want a context and fatal", got)
+		t.Fatalf("reply %q with action codes %v, want context, fatal and the text of the panic", out.Bytes(), got)
 	}
 }
