--- a/internal/wireformat/wireformat_test.go
+++ b/internal/wireformat/wireformat_test.go
@@ -1,6 +1,7 @@
-// Package wireformat compares with fixed texts what the programs exchange with other systems: calls to discovery
-// and the lists that it sends, requests to servers, responses to clients, the keys of the settings and the frames
-// of the simulator. Its tests run the programs and use no other package of this module.
+// Package wireformat tests that the external formats of the programs stay unchanged: calls to discovery and its
+// endpoint lists, requests to servers, responses to clients, configuration keys with their error messages, and
+// simulator frames. The tests run the programs and compare their output with fixed texts. They use no other
+// package of this module, so that a change of code elsewhere cannot change the expected texts.
 package wireformat
 
 import (
@@ -19,10 +20,10 @@
 	"time"
 )
 
-// waitTimeout ends a test that fails. It never delays one that passes.
+// waitTimeout limits each wait, so that a failing test ends. It does not delay a passing test.
 const waitTimeout = 20 * time.Second
 
-// buildProgram builds a program of this module and returns its path.
+// buildProgram builds the program in cmd/name and returns the path of the executable.
 func buildProgram(t *testing.T, name string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
@@ -34,20 +35,22 @@
 	return path
 }
 
-// scriptedServer is a service that records the bytes of each request and responds with the next text of a list.
+// scriptedServer is a TCP server that records the bytes of each request and writes the next of a list of prepared
+// responses. It stands in for discovery or for a server of the load balancer.
 type scriptedServer struct {
 	address  string
 	requests chan string
 }
 
-// startScriptedServer starts a service. After the last of the responses it leaves requests without a response.
+// startScriptedServer starts a server that sends the given responses in order. Requests after the last response
+// stay unanswered.
 func startScriptedServer(t *testing.T, responses ...string) *scriptedServer {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = listener.Close() }) // ends the goroutine that accepts
+	t.Cleanup(func() { _ = listener.Close() }) // also ends the accepting goroutine
 	server := &scriptedServer{address: listener.Addr().String(), requests: make(chan string, 100)}
 	pending := make(chan string, len(responses))
 	for _, response := range responses {
@@ -65,9 +68,9 @@
 	return server
 }
 
-// serve reads requests from a connection until it ends.
+// serve reads requests from a connection and writes the responses until the connection ends.
 func (s *scriptedServer) serve(conn net.Conn, pending <-chan string) {
-	defer func() { _ = conn.Close() }() // the test is over
+	defer func() { _ = conn.Close() }() // the connection is no longer used
 	reader := bufio.NewReader(conn)
 	for {
 		request, err := readMessage(reader)
@@ -77,13 +80,13 @@
 		s.requests <- request
 		select {
 		case response := <-pending:
-			_, _ = io.WriteString(conn, response) // the test sees what is missing
-		default: // the connection stays open without a response
+			_, _ = io.WriteString(conn, response) // if this fails, the test notices the missing response
+		default: // no response is left; the connection stays open
 		}
 	}
 }
 
-// nextRequest returns the next request, with the service's own address replaced.
+// nextRequest waits for the next request and returns it, with the server's own address replaced by ADDRESS.
 func (s *scriptedServer) nextRequest(t *testing.T) string {
 	t.Helper()
 	select {
@@ -97,7 +100,8 @@
 
 var contentLength = regexp.MustCompile(`(?i)\r\nContent-Length: (\d+)\r\n`)
 
-// readMessage reads the bytes of one HTTP message: its head, and its body if it has a Content-Length.
+// readMessage returns the bytes of one HTTP message: the start line, the headers and, if there is a Content-Length,
+// the body.
 func readMessage(reader *bufio.Reader) (string, error) {
 	var message strings.Builder
 	for !strings.HasSuffix(message.String(), "\r\n\r\n") {
@@ -121,12 +125,12 @@
 	return message.String(), nil
 }
 
-// okResponse returns a response of status 200 with a body.
+// okResponse returns a response with status 200 and the given body.
 func okResponse(body string) string {
 	return "HTTP/1.1 200 OK\r\nContent-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n" + body
 }
 
-// writeConfig writes a configuration file and returns its path.
+// writeConfig writes a configuration file in JSON and returns its path.
 func writeConfig(t *testing.T, config map[string]any) string {
 	t.Helper()
 	text, err := json.Marshal(config)
@@ -140,7 +144,8 @@
 	return path
 }
 
-// startNode runs a node until the end of the test and returns the address at which it serves.
+// startNode runs a node until the end of the test. It returns the address at which the node serves, which it takes
+// from the node's log.
 func startNode(t *testing.T, program string, config map[string]any) string {
 	t.Helper()
 	config["listen"] = "127.0.0.1:0"
@@ -162,27 +167,27 @@
 				serving <- address
 			}
 		}
-		_ = cmd.Wait() // it is killed at the end of the test
+		_ = cmd.Wait() // an error is expected: the node is killed at the end of the test
 	}()
 	t.Cleanup(func() { <-exited })
 	select {
 	case address := <-serving:
 		return address
 	case <-time.After(waitTimeout):
-		t.Fatal("the node does not serve")
+		t.Fatal("timed out waiting for the node to serve")
 		return ""
 	}
 }
 
-// sendRequest sends a request over a connection of its own and returns the bytes of the response, with the value of
-// its Date replaced.
+// sendRequest sends a request over a new connection and returns the bytes of the response, with the value of the
+// Date header replaced by DATE.
 func sendRequest(t *testing.T, address, request string) string {
 	t.Helper()
 	conn, err := net.DialTimeout("tcp", address, waitTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = conn.Close() }() // the response has been read
+	defer func() { _ = conn.Close() }() // the response has already been read
 	if err := conn.SetDeadline(time.Now().Add(waitTimeout)); err != nil {
 		t.Fatal(err)
 	}
@@ -196,19 +201,19 @@
 	return regexp.MustCompile(`\r\nDate: [^\r]*`).ReplaceAllString(response, "\r\nDate: DATE")
 }
 
-// waitUntilReady waits until the node reports that it is ready.
+// waitUntilReady sends health checks until the node reports that it is ready.
 func waitUntilReady(t *testing.T, address string) {
 	t.Helper()
 	const healthCheck = "GET /health/ready HTTP/1.1\r\nHost: n\r\n\r\n"
 	deadline := time.Now().Add(waitTimeout)
 	for !strings.HasPrefix(sendRequest(t, address, healthCheck), "HTTP/1.1 200 ") {
 		if time.Now().After(deadline) {
-			t.Fatal("the node does not become ready")
+			t.Fatal("timed out waiting for the node to become ready")
 		}
 	}
 }
 
-// checkEqual checks that two texts are equal. It quotes both if they differ.
+// checkEqual reports an error that quotes both texts if they differ.
 func checkEqual(t *testing.T, name, got, want string) {
 	t.Helper()
 	if got != want {
@@ -222,8 +227,9 @@
 	{"Name": "order", "Effect": "token", "DedupScope": "all", "KeyTtlMs": 6000, "DeadlineMs": 8000},
 	{"Name": "notify", "Effect": "side_effect", "DeadlineMs": 8000}]}`
 
-// endpointListJSON returns an endpoint list in the form in which discovery sends it. The indentation
-// is arbitrary.
+// endpointListJSON returns an endpoint list in the format of discovery. Its first server has the given address and
+// is the only one that is ready. The list also holds unknown keys and an unknown lifecycle, which the node must
+// accept.
 func endpointListJSON(generation int, reset bool, server string) string {
 	return `{
   "generation": ` + strconv.Itoa(generation) + `,
@@ -242,14 +248,16 @@
 `
 }
 
-// The node asks for the complete list, then for changes since its generation, in both modes. Only the server
-// that is Ready gets a request, at the address of the list.
-func TestCallsToDiscoveryKeepTheirBytes(t *testing.T) {
+// In both modes, the node first requests a snapshot and then the changes since its generation. It sends client
+// requests only to the server whose lifecycle is Ready, at the address in the list.
+func TestDiscoveryCallsKeepWireFormat(t *testing.T) {
 	program := buildProgram(t, "balancer")
 	for _, mode := range []string{"pushed", "on_request"} {
 		t.Run(mode, func(t *testing.T) {
 			server := startScriptedServer(t, okResponse("ok"))
-			discovery := startScriptedServer(t, okResponse(endpointListJSON(7, true, server.address)), okResponse(`{"generation":9,"reset":false,"instances":[]}`))
+			discovery := startScriptedServer(t,
+				okResponse(endpointListJSON(7, true, server.address)),
+				okResponse(`{"generation":9,"reset":false,"instances":[]}`))
 			address := startNode(t, program, map[string]any{
 				"discovery": discovery.address, "settings": json.RawMessage(strings.Replace(settings, "MODE", mode, 1)),
 			})
@@ -260,14 +268,14 @@
 			waitUntilReady(t, address)
 			sendRequest(t, address, "GET /read HTTP/1.1\r\nHost: n\r\nX-Request-ID: r1\r\nX-Tenant-Id: acme\r\nX-Timeout-Ms: 8000\r\n\r\n")
 			if !strings.HasPrefix(server.nextRequest(t), "GET /read HTTP/1.1\r\n") {
-				t.Error("the server that is ready got another request")
+				t.Error("the ready server received a different request, want GET /read")
 			}
 		})
 	}
 }
 
-// The node gets its endpoint list from the configuration, in the form in which discovery sends it.
-func TestRequestsAndResponsesKeepTheirBytes(t *testing.T) {
+// The node takes its endpoint list from the configuration, where it has the same format as from discovery.
+func TestRequestsAndResponsesKeepWireFormat(t *testing.T) {
 	program := buildProgram(t, "balancer")
 	const response = "HTTP/1.1 200 OK\r\nContent-Type: text/x\r\nX-Server: s-1\r\nConnection: keep-alive\r\nContent-Length: 2\r\n\r\nok"
 	server := startScriptedServer(t, response, response, response)
@@ -280,16 +288,17 @@
 	for _, c := range forwardedRequests() {
 		got := sendRequest(t, address, c.request)
 		checkEqual(t, c.name+", response", got, forwardedResponse)
-		checkEqual(t, c.name+", request to the server", timeout.ReplaceAllString(server.nextRequest(t), "X-Timeout-Ms: LEFT\r\n"), c.forwarded)
+		forwarded := timeout.ReplaceAllString(server.nextRequest(t), "X-Timeout-Ms: LEFT\r\n")
+		checkEqual(t, c.name+", request to the server", forwarded, c.forwarded)
 	}
 	for _, c := range localRequests() {
 		checkEqual(t, c.name, sendRequest(t, address, c.request), c.response)
 	}
 }
 
-// A value that a key of the configuration cannot have is rejected with the name of the key. An unknown key is
-// ignored.
-func TestKeysOfTheConfigurationKeepTheirNames(t *testing.T) {
+// An invalid value of a known key is rejected with an error that names the key, which shows that the node still
+// reads this key. An unknown key is ignored.
+func TestConfigurationKeysAndErrorsKeepText(t *testing.T) {
 	program := buildProgram(t, "balancer")
 	for _, c := range invalidValues() {
 		path := writeConfig(t, c.configuration(t))
@@ -297,13 +306,13 @@
 		cmd.Env = append(os.Environ(), "BALANCER_CONFIG="+path)
 		output, err := cmd.CombinedOutput()
 		if err == nil {
-			t.Errorf("%s %s is accepted", c.key, c.value)
+			t.Errorf("%s %s is accepted, want an error", c.key, c.value)
 		}
 		checkEqual(t, c.key+" "+c.value, strings.ReplaceAll(string(output), path, "FILE"), c.message+"\n")
 	}
 }
 
-// configuration returns a configuration in which the value replaces a valid one.
+// configuration returns a configuration that is valid except for the value.
 func (v invalidValue) configuration(t *testing.T) map[string]any {
 	t.Helper()
 	values := map[string]any{}
@@ -321,9 +330,9 @@
 	return config
 }
 
-// The batches hold each kind of event. At most one server is ready at any time, so that the replies do not
-// depend on chance.
-func TestFramesOfTheSimulatorKeepTheirBytes(t *testing.T) {
+// The batches contain every kind of event except stream started. At most one server is ready at any time, so that no
+// random choice affects the replies.
+func TestSimulatorFramesKeepWireFormat(t *testing.T) {
 	cmd := exec.CommandContext(t.Context(), buildProgram(t, "simadapter"))
 	cmd.Stdin = bytes.NewReader(simulatorInput(t))
 	var output, stderr bytes.Buffer
