--- a/internal/wireformat/examples_test.go
+++ b/internal/wireformat/examples_test.go
@@ -2,11 +2,11 @@
 
 import "strconv"
 
-// forwardedRequest is a request that the node forwards: as the client writes it, and as the node writes it to a
-// server. LEFT stands for the time for which the client still waits.
+// forwardedRequest is a request that the node forwards: as the client sends it, and as the node sends it to a
+// server. LEFT stands for the remaining timeout in milliseconds.
 type forwardedRequest struct{ name, request, forwarded string }
 
-// forwardedResponse is the server's response to each forwarded request, as the node writes it to the client.
+// forwardedResponse is the server's response to each of the forwardedRequests, as the node sends it to the client.
 const forwardedResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Type: text/x\r\nX-Server: s-1\r\n" +
 	"Date: DATE\r\n\r\nok"
 
@@ -36,10 +36,11 @@
 	}
 }
 
-// localRequest is a request to which the node responds itself.
+// localRequest is a request that the node answers itself.
 type localRequest struct{ name, request, response string }
 
-// textResponse returns a response with a body of one line. The headers precede the usual ones.
+// textResponse returns a response with a one-line body. The given headers precede those that all such responses
+// have.
 func textResponse(status, headers, line string) string {
 	return status + "\r\n" + headers + "Content-Length: " + strconv.Itoa(len(line)+1) +
 		"\r\nContent-Type: text/plain; charset=utf-8\r\nX-Content-Type-Options: nosniff\r\nDate: DATE\r\n\r\n" + line + "\n"
