--- a/internal/wireformat/invalid_values_test.go
+++ b/internal/wireformat/invalid_values_test.go
@@ -1,9 +1,10 @@
 package wireformat
 
-// invalidValue is a value of one key that cannot be used, and the message that names the key.
+// invalidValue is an invalid value of one configuration key, with the error message that the program must print.
+// FILE stands for the path of the configuration file.
 type invalidValue struct {
-	key     string // of the configuration; empty for keys of its settings
-	value   string // JSON
+	key     string // key in the configuration file; empty if value holds a key of the settings
+	value   string // JSON value of key, or an object whose key replaces the one in valid settings
 	message string
 }
 
