--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,11 +1,12 @@
 // Package config reads and validates the configuration. For a node, that is the configuration file together
 // with the environment variables that override it. The simulator adapter has no file and passes the settings
-// as JSON text. The package translates both into the fields of Config and the types of package policy, so that
-// no other package of these programs depends on the keys and enumerated values of the settings.
+// as JSON text. The package translates the settings into the types of package policy and the fields of Config, so
+// that no other package of these programs depends on the keys and enumerated values of the settings.
 //
 // cmd/balancer and cmd/simadapter call it. It keeps no state and logs nothing. All its errors are of type
-// *Error and name the key at fault. At startup, the program exits with the error; on SIGHUP, it logs the error
-// and keeps the current discovery address.
+// *Error; an error about a value names its key. At startup, the balancer exits with the error; on SIGHUP, it
+// logs the error and keeps the current discovery address. The simulator adapter reports the error to the
+// simulator.
 package config
 
 import (
