--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -31,9 +31,9 @@
 }
 
 // effectiveSockets returns the number of sockets to use: the configured number, or the default if that is 0, but
-// no more than the process's limit of open files. With a larger number, the node would reach the limit of open
-// files before its own: it could then neither accept clients nor connect to discovery and servers, and would not
-// evict idle clients to free sockets.
+// no more than the process's limit of open files. With a larger number, the node could run out of file
+// descriptors: it could then neither accept clients nor connect to discovery and servers, and would not evict idle
+// clients to free sockets.
 func effectiveSockets(configured int) (int, error) {
 	sockets := configured
 	if sockets == 0 {
