--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -13,8 +13,8 @@
 
 const settings = `{"Classes": [{"DeadlineMs": 1000, "Effect": "pure"}], "Limits": {"MaxAttempts": 2}}`
 
-// The sizes and codes of the protocol. They are not taken from package simproto, so that the
-// tests do not depend on the code that they test.
+// Sizes and codes of the protocol. They are repeated here instead of taken from package simproto,
+// so that a wrong value there fails the tests.
 const (
 	replyHeaderSize = 12
 	eventSize       = 48
@@ -33,43 +33,43 @@
 	actionFatal    = 77
 )
 
-// testInstance is the number of the instance in these tests.
+// testInstance is the number of the instance that the tests use.
 const testInstance = uint16(4)
 
-// concat encodes values one after the other.
-func concat(values ...any) []byte {
+// encodeFields encodes consecutive fields in big-endian order.
+func encodeFields(values ...any) []byte {
 	var raw []byte
 	for _, value := range values {
 		var err error
 		if raw, err = binary.Append(raw, binary.BigEndian, value); err != nil {
-			panic(err) // a type that has no fixed size
+			panic(err) // the type has no fixed size
 		}
 	}
 	return raw
 }
 
-// eventRecord encodes an event from its fields, one after the other.
-func eventRecord(fields ...any) []byte {
-	raw := concat(fields...)
+// encodeEvent encodes an event record with the given fields, padded with zeros.
+func encodeEvent(fields ...any) []byte {
+	raw := encodeFields(fields...)
 	return append(raw, make([]byte, eventSize-len(raw))...)
 }
 
-// encodeBatch encodes batch 7, whose clock is 5,000 ms.
+// encodeBatch encodes a batch with the number 7 and a clock of 5,000 ms.
 func encodeBatch(tail string, records ...[]byte) []byte {
 	body := bytes.Join(records, nil)
-	header := concat(uint32(len(body)+len(tail)), math.Float64bits(5000), uint32(len(records)), uint32(7))
+	header := encodeFields(uint32(len(body)+len(tail)), math.Float64bits(5000), uint32(len(records)), uint32(7))
 	return append(append(header, body...), tail...)
 }
 
-func selectInstance() []byte { return eventRecord(eventInstance, testInstance) }
+func selectInstanceEvent() []byte { return encodeEvent(eventInstance, testInstance) }
 
-// openInstance encodes the event that opens an instance. Its settings are at the start of the
-// tail.
-func openInstance(settings string) []byte {
-	return eventRecord(eventOpen, uint64(1), uint32(0), uint32(len(settings)))
+// openInstanceEvent encodes the event that opens the selected instance. It refers to settings at the
+// start of the tail.
+func openInstanceEvent(settings string) []byte {
+	return encodeEvent(eventOpen, uint64(1), uint32(0), uint32(len(settings)))
 }
 
-// actionCodes lists the action codes of all replies.
+// actionCodes returns the codes of the actions in all replies.
 func actionCodes(t *testing.T, replies []byte) []byte {
 	t.Helper()
 	var codes []byte
@@ -84,46 +84,46 @@
 }
 
 func TestRunRepliesToBatchesUntilTheInputEnds(t *testing.T) {
-	entry := "\x0a\x00\x00\x01\x1f\x90" +
+	endpoint := "\x0a\x00\x00\x01\x1f\x90" +
 		"\x00\x00\x00\x00\x00\x00\x01\x3f\x80\x00\x00" + strings.Repeat("\x00", 8)
 	in := bytes.Join([][]byte{
 		encodeBatch(""),
-		encodeBatch(settings, selectInstance(), openInstance(settings)),
-		encodeBatch(entry, selectInstance(), eventRecord(eventEndpoints, uint8(2), uint64(1), uint32(0), uint32(1)),
-			eventRecord(eventRequest, uint32(9), uint8(0), uint16(0), uint64(0), float64(800))),
+		encodeBatch(settings, selectInstanceEvent(), openInstanceEvent(settings)),
+		encodeBatch(endpoint, selectInstanceEvent(), encodeEvent(eventEndpoints, uint8(2), uint64(1), uint32(0), uint32(1)),
+			encodeEvent(eventRequest, uint32(9), uint8(0), uint16(0), uint64(0), float64(800))),
 	}, nil)
 	var out bytes.Buffer
 	if err := run(bytes.NewReader(in), &out); err != nil {
 		t.Fatal(err)
 	}
 	if got := actionCodes(t, out.Bytes()); !bytes.Equal(got, []byte{actionContext, actionSend, actionSetTimer}) {
-		t.Fatalf("action codes %v, want context, send and set timer", got)
+		t.Fatalf("action codes %v, want those of context, send and set timer", got)
 	}
 }
 
-func TestImpossibleSettingsAreReportedAsFatalWithTheirKey(t *testing.T) {
+func TestInvalidSettingsAreReportedAsFatalWithTheirKey(t *testing.T) {
 	text := `{"Classes": [{"DeadlineMs": -5, "Effect": "pure"}]}`
 	var out bytes.Buffer
-	if err := run(bytes.NewReader(encodeBatch(text, selectInstance(), openInstance(text))), &out); err != nil {
+	if err := run(bytes.NewReader(encodeBatch(text, selectInstanceEvent(), openInstanceEvent(text))), &out); err != nil {
 		t.Fatal(err)
 	}
 	if !bytes.Contains(out.Bytes(), []byte("settings.Classes[0].DeadlineMs is -5")) ||
 		!bytes.Contains(actionCodes(t, out.Bytes()), []byte{actionFatal}) {
-		t.Fatalf("reply %q does not name the key and the value", out.Bytes())
+		t.Fatalf("reply %q, want a fatal action that names the key and the value", out.Bytes())
 	}
 }
 
 func TestRunRejectsEventsForInstancesThatAreNotOpen(t *testing.T) {
 	for name, in := range map[string][]byte{
-		"never opened": encodeBatch("", selectInstance(), eventRecord(eventTimer, uint64(0))),
-		"not selected": encodeBatch("", eventRecord(eventTimer, uint64(0))),
-		"stopped": encodeBatch(settings, selectInstance(), openInstance(settings), eventRecord(eventStop),
-			eventRecord(eventTimer, uint64(0))),
+		"never opened": encodeBatch("", selectInstanceEvent(), encodeEvent(eventTimer, uint64(0))),
+		"not selected": encodeBatch("", encodeEvent(eventTimer, uint64(0))),
+		"stopped": encodeBatch(settings, selectInstanceEvent(), openInstanceEvent(settings), encodeEvent(eventStop),
+			encodeEvent(eventTimer, uint64(0))),
 	} {
 		var out bytes.Buffer
 		err := run(bytes.NewReader(in), &out)
 		if err == nil || !strings.Contains(err.Error(), "batch 7, record") {
-			t.Errorf("%s: error %v, want batch and record", name, err)
+			t.Errorf("%s: error %v, want one that names the batch and the record", name, err)
 		}
 	}
 }
@@ -139,6 +139,6 @@
 	}
 	if got := actionCodes(t, out.Bytes()); !bytes.Equal(got, []byte{actionContext, actionFatal}) ||
 		!bytes.Contains(out.Bytes(), []byte("panic")) {
-		t.Fatalf("action codes %v, want a context and fatal", got)
+		t.Fatalf("reply %q with action codes %v, want context, fatal and the text of the panic", out.Bytes(), got)
 	}
 }
--- a/internal/config/setting_error_test.go
+++ b/internal/config/setting_error_test.go
@@ -10,16 +10,16 @@
 	"calicohinge/policy"
 )
 
-// spoil gives every number below the value an impossible value.
-func spoil(value reflect.Value) {
+// invalidateNumbers sets every number in value, at any depth, to an invalid one.
+func invalidateNumbers(value reflect.Value) {
 	switch value.Kind() {
 	case reflect.Struct:
 		for _, field := range value.Fields() {
-			spoil(field)
+			invalidateNumbers(field)
 		}
 	case reflect.Slice:
 		for i := range value.Len() {
-			spoil(value.Index(i))
+			invalidateNumbers(value.Index(i))
 		}
 	case reflect.Uint8:
 		value.SetUint(255)
@@ -27,12 +27,12 @@
 		value.SetInt(-1)
 	case reflect.Float64:
 		value.SetFloat(-1)
-	default: // every bool is possible
+	default: // every bool is valid
 	}
 }
 
-// repair gives the field at a path such as "Classes[0].Deadline" a possible value.
-func repair(t *testing.T, settings *policy.Settings, path string) {
+// setValidNumber sets the number at a path such as "Classes[0].Deadline" to a valid one.
+func setValidNumber(t *testing.T, settings *policy.Settings, path string) {
 	t.Helper()
 	value := reflect.ValueOf(settings).Elem()
 	for _, part := range strings.FieldsFunc(path, func(r rune) bool { return strings.ContainsRune(".[]", r) }) {
@@ -50,17 +50,17 @@
 	case reflect.Float64:
 		value.SetFloat(1)
 	default:
-		t.Fatalf("field %s has no number: %v", path, value.Kind())
+		t.Fatalf("field %s is not a number but a %v", path, value.Kind())
 	}
 }
 
-// namedFields returns the fields that Validate names, found by repairing one after the other
-// in settings that are wrong throughout.
-func namedFields(t *testing.T) []string {
+// rejectedFields returns every field that an error of Validate can name. It starts from settings in
+// which all numbers are invalid, and corrects the field that Validate reports until none is left.
+func rejectedFields(t *testing.T) []string {
 	t.Helper()
 	settings := policy.Settings{Classes: make([]policy.Class, 3), Tenants: make([]policy.Tenant, 2)}
-	spoil(reflect.ValueOf(&settings).Elem())
-	fields := []string{"Classes"} // named for an empty list only
+	invalidateNumbers(reflect.ValueOf(&settings).Elem())
+	fields := []string{"Classes"} // reported only if the list is empty
 	for {
 		err := settings.Validate()
 		if err == nil {
@@ -71,11 +71,11 @@
 			t.Fatalf("Validate returned %v, want a *policy.SettingError", err)
 		}
 		fields = append(fields, settingError.Field)
-		repair(t, &settings, settingError.Field)
+		setValidNumber(t, &settings, settingError.Field)
 	}
 }
 
-func TestEveryFieldThatValidateNamesHasAKey(t *testing.T) {
+func TestEachFieldRejectedByValidateHasKey(t *testing.T) {
 	want := map[string]string{
 		"Nodes": "Balancers", "Node": "Me", "Zone": "Locality", "Classes": "Classes",
 		"OverQuotaFraction": "OverShareWorth", "Tick": "TickMs",
@@ -95,27 +95,27 @@
 			want[path+field] = path + key
 		}
 	}
-	for _, field := range namedFields(t) {
-		got, ok := settingOfField(field)
+	for _, field := range rejectedFields(t) {
+		got, ok := settingForField(field)
 		if !ok || got.key != want[field] {
-			t.Errorf("field %s: key %q, in the table %v, want %q", field, got.key, ok, want[field])
+			t.Errorf("field %s: key %q, in the table: %v, want %q", field, got.key, ok, want[field])
 		}
 		delete(want, field)
 	}
 	for field := range want {
-		t.Errorf("Validate does not name %s", field)
+		t.Errorf("Validate did not reject the invalid %s", field)
 	}
 }
 
 func TestUnknownFieldsHaveNoKey(t *testing.T) {
-	for _, field := range []string{"", "Novel", "Classes[0].Novel", "Tenants[0].Novel", "Novel[0].Deadline"} {
-		if found, ok := settingOfField(field); ok {
+	for _, field := range []string{"", "Unknown", "Classes[0].Unknown", "Tenants[0].Unknown", "Unknown[0].Deadline"} {
+		if found, ok := settingForField(field); ok {
 			t.Errorf("field %q has the key %q, want none", field, found.key)
 		}
 	}
 }
 
-func TestImpossibleSettingsNameTheKeyAndTheOperatorsValue(t *testing.T) {
+func TestErrorsOfInvalidSettingsNameKeyAndConfiguredValue(t *testing.T) {
 	for text, want := range map[string]Error{
 		`{}`:                 {Key: "settings.Classes", Value: 0, Allowed: "at least 1"},
 		`{"Balancers": 0}`:   {Key: "settings.Balancers", Value: 0, Allowed: "at least 1"},
@@ -149,11 +149,11 @@
 	}
 }
 
-func TestErrorOfAnImpossibleSettingWrapsThePolicyError(t *testing.T) {
+func TestErrorOfInvalidSettingWrapsPolicyError(t *testing.T) {
 	_, err := ParseSettings([]byte(`{"Classes": [{"DeadlineMs": -5}]}`))
 	settingError, ok := errors.AsType[*policy.SettingError](err)
 	if !ok || settingError.Field != "Classes[0].Deadline" {
-		t.Errorf("error %v wraps %+v, want the field Classes[0].Deadline", err, settingError)
+		t.Errorf("error %v wraps %+v, want a *policy.SettingError of the field Classes[0].Deadline", err, settingError)
 	}
 	const want = "configuration: settings.Classes[0].DeadlineMs is -5, must be more than 0"
 	if err.Error() != want {
