--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -24,13 +24,13 @@
 }
 
 func TestQueueIsSortedByWeightPerWorkThenObjective(t *testing.T) {
-	heavy := &requestClass{workEstimate: runningmean.NewWithGuess(2, 10)}
-	light := &requestClass{workEstimate: runningmean.NewWithGuess(1, 10)}
+	expensive := &requestClass{workEstimate: runningmean.NewWithGuess(2, 10)}
+	cheap := &requestClass{workEstimate: runningmean.NewWithGuess(1, 10)}
 	requests := []*request{
-		{class: heavy, weight: 1, objectiveDeadline: 1},
-		{class: light, weight: 1, objectiveDeadline: 3},
-		{class: light, weight: 1, objectiveDeadline: 2},
-		{class: heavy, weight: 6, objectiveDeadline: 9},
+		{class: expensive, weight: 1, objectiveDeadline: 1},
+		{class: cheap, weight: 1, objectiveDeadline: 3},
+		{class: cheap, weight: 1, objectiveDeadline: 2},
+		{class: expensive, weight: 6, objectiveDeadline: 9},
 	}
 	var queue admissionQueue
 	for _, r := range requests {
--- a/policy/arrivals_test.go
+++ b/policy/arrivals_test.go
@@ -17,11 +17,11 @@
 		t.Errorf("mean weight %v, want 1", got)
 	}
 	for _, tc := range []struct {
-		weight float64
-		high   bool
+		weight   float64
+		wantHigh bool
 	}{{1, false}, {2, false}, {2.1, true}} {
-		if got := arrivals.isHighPriority(&request{class: class, weight: tc.weight}); got != tc.high {
-			t.Errorf("weight %v has high priority: %v, want %v", tc.weight, got, tc.high)
+		if got := arrivals.isHighPriority(&request{class: class, weight: tc.weight}); got != tc.wantHigh {
+			t.Errorf("weight %v has high priority: %v, want %v", tc.weight, got, tc.wantHigh)
 		}
 	}
 }
--- a/policy/balancer_test.go
+++ b/policy/balancer_test.go
@@ -61,16 +61,16 @@
 		}
 	}
 	sends := len(h.host.sends)
-	safe := map[RequestID]bool{}
+	wantRejected := map[RequestID]bool{}
 	for _, id := range ids {
-		safe[id] = h.balancer.requests.byID[id].safeToReject()
+		wantRejected[id] = h.balancer.requests.byID[id].safeToReject()
 	}
 
 	h.balancer.TerminateAll(h.now)
 
 	for _, id := range ids {
 		_, rejected := h.host.rejected[id]
-		if rejected == h.host.failed[id] || rejected != safe[id] {
+		if rejected == h.host.failed[id] || rejected != wantRejected[id] {
 			t.Errorf("request %d: rejected %v, failed %v", id, rejected, h.host.failed[id])
 		}
 	}
--- a/policy/circuit_breaker_test.go
+++ b/policy/circuit_breaker_test.go
@@ -8,36 +8,36 @@
 
 func TestBreakerOpensAdmitsOneTrialAndCloses(t *testing.T) {
 	h := newHarness(t, testSettings(), 4)
-	bad := h.balancer.endpoints.ready[0]
-	h.recordBreakerFailures(bad, failureThreshold, ServerError)
-	if bad.breaker.state != breakerOpen {
-		t.Fatalf("breaker %v after %d failures, want open", bad.breaker.state, failureThreshold)
+	failing := h.balancer.endpoints.ready[0]
+	h.recordBreakerFailures(failing, failureThreshold, ServerError)
+	if failing.breaker.state != breakerOpen {
+		t.Fatalf("breaker %v after %d failures, want open", failing.breaker.state, failureThreshold)
 	}
 	h.serve(20, 50*ms)
 	for _, s := range h.host.sends {
-		if s.server == bad.Server {
+		if s.server == failing.Server {
 			t.Fatal("a server with an open breaker got a request")
 		}
 	}
-	h.advance(bad.breaker.halfOpenAt - h.now)
+	h.advance(failing.breaker.halfOpenAt - h.now)
 	trial := h.request(0)
-	if got := h.sendsOf(trial); len(got) != 1 || got[0] != bad.Server {
-		t.Fatalf("trial went to %v, want the half-open server %d", got, bad.Server)
+	if got := h.sendsOf(trial); len(got) != 1 || got[0] != failing.Server {
+		t.Fatalf("trial went to %v, want the half-open server %d", got, failing.Server)
 	}
-	if other := h.sendsOf(h.request(0)); len(other) != 1 || other[0] == bad.Server {
+	if other := h.sendsOf(h.request(0)); len(other) != 1 || other[0] == failing.Server {
 		t.Fatalf("second request went to %v while the trial is in flight", other)
 	}
-	before := bad.breaker.openDuration
+	before := failing.breaker.openDuration
 	h.endAttempt(trial, ServerError, 5*ms)
-	if bad.breaker.state != breakerOpen || bad.breaker.openDuration != 2*before {
+	if failing.breaker.state != breakerOpen || failing.breaker.openDuration != 2*before {
 		t.Fatalf("after a failed trial: breaker %v for %v, want open for %v",
-			bad.breaker.state, bad.breaker.openDuration, 2*before)
+			failing.breaker.state, failing.breaker.openDuration, 2*before)
 	}
-	h.advance(bad.breaker.halfOpenAt - h.now)
+	h.advance(failing.breaker.halfOpenAt - h.now)
 	trial = h.request(0)
 	h.endAttempt(trial, OK, 50*ms)
-	if bad.breaker.state != breakerClosed {
-		t.Fatalf("after a successful trial: breaker %v, want closed", bad.breaker.state)
+	if failing.breaker.state != breakerClosed {
+		t.Fatalf("after a successful trial: breaker %v, want closed", failing.breaker.state)
 	}
 }
 
--- a/policy/concurrency_limit_test.go
+++ b/policy/concurrency_limit_test.go
@@ -6,10 +6,10 @@
 )
 
 // adjustLimitFor adjusts the limit every 10 ms for some time, at a steady congestion.
-func adjustLimitFor(balancer *Balancer, from, d time.Duration, congestion float64) {
-	for t := from; t < from+d; t += 10 * ms {
+func adjustLimitFor(balancer *Balancer, start, duration time.Duration, congestion float64) {
+	for now := start; now < start+duration; now += 10 * ms {
 		balancer.latency.congestion = congestion
-		balancer.limiter.adjust(t, &balancer.latency, &balancer.subset.regime, len(balancer.queue.waiting))
+		balancer.limiter.adjust(now, &balancer.latency, &balancer.subset.regime, len(balancer.queue.waiting))
 	}
 }
 
@@ -101,8 +101,8 @@
 		now += 100 * ms
 	}
 
-	if less, more := nodes[0].limiter.limit, nodes[1].limiter.limit; more > 2*less {
-		t.Fatalf("limits %.2f and %.2f after 40 s with the same servers", less, more)
+	if lower, higher := nodes[0].limiter.limit, nodes[1].limiter.limit; higher > 2*lower {
+		t.Fatalf("limits %.2f and %.2f after 40 s with the same servers", lower, higher)
 	}
 }
 
--- a/policy/disconnect_test.go
+++ b/policy/disconnect_test.go
@@ -8,9 +8,9 @@
 
 // disconnectCase is a request whose next attempt is due.
 type disconnectCase struct {
-	name   string
-	before func(h *harness) RequestID // runs until the attempt is due
-	due    func(h *harness)           // is the event that starts the attempt
+	name             string
+	prepare          func(h *harness) RequestID // runs until the attempt is due
+	startNextAttempt func(h *harness)           // is the event that starts the attempt
 }
 
 // The order of a client's disconnection and the event that starts the next attempt of its request.
@@ -23,49 +23,49 @@
 // A client disconnects at the very time of the next attempt. If its disconnection is reported first, there is no
 // attempt. If it is reported right after, the attempt is cancelled. Nothing follows in either case.
 func TestClientDisconnectsAsTheNextAttemptIsDue(t *testing.T) {
-	check := func(h *harness) {
+	runPeriodicCheck := func(h *harness) {
 		h.now = max(h.now, h.balancer.checkTimer.due)
 		h.balancer.Timer(h.now, timerCheck)
 	}
-	for _, c := range []disconnectCase{
+	for _, tc := range []disconnectCase{
 		{
 			name: "queued",
-			before: func(h *harness) RequestID {
+			prepare: func(h *harness) RequestID {
 				for range h.balancer.endpoints.ready {
 					h.request(2)
 				}
 				return h.request(0)
 			},
-			due: func(h *harness) { h.endAttempt(h.lastID-1, OK, 20*ms) },
+			startNextAttempt: func(h *harness) { h.endAttempt(h.lastID-1, OK, 20*ms) },
 		},
 		{
 			name: "retry",
-			before: func(h *harness) RequestID {
+			prepare: func(h *harness) RequestID {
 				id := h.request(0)
 				h.endAttempt(id, ServerError, 10*ms)
 				h.now = max(h.now, h.balancer.requests.byID[id].retryAt)
 				return id
 			},
-			due: check,
+			startNextAttempt: runPeriodicCheck,
 		},
 		{
 			name: "hedged request",
-			before: func(h *harness) RequestID {
+			prepare: func(h *harness) RequestID {
 				h.serve(100, 20*ms)
 				h.host.timers = nil // the node is busy and handles no timer until the check
 				id := h.request(0)
 				h.now += 400 * ms
 				return id
 			},
-			due: check,
+			startNextAttempt: runPeriodicCheck,
 		},
 	} {
 		for _, order := range []string{staysConnected, disconnectsFirst, disconnectsAfter} {
 			for _, cancel := range []bool{true, false} {
 				settings := testSettings()
 				settings.Limits.Cancel = cancel
-				t.Run(fmt.Sprintf("%s/%s/cancel %v", c.name, order, cancel), func(t *testing.T) {
-					c.run(t, order, settings)
+				t.Run(fmt.Sprintf("%s/%s/cancel %v", tc.name, order, cancel), func(t *testing.T) {
+					tc.run(t, order, settings)
 				})
 			}
 		}
@@ -76,13 +76,13 @@
 func (c *disconnectCase) run(t *testing.T, order string, settings Settings) {
 	t.Helper()
 	h := newHarness(t, settings, 3)
-	id := c.before(h)
+	id := c.prepare(h)
 	sends, cancels, wantSends := len(h.sendsOf(id)), h.host.cancels, 1
 	if order == disconnectsFirst {
 		h.balancer.ClientDisconnected(h.now, id)
 		wantSends = 0
 	}
-	c.due(h)
+	c.startNextAttempt(h)
 	if n := len(h.sendsOf(id)) - sends; order != disconnectsFirst && n != 1 {
 		t.Errorf("%d attempts, want 1", n)
 	}
--- a/policy/latency_test.go
+++ b/policy/latency_test.go
@@ -8,10 +8,10 @@
 // Guards against ordering queued requests by an initial estimate that a busy fleet never corrects.
 func TestWeightPerWorkFollowsAllResponses(t *testing.T) {
 	h := newHarness(t, testSettings(), 2)
-	heavy := &request{class: &h.balancer.classes[0]}
+	served := &request{class: &h.balancer.classes[0]}
 	loaded := &attempt{server: h.balancer.endpoints.ready[0]}
 	for range 50 {
-		h.balancer.latency.record(loaded, heavy, 900*ms, h.balancer.subset.nodesPerServer)
+		h.balancer.latency.record(loaded, served, 900*ms, h.balancer.subset.nodesPerServer)
 	}
 	h.request(0) // fills a server, as does the next
 	h.request(0)
--- a/policy/load_shedding_test.go
+++ b/policy/load_shedding_test.go
@@ -9,8 +9,8 @@
 // congests the servers. An undersampled node does not see how long the requests of other nodes wait.
 func TestUndersampledNodeShedsWithAMargin(t *testing.T) {
 	for _, tc := range []struct {
-		nodes int
-		shed  bool
+		nodes    int
+		wantShed bool
 	}{{1, false}, {80, true}} {
 		settings := testSettings()
 		settings.Nodes = tc.nodes
@@ -24,8 +24,8 @@
 
 		h.balancer.shedLoad(h.now)
 
-		if _, shed := h.host.rejected[id]; shed != tc.shed {
-			t.Errorf("%d nodes: shed %v, want %v", tc.nodes, shed, tc.shed)
+		if _, shed := h.host.rejected[id]; shed != tc.wantShed {
+			t.Errorf("%d nodes: shed %v, want %v", tc.nodes, shed, tc.wantShed)
 		}
 	}
 }
--- a/policy/outcome_test.go
+++ b/policy/outcome_test.go
@@ -13,11 +13,11 @@
 	h.balancer.refresh(h.now)
 	s := h.balancer.subset.servers[0]
 	record := &request{class: &h.balancer.classes[0]}
-	slow := record.expectedLatency(2 * undersampled().slowResponseMultiple)
+	slowLatency := record.expectedLatency(2 * undersampled().slowResponseMultiple)
 
 	for range failureThreshold {
 		a := &attempt{server: s, request: record, sentAt: h.now}
-		h.balancer.recordOutcome(h.now, record, a, Outcome{Status: OK, Latency: slow})
+		h.balancer.recordOutcome(h.now, record, a, Outcome{Status: OK, Latency: slowLatency})
 	}
 
 	if s.breaker.state != breakerOpen {
@@ -29,9 +29,9 @@
 // of them is shorter than four times the mean latency, which the congestion itself has raised.
 func TestTimeoutsOpenTheBreakerThoughTheFleetIsSlow(t *testing.T) {
 	for _, tc := range []struct {
-		nodes    int
-		regime   samplingRegime
-		timeouts int // that open the breaker
+		nodes        int
+		regime       samplingRegime
+		wantTimeouts int // that open the breaker
 	}{
 		{1, wellSampled(), failureThreshold},
 		{80, undersampled(), undersampled().noResponseThreshold},
@@ -46,16 +46,16 @@
 		h.balancer.means.relativeLatency = 3
 		s := h.balancer.subset.servers[0]
 		record := &request{class: &h.balancer.classes[0]}
-		waited := record.expectedLatency(2 * unresponsiveMultiple)
-		for i := range tc.timeouts {
+		timeout := record.expectedLatency(2 * unresponsiveMultiple)
+		for i := range tc.wantTimeouts {
 			if s.breaker.state != breakerClosed {
-				t.Fatalf("%d nodes: open after %d time-outs, want %d", tc.nodes, i, tc.timeouts)
+				t.Fatalf("%d nodes: open after %d time-outs, want %d", tc.nodes, i, tc.wantTimeouts)
 			}
 			a := &attempt{server: s, request: record, sentAt: h.now}
-			h.balancer.recordOutcome(h.now, record, a, Outcome{Status: Timeout, Latency: waited})
+			h.balancer.recordOutcome(h.now, record, a, Outcome{Status: Timeout, Latency: timeout})
 		}
 		if s.breaker.state != breakerOpen {
-			t.Fatalf("%d nodes: closed after %d time-outs in a row", tc.nodes, tc.timeouts)
+			t.Fatalf("%d nodes: closed after %d time-outs in a row", tc.nodes, tc.wantTimeouts)
 		}
 	}
 }
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -11,22 +11,22 @@
 	settings.Tenants = []Tenant{{QuotaPerS: 2}, {QuotaPerS: 100}}
 	settings.OverQuotaFraction = 0.05
 	h := newHarness(t, settings, 1)
-	requestOf := func(tenant int) RequestID {
+	requestFrom := func(tenant int) RequestID {
 		h.lastID++
 		h.balancer.Request(h.now, Request{ID: h.lastID, Tenant: tenant, Timeout: 2 * time.Second})
 		return h.lastID
 	}
-	requestOf(0)
-	requestOf(0)
-	over, within := requestOf(0), requestOf(1)
+	requestFrom(0)
+	requestFrom(0)
+	overQuota, withinQuota := requestFrom(0), requestFrom(1)
 
-	for id := RequestID(1); id < within; id++ {
-		if id != over && len(h.sendsOf(id)) > h.outcomesGiven[id] {
+	for id := RequestID(1); id < withinQuota; id++ {
+		if id != overQuota && len(h.sendsOf(id)) > h.outcomesGiven[id] {
 			h.endAttempt(id, OK, 10*ms)
 		}
 	}
 
-	if len(h.sendsOf(over)) != 0 || len(h.sendsOf(within)) != 1 {
+	if len(h.sendsOf(overQuota)) != 0 || len(h.sendsOf(withinQuota)) != 1 {
 		t.Fatal("a request over its tenant's quota was sent first")
 	}
 }
--- a/policy/request_table_test.go
+++ b/policy/request_table_test.go
@@ -58,12 +58,12 @@
 	request.endAttempt(ended, ServerError)
 	request.startAttempt(0, newServer(0))
 	for _, tc := range []struct {
-		id    RequestID
-		index int
-		found bool
+		id        RequestID
+		index     int
+		wantFound bool
 	}{{1, 0, false}, {1, 1, true}, {1, 2, false}, {1, -1, false}, {2, 0, false}} {
-		if _, attempt := table.findAttempt(tc.id, tc.index); (attempt != nil) != tc.found {
-			t.Errorf("attempt %d of request %d is found: %v, want %v", tc.index, tc.id, !tc.found, tc.found)
+		if _, attempt := table.findAttempt(tc.id, tc.index); (attempt != nil) != tc.wantFound {
+			t.Errorf("attempt %d of request %d is found: %v, want %v", tc.index, tc.id, !tc.wantFound, tc.wantFound)
 		}
 	}
 }
--- a/policy/request_test.go
+++ b/policy/request_test.go
@@ -41,9 +41,9 @@
 	keyForCell := Class{Idempotency: IdempotentWithKey, KeyScope: KeyScopeCell}
 	notIdempotent := Class{Idempotency: NotIdempotent}
 	for _, tc := range []struct {
-		class  Class
-		status Status
-		safe   bool
+		class    Class
+		status   Status
+		wantSafe bool
 	}{
 		{idempotent, Timeout, true},
 		{keyForAll, Timeout, true},
@@ -55,9 +55,9 @@
 	} {
 		r := request{class: &requestClass{Class: tc.class}}
 		r.endAttempt(r.startAttempt(0, newServer(0)), tc.status)
-		if got := r.safeToReject(); got != tc.safe {
+		if got := r.safeToReject(); got != tc.wantSafe {
 			t.Errorf("%v, key scope %v, attempt %v: safe %v, want %v",
-				tc.class.Idempotency, tc.class.KeyScope, tc.status, got, tc.safe)
+				tc.class.Idempotency, tc.class.KeyScope, tc.status, got, tc.wantSafe)
 		}
 	}
 }
--- a/policy/retry_key_retention_test.go
+++ b/policy/retry_key_retention_test.go
@@ -9,7 +9,7 @@
 // The servers keep the idempotency key of a request for a short time. Each case ends the first attempt and lets
 // time pass. It says how often the request is sent in all, and whether it is terminated.
 func TestShortKeyRetentionBoundsRetries(t *testing.T) {
-	due := func(after time.Duration) func(h *harness, id RequestID) {
+	retryDueAfter := func(after time.Duration) func(h *harness, id RequestID) {
 		return func(h *harness, id RequestID) {
 			record := h.balancer.requests.byID[id]
 			h.advance(20 * ms)
@@ -21,14 +21,14 @@
 		}
 	}
 	for name, tc := range map[string]struct {
-		retention  time.Duration
-		run        func(h *harness, id RequestID) // from the first attempt on
-		sends      int
-		terminated bool
+		retention      time.Duration
+		run            func(h *harness, id RequestID) // from the first attempt on
+		wantSends      int
+		wantTerminated bool
 	}{
-		"retry due within retention": {100 * ms, due(99 * ms), 2, false},
-		"retry due at its end":       {100 * ms, due(100 * ms), 1, true},
-		"retry due after it":         {100 * ms, due(101 * ms), 1, true},
+		"retry due within retention": {100 * ms, retryDueAfter(99 * ms), 2, false},
+		"retry due at its end":       {100 * ms, retryDueAfter(100 * ms), 1, true},
+		"retry due after it":         {100 * ms, retryDueAfter(101 * ms), 1, true},
 		"retention shorter than the backoff": {15 * ms, func(h *harness, id RequestID) {
 			h.endAttempt(id, ServerError, 0)
 		}, 1, true},
@@ -58,11 +58,11 @@
 				id := h.request(1)
 				tc.run(h, id)
 				_, rejected := h.host.rejected[id]
-				if n := len(h.sendsOf(id)); n != tc.sends {
-					t.Errorf("%d sends, want %d", n, tc.sends)
+				if n := len(h.sendsOf(id)); n != tc.wantSends {
+					t.Errorf("%d sends, want %d", n, tc.wantSends)
 				}
-				wantRejected := tc.terminated && scope == KeyScopeAll // the client may retry anywhere
-				wantFailed := tc.terminated && scope == KeyScopeCell
+				wantRejected := tc.wantTerminated && scope == KeyScopeAll // the client may retry anywhere
+				wantFailed := tc.wantTerminated && scope == KeyScopeCell
 				if failed := h.host.failed[id]; rejected != wantRejected || failed != wantFailed {
 					t.Errorf("rejected %v, failed %v; want %v, %v", rejected, failed, wantRejected, wantFailed)
 				}
--- a/policy/retry_key_scope_test.go
+++ b/policy/retry_key_scope_test.go
@@ -13,10 +13,10 @@
 	sameCell := Endpoint{Server: 2, State: Ready, Zone: 1, Cell: 1, Weight: 1}
 	sameZone := Endpoint{Server: 2, State: Ready, Zone: 0, Cell: 2, Weight: 1}
 	elsewhere := Endpoint{Server: 2, State: Ready, Zone: 1, Cell: 2, Weight: 1}
-	for _, c := range []struct {
-		scope   KeyScope
-		other   Endpoint
-		retried bool
+	for _, tc := range []struct {
+		scope       KeyScope
+		other       Endpoint
+		wantRetried bool
 	}{
 		{KeyScopeAll, elsewhere, true},
 		{KeyScopeZone, sameZone, true},
@@ -26,19 +26,20 @@
 		{KeyScopeCell, sameZone, false},
 		{KeyScopeCell, elsewhere, false},
 	} {
-		t.Run(fmt.Sprintf("%v, other server in zone %d and cell %d", c.scope, c.other.Zone, c.other.Cell), func(t *testing.T) {
+		name := fmt.Sprintf("%v, other server in zone %d and cell %d", tc.scope, tc.other.Zone, tc.other.Cell)
+		t.Run(name, func(t *testing.T) {
 			settings := testSettings()
-			settings.Classes[1].KeyScope = c.scope
+			settings.Classes[1].KeyScope = tc.scope
 			h := newHarness(t, settings, 1)
 			h.update(UpdateSnapshot, first)
 			id := h.request(1)
 			draining := first
 			draining.State = Draining
-			h.update(UpdateSnapshot, draining, c.other)
+			h.update(UpdateSnapshot, draining, tc.other)
 			h.endAttempt(id, ServerError, 10*ms)
 			h.advance(settings.Classes[1].Objective / 2)
-			if retried := len(h.sendsOf(id)) > 1; retried != c.retried {
-				t.Errorf("sent to %v, retried %v, want %v", h.sendsOf(id), retried, c.retried)
+			if retried := len(h.sendsOf(id)) > 1; retried != tc.wantRetried {
+				t.Errorf("sent to %v, retried %v, want %v", h.sendsOf(id), retried, tc.wantRetried)
 			}
 		})
 	}
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -99,12 +99,12 @@
 	settings := testSettings()
 	settings.Limits.Hedging = false
 	h := newHarness(t, settings, 9)
-	late := h.request(0)
+	id := h.request(0)
 	h.advance(790 * ms)
 
-	h.endAttempt(late, ServerError, 790*ms)
+	h.endAttempt(id, ServerError, 790*ms)
 
-	if _, ok := h.host.rejected[late]; !ok {
+	if _, ok := h.host.rejected[id]; !ok {
 		t.Fatal("a retry that cannot be in time must be rejected at once")
 	}
 }
@@ -114,11 +114,11 @@
 	settings.Limits.Hedging = false
 	settings.Limits.MaxAttempts = 1
 	h := newHarness(t, settings, 9)
-	last := h.request(0)
+	id := h.request(0)
 
-	h.endAttempt(last, ServerError, ms)
+	h.endAttempt(id, ServerError, ms)
 
-	if _, ok := h.host.rejected[last]; !ok {
+	if _, ok := h.host.rejected[id]; !ok {
 		t.Fatal("a request that has had all of its attempts must be rejected at once")
 	}
 }
--- a/policy/score_test.go
+++ b/policy/score_test.go
@@ -7,15 +7,15 @@
 	h := newHarness(t, testSettings(), 3)
 	h.serve(30, 20*ms)
 	id := h.request(0)
-	full := h.balancer.endpoints.byID[h.sendsOf(id)[0]]
+	rejecting := h.balancer.endpoints.byID[h.sendsOf(id)[0]]
 
 	h.endAttempt(id, Rejected, 0)
 	h.advance(ms)
 	h.balancer.refresh(h.now)
 
 	for _, s := range h.balancer.subset.servers {
-		if s != full && s.score.value <= full.score.value {
-			t.Fatalf("the rejecting server scores %.2f, another %.2f", full.score.value, s.score.value)
+		if s != rejecting && s.score.value <= rejecting.score.value {
+			t.Fatalf("the rejecting server scores %.2f, another %.2f", rejecting.score.value, s.score.value)
 		}
 	}
 }
@@ -39,9 +39,9 @@
 	if betterServer(good, slow) != good || betterServer(failing, good) != good {
 		t.Fatal("the better score lost")
 	}
-	twin := &server{score: serverScore{value: good.score.value - scoreTieMargin/2}}
+	similar := &server{score: serverScore{value: good.score.value - scoreTieMargin/2}}
 	good.inFlight = append(good.inFlight, &attempt{})
-	if betterServer(good, twin) != twin {
+	if betterServer(good, similar) != similar {
 		t.Fatal("a near-tie must go to fewer requests in flight")
 	}
 }
@@ -96,8 +96,8 @@
 // faster than one of them measures it.
 func TestUndersampledNodeForgetsOutcomesSooner(t *testing.T) {
 	for _, tc := range []struct {
-		nodes int
-		keeps bool
+		nodes    int
+		wantKept bool
 	}{{1, true}, {80, false}} {
 		settings := testSettings()
 		settings.Nodes = tc.nodes
@@ -107,8 +107,8 @@
 		s.score.outcomes.AddSuccess(h.now, 1)
 		h.now += (undersampled().maxOutcomeAge + wellSampled().maxOutcomeAge) / 2
 		h.balancer.refresh(h.now)
-		if kept := s.score.outcomes.Len() == 1; kept != tc.keeps {
-			t.Errorf("%d nodes: an outcome of 7 s ago counts: %v, want %v", tc.nodes, kept, tc.keeps)
+		if kept := s.score.outcomes.Len() == 1; kept != tc.wantKept {
+			t.Errorf("%d nodes: an outcome of 7 s ago counts: %v, want %v", tc.nodes, kept, tc.wantKept)
 		}
 	}
 }
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -21,13 +21,13 @@
 	worst, middle, best := scored(0.1), scored(0.5), scored(0.9)
 	set := candidates{closed: []*server{worst, middle, best}}
 	random := rand.New(rand.NewPCG(1, 0))
-	drawn := map[*server]int{}
+	selected := map[*server]int{}
 	for range 300 {
-		drawn[set.betterOfTwoRandom(random)]++
+		selected[set.betterOfTwoRandom(random)]++
 	}
-	if drawn[worst] > 0 || drawn[middle] == 0 || drawn[best] <= drawn[middle] {
+	if selected[worst] > 0 || selected[middle] == 0 || selected[best] <= selected[middle] {
 		t.Errorf("drawn %d, %d and %d times from the worst to the best, want none, some and most",
-			drawn[worst], drawn[middle], drawn[best])
+			selected[worst], selected[middle], selected[best])
 	}
 	if set.best() != best {
 		t.Error("the best of all must have the highest score")
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -43,7 +43,7 @@
 func (h *harness) sendThroughSlowStart(s *server) int {
 	h.t.Helper()
 	rules, baseline := h.balancer.settings.Rules, h.balancer.classes[0].baseline.Value()
-	warmServerRate := h.balancer.slowStart.warmServerWorkRate
+	warmServerWorkRate := h.balancer.slowStart.warmServerWorkRate
 	var sends []time.Duration
 	for start := h.now; h.now < start+rules.SlowStartDuration; h.now += ms {
 		work := baseline + 0.001
@@ -58,7 +58,7 @@
 				sendsInWindow++
 			}
 		}
-		maxWork := warmServerRate * rules.OverloadWindow.Seconds() * rules.OverloadMultiple *
+		maxWork := warmServerWorkRate * rules.OverloadWindow.Seconds() * rules.OverloadMultiple *
 			s.capacityShare(&rules, h.now)
 		if sentWork := float64(sendsInWindow) * baseline; sentWork > maxWork+baseline {
 			h.t.Fatalf("sent %.3f s of work within a window, more than %.3f", sentWork, maxWork)
--- a/policy/subset_test.go
+++ b/policy/subset_test.go
@@ -31,18 +31,18 @@
 // Guards against subsets that overlap at some servers and leave others idle.
 func TestSubsetsCoverTheServersEvenly(t *testing.T) {
 	const nodes, servers = 90, 30
-	uses := map[ServerID]int{}
+	subsetsPerServer := map[ServerID]int{}
 	for node := range nodes {
 		settings := testSettings()
 		settings.Nodes, settings.Node = nodes, node
 		h := newHarness(t, settings, servers)
 		h.balancer.refresh(h.now)
 		for _, s := range h.balancer.subset.servers {
-			uses[s.Server]++
+			subsetsPerServer[s.Server]++
 		}
 	}
 	for id := ServerID(1); id <= servers; id++ {
-		if n := uses[id]; n < 11 || n > 13 {
+		if n := subsetsPerServer[id]; n < 11 || n > 13 {
 			t.Errorf("server %d is in %d subsets, want 12 or so", id, n)
 		}
 	}
--- a/policy/validate_test.go
+++ b/policy/validate_test.go
@@ -38,9 +38,9 @@
 		{"Rules.OverloadWindow", func(s *Settings) { s.Rules.OverloadWindow = -1 }},
 		{"Rules.MaxPollInterval", func(s *Settings) { s.Rules.MaxPollInterval = -1 }},
 	} {
-		set := testSettings()
-		tc.change(&set)
-		_, err := New(set, 1, newHost())
+		settings := testSettings()
+		tc.change(&settings)
+		_, err := New(settings, 1, newHost())
 		var invalid *SettingError
 		if !errors.As(err, &invalid) || invalid.Field != tc.field || invalid.Allowed == "" ||
 			!strings.Contains(err.Error(), "setting "+tc.field+" ") {
