--- a/policy/api_test.go
+++ b/policy/api_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestEnumeratedValuesHaveNames(t *testing.T) {
+func TestEnumValuesHaveNames(t *testing.T) {
 	for _, tc := range []struct {
 		value fmt.Stringer
 		want  string
@@ -17,10 +17,10 @@
 		{OK, "ok"}, {ServerError, "server error"}, {Rejected, "rejected"}, {Timeout, "timeout"},
 		{ConnectFailed, "connect failed"}, {Reset, "reset"}, {Cancelled, "cancelled"}, {NotSent, "not sent"},
 		{breakerClosed, "closed"}, {breakerOpen, "open"}, {breakerHalfOpen, "half-open"},
-		{Status(200), "200"},
+		{Status(200), "200"}, // has no name
 	} {
 		if got := tc.value.String(); got != tc.want {
-			t.Errorf("%q, want %q", got, tc.want)
+			t.Errorf("%T(%d).String() = %q, want %q", tc.value, tc.value, got, tc.want)
 		}
 	}
 }
