--- a/policy/balancer_test.go
+++ b/policy/balancer_test.go
@@ -7,7 +7,7 @@
 	"calicohinge/internal/runningmean"
 )
 
-func TestStaleEventsHaveNoEffect(t *testing.T) {
+func TestStaleEventsCauseNoActions(t *testing.T) {
 	h := newHarness(t, testSettings(), 2)
 	id := h.request(0)
 	h.endAttempt(id, OK, 10*ms)
@@ -22,7 +22,7 @@
 	h.update(UpdateDelta, Endpoint{Server: 55, State: Removed})
 
 	if len(h.host.log) != before {
-		t.Fatalf("stale events led to %v", h.host.log[before:])
+		t.Fatalf("stale events caused the actions %q, want none", h.host.log[before:])
 	}
 }
 
@@ -32,7 +32,7 @@
 	h.balancer.Request(h.now, Request{ID: 1000, Class: 9, Timeout: time.Second})
 
 	if _, ok := h.host.rejected[1000]; !ok {
-		t.Fatal("a request of an unknown class got no final response")
+		t.Fatal("a request of the unknown class 9 got no final response, want a rejection")
 	}
 }
 
@@ -46,12 +46,12 @@
 	h.advance(10 * time.Second) // long after the deadline
 
 	if len(h.sendsOf(id)) != 1 || h.host.failed[id] || h.host.cancels > 0 {
-		t.Fatalf("a running stream was touched: %v", h.host.log)
+		t.Fatalf("actions for a request whose stream has started: %q, want one send only", h.host.log)
 	}
 }
 
-// A node that shuts down rejects every active request where that is safe and fails the others. Nothing is sent
-// or completed afterwards.
+// A node that shuts down rejects the active requests that are safe to reject and fails the others. It sends
+// nothing afterwards.
 func TestTerminateAllCompletesEveryRequest(t *testing.T) {
 	h := newHarness(t, testSettings(), 3)
 	var ids []RequestID
@@ -71,18 +71,20 @@
 	for _, id := range ids {
 		_, rejected := h.host.rejected[id]
 		if rejected == h.host.failed[id] || rejected != wantRejected[id] {
-			t.Errorf("request %d: rejected %v, failed %v", id, rejected, h.host.failed[id])
+			t.Errorf("request %d after TerminateAll: rejected %v, failed %v; want %v, %v",
+				id, rejected, h.host.failed[id], wantRejected[id], !wantRejected[id])
 		}
 	}
 	h.advance(time.Minute)
 	if len(h.host.sends) != sends || len(h.balancer.requests.active) != 0 {
-		t.Errorf("%d sends more, %d still active", len(h.host.sends)-sends, len(h.balancer.requests.active))
+		t.Errorf("a minute after TerminateAll: %d more sends, %d active requests; want none of either",
+			len(h.host.sends)-sends, len(h.balancer.requests.active))
 	}
 }
 
-// Guards against a final response after the grace: the periodic check runs every 10 ms, a grace may be shorter,
-// and a tick may be longer than either.
-func TestFinalResponseComesWithinTheGraceForAnyTick(t *testing.T) {
+// Guards against final responses later than ResponseGrace after the client's deadline. The periodic check runs
+// every 10 ms, the grace may be shorter than that, and the tick may be longer than both.
+func TestFinalResponseComesWithinResponseGraceForAnyTick(t *testing.T) {
 	const timeout, grace = 122*ms + ms/2, 5 * ms
 	for _, tick := range []time.Duration{ms, 5 * ms, 50 * ms} {
 		settings := testSettings()
@@ -90,9 +92,9 @@
 		h := newHarness(t, settings, 0)
 		h.update(UpdateSnapshot, ready(1, 1)...)
 		for range 40 {
-			h.request(0) // far more than there is capacity for
+			h.request(0) // far more requests than the server has capacity for
 		}
-		// The baseline is so short that the request stays in the queue until its deadline.
+		// With so short a baseline latency, the request is not shed as late before its deadline.
 		h.balancer.classes[2].baseline = runningmean.NewWithGuess(0.0001, maxLatencySamples)
 		h.lastID++
 		deadline := h.now + timeout
@@ -104,7 +106,8 @@
 			_, rejected = h.host.rejected[h.lastID]
 		}
 		if !rejected || h.now > deadline+grace {
-			t.Errorf("tick %v: rejected %v, %v after the deadline", tick, rejected, h.now-deadline)
+			t.Errorf("tick %v, grace %v: rejected %v at %v after the deadline, want true by the end of the grace",
+				tick, grace, rejected, h.now-deadline)
 		}
 	}
 }
