--- a/policy/endpoint_set_test.go
+++ b/policy/endpoint_set_test.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// Guards against sends after the update, also by retries and queued requests.
+// Guards against sends to a server after an update that drains or removes it. Retries and queued requests could
+// cause them too.
 func TestNoSendToDrainingOrRemovedServer(t *testing.T) {
 	settings := testSettings()
 	h := newHarness(t, settings, 2)
-	for i := range 20 { // more than there is capacity for: some are queued
+	for i := range 20 { // more requests than the servers have capacity for, so that some are queued
 		h.request(i % 3)
 	}
 	first := h.host.sends[0]
-	h.endAttempt(first.id, ServerError, ms) // waits for its backoff
+	h.endAttempt(first.id, ServerError, ms) // starts a backoff
 
 	h.update(UpdateDelta, Endpoint{Server: 1, State: Draining})
 	h.update(UpdateDelta, Endpoint{Server: 2, State: Removed})
@@ -21,17 +22,17 @@
 	h.advance(3 * time.Second)
 
 	if len(h.host.sends) != before {
-		t.Fatalf("sent %v after the updates", h.host.sends[before:])
+		t.Fatalf("sends after one server drains and the other is removed: %v, want none", h.host.sends[before:])
 	}
 	h.update(UpdateSnapshot, ready(2, 3)...)
 	if id := h.request(0); len(h.sendsOf(id)) != 1 {
-		t.Fatal("the servers of the snapshot are not used")
+		t.Fatalf("request after a snapshot with ready servers: %d sends, want 1", len(h.sendsOf(id)))
 	}
 }
 
-// Servers are replaced under ever new IDs. One that is draining and then left out of a snapshot must be
-// forgotten like one that was ready.
-func TestUnlistedServersAreForgotten(t *testing.T) {
+// Guards against an endpoint set that grows without bound as servers are replaced by others with new IDs. A
+// draining server that is missing from a snapshot must be dropped like a ready one.
+func TestServersMissingFromSnapshotAreDropped(t *testing.T) {
 	h := newHarness(t, testSettings(), 4)
 	for i := 5; i < 3000; i++ {
 		entries := ready(i-3, i)
@@ -40,16 +41,16 @@
 		h.now += ms
 	}
 	if n := len(h.balancer.endpoints.byID); n > 4 {
-		t.Errorf("%d servers are known, want the 4 listed", n)
+		t.Errorf("%d servers are known after the last snapshot, want at most the 4 in it", n)
 	}
 }
 
-// Guards against attempts at a server's previous process that use up the capacity of the new one.
+// Guards against attempts in flight at a server's previous process that use up the capacity of its new one.
 func TestRestartFreesCapacityHeldByPreviousProcess(t *testing.T) {
 	h := newHarness(t, testSettings(), 2)
 	first, second := h.request(0), h.request(0)
 	if h.balancer.limiter.inFlight != 2 {
-		t.Fatalf("%d attempts in flight, want 2", h.balancer.limiter.inFlight)
+		t.Fatalf("%d attempts in flight before the restart, want 2", h.balancer.limiter.inFlight)
 	}
 	restarted := ready(1, 2)
 	for i := range restarted {
@@ -61,17 +62,19 @@
 
 	servers := h.balancer.endpoints.byID
 	if h.balancer.limiter.inFlight != 0 || len(servers[1].inFlight)+len(servers[2].inFlight) != 0 {
-		t.Fatalf("%d attempts use up the capacity of the new processes", h.balancer.limiter.inFlight)
+		t.Fatalf("attempts in flight after the restart: %d of the node, %d and %d at the servers; want none",
+			h.balancer.limiter.inFlight, len(servers[1].inFlight), len(servers[2].inFlight))
 	}
 	h.endAttempt(first, Reset, ms)
 	h.endAttempt(second, Timeout, time.Second)
 	if h.balancer.limiter.inFlight < 0 {
-		t.Fatalf("%d attempts in flight", h.balancer.limiter.inFlight)
+		t.Fatalf("%d attempts in flight after the outcomes of the lost ones, want at least 0",
+			h.balancer.limiter.inFlight)
 	}
 }
 
-// Guards against wrong counts after a server has left the list and come back with attempts in flight, and
-// after events for ended attempts.
+// Guards against wrong counts of attempts and requests. A server that leaves the endpoint list and is listed again
+// may still have attempts in flight, and events for ended attempts may follow.
 func TestRelistedServerAndStaleEventsKeepCountsConsistent(t *testing.T) {
 	h := newHarness(t, testSettings(), 2)
 	first, second := h.request(0), h.request(2)
@@ -80,13 +83,14 @@
 	h.update(UpdateSnapshot, ready(1, 2)...)
 
 	if len(h.balancer.endpoints.ready) != 2 {
-		t.Fatalf("%d servers ready after one came back, want 2", len(h.balancer.endpoints.ready))
+		t.Fatalf("%d ready servers after one was listed again, want 2", len(h.balancer.endpoints.ready))
 	}
 	h.endAttempt(first, OK, 20*ms)
-	h.balancer.ClientDisconnected(h.now, first) // in the batch of its outcome
+	h.balancer.ClientDisconnected(h.now, first) // reported in the same batch as its outcome
 	h.balancer.ClientDisconnected(h.now, second)
 	if h.host.cancels != 1 || len(h.host.rejected)+len(h.host.failed) != 0 {
-		t.Fatalf("%d cancels, final responses %v %v; want one cancel", h.host.cancels, h.host.rejected, h.host.failed)
+		t.Fatalf("both clients disconnected, the first after its response: %d cancels, rejected %v, failed %v; want 1 cancel",
+			h.host.cancels, h.host.rejected, h.host.failed)
 	}
 	h.endAttempt(second, Cancelled, 20*ms)
 	h.balancer.Outcome(h.now, Outcome{ID: second, Status: OK}) // repeated
@@ -94,6 +98,7 @@
 	h.balancer.StreamStarted(h.now, 999, 0)
 	requests, inFlight := &h.balancer.requests, h.balancer.limiter.inFlight
 	if inFlight != 0 || len(requests.byID) != 0 || len(requests.active) != 0 {
-		t.Fatalf("%d in flight, %d known, %d active at the end", inFlight, len(requests.byID), len(requests.active))
+		t.Fatalf("after the last outcome: %d attempts in flight, %d known requests, %d active; want none",
+			inFlight, len(requests.byID), len(requests.active))
 	}
 }
