--- a/policy/server_test.go
+++ b/policy/server_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestRestartDiscardsTheMeasurementsAndReturnsTheAttempts(t *testing.T) {
+func TestRestartDiscardsMeasurementsAndReturnsAttemptsInFlight(t *testing.T) {
 	s := newServer(7)
 	s.Endpoint = Endpoint{Server: 3, State: Ready, Cell: 2}
 	first := &attempt{server: s}
@@ -16,16 +16,17 @@
 	lost := s.restart()
 
 	if len(lost) != 1 || lost[0] != first {
-		t.Errorf("lost attempts %v, want the one in flight", lost)
+		t.Errorf("restart returned %d attempts, want only the one in flight", len(lost))
 	}
 	if s.Endpoint != (Endpoint{Server: 3, State: Ready, Cell: 2}) || s.ringPosition != 7 {
-		t.Errorf("endpoint %+v at position %d, want it unchanged", s.Endpoint, s.ringPosition)
+		t.Errorf("after restart: endpoint %+v at ring position %d, want both unchanged", s.Endpoint, s.ringPosition)
 	}
 	if len(s.inFlight) != 0 || len(s.breaker.failures) != 0 || s.score.outcomes.Len() != 0 {
-		t.Error("measurements of the previous process are kept")
+		t.Errorf("after restart: %d attempts in flight, %d consecutive failures, %d outcomes; want none",
+			len(s.inFlight), len(s.breaker.failures), s.score.outcomes.Len())
 	}
-	s.endAttempt(first) // has no effect on the new process
+	s.endAttempt(first) // at the previous process
 	if len(s.inFlight) != 0 {
-		t.Errorf("%d attempts in flight at the new process", len(s.inFlight))
+		t.Errorf("%d attempts in flight after the lost one ended, want none", len(s.inFlight))
 	}
 }
