--- a/policy/sampling_regime_test.go
+++ b/policy/sampling_regime_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestRegimeFollowsTheNodesPerServer(t *testing.T) {
+func TestRegimeDependsOnNodesPerServer(t *testing.T) {
 	for _, tc := range []struct {
 		nodesPerServer float64
 		want           samplingRegime
@@ -13,7 +13,7 @@
 		{80, undersampled()},
 	} {
 		if got := regimeFor(tc.nodesPerServer); got != tc.want {
-			t.Errorf("%v nodes per server: %+v, want %+v", tc.nodesPerServer, got, tc.want)
+			t.Errorf("regimeFor(%v) = %+v, want %+v", tc.nodesPerServer, got, tc.want)
 		}
 	}
 }
