--- a/policy/request_test.go
+++ b/policy/request_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestDeadlinesFollowClassClientAndTick(t *testing.T) {
+func TestDeadlinesDependOnClassClientTimeoutAndTick(t *testing.T) {
 	class := &requestClass{Class: Class{Deadline: 2 * time.Second, Objective: 800 * ms, ObjectivePerWork: 2}}
 	type deadlines struct{ deadline, objective, queueing time.Duration }
 	for _, tc := range []struct {
@@ -14,13 +14,13 @@
 		settings Settings
 		want     deadlines
 	}{
-		{"class", Request{Timeout: time.Minute}, Settings{}, deadlines{2 * time.Second, 800 * ms, 990 * ms}},
-		{"client", Request{Timeout: 600 * ms}, Settings{}, deadlines{600 * ms, 600 * ms, 290 * ms}},
-		{"work", Request{Timeout: time.Minute, CostHint: 100 * ms}, Settings{},
+		{"class deadline", Request{Timeout: time.Minute}, Settings{}, deadlines{2 * time.Second, 800 * ms, 990 * ms}},
+		{"client timeout", Request{Timeout: 600 * ms}, Settings{}, deadlines{600 * ms, 600 * ms, 290 * ms}},
+		{"objective extended by work", Request{Timeout: time.Minute, CostHint: 100 * ms}, Settings{},
 			deadlines{2 * time.Second, time.Second, 990 * ms}},
-		{"tick beyond the grace", Request{Timeout: 600 * ms},
+		{"tick longer than the grace", Request{Timeout: 600 * ms},
 			Settings{Tick: 50 * ms, Rules: Rules{ResponseGrace: 10 * ms}}, deadlines{560 * ms, 560 * ms, 270 * ms}},
-		{"no time at all", Request{Timeout: 0}, Settings{}, deadlines{0, 0, -checkInterval}},
+		{"zero timeout", Request{Timeout: 0}, Settings{}, deadlines{0, 0, -checkInterval}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			r := request{Request: tc.arrival, class: class}
@@ -29,13 +29,13 @@
 
 			got := deadlines{r.deadline - time.Hour, r.objectiveDeadline - time.Hour, r.queueingDeadline - time.Hour}
 			if got != tc.want {
-				t.Errorf("%+v, want %+v", got, tc.want)
+				t.Errorf("setDeadlines for %+v: %+v after the arrival, want %+v", tc.arrival, got, tc.want)
 			}
 		})
 	}
 }
 
-func TestRequestIsSafeToRejectUnlessExecutedWithoutARecognizedKey(t *testing.T) {
+func TestSafeToRejectDependsOnIdempotencyKeyScopeAndStatus(t *testing.T) {
 	idempotent := Class{Idempotency: Idempotent}
 	keyForAll := Class{Idempotency: IdempotentWithKey, KeyScope: KeyScopeAll}
 	keyForCell := Class{Idempotency: IdempotentWithKey, KeyScope: KeyScopeCell}
@@ -56,7 +56,7 @@
 		r := request{class: &requestClass{Class: tc.class}}
 		r.endAttempt(r.startAttempt(0, newServer(0)), tc.status)
 		if got := r.safeToReject(); got != tc.wantSafe {
-			t.Errorf("%v, key scope %v, attempt %v: safe %v, want %v",
+			t.Errorf("%v, key scope %v, attempt ended with %v: safeToReject() = %v, want %v",
 				tc.class.Idempotency, tc.class.KeyScope, tc.status, got, tc.wantSafe)
 		}
 	}
