--- a/policy/request_table_test.go
+++ b/policy/request_table_test.go
@@ -10,16 +10,17 @@
 	table.release(request)
 
 	if found, _ := table.findAttempt(1, 0); found != request || len(table.active) != 0 {
-		t.Fatal("a completed request with an attempt in flight must be known and not active")
+		t.Fatalf("completed request with an attempt in flight: found %v, %d active requests; want true, none",
+			found == request, len(table.active))
 	}
 	request.endAttempt(attempt, OK)
 	table.release(request)
 	if len(table.byID) != 0 {
-		t.Error("the request is still known after its last attempt")
+		t.Errorf("%d requests in the table after the last attempt has ended, want none", len(table.byID))
 	}
 }
 
-func TestRecordIsReusedOnlyOutsideTheQueue(t *testing.T) {
+func TestRecordIsNotReusedWhileQueued(t *testing.T) {
 	for _, queued := range []bool{false, true} {
 		table := newRequestTable(1)
 		request := table.add(Request{ID: 1}, &requestClass{})
@@ -28,12 +29,12 @@
 		table.release(request)
 
 		if reused := table.add(Request{ID: 2}, &requestClass{}) == request; reused == queued {
-			t.Errorf("queued %v: the record is reused: %v", queued, reused)
+			t.Errorf("released request with queued %v: record reused %v, want %v", queued, reused, !queued)
 		}
 	}
 }
 
-func TestActiveRequestsKeepTheirIndexes(t *testing.T) {
+func TestReleaseKeepsIndexesOfActiveRequests(t *testing.T) {
 	table := newRequestTable(1)
 	for id := range RequestID(4) {
 		table.add(Request{ID: id}, &requestClass{})
@@ -42,16 +43,16 @@
 	table.release(table.byID[1])
 
 	if len(table.active) != 3 {
-		t.Fatalf("%d active requests, want 3", len(table.active))
+		t.Fatalf("%d active requests after one of 4 was released, want 3", len(table.active))
 	}
 	for i, request := range table.active {
 		if request.activeIndex != i {
-			t.Errorf("request %d has index %d, want %d", request.ID, request.activeIndex, i)
+			t.Errorf("active request %d has activeIndex %d, want %d", request.ID, request.activeIndex, i)
 		}
 	}
 }
 
-func TestOnlyAttemptsInFlightAreFound(t *testing.T) {
+func TestFindAttemptReturnsOnlyAttemptsInFlight(t *testing.T) {
 	table := newRequestTable(2)
 	request := table.add(Request{ID: 1}, &requestClass{})
 	ended := request.startAttempt(0, newServer(0))
@@ -63,7 +64,7 @@
 		wantFound bool
 	}{{1, 0, false}, {1, 1, true}, {1, 2, false}, {1, -1, false}, {2, 0, false}} {
 		if _, attempt := table.findAttempt(tc.id, tc.index); (attempt != nil) != tc.wantFound {
-			t.Errorf("attempt %d of request %d is found: %v, want %v", tc.index, tc.id, !tc.wantFound, tc.wantFound)
+			t.Errorf("findAttempt(%d, %d): found %v, want %v", tc.id, tc.index, attempt != nil, tc.wantFound)
 		}
 	}
 }
