--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Guards against one tenant's surplus taking the capacity of the others.
-func TestRequestOverQuotaWaitsBehindOthers(t *testing.T) {
+// Guards against a tenant whose requests over its quota take the capacity of other tenants.
+func TestRequestOverQuotaIsSentAfterOthers(t *testing.T) {
 	settings := testSettings()
 	settings.Tenants = []Tenant{{QuotaPerS: 2}, {QuotaPerS: 100}}
 	settings.OverQuotaFraction = 0.05
@@ -27,45 +27,46 @@
 	}
 
 	if len(h.sendsOf(overQuota)) != 0 || len(h.sendsOf(withinQuota)) != 1 {
-		t.Fatal("a request over its tenant's quota was sent first")
+		t.Fatalf("%d sends of the request over its quota, %d of the one within it; want 0, 1",
+			len(h.sendsOf(overQuota)), len(h.sendsOf(withinQuota)))
 	}
 }
 
-// Guards against counting every retry of a rejected client: in a retry storm all of a tenant's requests would
-// be over its quota and lose most of their weight.
-func TestRejectedRequestReturnsItsQuotaToken(t *testing.T) {
+// Guards against quotas that also count rejected requests. While clients retry them, all requests of a tenant would
+// exceed its quota and lose most of their weight.
+func TestRejectedRequestRefundsItsQuotaToken(t *testing.T) {
 	h := newHarness(t, smallQuotaSettings(), 20)
 
 	for range 30 {
 		h.openAllBreakers()
 		id := h.request(0)
 		if _, rejected := h.host.rejected[id]; !rejected {
-			t.Fatal("a request is not rejected though all breakers are open")
+			t.Fatalf("request %d was not rejected though all breakers are open", id)
 		}
 	}
 
 	if !h.balancer.quotas.buckets[0].Take(h.now) {
-		t.Error("the tenant is over its quota after 30 rejected requests")
+		t.Error("no token left after 30 rejected requests, want them all refunded")
 	}
 }
 
-func TestServedRequestUsesUpItsQuotaToken(t *testing.T) {
+func TestServedRequestUsesItsQuotaToken(t *testing.T) {
 	h := newHarness(t, smallQuotaSettings(), 20)
 
 	for range 30 {
 		id := h.request(0)
 		if _, rejected := h.host.rejected[id]; rejected {
-			t.Fatal("a request is rejected though the servers have capacity")
+			t.Fatalf("request %d was rejected though the servers have capacity", id)
 		}
 		h.endAttempt(id, OK, 0)
 	}
 
 	if h.balancer.quotas.buckets[0].Take(h.now) {
-		t.Error("the tenant is within its quota after 30 served requests")
+		t.Error("a token is left after 30 served requests, want none")
 	}
 }
 
-// smallQuotaSettings has a tenant whose quota is 10 requests per second on this undersampled node.
+// smallQuotaSettings has one tenant, whose quota at this undersampled node is 10 requests per second.
 func smallQuotaSettings() Settings {
 	settings := testSettings()
 	settings.Nodes = 80
