--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -7,19 +7,19 @@
 	"calicohinge/internal/runningmean"
 )
 
-// Guards against congestion at the servers: what they cannot take waits here, and what would be late is
-// rejected while its client can still retry elsewhere.
-func TestRequestsBeyondTheLimitAreQueuedAndShedInTime(t *testing.T) {
+// Guards against congestion at the servers. Requests over the concurrency limit wait in the admission queue, and
+// those that would be late are rejected while their clients can still retry elsewhere.
+func TestRequestsOverTheLimitAreQueuedAndShedBeforeTheirObjective(t *testing.T) {
 	h := newHarness(t, testSettings(), 2)
 	for range 10 {
 		h.request(0)
 	}
 	if n := len(h.host.sends); n > 4 {
-		t.Fatalf("%d requests in flight at two unmeasured servers", n)
+		t.Fatalf("%d of 10 requests sent to 2 servers without measurements, want at most 4", n)
 	}
 	h.advance(790 * ms)
 	if n := len(h.host.rejected); n < 6 {
-		t.Fatalf("%d of the queued requests rejected before their objective had passed", n)
+		t.Fatalf("%d of 10 requests rejected 10 ms before their latency objective, want at least 6", n)
 	}
 }
 
@@ -38,6 +38,6 @@
 	}
 	want := []*request{requests[3], requests[2], requests[1], requests[0]}
 	if !slices.Equal(queue.waiting, want) {
-		t.Errorf("queue %v, want %v", queue.waiting, want)
+		t.Errorf("queued requests %v, want %v", queue.waiting, want)
 	}
 }
