--- a/policy/load_shedding_test.go
+++ b/policy/load_shedding_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Guards against requests that wait so long that their responses come late: the work is done for nothing and
-// congests the servers. An undersampled node does not see how long the requests of other nodes wait.
-func TestUndersampledNodeShedsWithAMargin(t *testing.T) {
+// Guards against requests that wait so long that their responses are late: their work is wasted and congests the
+// servers. An undersampled node does not see how long the requests of other nodes wait, so it sheds earlier.
+func TestUndersampledNodeShedsWithMargin(t *testing.T) {
 	for _, tc := range []struct {
 		nodes    int
 		wantShed bool
@@ -18,19 +18,20 @@
 		h.balancer.refresh(h.now)
 		id := h.request(0)
 		record := h.balancer.requests.byID[id]
-		h.endAttempt(id, Rejected, ms) // not executed: a retry may follow
+		h.endAttempt(id, Rejected, ms) // not executed, so a retry is permitted
 		h.balancer.queue.add(record)
 		record.objectiveDeadline = h.now + 2*record.expectedLatency(h.balancer.means.relativeLatency)
 
 		h.balancer.shedLoad(h.now)
 
 		if _, shed := h.host.rejected[id]; shed != tc.wantShed {
-			t.Errorf("%d nodes: shed %v, want %v", tc.nodes, shed, tc.wantShed)
+			t.Errorf("%d nodes, two expected latencies before the objective: shed %v, want %v",
+				tc.nodes, shed, tc.wantShed)
 		}
 	}
 }
 
-func TestHighPriorityRequestIsQueuedPastItsObjectiveUntilItsQueueingDeadline(t *testing.T) {
+func TestHighPriorityRequestWaitsBeyondItsObjectiveUntilItsQueueingDeadline(t *testing.T) {
 	h := newUndersampledHarness(t)
 	h.balancer.refresh(h.now)
 	for _, s := range h.balancer.subset.servers {
@@ -45,18 +46,20 @@
 	h.advance(180 * ms)
 
 	if _, rejected := h.host.rejected[id]; rejected {
-		t.Fatal("rejected at its objective, though a late response earns more than another one in time")
+		t.Fatal("rejected within 180 ms with an objective of 160 ms, " +
+			"though a late response earns more than another one in time")
 	}
 	for _, rejected := h.host.rejected[id]; !rejected; _, rejected = h.host.rejected[id] {
 		h.advance(ms)
 		if h.now > arrivedAt+time.Second {
-			t.Fatal("neither sent nor rejected")
+			t.Fatal("not rejected within 1 s of its arrival")
 		}
 	}
 	if waited := h.now - arrivedAt; waited > 250*ms {
-		t.Errorf("rejected after %v of 500 ms: its client could have retried elsewhere", waited)
+		t.Errorf("rejected %v after its arrival, want at most 250 ms so that its client can still retry elsewhere",
+			waited)
 	}
 	if after := h.host.rejected[id]; after <= 0 {
-		t.Error("the client gets no Retry-After")
+		t.Errorf("rejected with Retry-After %v, want more than 0", after)
 	}
 }
