--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -5,18 +5,18 @@
 	"testing"
 )
 
-func TestEqualServersGoByZone(t *testing.T) {
+func TestBetterServerPrefersFewerInFlightThenSameZone(t *testing.T) {
 	sameZone, otherZone := &server{sameZone: true}, &server{}
 	if betterServer(otherZone, sameZone) != sameZone || betterServer(sameZone, otherZone) != sameZone {
-		t.Fatal("among equals the server in the same zone must win")
+		t.Fatal("betterServer did not return the server in the node's zone, with all else equal")
 	}
 	sameZone.inFlight = append(sameZone.inFlight, &attempt{})
 	if betterServer(sameZone, otherZone) != otherZone {
-		t.Fatal("fewer in flight must win over the zone")
+		t.Fatal("betterServer did not return the server with fewer attempts in flight, which is in another zone")
 	}
 }
 
-func TestDrawTwoTakesTheBetterOfTwoRandomServers(t *testing.T) {
+func TestBetterOfTwoRandomNeverSelectsTheWorst(t *testing.T) {
 	scored := func(value float64) *server { return &server{score: serverScore{value: value}} }
 	worst, middle, best := scored(0.1), scored(0.5), scored(0.9)
 	set := candidates{closed: []*server{worst, middle, best}}
@@ -26,17 +26,18 @@
 		selected[set.betterOfTwoRandom(random)]++
 	}
 	if selected[worst] > 0 || selected[middle] == 0 || selected[best] <= selected[middle] {
-		t.Errorf("drawn %d, %d and %d times from the worst to the best, want none, some and most",
+		t.Errorf("selected the worst of 3 servers %d times, the middle one %d times, the best %d times; "+
+			"want never, at least once, most often",
 			selected[worst], selected[middle], selected[best])
 	}
 	if set.best() != best {
-		t.Error("the best of all must have the highest score")
+		t.Errorf("best() has the score %v, want the highest one, %v", set.best().score.value, best.score.value)
 	}
 }
 
-func TestDrawTwoOfTwoNeedsNoDraw(t *testing.T) {
+func TestBetterOfTwoRandomUsesNoRandomnessForTwoServers(t *testing.T) {
 	set := candidates{closed: []*server{{score: serverScore{value: 0.1}}, {score: serverScore{value: 0.9}}}}
 	if set.betterOfTwoRandom(nil) != set.closed[1] {
-		t.Error("the better of two servers lost")
+		t.Error("betterOfTwoRandom did not return the better of the only two servers")
 	}
 }
