--- a/policy/score_test.go
+++ b/policy/score_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Guards against taking a server that rejects requests for an idle one.
+// Guards against selecting a server that rejects requests because its few attempts in flight make it look idle.
 func TestRejectionLowersTheScore(t *testing.T) {
 	h := newHarness(t, testSettings(), 3)
 	h.serve(30, 20*ms)
@@ -15,7 +15,8 @@
 
 	for _, s := range h.balancer.subset.servers {
 		if s != rejecting && s.score.value <= rejecting.score.value {
-			t.Fatalf("the rejecting server scores %.2f, another %.2f", rejecting.score.value, s.score.value)
+			t.Fatalf("score %.2f of server %d after it rejected a request, %.2f of server %d; want the first lower",
+				rejecting.score.value, rejecting.Server, s.score.value, s.Server)
 		}
 	}
 }
@@ -34,19 +35,21 @@
 	h.balancer.refresh(h.now)
 
 	if !descending(good.score.value, slow.score.value) || !descending(good.score.value, failing.score.value) {
-		t.Fatalf("scores: good %.2f slow %.2f failing %.2f", good.score.value, slow.score.value, failing.score.value)
+		t.Fatalf("scores: good %.2f, slow %.2f, failing %.2f; want the good one highest",
+			good.score.value, slow.score.value, failing.score.value)
 	}
 	if betterServer(good, slow) != good || betterServer(failing, good) != good {
-		t.Fatal("the better score lost")
+		t.Fatal("betterServer did not return the server with the higher score")
 	}
 	similar := &server{score: serverScore{value: good.score.value - scoreTieMargin/2}}
 	good.inFlight = append(good.inFlight, &attempt{})
 	if betterServer(good, similar) != similar {
-		t.Fatal("a near-tie must go to fewer requests in flight")
+		t.Fatalf("betterServer did not return the server with fewer attempts in flight, at scores of %.2f and %.2f",
+			good.score.value, similar.score.value)
 	}
 }
 
-// descending reports whether each score is above the next. A score that is not a number is above none.
+// descending reports whether each score is higher than the next. It is false if any of them is NaN.
 func descending(scores ...float64) bool {
 	for i := range len(scores) - 1 {
 		if above := scores[i] > scores[i+1]; !above {
@@ -56,20 +59,20 @@
 	return true
 }
 
-func TestServerWithoutOutcomesScoresTheMean(t *testing.T) {
+func TestServerWithoutOutcomesScoresBetweenFastAndSlow(t *testing.T) {
 	h := newHarness(t, testSettings(), 3)
 	fast, slow, unmeasured := h.addFastAndSlowOutcomes()
 
 	h.balancer.refresh(h.now)
 
 	if !descending(fast.score.value, unmeasured.score.value, slow.score.value) {
-		t.Fatalf("scores %.2f and %.2f, unmeasured %.2f: not between",
-			fast.score.value, slow.score.value, unmeasured.score.value)
+		t.Fatalf("scores: fast %.2f, without outcomes %.2f, slow %.2f; want them in descending order",
+			fast.score.value, unmeasured.score.value, slow.score.value)
 	}
 }
 
-// Guards against servers that were bad once and are never tried again.
-func TestOldOutcomesNoLongerCountForTheScore(t *testing.T) {
+// Guards against servers that are avoided for good because of old outcomes.
+func TestExpiredOutcomesDoNotAffectTheScore(t *testing.T) {
 	h := newHarness(t, testSettings(), 3)
 	fast, slow, _ := h.addFastAndSlowOutcomes()
 	h.balancer.refresh(h.now)
@@ -77,11 +80,13 @@
 	h.balancer.refresh(h.now + 2*wellSampled().maxOutcomeAge)
 
 	if fast.score.value != slow.score.value {
-		t.Fatalf("scores %.2f and %.2f: old outcomes still count", fast.score.value, slow.score.value)
+		t.Fatalf("scores after all outcomes have expired: %.2f of the fast server, %.2f of the slow one; want them equal",
+			fast.score.value, slow.score.value)
 	}
 }
 
-// addFastAndSlowOutcomes adds outcomes to two servers, the second of which is slow, and none to a third.
+// addFastAndSlowOutcomes adds outcomes to a fast server and a slow one. It returns them and a server without
+// outcomes.
 func (h *harness) addFastAndSlowOutcomes() (*server, *server, *server) {
 	servers := h.balancer.endpoints.ready
 	fast, slow, unmeasured := servers[0], servers[1], servers[2]
@@ -92,9 +97,9 @@
 	return fast, slow, unmeasured
 }
 
-// Guards against scores that favour a server seconds after it became congested. Many nodes change a server's load
-// faster than one of them measures it.
-func TestUndersampledNodeForgetsOutcomesSooner(t *testing.T) {
+// Guards against scores that still favour a server seconds after it has become congested. With many nodes, the
+// load of a server changes faster than one of them can measure.
+func TestUndersampledNodeExpiresOutcomesSooner(t *testing.T) {
 	for _, tc := range []struct {
 		nodes    int
 		wantKept bool
@@ -108,7 +113,7 @@
 		h.now += (undersampled().maxOutcomeAge + wellSampled().maxOutcomeAge) / 2
 		h.balancer.refresh(h.now)
 		if kept := s.score.outcomes.Len() == 1; kept != tc.wantKept {
-			t.Errorf("%d nodes: an outcome of 7 s ago counts: %v, want %v", tc.nodes, kept, tc.wantKept)
+			t.Errorf("%d nodes: an outcome 7 s old is kept: %v, want %v", tc.nodes, kept, tc.wantKept)
 		}
 	}
 }
