--- a/policy/circuit_breaker_test.go
+++ b/policy/circuit_breaker_test.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-func TestBreakerOpensAdmitsOneTrialAndCloses(t *testing.T) {
+func TestBreakerOpensAndClosesAfterASuccessfulTrial(t *testing.T) {
 	h := newHarness(t, testSettings(), 4)
 	failing := h.balancer.endpoints.ready[0]
 	h.recordBreakerFailures(failing, failureThreshold, ServerError)
 	if failing.breaker.state != breakerOpen {
-		t.Fatalf("breaker %v after %d failures, want open", failing.breaker.state, failureThreshold)
+		t.Fatalf("breaker %v after %d consecutive failures, want open", failing.breaker.state, failureThreshold)
 	}
 	h.serve(20, 50*ms)
 	for _, s := range h.host.sends {
 		if s.server == failing.Server {
-			t.Fatal("a server with an open breaker got a request")
+			t.Fatalf("request %d was sent to server %d, whose breaker is open", s.id, s.server)
 		}
 	}
 	h.advance(failing.breaker.halfOpenAt - h.now)
 	trial := h.request(0)
 	if got := h.sendsOf(trial); len(got) != 1 || got[0] != failing.Server {
-		t.Fatalf("trial went to %v, want the half-open server %d", got, failing.Server)
+		t.Fatalf("request to a half-open breaker was sent to %v, want only server %d, as its trial", got, failing.Server)
 	}
 	if other := h.sendsOf(h.request(0)); len(other) != 1 || other[0] == failing.Server {
-		t.Fatalf("second request went to %v while the trial is in flight", other)
+		t.Fatalf("request during the trial of server %d was sent to %v, want one other server", failing.Server, other)
 	}
 	before := failing.breaker.openDuration
 	h.endAttempt(trial, ServerError, 5*ms)
@@ -48,31 +48,33 @@
 	s.recordSuccess(h.now, nil)
 	h.recordBreakerFailures(s, 1, ServerError)
 	if s.breaker.state != breakerClosed {
-		t.Fatal("failures with a success between them opened the breaker")
+		t.Fatalf("breaker %v after %d failures, a success and a failure, want closed",
+			s.breaker.state, failureThreshold-1)
 	}
 	for range 2 * failureThreshold {
 		h.now += failureWindow / 3
 		h.recordBreakerFailures(s, 1, ServerError)
 	}
 	if s.breaker.state != breakerClosed {
-		t.Fatal("failures spread wider than the window opened the breaker")
+		t.Fatalf("breaker %v after %d failures at intervals of a third of the window, want closed",
+			s.breaker.state, 2*failureThreshold)
 	}
 }
 
-// Guards against a fleet-wide slowdown that opens every breaker and so has everything rejected.
-func TestTimeoutsEverywhereOpenHalfOfTheBreakersAtMost(t *testing.T) {
+// Guards against rejecting all requests because a slowdown of all servers has opened every breaker.
+func TestTimeoutsAtAllServersOpenAtMostHalfOfTheBreakers(t *testing.T) {
 	h := newHarness(t, testSettings(), 6)
-	h.balancer.arrivals.rate.Add(h.now, 100) // enough for all servers to be in the subset
+	h.balancer.arrivals.rate.Add(h.now, 100) // enough arrivals for a subset of all servers
 	h.balancer.refresh(h.now)
 	for _, s := range h.balancer.endpoints.ready {
 		h.recordBreakerFailures(s, 2*failureThreshold, Timeout)
 	}
 	if got := h.breakers(); got[breakerOpen] != 3 {
-		t.Fatalf("%d of 6 breakers opened by time-outs, want 3", got[breakerOpen])
+		t.Fatalf("%d of 6 breakers open after timeouts at all servers, want 3", got[breakerOpen])
 	}
 }
 
-func TestAllBreakersOpenRejectsAtOnceWithRetryAfter(t *testing.T) {
+func TestRequestIsRejectedAtOnceIfAllBreakersAreOpen(t *testing.T) {
 	h := newHarness(t, testSettings(), 3)
 	for _, s := range h.balancer.endpoints.ready {
 		h.recordBreakerFailures(s, failureThreshold, ServerError)
@@ -80,32 +82,35 @@
 	id := h.request(2)
 	after, ok := h.host.rejected[id]
 	if !ok || after <= 0 || after > time.Second {
-		t.Fatalf("rejected %v with Retry-After %v, want at once and within the limit", ok, after)
+		t.Fatalf("all breakers open: rejected at once %v, Retry-After %v; want true, above 0 and at most 1 s", ok, after)
 	}
 	h.advance(2 * initialOpenDuration)
 	if trial := h.request(0); len(h.sendsOf(trial)) != 1 {
-		t.Fatal("a half-open server must still get its trial")
+		t.Fatalf("request after all breakers turned half-open: %d sends, want 1", len(h.sendsOf(trial)))
 	}
 }
 
-// Guards against a breaker that never closes again because no request is idempotent.
-func TestNonIdempotentRequestIsTrialOnlyIfNoOtherCame(t *testing.T) {
+// Guards against a breaker that stays half-open for good because no request is idempotent.
+func TestNonIdempotentRequestBecomesTheTrialOnlyIfOverdue(t *testing.T) {
 	h := newHarness(t, testSettings(), 1)
 	s := h.balancer.endpoints.ready[0]
 	h.recordBreakerFailures(s, failureThreshold, ServerError)
 	h.now = s.breaker.halfOpenAt + ms
 	if id := h.request(2); len(h.sendsOf(id)) != 0 {
-		t.Fatal("a request that is not idempotent was the trial at once, though another could come")
+		t.Fatalf("request that is not idempotent, just after the breaker turned half-open: %d sends, want none",
+			len(h.sendsOf(id)))
 	}
 	h.advance(s.breaker.openDuration + ms)
 	if h.request(2); len(h.host.sends) != 1 {
-		t.Fatal("no request became the trial")
+		t.Fatalf("%d sends once the trial is overdue, want 1, the trial", len(h.host.sends))
 	}
 }
 
-// Where attempts fail at all servers alike, runs of failures come by chance, and each breaker that opens
-// loses what its server still serves. A server that usually succeeds is ejected after the fifth failure.
-func TestExpectedFailureRateOpensNoBreaker(t *testing.T) {
+// Guards against opening breakers when attempts fail at the same rate at all servers. Runs of failures then occur
+// by chance, and each open breaker loses what its server still serves. A server whose attempts usually succeed is
+// still ejected after the fifth failure in a row.
+func TestFailuresAtTheUsualRateDoNotOpenTheBreaker(t *testing.T) {
+	// Records a success for each plus sign and a failure for each minus sign.
 	recordPattern := func(balancer *Balancer, s *server, now time.Duration, pattern string) {
 		for _, c := range pattern {
 			a := &attempt{server: s}
@@ -124,33 +129,36 @@
 	failing, healthy := h.balancer.endpoints.byID[1], h.balancer.endpoints.byID[2]
 	recordPattern(h.balancer, failing, h.now, strings.Repeat("++-", 20)+"+-----")
 	if failing.breaker.state != breakerClosed {
-		t.Error("a run of expected failures opened the breaker")
+		t.Errorf("breaker %v after 5 failures in a row at a failure rate of a third, want closed", failing.breaker.state)
 	}
 	recordPattern(h.balancer, failing, h.now, strings.Repeat("-", maxFailureThreshold-5))
 	if failing.breaker.state != breakerOpen {
-		t.Error("a server that fails every time keeps its breaker closed")
+		t.Errorf("breaker %v after %d failures in a row, want open whatever the failure rate",
+			failing.breaker.state, maxFailureThreshold)
 	}
 	recordPattern(h.balancer, healthy, h.now, strings.Repeat("+", 60)+"-----")
 	if healthy.breaker.state != breakerOpen {
-		t.Error("five consecutive failures of a healthy server left its breaker closed")
+		t.Errorf("breaker %v after 60 successes and 5 failures in a row, want open", healthy.breaker.state)
 	}
 }
 
-func TestInconclusiveTrialMakesWayForTheNextOne(t *testing.T) {
+func TestAbandonedTrialAllowsAnotherTrial(t *testing.T) {
 	first, second := &attempt{}, &attempt{}
 	breaker := newCircuitBreaker()
 	breaker.state = breakerHalfOpen
 
 	breaker.startAttempt(first)
 	if breaker.awaitsTrial() || !breaker.isTrial(first) || breaker.isTrial(second) {
-		t.Fatal("the first attempt must be the only trial")
+		t.Fatalf("started the first attempt: awaitsTrial() = %v, isTrial(first) = %v, isTrial(second) = %v; "+
+			"want false, true, false",
+			breaker.awaitsTrial(), breaker.isTrial(first), breaker.isTrial(second))
 	}
 	breaker.abandonTrial(second)
 	if !breaker.isTrial(first) {
-		t.Fatal("the end of another attempt must not end the trial")
+		t.Fatal("abandonTrial of an attempt that is not the trial ended the trial")
 	}
 	breaker.abandonTrial(first)
 	if !breaker.acceptsTrial(time.Hour, Idempotent) {
-		t.Error("the breaker must accept another trial")
+		t.Error("acceptsTrial after the trial was abandoned: false, want true")
 	}
 }
