--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Guards against overloading a warming server, by a burst right after its start and while most of the
-// fleet restarts.
-func TestSlowStartBudgetStaysBelowOverload(t *testing.T) {
+// Guards against overloading a server that is warming up: by a burst right after its start, and while most of the
+// servers restart.
+func TestSlowStartBudgetPreventsOverload(t *testing.T) {
 	for _, tc := range []struct {
 		name      string
 		restarted int // of ten servers
-	}{{"one server", 1}, {"most of the fleet", 8}, {"all of the fleet", 10}} {
+	}{{"one server", 1}, {"most servers", 8}, {"all servers", 10}} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newHarness(t, testSettings(), 10)
 			h.serve(200, 10*ms)
@@ -19,17 +19,17 @@
 			s := h.balancer.endpoints.byID[1]
 			h.balancer.refresh(h.now)
 			if h.sendThroughSlowStart(s) == 0 {
-				t.Error("a warming server must get something, or it never shows that it is warm")
+				t.Error("no sends to a server that is warming up, want at least one")
 			}
 			record := h.balancer.requests.byID[h.request(0)]
 			if !h.balancer.retry.permits(h.now, record, s) || !h.balancer.slowStart.admits(h.now, s) {
-				t.Error("the budget still limits a warm server")
+				t.Error("an attempt at a warm server is not permitted or not admitted, want no limit by its budget")
 			}
 		})
 	}
 }
 
-// restart gives the first servers a new process.
+// restart reports in the endpoint list that new processes of the first servers have just started.
 func (h *harness) restart(servers int) {
 	endpoints := ready(1, servers)
 	for i := range endpoints {
@@ -38,8 +38,8 @@
 	h.update(UpdateDelta, endpoints...)
 }
 
-// sendThroughSlowStart sends to a server all that the budget admits until it is warm, and checks the work in
-// each overload window. It returns the number of sends.
+// sendThroughSlowStart makes all sends that a server's budget admits until the server is warm, and returns their
+// number. It fails the test if the work sent within any OverloadWindow would overload the server.
 func (h *harness) sendThroughSlowStart(s *server) int {
 	h.t.Helper()
 	rules, baseline := h.balancer.settings.Rules, h.balancer.classes[0].baseline.Value()
@@ -61,16 +61,17 @@
 		maxWork := warmServerWorkRate * rules.OverloadWindow.Seconds() * rules.OverloadMultiple *
 			s.capacityShare(&rules, h.now)
 		if sentWork := float64(sendsInWindow) * baseline; sentWork > maxWork+baseline {
-			h.t.Fatalf("sent %.3f s of work within a window, more than %.3f", sentWork, maxWork)
+			h.t.Fatalf("%.3f s of work sent within %v, %v after the start; want at most %.3f s",
+				sentWork, rules.OverloadWindow, h.now-start, maxWork+baseline)
 		}
 	}
 	return len(sends)
 }
 
-// Guards against one send from each of many nodes at once, as soon as they are notified of a start.
-func TestFirstSendsToWarmingServerAreSpread(t *testing.T) {
+// Guards against a burst of one send from each node as soon as the nodes are notified of a server's start.
+func TestFirstSendsOfNodesToWarmingServerAreSpread(t *testing.T) {
 	const nodes = 40
-	firstSends := map[time.Duration]int{} // by tenth of a second after the start
+	firstSends := map[time.Duration]int{} // nodes by the tenth of a second after the start
 	for seed := range uint64(nodes) {
 		balancer, err := New(testSettings(), seed, newHost())
 		if err != nil {
@@ -94,7 +95,8 @@
 	}
 	for tenth, n := range firstSends {
 		if n > nodes/4 {
-			t.Errorf("%d of %d nodes sent first in tenth %d of a second after the start", n, nodes, tenth)
+			t.Errorf("first send within 100 ms from %v after the start: %d of %d nodes, want at most %d",
+				tenth*100*ms, n, nodes, nodes/4)
 		}
 	}
 }
