--- a/policy/concurrency_limit_test.go
+++ b/policy/concurrency_limit_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// adjustLimitFor adjusts the limit every 10 ms for some time, at a steady congestion.
+// adjustLimitFor adjusts the limit every 10 ms for the given duration, at constant congestion.
 func adjustLimitFor(balancer *Balancer, start, duration time.Duration, congestion float64) {
 	for now := start; now < start+duration; now += 10 * ms {
 		balancer.latency.congestion = congestion
@@ -13,7 +13,7 @@
 	}
 }
 
-// newLimiterHarness has a request that waits for the limit.
+// newLimiterHarness returns a harness with a queued request, and its Balancer.
 func newLimiterHarness(t *testing.T) (*harness, *Balancer) {
 	t.Helper()
 	h := newHarness(t, testSettings(), 4)
@@ -22,62 +22,64 @@
 	return h, h.balancer
 }
 
-// Guards against a limit that grows unused in quiet times and does not hold when load comes.
-func TestLimitGrowsOnlyWhileRequestsWait(t *testing.T) {
+// Guards against a limit that increases while the load does not reach it, and is too high once the load rises.
+func TestLimitIncreasesOnlyWhileRequestsWait(t *testing.T) {
 	h, balancer := newLimiterHarness(t)
 	before := balancer.limiter.limit
 	waiting := balancer.queue.waiting
 	balancer.queue.waiting = nil
 	adjustLimitFor(balancer, h.now, time.Second, 0)
 	if balancer.limiter.limit != before {
-		t.Fatalf("limit went from %v to %v though nothing waits", before, balancer.limiter.limit)
+		t.Fatalf("limit %v after 1 s without queued requests, want %v as before", balancer.limiter.limit, before)
 	}
 	balancer.queue.waiting = waiting
 	adjustLimitFor(balancer, h.now+time.Second, time.Second, 0)
 	if balancer.limiter.limit <= before {
-		t.Fatal("limit did not grow while requests wait without congestion")
+		t.Fatalf("limit %v after 1 s with a queued request and no congestion, want more than %v",
+			balancer.limiter.limit, before)
 	}
 }
 
-// Guards against servers that get less done the more they have in flight, and against starving a fleet that
-// is slow as a whole.
-func TestLimitShrinksUnderCongestionToNearTheKnownGood(t *testing.T) {
+// Guards against so many attempts in flight that the servers serve fewer requests. Also guards against sending too
+// few requests while all servers are slow.
+func TestLimitDecreasesUnderCongestionToNearTheKnownGoodLimit(t *testing.T) {
 	h, balancer := newLimiterHarness(t)
 	balancer.limiter.congestionSeen, balancer.limiter.limit, balancer.limiter.knownGoodLimit = true, 8, 4
 	adjustLimitFor(balancer, h.now, 5*time.Second, 1)
 	if balancer.limiter.limit >= 8 {
-		t.Fatal("limit did not shrink under congestion")
+		t.Fatalf("limit %v after 5 s of congestion, want less than 8", balancer.limiter.limit)
 	}
 	adjustLimitFor(balancer, h.now+5*time.Second, 20*time.Second, 1)
 	if balancer.limiter.limit < 2 || balancer.limiter.limit > 4 {
-		t.Fatalf("limit %v after 25 s of slowness, want it near the known good 4", balancer.limiter.limit)
+		t.Fatalf("limit %v after 25 s of congestion, want 2 to 4, near the known good limit", balancer.limiter.limit)
 	}
 }
 
-// Guards against servers that stay congested by many undersampled nodes, each at a limit that was good before.
-func TestUndersampledNodeLimitFallsBelowOneRequestPerServer(t *testing.T) {
+// Guards against servers that stay congested because many undersampled nodes each keep to a limit that was good
+// before.
+func TestUndersampledNodeLimitFallsToOneAttemptPerServer(t *testing.T) {
 	h, balancer := newLimiterHarness(t)
 	balancer.limiter.congestionSeen, balancer.limiter.limit, balancer.limiter.knownGoodLimit = true, 8, 8
 	balancer.subset.setNodesPerServer(2 * undersampledAbove)
 	adjustLimitFor(balancer, h.now, 10*time.Second, 1)
 	if balancer.limiter.limit > 1 {
-		t.Fatalf("limit %v after 10 s of congestion, want below one request for each server", balancer.limiter.limit)
+		t.Fatalf("limit %v after 10 s of congestion, want at most one attempt per server", balancer.limiter.limit)
 	}
 }
 
-// Guards against the overshoot of the fast initial growth, which responses show late.
-func TestFirstCongestionCutsTheInitialGrowth(t *testing.T) {
+// Guards against overshoot of the fast initial increase, because congestion shows only in later responses.
+func TestFirstCongestionReducesTheLimitAtOnce(t *testing.T) {
 	h, balancer := newLimiterHarness(t)
 	balancer.limiter.limit = 10
 	balancer.subset.setNodesPerServer(2 * undersampledAbove)
 	adjustLimitFor(balancer, h.now, 10*ms, 1)
 	if balancer.limiter.limit > 7 {
-		t.Fatalf("limit %v after the first sign of congestion, want well below 10", balancer.limiter.limit)
+		t.Fatalf("limit %v after the first congestion at a limit of 10, want at most 7", balancer.limiter.limit)
 	}
 }
 
-// Guards against nodes with unequal parts of the same servers: a node whose limit has fallen once would reject
-// most of its requests, while others have several times its capacity.
+// Guards against nodes that keep unequal limits for the same servers. A node whose limit has once decreased would
+// reject most of its requests, while others send several times as many.
 func TestUndersampledNodesThatShareServersConvergeToEqualLimits(t *testing.T) {
 	var nodes []*Balancer
 	for _, limit := range []float64{0.5, 4} {
@@ -91,7 +93,7 @@
 
 	now := time.Hour
 	for range 400 {
-		congestion := 0.0 // of the servers, which both nodes use
+		congestion := 0.0 // of the servers that both nodes use
 		if nodes[0].limiter.limit+nodes[1].limiter.limit > 5 {
 			congestion = 1
 		}
@@ -102,29 +104,30 @@
 	}
 
 	if lower, higher := nodes[0].limiter.limit, nodes[1].limiter.limit; higher > 2*lower {
-		t.Fatalf("limits %.2f and %.2f after 40 s with the same servers", lower, higher)
+		t.Fatalf("limits %.2f and %.2f after 40 s at the same servers, want at most a factor of 2 between them",
+			lower, higher)
 	}
 }
 
-// Guards against congestion by many nodes that each send one request to each server. Also guards against a node
-// that queues requests at a chance peak, though all nodes together are far from the limit.
-func TestUndersampledNodeHoldsItsMeanInFlightToTheLimit(t *testing.T) {
+// Guards against congestion by many nodes that each have one attempt in flight at each server. Also guards against
+// a node that queues requests at a chance peak, although all nodes together are far below the limit.
+func TestUndersampledNodeLimitsItsMeanAttemptsInFlight(t *testing.T) {
 	settings := testSettings()
 	settings.Nodes = 80
 	h := newHarness(t, settings, 20)
-	nodeLimit := h.balancer.limiter.limit * 20 / 80 // this node's part of the attempts in flight at all servers
+	nodeLimit := h.balancer.limiter.limit * 20 / 80 // this node's share of the attempts in flight at all servers
 
 	for range 3 {
 		h.request(0)
 	}
 
 	if n := len(h.host.sends); n < 2 {
-		t.Fatalf("%d of 3 requests that came at once were sent, the limit is %.1f", n, nodeLimit)
+		t.Fatalf("%d of 3 simultaneous requests sent at a node limit of %.1f, want at least 2", n, nodeLimit)
 	}
 
 	const requests = 300
 	queued, inFlightSum := 0, 0
-	for range requests { // each gets no response for half a second
+	for range requests { // each attempt gets its response after half a second
 		id := h.request(0)
 		h.advance(10 * ms)
 		inFlightSum += h.balancer.limiter.inFlight
@@ -135,12 +138,13 @@
 	}
 
 	if mean := float64(inFlightSum) / requests; queued == 0 || mean > 2*nodeLimit+1 {
-		t.Fatalf("%d queued, %.1f in flight on the average; the node's part is %.1f", queued, mean, nodeLimit)
+		t.Fatalf("%d of %d requests queued, %.1f attempts in flight on average; want some queued and at most %.1f",
+			queued, requests, mean, 2*nodeLimit+1)
 	}
 }
 
-// Guards against a stop of all sends when servers with attempts in flight stop responding.
-func TestAttemptsAtOpenBreakersDoNotUseUpTheLimit(t *testing.T) {
+// Guards against a node that stops sending because servers with attempts in flight have stopped responding.
+func TestAttemptsAtEjectedServersDoNotCountTowardTheLimit(t *testing.T) {
 	h := newHarness(t, testSettings(), 4)
 	for range 4 {
 		h.request(0)
@@ -154,22 +158,22 @@
 		}
 	}
 	if id := h.request(0); len(h.sendsOf(id)) != 1 {
-		t.Fatal("a server with capacity is left idle because ejected ones have attempts in flight")
+		t.Fatalf("request while only ejected servers have attempts in flight: %d sends, want 1", len(h.sendsOf(id)))
 	}
 }
 
-// Guards against shedding the requests of the highest weight first, because they cannot be served within the
-// objective with a margin to spare, while requests of low weight are served.
-func TestHighPriorityRequestIsSentWhileOthersWaitForTheMean(t *testing.T) {
+// Guards against shedding requests of high priority, which after a wait can no longer meet their objective with the
+// margin, while requests of low priority are served.
+func TestHighPriorityRequestIsSentWhileLowPriorityOneIsQueued(t *testing.T) {
 	h := newUndersampledHarness(t)
 	h.fillToLimit()
 
 	lowPriority, highPriority := h.request(0), h.request(1)
 
 	if n := len(h.sendsOf(lowPriority)); n != 0 {
-		t.Errorf("the request of low priority was sent %d times though the node is at its limit", n)
+		t.Errorf("low-priority request at a node above its limit: %d sends, want none", n)
 	}
 	if n := len(h.sendsOf(highPriority)); n != 1 {
-		t.Errorf("the request of high priority was sent %d times, want once", n)
+		t.Errorf("high-priority request at a node above its limit: %d sends, want 1", n)
 	}
 }
