--- a/policy/latency_test.go
+++ b/policy/latency_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// Guards against ordering queued requests by an initial estimate that a busy fleet never corrects.
-func TestWeightPerWorkFollowsAllResponses(t *testing.T) {
+// Guards against sorting queued requests by an initial estimate of their work that is never corrected, because no
+// attempt in a busy fleet is unloaded.
+func TestWeightPerWorkDependsOnAllResponses(t *testing.T) {
 	h := newHarness(t, testSettings(), 2)
 	served := &request{class: &h.balancer.classes[0]}
 	loaded := &attempt{server: h.balancer.endpoints.ready[0]}
@@ -17,12 +18,14 @@
 	h.request(0)
 	slow, other := h.balancer.requests.byID[h.request(0)], h.balancer.requests.byID[h.request(1)]
 	if slow == nil || other == nil || !other.precedes(slow) {
-		t.Fatal("a class that takes longer for the same weight must come second")
+		t.Fatalf("requests of a slow class and of another: known %v, %v; want both, with the slow one after the other",
+			slow != nil, other != nil)
 	}
 }
 
-// Guards against a baseline that grows with congestion: no other attempt of this node does not mean no load.
-func TestOnlyAttemptsInAQuietFleetCountAsUnloaded(t *testing.T) {
+// Guards against a baseline latency that rises with congestion. A server without attempts of this node may be
+// loaded by other nodes.
+func TestOnlyAttemptsInALightlyLoadedFleetCountAsUnloaded(t *testing.T) {
 	settings := testSettings()
 	settings.Nodes = 7
 	h := newHarness(t, settings, 7)
@@ -38,11 +41,11 @@
 		}
 	}
 	if unloaded == 0 || sends < 5 || unloaded > 4 {
-		t.Fatalf("%d of %d attempts count as unloaded, want the first few", unloaded, sends)
+		t.Fatalf("%d of %d attempts count as unloaded, want 1 to 4 of at least 5", unloaded, sends)
 	}
 }
 
-func TestOnlyUnloadedLatenciesMoveTheBaselines(t *testing.T) {
+func TestOnlyUnloadedLatenciesChangeTheBaselines(t *testing.T) {
 	settings := testSettings()
 	for _, tc := range []struct {
 		name     string
@@ -57,38 +60,38 @@
 			estimator.record(&attempt{server: s, unloaded: tc.unloaded}, &request{class: &class}, 50*ms, 1)
 
 			if moved := class.baseline.Value() != baseline; moved != tc.unloaded {
-				t.Errorf("the class's baseline moved: %v, want %v", moved, tc.unloaded)
+				t.Errorf("record of a latency of 50 ms changed the class's baseline: %v, want %v", moved, tc.unloaded)
 			}
 			if moved := s.baseline.Samples() > 0; moved != tc.unloaded {
-				t.Errorf("the server's baseline moved: %v, want %v", moved, tc.unloaded)
+				t.Errorf("record of a latency of 50 ms changed the server's baseline: %v, want %v", moved, tc.unloaded)
 			}
 		})
 	}
 }
 
-func TestBaselineTakesNoLatencyNearTheObjective(t *testing.T) {
+func TestBaselineIsAtMostAThirdOfTheObjective(t *testing.T) {
 	settings := testSettings()
 	class := newRequestClass(Class{Objective: 300 * ms}, &settings)
 	for range maxLatencySamples {
 		class.recordUnloaded(10, 0)
 	}
 	if got := class.baseline.Value(); got > 0.1 {
-		t.Errorf("baseline %v s, want a third of the objective at most", got)
+		t.Errorf("baseline %v s after latencies of 10 s, want at most 0.1 s, a third of the objective", got)
 	}
 }
 
-func TestCongestionFollowsLoadedLatencies(t *testing.T) {
+func TestCongestionConvergesToTheLogarithmOfRelativeLatency(t *testing.T) {
 	settings := testSettings()
-	class := newRequestClass(Class{Objective: 400 * ms}, &settings) // the guessed baseline is 100 ms
+	class := newRequestClass(Class{Objective: 400 * ms}, &settings) // the initial baseline is 100 ms
 	estimator := newLatencyEstimator(&class)
 	loaded := &attempt{server: newServer(0)}
 	for range 20 * congestionSmoothing {
 		estimator.record(loaded, &request{class: &class}, 200*ms, 1)
 	}
 	if got := estimator.congestion; math.Abs(got-math.Ln2) > 0.01 {
-		t.Errorf("congestion %.3f at twice the baseline, want %.3f", got, math.Ln2)
+		t.Errorf("congestion %.3f after latencies of twice the baseline, want %.3f", got, math.Ln2)
 	}
 	if got := estimator.smoothed; math.Abs(got-0.2) > 0.01 {
-		t.Errorf("smoothed latency %.3f s, want 0.200 s", got)
+		t.Errorf("smoothed latency %.3f s after latencies of 200 ms, want 0.200 s", got)
 	}
 }
