--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Guards against a second execution and a false guarantee of Host.Reject, for every status.
-func TestRetryRejectOrFailFollowsIdempotencyForEveryStatus(t *testing.T) {
+// Guards against executing a request twice, and against Host.Reject for a request that is not safe to retry.
+func TestResultDependsOnIdempotencyAndStatus(t *testing.T) {
 	const retried, failed = "retried", "failed"
 	for _, tc := range []struct {
 		class  int
@@ -21,7 +21,7 @@
 		{2, ServerError, failed}, {2, Rejected, retried}, {2, Timeout, failed}, {2, ConnectFailed, retried},
 		{2, Reset, failed}, {2, NotSent, retried},
 	} {
-		t.Run(fmt.Sprintf("class %d %v", tc.class, tc.status), func(t *testing.T) {
+		t.Run(fmt.Sprintf("class %d, %v", tc.class, tc.status), func(t *testing.T) {
 			settings := testSettings()
 			settings.Limits.Hedging = false
 			h := newHarness(t, settings, 9)
@@ -30,24 +30,24 @@
 			h.endAttempt(id, tc.status, 20*ms)
 			h.advance(200 * ms)
 			if got := h.resultOf(id); got != tc.want {
-				t.Fatalf("got %s, want %s", got, tc.want)
+				t.Fatalf("request %s 200 ms after its first attempt ended, want %s", got, tc.want)
 			}
 			servers := h.sendsOf(id)
 			if len(servers) < 2 {
 				return
 			}
 			if servers[0] == servers[1] {
-				t.Fatal("retried at the server that failed")
+				t.Fatalf("both attempts were sent to server %d, want the retry at another server", servers[0])
 			}
 			mayHaveBeenExecuted := tc.status == ServerError || tc.status == Timeout || tc.status == Reset
 			if tc.class == 1 && mayHaveBeenExecuted && servers[0]/2 != servers[1]/2 {
-				t.Fatalf("a request with an idempotency key left its cell: %v", servers)
+				t.Fatalf("request with an idempotency key was sent to servers %v, want both in the same cell", servers)
 			}
 		})
 	}
 }
 
-// resultOf returns the result of the first attempt of a request.
+// resultOf returns what has followed the first attempt of a request.
 func (h *harness) resultOf(id RequestID) string {
 	_, rejected := h.host.rejected[id]
 	switch {
@@ -61,7 +61,7 @@
 	return "queued"
 }
 
-// Guards against a retry whose idempotency key the servers have forgotten.
+// Guards against a second execution by servers that no longer keep the idempotency key.
 func TestNoRetryAfterKeyRetention(t *testing.T) {
 	settings := testSettings()
 	settings.Limits.Hedging = false
@@ -72,7 +72,8 @@
 	h.endAttempt(id, ServerError, 150*ms)
 	h.advance(300 * ms)
 	if n := len(h.sendsOf(id)); n != 1 || !h.host.failed[id] {
-		t.Fatalf("%d sends, failed %v; want one send and a failure", n, h.host.failed[id])
+		t.Fatalf("first attempt ended 50 ms after the key retention: %d sends, failed %v; want 1, true",
+			n, h.host.failed[id])
 	}
 }
 
@@ -91,11 +92,11 @@
 		waits = append(waits, h.now-from)
 	}
 	if waits[0] >= waits[1] || waits[1] >= waits[2] || waits[0] < 20*ms {
-		t.Fatalf("waits %v do not grow", waits)
+		t.Fatalf("backoffs before the retries: %v, want at least 20 ms and each longer than the last", waits)
 	}
 }
 
-func TestRequestIsRejectedAtOnceIfNoRetryFitsTheTimeLeft(t *testing.T) {
+func TestRequestIsRejectedAtOnceIfARetryWouldBeLate(t *testing.T) {
 	settings := testSettings()
 	settings.Limits.Hedging = false
 	h := newHarness(t, settings, 9)
@@ -105,11 +106,11 @@
 	h.endAttempt(id, ServerError, 790*ms)
 
 	if _, ok := h.host.rejected[id]; !ok {
-		t.Fatal("a retry that cannot be in time must be rejected at once")
+		t.Fatal("not rejected when its attempt ended 10 ms before the objective, too late for a retry")
 	}
 }
 
-func TestRequestIsRejectedAtOnceAfterAllOfItsAttempts(t *testing.T) {
+func TestRequestIsRejectedAtOnceAfterItsLastAttempt(t *testing.T) {
 	settings := testSettings()
 	settings.Limits.Hedging = false
 	settings.Limits.MaxAttempts = 1
@@ -119,23 +120,23 @@
 	h.endAttempt(id, ServerError, ms)
 
 	if _, ok := h.host.rejected[id]; !ok {
-		t.Fatal("a request that has had all of its attempts must be rejected at once")
+		t.Fatal("not rejected when its only permitted attempt ended with an error")
 	}
 }
 
-// Guards against attempts at a server that is not ready.
-func TestAttemptPermittedOnlyAtReadyServer(t *testing.T) {
+// Guards against attempts at servers that are draining or removed.
+func TestAttemptIsPermittedOnlyAtReadyServer(t *testing.T) {
 	h := newHarness(t, testSettings(), 2)
 	record := h.balancer.requests.add(Request{ID: 9, Timeout: time.Second}, &h.balancer.classes[0])
 	record.deadline = h.now + time.Second
 	s := h.balancer.endpoints.ready[0]
 	if !h.balancer.retry.permits(h.now, record, s) {
-		t.Fatal("an attempt at a ready server must be permitted")
+		t.Fatal("permits returned false for a ready server, want true")
 	}
 	for _, state := range []EndpointState{Draining, Removed} {
 		s.State = state
 		if h.balancer.retry.permits(h.now, record, s) {
-			t.Errorf("an attempt at a server in state %v is permitted", state)
+			t.Errorf("permits returned true for a server in state %v, want false", state)
 		}
 	}
 }
