--- a/policy/retry_key_retention_test.go
+++ b/policy/retry_key_retention_test.go
@@ -6,9 +6,10 @@
 	"time"
 )
 
-// The servers keep the idempotency key of a request for a short time. Each case ends the first attempt and lets
-// time pass. It says how often the request is sent in all, and whether it is terminated.
-func TestShortKeyRetentionBoundsRetries(t *testing.T) {
+// Guards against retries after the servers have dropped the idempotency key of a request, which could execute it
+// twice. Each case ends the first attempt, lets time pass, and states how often the request is sent in all and
+// whether it is rejected or failed.
+func TestRetriesEndWithShortKeyRetention(t *testing.T) {
 	retryDueAfter := func(after time.Duration) func(h *harness, id RequestID) {
 		return func(h *harness, id RequestID) {
 			record := h.balancer.requests.byID[id]
@@ -22,13 +23,13 @@
 	}
 	for name, tc := range map[string]struct {
 		retention      time.Duration
-		run            func(h *harness, id RequestID) // from the first attempt on
+		run            func(h *harness, id RequestID) // from the send of the first attempt on
 		wantSends      int
 		wantTerminated bool
 	}{
-		"retry due within retention": {100 * ms, retryDueAfter(99 * ms), 2, false},
-		"retry due at its end":       {100 * ms, retryDueAfter(100 * ms), 1, true},
-		"retry due after it":         {100 * ms, retryDueAfter(101 * ms), 1, true},
+		"retry due within retention":        {100 * ms, retryDueAfter(99 * ms), 2, false},
+		"retry due at the end of retention": {100 * ms, retryDueAfter(100 * ms), 1, true},
+		"retry due after retention":         {100 * ms, retryDueAfter(101 * ms), 1, true},
 		"retention shorter than the backoff": {15 * ms, func(h *harness, id RequestID) {
 			h.endAttempt(id, ServerError, 0)
 		}, 1, true},
@@ -38,7 +39,7 @@
 			h.endAttempt(id, ServerError, 0)
 			h.advance(100*ms + 2*checkInterval)
 		}, 1, true},
-		"counted from the first attempt that may have been executed": {100 * ms, func(h *harness, id RequestID) {
+		"retention runs from the first attempt possibly executed": {100 * ms, func(h *harness, id RequestID) {
 			h.advance(90 * ms)
 			h.endAttempt(id, Rejected, 90*ms)
 			h.advance(40 * ms)
@@ -59,12 +60,13 @@
 				tc.run(h, id)
 				_, rejected := h.host.rejected[id]
 				if n := len(h.sendsOf(id)); n != tc.wantSends {
-					t.Errorf("%d sends, want %d", n, tc.wantSends)
+					t.Errorf("key retention %v: %d sends, want %d", tc.retention, n, tc.wantSends)
 				}
 				wantRejected := tc.wantTerminated && scope == KeyScopeAll // the client may retry anywhere
 				wantFailed := tc.wantTerminated && scope == KeyScopeCell
 				if failed := h.host.failed[id]; rejected != wantRejected || failed != wantFailed {
-					t.Errorf("rejected %v, failed %v; want %v, %v", rejected, failed, wantRejected, wantFailed)
+					t.Errorf("key retention %v: rejected %v, failed %v; want %v, %v",
+						tc.retention, rejected, failed, wantRejected, wantFailed)
 				}
 			})
 		}
