--- a/policy/retry_key_scope_test.go
+++ b/policy/retry_key_scope_test.go
@@ -5,9 +5,8 @@
 	"testing"
 )
 
-// A request with an idempotency key that may have been executed is sent again only to
-// servers that recognize the key: those of its scope. With any other server it would be
-// executed twice.
+// Guards against executing a request with an idempotency key twice. If it may have been executed, a retry may go only
+// to the servers that recognize the key, which are those in its scope.
 func TestRetryStaysWithinTheKeyScope(t *testing.T) {
 	first := Endpoint{Server: 1, State: Ready, Zone: 0, Cell: 1, Weight: 1}
 	sameCell := Endpoint{Server: 2, State: Ready, Zone: 1, Cell: 1, Weight: 1}
@@ -26,7 +25,7 @@
 		{KeyScopeCell, sameZone, false},
 		{KeyScopeCell, elsewhere, false},
 	} {
-		name := fmt.Sprintf("%v, other server in zone %d and cell %d", tc.scope, tc.other.Zone, tc.other.Cell)
+		name := fmt.Sprintf("key scope %v, other server in zone %d and cell %d", tc.scope, tc.other.Zone, tc.other.Cell)
 		t.Run(name, func(t *testing.T) {
 			settings := testSettings()
 			settings.Classes[1].KeyScope = tc.scope
@@ -39,7 +38,7 @@
 			h.endAttempt(id, ServerError, 10*ms)
 			h.advance(settings.Classes[1].Objective / 2)
 			if retried := len(h.sendsOf(id)) > 1; retried != tc.wantRetried {
-				t.Errorf("sent to %v, retried %v, want %v", h.sendsOf(id), retried, tc.wantRetried)
+				t.Errorf("request was sent to servers %v: retried %v, want %v", h.sendsOf(id), retried, tc.wantRetried)
 			}
 		})
 	}
