--- a/policy/outcome_test.go
+++ b/policy/outcome_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Guards against servers that respond, but many times slower, and keep all their traffic.
-func TestSlowResponsesOpenTheBreakerOnUndersampledNode(t *testing.T) {
+// Guards against servers that respond many times slower than usual and still get all their requests.
+func TestSlowResponsesOpenTheBreakerAtUndersampledNode(t *testing.T) {
 	settings := testSettings()
 	settings.Nodes = 80
 	h := newHarness(t, settings, 6)
@@ -21,13 +21,14 @@
 	}
 
 	if s.breaker.state != breakerOpen {
-		t.Fatal("the breaker stays closed though all responses take ten times the baseline latency")
+		t.Fatalf("breaker %v after %d responses in a row at ten times the baseline latency, want open",
+			s.breaker.state, failureThreshold)
 	}
 }
 
-// Guards against servers that get requests while they respond to none. Each node sees few time-outs, and each
-// of them is shorter than four times the mean latency, which the congestion itself has raised.
-func TestTimeoutsOpenTheBreakerThoughTheFleetIsSlow(t *testing.T) {
+// Guards against servers that get requests although they respond to none. Each node sees few timeouts, and these
+// are shorter than four times the mean latency, which congestion has raised.
+func TestTimeoutsOpenTheBreakerAlthoughAllServersAreSlow(t *testing.T) {
 	for _, tc := range []struct {
 		nodes        int
 		regime       samplingRegime
@@ -49,18 +50,20 @@
 		timeout := record.expectedLatency(2 * unresponsiveMultiple)
 		for i := range tc.wantTimeouts {
 			if s.breaker.state != breakerClosed {
-				t.Fatalf("%d nodes: open after %d time-outs, want %d", tc.nodes, i, tc.wantTimeouts)
+				t.Fatalf("%d nodes: breaker %v after %d timeouts, want closed until %d",
+					tc.nodes, s.breaker.state, i, tc.wantTimeouts)
 			}
 			a := &attempt{server: s, request: record, sentAt: h.now}
 			h.balancer.recordOutcome(h.now, record, a, Outcome{Status: Timeout, Latency: timeout})
 		}
 		if s.breaker.state != breakerOpen {
-			t.Fatalf("%d nodes: closed after %d time-outs in a row", tc.nodes, tc.wantTimeouts)
+			t.Fatalf("%d nodes: breaker %v after %d timeouts in a row, want open",
+				tc.nodes, s.breaker.state, tc.wantTimeouts)
 		}
 	}
 }
 
-// Guards against relying on an unresponsive server until its attempts time out.
+// Guards against sending requests to an unresponsive server until its attempts time out.
 func TestUnresponsiveServerIsAvoidedBeforeAnyTimeout(t *testing.T) {
 	h := newHarness(t, testSettings(), 6)
 	h.serve(100, 20*ms)
@@ -72,16 +75,17 @@
 	}
 
 	if n := len(unresponsive.inFlight); n > 3 {
-		t.Fatalf("%d requests wait at an unresponsive server", n)
+		t.Fatalf("%d of 60 requests in flight at an unresponsive server, want at most 3", n)
 	}
 	for _, a := range unresponsive.inFlight {
 		if len(a.request.attempts) != 2 {
-			t.Fatal("no hedged request was sent for a request without a response")
+			t.Fatalf("request %d at the unresponsive server had %d attempts, want 2, the second hedged",
+				a.request.ID, len(a.request.attempts))
 		}
 	}
 }
 
-// succeedAtOtherServers makes the first attempt of a request succeed that was not sent to the given server.
+// succeedAtOtherServers ends the first attempt of a request that was not sent to the excluded server with a success.
 func (h *harness) succeedAtOtherServers(id RequestID, excluded ServerID, latency time.Duration) {
 	for index, s := range h.sendsOf(id) {
 		if s != excluded {
