--- a/policy/disconnect_test.go
+++ b/policy/disconnect_test.go
@@ -6,23 +6,24 @@
 	"time"
 )
 
-// disconnectCase is a request whose next attempt is due.
+// disconnectCase is a case in which the next attempt of a request is due.
 type disconnectCase struct {
 	name             string
-	prepare          func(h *harness) RequestID // runs until the attempt is due
-	startNextAttempt func(h *harness)           // is the event that starts the attempt
+	prepare          func(h *harness) RequestID // makes a request and runs until its next attempt is due
+	startNextAttempt func(h *harness)           // runs the event that starts the attempt
 }
 
-// The order of a client's disconnection and the event that starts the next attempt of its request.
+// The time of the disconnection relative to the event that starts the next attempt.
 const (
 	staysConnected   = "stays connected"
-	disconnectsFirst = "disconnects first"
-	disconnectsAfter = "disconnects right after"
+	disconnectsFirst = "disconnects before the attempt"
+	disconnectsAfter = "disconnects after the attempt"
 )
 
-// A client disconnects at the very time of the next attempt. If its disconnection is reported first, there is no
-// attempt. If it is reported right after, the attempt is cancelled. Nothing follows in either case.
-func TestClientDisconnectsAsTheNextAttemptIsDue(t *testing.T) {
+// Guards against attempts for a client that disconnects at the same time at which its next attempt is due. If the
+// disconnection is handled before the event that starts the attempt, there must be no attempt. If it is handled after
+// that event, the attempt must be cancelled, provided that Limits.Cancel permits it. No further attempt may follow.
+func TestClientDisconnectsWhenTheNextAttemptIsDue(t *testing.T) {
 	runPeriodicCheck := func(h *harness) {
 		h.now = max(h.now, h.balancer.checkTimer.due)
 		h.balancer.Timer(h.now, timerCheck)
@@ -52,7 +53,7 @@
 			name: "hedged request",
 			prepare: func(h *harness) RequestID {
 				h.serve(100, 20*ms)
-				h.host.timers = nil // the node is busy and handles no timer until the check
+				h.host.timers = nil // so that no timer is handled before the periodic check
 				id := h.request(0)
 				h.now += 400 * ms
 				return id
@@ -72,7 +73,7 @@
 	}
 }
 
-// run starts the next attempt of a request at the time of its client's disconnection.
+// run tests the case with the given order of the disconnection and the event that starts the next attempt.
 func (c *disconnectCase) run(t *testing.T, order string, settings Settings) {
 	t.Helper()
 	h := newHarness(t, settings, 3)
@@ -84,7 +85,7 @@
 	}
 	c.startNextAttempt(h)
 	if n := len(h.sendsOf(id)) - sends; order != disconnectsFirst && n != 1 {
-		t.Errorf("%d attempts, want 1", n)
+		t.Errorf("event that starts the next attempt: %d sends, want 1", n)
 	}
 	if order == staysConnected {
 		return
@@ -97,14 +98,15 @@
 		inFlight = record.inFlight
 	}
 	if n := h.host.cancels - cancels; settings.Limits.Cancel && n != inFlight {
-		t.Errorf("%d of %d attempts are cancelled", n, inFlight)
+		t.Errorf("after the disconnection: %d of %d attempts in flight cancelled, want all", n, inFlight)
 	}
-	for i := range sends + wantSends { // would lead to a retry of a connected client
+	for i := range sends + wantSends { // would cause a retry if the client were connected
 		h.balancer.Outcome(h.now, Outcome{ID: id, Attempt: i, Status: ServerError})
 	}
 	h.advance(10 * time.Second)
 	known := h.balancer.requests.byID[id] != nil
 	if n := len(h.sendsOf(id)) - sends; n != wantSends || known {
-		t.Errorf("%d attempts, want %d; still known: %v", n, wantSends, known)
+		t.Errorf("10 s after the last outcome: %d sends since the attempt was due, request known %v; want %d, false",
+			n, known, wantSends)
 	}
 }
