--- a/policy/retry_key_retention_test.go
+++ b/policy/retry_key_retention_test.go
@@ -22,10 +22,10 @@
 		}
 	}
 	for name, tc := range map[string]struct {
-		retention      time.Duration
-		run            func(h *harness, id RequestID) // from the send of the first attempt on
-		wantSends      int
-		wantTerminated bool
+		retention        time.Duration
+		run              func(h *harness, id RequestID) // from the send of the first attempt on
+		wantSends        int
+		wantRejectOrFail bool
 	}{
 		"retry due within retention":        {100 * ms, retryDueAfter(99 * ms), 2, false},
 		"retry due at the end of retention": {100 * ms, retryDueAfter(100 * ms), 1, true},
@@ -62,8 +62,8 @@
 				if n := len(h.sendsOf(id)); n != tc.wantSends {
 					t.Errorf("key retention %v: %d sends, want %d", tc.retention, n, tc.wantSends)
 				}
-				wantRejected := tc.wantTerminated && scope == KeyScopeAll // the client may retry anywhere
-				wantFailed := tc.wantTerminated && scope == KeyScopeCell
+				wantRejected := tc.wantRejectOrFail && scope == KeyScopeAll // the client may retry anywhere
+				wantFailed := tc.wantRejectOrFail && scope == KeyScopeCell
 				if failed := h.host.failed[id]; rejected != wantRejected || failed != wantFailed {
 					t.Errorf("key retention %v: rejected %v, failed %v; want %v, %v",
 						tc.retention, rejected, failed, wantRejected, wantFailed)
