--- a/policy/latency_test.go
+++ b/policy/latency_test.go
@@ -59,11 +59,11 @@
 
 			estimator.record(&attempt{server: s, unloaded: tc.unloaded}, &request{class: &class}, 50*ms, 1)
 
-			if moved := class.baseline.Value() != baseline; moved != tc.unloaded {
-				t.Errorf("record of a latency of 50 ms changed the class's baseline: %v, want %v", moved, tc.unloaded)
+			if changed := class.baseline.Value() != baseline; changed != tc.unloaded {
+				t.Errorf("record of a latency of 50 ms changed the class's baseline: %v, want %v", changed, tc.unloaded)
 			}
-			if moved := s.baseline.Samples() > 0; moved != tc.unloaded {
-				t.Errorf("record of a latency of 50 ms changed the server's baseline: %v, want %v", moved, tc.unloaded)
+			if changed := s.baseline.Samples() > 0; changed != tc.unloaded {
+				t.Errorf("record of a latency of 50 ms changed the server's baseline: %v, want %v", changed, tc.unloaded)
 			}
 		})
 	}
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -82,17 +82,17 @@
 	settings.Limits.Hedging = false
 	h := newHarness(t, settings, 9)
 	id := h.request(0)
-	var waits []time.Duration
+	var backoffs []time.Duration
 	for i := range 3 {
-		from := h.now
+		start := h.now
 		h.endAttempt(id, ServerError, ms)
-		for len(h.sendsOf(id)) == i+1 && h.now < from+time.Second {
+		for len(h.sendsOf(id)) == i+1 && h.now < start+time.Second {
 			h.advance(ms)
 		}
-		waits = append(waits, h.now-from)
+		backoffs = append(backoffs, h.now-start)
 	}
-	if waits[0] >= waits[1] || waits[1] >= waits[2] || waits[0] < 20*ms {
-		t.Fatalf("backoffs before the retries: %v, want at least 20 ms and each longer than the last", waits)
+	if backoffs[0] >= backoffs[1] || backoffs[1] >= backoffs[2] || backoffs[0] < 20*ms {
+		t.Fatalf("backoffs before the retries: %v, want at least 20 ms and each longer than the last", backoffs)
 	}
 }
 
