--- a/policy/balancer_test.go
+++ b/policy/balancer_test.go
@@ -94,13 +94,13 @@
 		for range 40 {
 			h.request(0) // far more requests than the server has capacity for
 		}
-		// With so short a baseline latency, the request is not shed as late before its deadline.
+		// With so short a baseline latency, the request is shed as late only about 1 ms before its deadline.
 		h.balancer.classes[2].baseline = runningmean.NewWithGuess(0.0001, maxLatencySamples)
 		h.lastID++
 		deadline := h.now + timeout
 		h.balancer.Request(h.now, Request{ID: h.lastID, Class: 2, Timeout: timeout})
 		record := h.balancer.requests.byID[h.lastID]
-		record.queueingDeadline = maxTime // or it would be rejected after half of its timeout
+		record.queueingDeadline = maxTime // or it would be rejected after about half of its timeout
 		earliest := record.deadline - 2*ms
 		rejected := false
 		for h.now < deadline+grace && !rejected {
--- a/policy/circuit_breaker_test.go
+++ b/policy/circuit_breaker_test.go
@@ -22,7 +22,7 @@
 	h.advance(failing.breaker.halfOpenAt - h.now)
 	trial := h.request(0)
 	if got := h.sendsOf(trial); len(got) != 1 || got[0] != failing.Server {
-		t.Fatalf("request to a half-open breaker was sent to %v, want only server %d, as its trial", got, failing.Server)
+		t.Fatalf("request when a breaker is half-open was sent to %v, want only its server %d", got, failing.Server)
 	}
 	if other := h.sendsOf(h.request(0)); len(other) != 1 || other[0] == failing.Server {
 		t.Fatalf("request during the trial of server %d was sent to %v, want one other server", failing.Server, other)
--- a/policy/concurrency_limit_test.go
+++ b/policy/concurrency_limit_test.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// Guards against overshoot of the fast initial increase, because congestion shows only in later responses.
+// Guards against overshoot of the limit during its fast initial increase: congestion shows only in later responses.
 func TestFirstCongestionReducesTheLimitAtOnce(t *testing.T) {
 	h, balancer := newLimiterHarness(t)
 	balancer.limiter.limit = 10
--- a/policy/disconnect_test.go
+++ b/policy/disconnect_test.go
@@ -20,9 +20,9 @@
 	disconnectsAfter = "disconnects after the attempt"
 )
 
-// Guards against attempts for a client that disconnects at the same time at which its next attempt is due. If the
-// disconnection is handled before the event that starts the attempt, there must be no attempt. If it is handled after
-// that event, the attempt must be cancelled, provided that Limits.Cancel permits it. No further attempt may follow.
+// Guards against attempts for a client that disconnects exactly when its next attempt is due. If the disconnection is
+// handled before the event that starts the attempt, there must be no attempt. If it is handled after that event, the
+// attempt must be cancelled, provided that Limits.Cancel permits it. No further attempt may follow.
 func TestClientDisconnectsWhenTheNextAttemptIsDue(t *testing.T) {
 	runPeriodicCheck := func(h *harness) {
 		h.now = max(h.now, h.balancer.checkTimer.due)
--- a/policy/load_shedding_test.go
+++ b/policy/load_shedding_test.go
@@ -46,20 +46,20 @@
 	h.advance(180 * ms)
 
 	if _, rejected := h.host.rejected[id]; rejected {
-		t.Fatal("rejected within 180 ms with an objective of 160 ms, " +
+		t.Fatal("request rejected within 180 ms with an objective of 160 ms, " +
 			"though a late response earns more than another one in time")
 	}
 	for _, rejected := h.host.rejected[id]; !rejected; _, rejected = h.host.rejected[id] {
 		h.advance(ms)
 		if h.now > arrivedAt+time.Second {
-			t.Fatal("not rejected within 1 s of its arrival")
+			t.Fatal("request not rejected within 1 s of its arrival")
 		}
 	}
 	if waited := h.now - arrivedAt; waited > 250*ms {
-		t.Errorf("rejected %v after its arrival, want at most 250 ms so that its client can still retry elsewhere",
+		t.Errorf("request rejected %v after its arrival, want at most 250 ms so that its client can retry elsewhere",
 			waited)
 	}
 	if after := h.host.rejected[id]; after <= 0 {
-		t.Errorf("rejected with Retry-After %v, want more than 0", after)
+		t.Errorf("request rejected with Retry-After %v, want more than 0", after)
 	}
 }
--- a/policy/outcome_test.go
+++ b/policy/outcome_test.go
@@ -85,7 +85,8 @@
 	}
 }
 
-// succeedAtOtherServers ends the first attempt of a request that was not sent to the excluded server with a success.
+// succeedAtOtherServers ends one attempt of a request with success: the first one that was not sent to the excluded
+// server.
 func (h *harness) succeedAtOtherServers(id RequestID, excluded ServerID, latency time.Duration) {
 	for index, s := range h.sendsOf(id) {
 		if s != excluded {
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -106,7 +106,7 @@
 	h.endAttempt(id, ServerError, 790*ms)
 
 	if _, ok := h.host.rejected[id]; !ok {
-		t.Fatal("not rejected when its attempt ended 10 ms before the objective, too late for a retry")
+		t.Fatal("request not rejected when its attempt ended 10 ms before the objective, too late for a retry")
 	}
 }
 
@@ -120,7 +120,7 @@
 	h.endAttempt(id, ServerError, ms)
 
 	if _, ok := h.host.rejected[id]; !ok {
-		t.Fatal("not rejected when its only permitted attempt ended with an error")
+		t.Fatal("request not rejected when its only permitted attempt ended with an error")
 	}
 }
 
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -23,7 +23,7 @@
 			}
 			record := h.balancer.requests.byID[h.request(0)]
 			if !h.balancer.retry.permits(h.now, record, s) || !h.balancer.slowStart.admits(h.now, s) {
-				t.Error("an attempt at a warm server is not permitted or not admitted, want no limit by its budget")
+				t.Error("no attempt permitted at a server that is warm, want one whatever its slow start budget")
 			}
 		})
 	}
@@ -71,7 +71,7 @@
 // Guards against a burst of one send from each node as soon as the nodes are notified of a server's start.
 func TestFirstSendsOfNodesToWarmingServerAreSpread(t *testing.T) {
 	const nodes = 40
-	firstSends := map[time.Duration]int{} // nodes by the tenth of a second after the start
+	firstSends := map[time.Duration]int{} // number of nodes by the tenth of a second after the start
 	for seed := range uint64(nodes) {
 		balancer, err := New(testSettings(), seed, newHost())
 		if err != nil {
