--- a/policy/balancer_test.go
+++ b/policy/balancer_test.go
@@ -46,7 +46,8 @@
 	h.advance(10 * time.Second) // long after the deadline
 
 	if len(h.sendsOf(id)) != 1 || h.host.failed[id] || h.host.cancels > 0 {
-		t.Fatalf("actions for a request whose stream has started: %q, want one send only", h.host.log)
+		t.Fatalf("10 s after StreamStarted: %d sends, failed %v, %d cancels; want 1, false, 0",
+			len(h.sendsOf(id)), h.host.failed[id], h.host.cancels)
 	}
 }
 
