--- a/policy/balancer_test.go
+++ b/policy/balancer_test.go
@@ -19,7 +19,7 @@
 	h.balancer.ClientDisconnected(h.now, id)
 	h.balancer.StreamStarted(h.now, id, 0)
 	h.balancer.Timer(h.now, 77)
-	h.update(UpdateDelta, Endpoint{Server: 55, State: Removed})
+	h.updateEndpoints(UpdateDelta, Endpoint{Server: 55, State: Removed})
 
 	if len(h.host.log) != before {
 		t.Fatalf("stale events led to %v", h.host.log[before:])
@@ -45,7 +45,7 @@
 	h.balancer.StreamStarted(h.now, id, 0)
 	h.advance(10 * time.Second) // long after the deadline
 
-	if len(h.sendsOf(id)) != 1 || h.host.failed[id] || h.host.cancels > 0 {
+	if len(h.attemptedServers(id)) != 1 || h.host.failed[id] || h.host.cancels > 0 {
 		t.Fatalf("a running stream was touched: %v", h.host.log)
 	}
 }
@@ -88,7 +88,7 @@
 		settings := testSettings()
 		settings.Tick, settings.Rules.ResponseGrace = tick, grace
 		h := newHarness(t, settings, 0)
-		h.update(UpdateSnapshot, ready(1, 1)...)
+		h.updateEndpoints(UpdateSnapshot, readyEndpoints(1, 1)...)
 		for range 40 {
 			h.request(0) // far more than there is capacity for
 		}
@@ -100,7 +100,7 @@
 		rejected := false
 		for h.now < deadline+grace && !rejected {
 			h.now += tick // events come in batches a tick apart
-			h.host.fire(h.balancer, h.now)
+			h.host.runDueTimers(h.balancer, h.now)
 			_, rejected = h.host.rejected[h.lastID]
 		}
 		if !rejected || h.now > deadline+grace {
--- a/policy/benchmark_test.go
+++ b/policy/benchmark_test.go
@@ -25,7 +25,7 @@
 		b.Fatal(err)
 	}
 	now := time.Hour
-	balancer.UpdateEndpoints(now, UpdateCached, ready(1, 60))
+	balancer.UpdateEndpoints(now, UpdateCached, readyEndpoints(1, 60))
 	var id RequestID
 	b.ReportAllocs()
 	for b.Loop() {
--- a/policy/circuit_breaker_test.go
+++ b/policy/circuit_breaker_test.go
@@ -13,7 +13,7 @@
 	if bad.breaker.state != breakerOpen {
 		t.Fatalf("breaker %v after %d failures, want open", bad.breaker.state, failureThreshold)
 	}
-	h.serve(20, 50*ms)
+	h.serveRequests(20, 50*ms)
 	for _, s := range h.host.sends {
 		if s.server == bad.Server {
 			t.Fatal("a server with an open breaker got a request")
@@ -21,10 +21,10 @@
 	}
 	h.advance(bad.breaker.halfOpenAt - h.now)
 	trial := h.request(0)
-	if got := h.sendsOf(trial); len(got) != 1 || got[0] != bad.Server {
+	if got := h.attemptedServers(trial); len(got) != 1 || got[0] != bad.Server {
 		t.Fatalf("trial went to %v, want the half-open server %d", got, bad.Server)
 	}
-	if other := h.sendsOf(h.request(0)); len(other) != 1 || other[0] == bad.Server {
+	if other := h.attemptedServers(h.request(0)); len(other) != 1 || other[0] == bad.Server {
 		t.Fatalf("second request went to %v while the trial is in flight", other)
 	}
 	before := bad.breaker.openDuration
@@ -67,7 +67,7 @@
 	for _, s := range h.balancer.endpoints.ready {
 		h.recordBreakerFailures(s, 2*failureThreshold, Timeout)
 	}
-	if got := h.breakers(); got[breakerOpen] != 3 {
+	if got := h.breakerCounts(); got[breakerOpen] != 3 {
 		t.Fatalf("%d of 6 breakers opened by time-outs, want 3", got[breakerOpen])
 	}
 }
@@ -83,7 +83,7 @@
 		t.Fatalf("rejected %v with Retry-After %v, want at once and within the limit", ok, after)
 	}
 	h.advance(2 * initialOpenDuration)
-	if trial := h.request(0); len(h.sendsOf(trial)) != 1 {
+	if trial := h.request(0); len(h.attemptedServers(trial)) != 1 {
 		t.Fatal("a half-open server must still get its trial")
 	}
 }
@@ -94,7 +94,7 @@
 	s := h.balancer.endpoints.ready[0]
 	h.recordBreakerFailures(s, failureThreshold, ServerError)
 	h.now = s.breaker.halfOpenAt + ms
-	if id := h.request(2); len(h.sendsOf(id)) != 0 {
+	if id := h.request(2); len(h.attemptedServers(id)) != 0 {
 		t.Fatal("a request that is not idempotent was the trial at once, though another could come")
 	}
 	h.advance(s.breaker.openDuration + ms)
--- a/policy/concurrency_limit_test.go
+++ b/policy/concurrency_limit_test.go
@@ -128,10 +128,10 @@
 		id := h.request(0)
 		h.advance(10 * ms)
 		inFlightSum += h.balancer.limiter.inFlight
-		if len(h.sendsOf(id)) == 0 {
+		if len(h.attemptedServers(id)) == 0 {
 			queued++
 		}
-		h.succeedOlderThan(500 * ms)
+		h.succeedRequestsOlderThan(500 * ms)
 	}
 
 	if mean := float64(inFlightSum) / requests; queued == 0 || mean > 2*nodeLimit+1 {
@@ -153,7 +153,7 @@
 			h.endAttempt(a.request.ID, OK, 10*ms)
 		}
 	}
-	if id := h.request(0); len(h.sendsOf(id)) != 1 {
+	if id := h.request(0); len(h.attemptedServers(id)) != 1 {
 		t.Fatal("a server with capacity is left idle because ejected ones have attempts in flight")
 	}
 }
@@ -162,14 +162,14 @@
 // objective with a margin to spare, while requests of low weight are served.
 func TestHighPriorityRequestIsSentWhileOthersWaitForTheMean(t *testing.T) {
 	h := newUndersampledHarness(t)
-	h.fillToLimit()
+	h.raiseMeanInFlightAboveLimit()
 
 	lowPriority, highPriority := h.request(0), h.request(1)
 
-	if n := len(h.sendsOf(lowPriority)); n != 0 {
+	if n := len(h.attemptedServers(lowPriority)); n != 0 {
 		t.Errorf("the request of low priority was sent %d times though the node is at its limit", n)
 	}
-	if n := len(h.sendsOf(highPriority)); n != 1 {
+	if n := len(h.attemptedServers(highPriority)); n != 1 {
 		t.Errorf("the request of high priority was sent %d times, want once", n)
 	}
 }
--- a/policy/disconnect_test.go
+++ b/policy/disconnect_test.go
@@ -51,7 +51,7 @@
 		{
 			name: "hedged request",
 			before: func(h *harness) RequestID {
-				h.serve(100, 20*ms)
+				h.serveRequests(100, 20*ms)
 				h.host.timers = nil // the node is busy and handles no timer until the check
 				id := h.request(0)
 				h.now += 400 * ms
@@ -77,13 +77,13 @@
 	t.Helper()
 	h := newHarness(t, settings, 3)
 	id := c.before(h)
-	sends, cancels, wantSends := len(h.sendsOf(id)), h.host.cancels, 1
+	sends, cancels, wantSends := len(h.attemptedServers(id)), h.host.cancels, 1
 	if order == disconnectsFirst {
 		h.balancer.ClientDisconnected(h.now, id)
 		wantSends = 0
 	}
 	c.due(h)
-	if n := len(h.sendsOf(id)) - sends; order != disconnectsFirst && n != 1 {
+	if n := len(h.attemptedServers(id)) - sends; order != disconnectsFirst && n != 1 {
 		t.Errorf("%d attempts, want 1", n)
 	}
 	if order == staysConnected {
@@ -104,7 +104,7 @@
 	}
 	h.advance(10 * time.Second)
 	known := h.balancer.requests.byID[id] != nil
-	if n := len(h.sendsOf(id)) - sends; n != wantSends || known {
+	if n := len(h.attemptedServers(id)) - sends; n != wantSends || known {
 		t.Errorf("%d attempts, want %d; still known: %v", n, wantSends, known)
 	}
 }
--- a/policy/endpoint_set_test.go
+++ b/policy/endpoint_set_test.go
@@ -15,16 +15,16 @@
 	first := h.host.sends[0]
 	h.endAttempt(first.id, ServerError, ms) // waits for its backoff
 
-	h.update(UpdateDelta, Endpoint{Server: 1, State: Draining})
-	h.update(UpdateDelta, Endpoint{Server: 2, State: Removed})
+	h.updateEndpoints(UpdateDelta, Endpoint{Server: 1, State: Draining})
+	h.updateEndpoints(UpdateDelta, Endpoint{Server: 2, State: Removed})
 	before := len(h.host.sends)
 	h.advance(3 * time.Second)
 
 	if len(h.host.sends) != before {
 		t.Fatalf("sent %v after the updates", h.host.sends[before:])
 	}
-	h.update(UpdateSnapshot, ready(2, 3)...)
-	if id := h.request(0); len(h.sendsOf(id)) != 1 {
+	h.updateEndpoints(UpdateSnapshot, readyEndpoints(2, 3)...)
+	if id := h.request(0); len(h.attemptedServers(id)) != 1 {
 		t.Fatal("the servers of the snapshot are not used")
 	}
 }
@@ -34,9 +34,9 @@
 func TestUnlistedServersAreForgotten(t *testing.T) {
 	h := newHarness(t, testSettings(), 4)
 	for i := 5; i < 3000; i++ {
-		entries := ready(i-3, i)
+		entries := readyEndpoints(i-3, i)
 		entries[0].State = Draining
-		h.update(UpdateSnapshot, entries...)
+		h.updateEndpoints(UpdateSnapshot, entries...)
 		h.now += ms
 	}
 	if n := len(h.balancer.endpoints.byID); n > 4 {
@@ -51,13 +51,13 @@
 	if h.balancer.limiter.inFlight != 2 {
 		t.Fatalf("%d attempts in flight, want 2", h.balancer.limiter.inFlight)
 	}
-	restarted := ready(1, 2)
+	restarted := readyEndpoints(1, 2)
 	for i := range restarted {
 		restarted[i].StartedAt = h.now
 	}
 	h.now += ms
 
-	h.update(UpdateDelta, restarted...)
+	h.updateEndpoints(UpdateDelta, restarted...)
 
 	servers := h.balancer.endpoints.byID
 	if h.balancer.limiter.inFlight != 0 || len(servers[1].inFlight)+len(servers[2].inFlight) != 0 {
@@ -76,8 +76,8 @@
 	h := newHarness(t, testSettings(), 2)
 	first, second := h.request(0), h.request(2)
 
-	h.update(UpdateSnapshot, ready(2, 2)...)
-	h.update(UpdateSnapshot, ready(1, 2)...)
+	h.updateEndpoints(UpdateSnapshot, readyEndpoints(2, 2)...)
+	h.updateEndpoints(UpdateSnapshot, readyEndpoints(1, 2)...)
 
 	if len(h.balancer.endpoints.ready) != 2 {
 		t.Fatalf("%d servers ready after one came back, want 2", len(h.balancer.endpoints.ready))
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -30,7 +30,7 @@
 	token uint64
 }
 
-func newHost() *fakeHost {
+func newFakeHost() *fakeHost {
 	return &fakeHost{rejected: map[RequestID]time.Duration{}, failed: map[RequestID]bool{}}
 }
 
@@ -63,8 +63,8 @@
 	h.timers = append(h.timers, timer{at, token})
 }
 
-// fire runs the timers that are due.
-func (h *fakeHost) fire(balancer *Balancer, now time.Duration) {
+// runDueTimers runs the timers that are due.
+func (h *fakeHost) runDueTimers(balancer *Balancer, now time.Duration) {
 	var due []timer
 	kept := h.timers[:0]
 	for _, t := range h.timers {
@@ -80,8 +80,8 @@
 	}
 }
 
-// takeTimer removes and returns the first timer that is due by a time, or nil.
-func (h *fakeHost) takeTimer(by time.Duration) *timer {
+// popDueTimer removes and returns the first timer that is due by a time, or nil.
+func (h *fakeHost) popDueTimer(by time.Duration) *timer {
 	if len(h.timers) == 0 {
 		return nil
 	}
@@ -122,28 +122,28 @@
 
 // harness drives a Balancer with a fakeHost on a virtual clock.
 type harness struct {
-	t             *testing.T
-	balancer      *Balancer
-	host          *fakeHost
-	now           time.Duration
-	lastID        RequestID
-	outcomesGiven map[RequestID]int // by request
+	t                *testing.T
+	balancer         *Balancer
+	host             *fakeHost
+	now              time.Duration
+	lastID           RequestID
+	outcomesReported map[RequestID]int // by request
 }
 
 func newHarness(t *testing.T, settings Settings, servers int) *harness {
 	t.Helper()
-	host := newHost()
+	host := newFakeHost()
 	balancer, err := New(settings, 1, host)
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &harness{t: t, balancer: balancer, host: host, now: time.Hour, outcomesGiven: map[RequestID]int{}}
-	h.update(UpdateCached, ready(1, servers)...)
+	h := &harness{t: t, balancer: balancer, host: host, now: time.Hour, outcomesReported: map[RequestID]int{}}
+	h.updateEndpoints(UpdateCached, readyEndpoints(1, servers)...)
 	return h
 }
 
-// ready returns ready endpoints for the servers first to last, two to a cell and five to a zone.
-func ready(first, last int) []Endpoint {
+// readyEndpoints returns readyEndpoints endpoints for the servers first to last, two to a cell and five to a zone.
+func readyEndpoints(first, last int) []Endpoint {
 	var entries []Endpoint
 	for i := first; i <= last; i++ {
 		entries = append(entries, Endpoint{
@@ -153,7 +153,7 @@
 	return entries
 }
 
-func (h *harness) update(kind UpdateKind, entries ...Endpoint) {
+func (h *harness) updateEndpoints(kind UpdateKind, entries ...Endpoint) {
 	h.balancer.UpdateEndpoints(h.now, kind, entries)
 }
 
@@ -163,8 +163,8 @@
 	return h.lastID
 }
 
-// sendsOf returns the servers that a request was sent to.
-func (h *harness) sendsOf(id RequestID) []ServerID {
+// attemptedServers returns the servers that a request was sent to.
+func (h *harness) attemptedServers(id RequestID) []ServerID {
 	var servers []ServerID
 	for _, s := range h.host.sends {
 		if s.id == id {
@@ -176,10 +176,10 @@
 
 // endAttempt ends the first attempt of a request that has not ended yet.
 func (h *harness) endAttempt(id RequestID, status Status, latency time.Duration) {
-	index := h.outcomesGiven[id]
-	h.outcomesGiven[id]++
+	index := h.outcomesReported[id]
+	h.outcomesReported[id]++
 	h.balancer.Outcome(h.now, Outcome{
-		ID: id, Attempt: index, Server: h.sendsOf(id)[index], Status: status, Latency: latency,
+		ID: id, Attempt: index, Server: h.attemptedServers(id)[index], Status: status, Latency: latency,
 		RequestCompleted: status == OK,
 	})
 }
@@ -187,26 +187,26 @@
 // advance moves the clock and runs the timers that become due, also those that are set meanwhile.
 func (h *harness) advance(d time.Duration) {
 	end := h.now + d
-	for due := h.host.takeTimer(end); due != nil; due = h.host.takeTimer(end) {
+	for due := h.host.popDueTimer(end); due != nil; due = h.host.popDueTimer(end) {
 		h.now = max(h.now, due.at)
 		h.balancer.Timer(h.now, due.token)
 	}
 	h.now = end
 }
 
-// serve makes n requests of class 0 succeed with the same latency, one after another.
-func (h *harness) serve(n int, latency time.Duration) {
+// serveRequests makes n requests of class 0 succeed with the same latency, one after another.
+func (h *harness) serveRequests(n int, latency time.Duration) {
 	for range n {
 		id := h.request(0)
 		h.advance(latency)
-		if h.outcomesGiven[id] < len(h.sendsOf(id)) {
+		if h.outcomesReported[id] < len(h.attemptedServers(id)) {
 			h.endAttempt(id, OK, latency)
 		}
 	}
 }
 
-// breakers counts the breakers by state.
-func (h *harness) breakers() [3]int {
+// breakerCounts counts the breakerCounts by state.
+func (h *harness) breakerCounts() [3]int {
 	var count [3]int
 	for _, s := range h.balancer.endpoints.ready {
 		count[s.breaker.state]++
@@ -227,15 +227,15 @@
 	}
 	settings.Classes = []Class{class, highPriority}
 	h := newHarness(t, settings, 60)
-	h.serve(40, 30*ms)
+	h.serveRequests(40, 30*ms)
 	if h.balancer.subset.regime != undersampled() {
 		t.Fatal("80 nodes at 60 servers are not undersampled")
 	}
 	return h
 }
 
-// fillToLimit sets the mean number of attempts in flight above the limit, with none in flight now.
-func (h *harness) fillToLimit() {
+// raiseMeanInFlightAboveLimit sets the mean number of attempts in flight above the limit, with none in flight now.
+func (h *harness) raiseMeanInFlightAboveLimit() {
 	h.balancer.refresh(h.now)
 	limiter, subset := &h.balancer.limiter, &h.balancer.subset
 	limiter.limit, limiter.knownGoodLimit, limiter.congestionSeen = 1, 1, true
@@ -256,8 +256,8 @@
 	}
 }
 
-// succeedOlderThan makes all attempts succeed of those requests that were first sent at least this long ago.
-func (h *harness) succeedOlderThan(age time.Duration) {
+// succeedRequestsOlderThan makes all attempts succeed of those requests that were first sent at least this long ago.
+func (h *harness) succeedRequestsOlderThan(age time.Duration) {
 	for id := range h.lastID {
 		record := h.balancer.requests.byID[id]
 		if record == nil || len(record.attempts) == 0 || h.now-record.attempts[0].sentAt < age {
--- a/policy/invariants_test.go
+++ b/policy/invariants_test.go
@@ -138,7 +138,7 @@
 			c.balancer.ClientDisconnected(c.now, id)
 		}
 	}
-	c.fire(c.balancer, c.now)
+	c.runDueTimers(c.balancer, c.now)
 }
 
 // changeEndpoint drains, removes, restarts or adds a server.
@@ -159,7 +159,7 @@
 	settings.Classes[0].LateFraction = 0.5
 	settings.Tenants = []Tenant{{QuotaPerS: 50}}
 	c := &invariantChecker{
-		fakeHost:       newHost(),
+		fakeHost:       newFakeHost(),
 		t:              t,
 		rng:            rand.New(rand.NewPCG(seed, 1)),
 		classes:        settings.Classes,
@@ -174,7 +174,7 @@
 		t.Fatal(err)
 	}
 	c.balancer = balancer
-	entries := ready(1, 8)
+	entries := readyEndpoints(1, 8)
 	for i := range entries {
 		entries[i].Cell = int(entries[i].Server) / 3
 		c.endpoints[entries[i].Server] = entries[i]
@@ -249,7 +249,7 @@
 			for _, h := range harnesses {
 				id := h.request(i % 3)
 				h.advance(7 * ms)
-				if n := len(h.sendsOf(id)); n > h.outcomesGiven[id] {
+				if n := len(h.attemptedServers(id)); n > h.outcomesReported[id] {
 					h.endAttempt(id, OK, 7*ms)
 				}
 			}
--- a/policy/outcome_test.go
+++ b/policy/outcome_test.go
@@ -63,7 +63,7 @@
 // Guards against relying on an unresponsive server until its attempts time out.
 func TestUnresponsiveServerIsAvoidedBeforeAnyTimeout(t *testing.T) {
 	h := newHarness(t, testSettings(), 6)
-	h.serve(100, 20*ms)
+	h.serveRequests(100, 20*ms)
 	unresponsive := h.balancer.endpoints.ready[2]
 	for range 60 {
 		id := h.request(0)
@@ -83,7 +83,7 @@
 
 // succeedAtOtherServers makes the first attempt of a request succeed that was not sent to the given server.
 func (h *harness) succeedAtOtherServers(id RequestID, excluded ServerID, latency time.Duration) {
-	for index, s := range h.sendsOf(id) {
+	for index, s := range h.attemptedServers(id) {
 		if s != excluded {
 			h.balancer.Outcome(h.now, Outcome{
 				ID: id, Attempt: index, Server: s, Status: OK, Latency: latency, RequestCompleted: true,
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -21,12 +21,12 @@
 	over, within := requestOf(0), requestOf(1)
 
 	for id := RequestID(1); id < within; id++ {
-		if id != over && len(h.sendsOf(id)) > h.outcomesGiven[id] {
+		if id != over && len(h.attemptedServers(id)) > h.outcomesReported[id] {
 			h.endAttempt(id, OK, 10*ms)
 		}
 	}
 
-	if len(h.sendsOf(over)) != 0 || len(h.sendsOf(within)) != 1 {
+	if len(h.attemptedServers(over)) != 0 || len(h.attemptedServers(within)) != 1 {
 		t.Fatal("a request over its tenant's quota was sent first")
 	}
 }
--- a/policy/retry_key_retention_test.go
+++ b/policy/retry_key_retention_test.go
@@ -53,12 +53,12 @@
 				class := &settings.Classes[1]
 				class.KeyRetention, class.KeyScope, class.Objective = tc.retention, scope, 400*ms
 				h := newHarness(t, settings, 1)
-				h.update(UpdateSnapshot, Endpoint{Server: 1, State: Ready}, Endpoint{Server: 2, State: Ready},
+				h.updateEndpoints(UpdateSnapshot, Endpoint{Server: 1, State: Ready}, Endpoint{Server: 2, State: Ready},
 					Endpoint{Server: 3, State: Ready})
 				id := h.request(1)
 				tc.run(h, id)
 				_, rejected := h.host.rejected[id]
-				if n := len(h.sendsOf(id)); n != tc.sends {
+				if n := len(h.attemptedServers(id)); n != tc.sends {
 					t.Errorf("%d sends, want %d", n, tc.sends)
 				}
 				wantRejected := tc.terminated && scope == KeyScopeAll // the client may retry anywhere
--- a/policy/retry_key_scope_test.go
+++ b/policy/retry_key_scope_test.go
@@ -30,15 +30,15 @@
 			settings := testSettings()
 			settings.Classes[1].KeyScope = c.scope
 			h := newHarness(t, settings, 1)
-			h.update(UpdateSnapshot, first)
+			h.updateEndpoints(UpdateSnapshot, first)
 			id := h.request(1)
 			draining := first
 			draining.State = Draining
-			h.update(UpdateSnapshot, draining, c.other)
+			h.updateEndpoints(UpdateSnapshot, draining, c.other)
 			h.endAttempt(id, ServerError, 10*ms)
 			h.advance(settings.Classes[1].Objective / 2)
-			if retried := len(h.sendsOf(id)) > 1; retried != c.retried {
-				t.Errorf("sent to %v, retried %v, want %v", h.sendsOf(id), retried, c.retried)
+			if retried := len(h.attemptedServers(id)) > 1; retried != c.retried {
+				t.Errorf("sent to %v, retried %v, want %v", h.attemptedServers(id), retried, c.retried)
 			}
 		})
 	}
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -32,7 +32,7 @@
 			if got := h.resultOf(id); got != tc.want {
 				t.Fatalf("got %s, want %s", got, tc.want)
 			}
-			servers := h.sendsOf(id)
+			servers := h.attemptedServers(id)
 			if len(servers) < 2 {
 				return
 			}
@@ -51,7 +51,7 @@
 func (h *harness) resultOf(id RequestID) string {
 	_, rejected := h.host.rejected[id]
 	switch {
-	case len(h.sendsOf(id)) == 2:
+	case len(h.attemptedServers(id)) == 2:
 		return "retried"
 	case rejected:
 		return "rejected"
@@ -71,7 +71,7 @@
 	h.advance(150 * ms)
 	h.endAttempt(id, ServerError, 150*ms)
 	h.advance(300 * ms)
-	if n := len(h.sendsOf(id)); n != 1 || !h.host.failed[id] {
+	if n := len(h.attemptedServers(id)); n != 1 || !h.host.failed[id] {
 		t.Fatalf("%d sends, failed %v; want one send and a failure", n, h.host.failed[id])
 	}
 }
@@ -85,7 +85,7 @@
 	for i := range 3 {
 		from := h.now
 		h.endAttempt(id, ServerError, ms)
-		for len(h.sendsOf(id)) == i+1 && h.now < from+time.Second {
+		for len(h.attemptedServers(id)) == i+1 && h.now < from+time.Second {
 			h.advance(ms)
 		}
 		waits = append(waits, h.now-from)
--- a/policy/score_test.go
+++ b/policy/score_test.go
@@ -5,9 +5,9 @@
 // Guards against taking a server that rejects requests for an idle one.
 func TestRejectionLowersTheScore(t *testing.T) {
 	h := newHarness(t, testSettings(), 3)
-	h.serve(30, 20*ms)
+	h.serveRequests(30, 20*ms)
 	id := h.request(0)
-	full := h.balancer.endpoints.byID[h.sendsOf(id)[0]]
+	full := h.balancer.endpoints.byID[h.attemptedServers(id)[0]]
 
 	h.endAttempt(id, Rejected, 0)
 	h.advance(ms)
--- a/policy/simulated_fleet_test.go
+++ b/policy/simulated_fleet_test.go
@@ -314,7 +314,7 @@
 		},
 	}
 	speeds := []float64{1.5, 1.5, 0.9, 0.55, 0.55}
-	for i, e := range ready(1, c.servers) {
+	for i, e := range readyEndpoints(1, c.servers) {
 		f.servers = append(f.servers, &simulatedServer{Endpoint: e, speed: speeds[i%len(speeds)]})
 	}
 	f.rng.Shuffle(c.servers, func(i, j int) { f.servers[i], f.servers[j] = f.servers[j], f.servers[i] })
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -14,7 +14,7 @@
 	}{{"one server", 1}, {"most of the fleet", 8}, {"all of the fleet", 10}} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newHarness(t, testSettings(), 10)
-			h.serve(200, 10*ms)
+			h.serveRequests(200, 10*ms)
 			h.restart(tc.restarted)
 			s := h.balancer.endpoints.byID[1]
 			h.balancer.refresh(h.now)
@@ -31,11 +31,11 @@
 
 // restart gives the first servers a new process.
 func (h *harness) restart(servers int) {
-	endpoints := ready(1, servers)
+	endpoints := readyEndpoints(1, servers)
 	for i := range endpoints {
 		endpoints[i].StartedAt = h.now
 	}
-	h.update(UpdateDelta, endpoints...)
+	h.updateEndpoints(UpdateDelta, endpoints...)
 }
 
 // sendThroughSlowStart sends to a server all that the budget admits until it is warm, and checks the work in
@@ -72,11 +72,11 @@
 	const nodes = 40
 	firstSends := map[time.Duration]int{} // by tenth of a second after the start
 	for seed := range uint64(nodes) {
-		balancer, err := New(testSettings(), seed, newHost())
+		balancer, err := New(testSettings(), seed, newFakeHost())
 		if err != nil {
 			t.Fatal(err)
 		}
-		entries := ready(1, 3)
+		entries := readyEndpoints(1, 3)
 		entries[0].StartedAt = time.Hour
 		balancer.UpdateEndpoints(time.Hour, UpdateCached, entries)
 		balancer.refresh(time.Hour)
--- a/policy/validate_test.go
+++ b/policy/validate_test.go
@@ -40,7 +40,7 @@
 	} {
 		set := testSettings()
 		tc.change(&set)
-		_, err := New(set, 1, newHost())
+		_, err := New(set, 1, newFakeHost())
 		var invalid *SettingError
 		if !errors.As(err, &invalid) || invalid.Field != tc.field || invalid.Allowed == "" ||
 			!strings.Contains(err.Error(), "setting "+tc.field+" ") {
--- a/policy/watch_schedule_fleet_test.go
+++ b/policy/watch_schedule_fleet_test.go
@@ -79,7 +79,7 @@
 // step runs one node up to now.
 func (n *watchingNode) step(t *testing.T, now time.Duration, d *discoveryService) {
 	t.Helper()
-	n.fire(n.balancer, now)
+	n.runDueTimers(n.balancer, now)
 	if n.calling && now >= n.current.endsAt {
 		n.calling = false
 		n.endCall(now, d)
@@ -117,13 +117,13 @@
 		settings := testSettings()
 		settings.Nodes, settings.Node, settings.PollEndpoints = nodes, i, true
 		settings.Rules.MaxPollInterval = maxPollInterval
-		node := &watchingNode{fakeHost: newHost()}
+		node := &watchingNode{fakeHost: newFakeHost()}
 		balancer, err := New(settings, uint64(i+1), node)
 		if err != nil {
 			t.Fatal(err)
 		}
 		node.balancer = balancer
-		balancer.UpdateEndpoints(time.Hour, UpdateCached, ready(1, 60))
+		balancer.UpdateEndpoints(time.Hour, UpdateCached, readyEndpoints(1, 60))
 		fleet = append(fleet, node)
 	}
 	return fleet
--- a/policy/watch_schedule_test.go
+++ b/policy/watch_schedule_test.go
@@ -38,7 +38,7 @@
 	tenths := map[time.Duration]bool{} // of the span, in which calls start
 	for node := range 100 {
 		settings.Node = node
-		host := newHost()
+		host := newFakeHost()
 		balancer, err := New(settings, uint64(node), host)
 		if err != nil {
 			t.Fatal(err)
@@ -62,10 +62,10 @@
 		nodes   int
 		entries []Endpoint
 		atOnce  bool
-	}{{3, ready(1, 10), true}, {80, nil, true}, {80, ready(1, 10), false}} {
+	}{{3, readyEndpoints(1, 10), true}, {80, nil, true}, {80, readyEndpoints(1, 10), false}} {
 		settings := testSettings()
 		settings.Nodes, settings.PollEndpoints = tc.nodes, true
-		host := newHost()
+		host := newFakeHost()
 		balancer, err := New(settings, 1, host)
 		if err != nil {
 			t.Fatal(err)
