--- a/policy/invariants_test.go
+++ b/policy/invariants_test.go
@@ -12,30 +12,30 @@
 // no execution against the idempotency, no send to a server that is not ready, no attempt beyond the limit.
 type invariantChecker struct {
 	*fakeHost
-	t              *testing.T
-	rng            *rand.Rand
-	balancer       *Balancer
-	classes        []Class
-	maxAttempts    int
-	now            time.Duration
-	requests       map[RequestID]*checkedRequest
-	finalResponses map[RequestID]int
-	endpoints      map[ServerID]Endpoint
+	t           *testing.T
+	rng         *rand.Rand
+	balancer    *Balancer
+	classes     []Class
+	maxAttempts int
+	now         time.Duration
+	requests    map[RequestID]*trackedRequest
+	completions map[RequestID]int
+	endpoints   map[ServerID]Endpoint
 }
 
 // maxLateness is the time after its deadline at which a request is completed at the latest.
 const maxLateness = 20 * ms
 
-// checkedRequest is a request as the checker knows it.
-type checkedRequest struct {
+// trackedRequest is a request as the checker knows it.
+type trackedRequest struct {
 	class     Class
 	deadline  time.Duration
-	attempts  []*checkedAttempt
+	attempts  []*trackedAttempt
 	completed bool
 }
 
-type checkedAttempt struct {
-	server      Endpoint
+type trackedAttempt struct {
+	endpoint    Endpoint
 	sentAt      time.Duration
 	inFlight    bool
 	notExecuted bool
@@ -43,56 +43,56 @@
 
 func (c *invariantChecker) Send(id RequestID, server ServerID, timeout time.Duration) {
 	c.fakeHost.Send(id, server, timeout)
-	checked, s := c.requests[id], c.endpoints[server]
+	tracked, endpoint := c.requests[id], c.endpoints[server]
 	switch {
-	case checked == nil || checked.completed:
+	case tracked == nil || tracked.completed:
 		c.t.Errorf("%v: sent request %d, which is completed", c.now, id)
 		return
-	case s.State != Ready:
-		c.t.Errorf("%v: sent request %d to server %d in state %v", c.now, id, server, s.State)
-	case len(checked.attempts) >= c.maxAttempts:
+	case endpoint.State != Ready:
+		c.t.Errorf("%v: sent request %d to server %d in state %v", c.now, id, server, endpoint.State)
+	case len(tracked.attempts) >= c.maxAttempts:
 		c.t.Errorf("%v: request %d has too many attempts", c.now, id)
 	}
-	c.checkRepetition(id, checked, s)
-	checked.attempts = append(checked.attempts, &checkedAttempt{server: s, sentAt: c.now, inFlight: true})
+	c.checkRetryAllowed(id, tracked, endpoint)
+	tracked.attempts = append(tracked.attempts, &trackedAttempt{endpoint: endpoint, sentAt: c.now, inFlight: true})
 }
 
-// checkRepetition checks that a request may be sent to a server after the attempts that it has had.
-func (c *invariantChecker) checkRepetition(id RequestID, checked *checkedRequest, s Endpoint) {
-	for _, a := range checked.attempts {
+// checkRetryAllowed checks that a request may be sent to a server after the attempts that it has had.
+func (c *invariantChecker) checkRetryAllowed(id RequestID, tracked *trackedRequest, endpoint Endpoint) {
+	for _, a := range tracked.attempts {
 		if a.notExecuted {
 			continue
 		}
-		if checked.class.Idempotency == NotIdempotent {
+		if tracked.class.Idempotency == NotIdempotent {
 			c.t.Errorf("%v: request %d, not idempotent, sent again though it may have been executed", c.now, id)
 		}
-		keyKnown := a.server.Cell == s.Cell && c.now-a.sentAt < checked.class.KeyRetention
-		if checked.class.Idempotency == IdempotentWithKey && !keyKnown {
+		keyKnown := a.endpoint.Cell == endpoint.Cell && c.now-a.sentAt < tracked.class.KeyRetention
+		if tracked.class.Idempotency == IdempotentWithKey && !keyKnown {
 			c.t.Errorf("%v: request %d retried where or when its key is not known", c.now, id)
 		}
 	}
 }
 
-// recordFinalResponse checks that a request gets its only final response in time. It returns the request.
-func (c *invariantChecker) recordFinalResponse(id RequestID) *checkedRequest {
-	c.finalResponses[id]++
-	checked := c.requests[id]
-	if checked == nil || checked.completed {
+// recordCompletion checks that a request gets its only final response in time. It returns the request.
+func (c *invariantChecker) recordCompletion(id RequestID) *trackedRequest {
+	c.completions[id]++
+	tracked := c.requests[id]
+	if tracked == nil || tracked.completed {
 		c.t.Errorf("%v: request %d completed twice", c.now, id)
-		return &checkedRequest{}
+		return &trackedRequest{}
 	}
-	if c.now > checked.deadline+maxLateness {
-		c.t.Errorf("%v: request %d completed after its deadline at %v", c.now, id, checked.deadline)
+	if c.now > tracked.deadline+maxLateness {
+		c.t.Errorf("%v: request %d completed after its deadline at %v", c.now, id, tracked.deadline)
 	}
-	checked.completed = true
-	return checked
+	tracked.completed = true
+	return tracked
 }
 
 func (c *invariantChecker) Reject(id RequestID, after time.Duration) {
 	c.fakeHost.Reject(id, after)
-	checked := c.recordFinalResponse(id)
-	for _, a := range checked.attempts {
-		if !a.notExecuted && checked.class.Idempotency != Idempotent {
+	tracked := c.recordCompletion(id)
+	for _, a := range tracked.attempts {
+		if !a.notExecuted && tracked.class.Idempotency != Idempotent {
 			c.t.Errorf("%v: request %d rejected though it may have been executed", c.now, id)
 		}
 	}
@@ -100,56 +100,56 @@
 
 func (c *invariantChecker) Fail(id RequestID) {
 	c.fakeHost.Fail(id)
-	c.recordFinalResponse(id)
+	c.recordCompletion(id)
 }
 
 // endAttempt ends attempt i of a request with a random status. The status is Timeout from the deadline on, and
 // Cancelled if the request is completed.
-func (c *invariantChecker) endAttempt(id RequestID, checked *checkedRequest, i int) {
-	a := checked.attempts[i]
+func (c *invariantChecker) endAttempt(id RequestID, tracked *trackedRequest, i int) {
+	a := tracked.attempts[i]
 	status := []Status{OK, OK, OK, ServerError, Rejected, Timeout, ConnectFailed, Reset}[c.rng.IntN(8)]
-	if c.now >= checked.deadline {
+	if c.now >= tracked.deadline {
 		status = Timeout
 	}
-	if checked.completed {
+	if tracked.completed {
 		status = Cancelled
 	}
 	a.inFlight = false
 	a.notExecuted = status == Rejected || status == ConnectFailed
 	if status == OK {
-		c.recordFinalResponse(id)
+		c.recordCompletion(id)
 	}
-	c.balancer.Outcome(c.now, Outcome{ID: id, Attempt: i, Server: a.server.Server, Status: status,
-		Latency: c.now - a.sentAt, RequestCompleted: checked.completed})
+	c.balancer.Outcome(c.now, Outcome{ID: id, Attempt: i, Server: a.endpoint.Server, Status: status,
+		Latency: c.now - a.sentAt, RequestCompleted: tracked.completed})
 }
 
 // step ends some attempts, disconnects a few clients and runs the timers that are due.
 func (c *invariantChecker) step(ids []RequestID) {
 	for _, id := range ids {
-		checked := c.requests[id]
-		for i, a := range checked.attempts {
-			if a.inFlight && (c.now >= checked.deadline || checked.completed || c.rng.IntN(12) == 0) {
-				c.endAttempt(id, checked, i)
+		tracked := c.requests[id]
+		for i, a := range tracked.attempts {
+			if a.inFlight && (c.now >= tracked.deadline || tracked.completed || c.rng.IntN(12) == 0) {
+				c.endAttempt(id, tracked, i)
 			}
 		}
-		if !checked.completed && c.rng.IntN(400) == 0 {
-			checked.completed = true
-			c.finalResponses[id]++
+		if !tracked.completed && c.rng.IntN(400) == 0 {
+			tracked.completed = true
+			c.completions[id]++
 			c.balancer.ClientDisconnected(c.now, id)
 		}
 	}
 	c.runDueTimers(c.balancer, c.now)
 }
 
-// changeEndpoint drains, removes, restarts or adds a server.
-func (c *invariantChecker) changeEndpoint() {
+// changeRandomEndpoint drains, removes, restarts or adds a server.
+func (c *invariantChecker) changeRandomEndpoint() {
 	id := ServerID(1 + c.rng.IntN(12))
-	e := Endpoint{Server: id, Cell: int(id) / 3, Weight: 1, State: EndpointState(c.rng.IntN(3))}
+	endpoint := Endpoint{Server: id, Cell: int(id) / 3, Weight: 1, State: EndpointState(c.rng.IntN(3))}
 	if c.rng.IntN(3) == 0 {
-		e.State, e.StartedAt = Ready, c.now
+		endpoint.State, endpoint.StartedAt = Ready, c.now
 	}
-	c.endpoints[id] = e
-	c.balancer.UpdateEndpoints(c.now, UpdateDelta, []Endpoint{e})
+	c.endpoints[id] = endpoint
+	c.balancer.UpdateEndpoints(c.now, UpdateDelta, []Endpoint{endpoint})
 }
 
 // newInvariantChecker starts a Balancer with eight servers.
@@ -159,15 +159,15 @@
 	settings.Classes[0].LateFraction = 0.5
 	settings.Tenants = []Tenant{{QuotaPerS: 50}}
 	c := &invariantChecker{
-		fakeHost:       newFakeHost(),
-		t:              t,
-		rng:            rand.New(rand.NewPCG(seed, 1)),
-		classes:        settings.Classes,
-		maxAttempts:    settings.Limits.MaxAttempts,
-		now:            time.Hour,
-		requests:       map[RequestID]*checkedRequest{},
-		finalResponses: map[RequestID]int{},
-		endpoints:      map[ServerID]Endpoint{},
+		fakeHost:    newFakeHost(),
+		t:           t,
+		rng:         rand.New(rand.NewPCG(seed, 1)),
+		classes:     settings.Classes,
+		maxAttempts: settings.Limits.MaxAttempts,
+		now:         time.Hour,
+		requests:    map[RequestID]*trackedRequest{},
+		completions: map[RequestID]int{},
+		endpoints:   map[ServerID]Endpoint{},
 	}
 	balancer, err := New(settings, seed, c)
 	if err != nil {
@@ -183,20 +183,20 @@
 	return c
 }
 
-// arrive sends a request of a random class and timeout.
-func (c *invariantChecker) arrive(id RequestID) {
+// addRandomRequest sends a request of a random class and timeout.
+func (c *invariantChecker) addRandomRequest(id RequestID) {
 	class := c.rng.IntN(3)
 	timeout := time.Duration(300+c.rng.IntN(1700)) * ms
-	c.requests[id] = &checkedRequest{class: c.classes[class], deadline: c.now + timeout}
+	c.requests[id] = &trackedRequest{class: c.classes[class], deadline: c.now + timeout}
 	c.balancer.Request(c.now, Request{ID: id, Class: class, Timeout: timeout})
 }
 
-// checkEnd checks that every request got one final response, and that none is known any more.
-func (c *invariantChecker) checkEnd(ids []RequestID) {
+// checkAllReleased checks that every request got one final response, and that none is known any more.
+func (c *invariantChecker) checkAllReleased(ids []RequestID) {
 	c.t.Helper()
 	for _, id := range ids {
-		if c.finalResponses[id] != 1 {
-			c.t.Errorf("request %d got %d final responses", id, c.finalResponses[id])
+		if c.completions[id] != 1 {
+			c.t.Errorf("request %d got %d final responses", id, c.completions[id])
 		}
 	}
 	known, active := len(c.balancer.requests.byID), len(c.balancer.requests.active)
@@ -219,14 +219,14 @@
 			}
 			id := RequestID(len(ids) + 1)
 			ids = append(ids, id)
-			c.arrive(id)
+			c.addRandomRequest(id)
 		}
 		if c.rng.IntN(60) == 0 {
-			c.changeEndpoint()
+			c.changeRandomEndpoint()
 		}
 		c.step(ids)
 	}
-	c.checkEnd(ids)
+	c.checkAllReleased(ids)
 	return c.log
 }
 
@@ -237,8 +237,8 @@
 }
 
 func TestSameEventsAndSeedGiveTheSameActions(t *testing.T) {
-	one, two := runRandomEvents(t, 3), runRandomEvents(t, 3)
-	if strings.Join(one, "\n") != strings.Join(two, "\n") {
+	first, second := runRandomEvents(t, 3), runRandomEvents(t, 3)
+	if strings.Join(first, "\n") != strings.Join(second, "\n") {
 		t.Fatal("two runs of the same events differ")
 	}
 }
