--- a/policy/benchmark_test.go
+++ b/policy/benchmark_test.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// discardingHost is a Host that keeps the sends until they are taken.
-type discardingHost struct{ sends []RequestID }
+// sendRecorder is a Host that keeps the sends until they are taken.
+type sendRecorder struct{ sends []RequestID }
 
-func (h *discardingHost) Send(id RequestID, _ ServerID, _ time.Duration) {
+func (h *sendRecorder) Send(id RequestID, _ ServerID, _ time.Duration) {
 	h.sends = append(h.sends, id)
 }
-func (h *discardingHost) Cancel(RequestID, int)           {}
-func (h *discardingHost) Reject(RequestID, time.Duration) {}
-func (h *discardingHost) Fail(RequestID)                  {}
-func (h *discardingHost) SetTimer(time.Duration, uint64)  {}
-func (h *discardingHost) WatchEndpoints()                 {}
+func (h *sendRecorder) Cancel(RequestID, int)           {}
+func (h *sendRecorder) Reject(RequestID, time.Duration) {}
+func (h *sendRecorder) Fail(RequestID)                  {}
+func (h *sendRecorder) SetTimer(time.Duration, uint64)  {}
+func (h *sendRecorder) WatchEndpoints()                 {}
 
 // BenchmarkRequest measures a request that succeeds at once, with the periodic check now and then.
 func BenchmarkRequest(b *testing.B) {
-	host := &discardingHost{}
+	host := &sendRecorder{}
 	balancer, err := New(testSettings(), 1, host)
 	if err != nil {
 		b.Fatal(err)
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -7,19 +7,19 @@
 	"calicohinge/policy"
 )
 
-// printer is a Host that only prints its actions.
-type printer struct{ at time.Duration }
+// printingHost is a Host that only prints its actions.
+type printingHost struct{ timerAt time.Duration }
 
-func (p *printer) Send(id policy.RequestID, _ policy.ServerID, _ time.Duration) {
+func (p *printingHost) Send(id policy.RequestID, _ policy.ServerID, _ time.Duration) {
 	fmt.Println("send request", id)
 }
-func (p *printer) Cancel(id policy.RequestID, attempt int) { fmt.Println("cancel", id, attempt) }
-func (p *printer) Reject(id policy.RequestID, after time.Duration) {
+func (p *printingHost) Cancel(id policy.RequestID, attempt int) { fmt.Println("cancel", id, attempt) }
+func (p *printingHost) Reject(id policy.RequestID, after time.Duration) {
 	fmt.Println("reject request", id, "with Retry-After", after > 0)
 }
-func (p *printer) Fail(id policy.RequestID)            { fmt.Println("fail request", id) }
-func (p *printer) SetTimer(at time.Duration, _ uint64) { p.at = at }
-func (p *printer) WatchEndpoints()                     { fmt.Println("watch the endpoints") }
+func (p *printingHost) Fail(id policy.RequestID)            { fmt.Println("fail request", id) }
+func (p *printingHost) SetTimer(at time.Duration, _ uint64) { p.timerAt = at }
+func (p *printingHost) WatchEndpoints()                     { fmt.Println("watch the endpoints") }
 
 // The first request succeeds, the second succeeds at its retry, and the third is rejected since no server is
 // left.
@@ -30,7 +30,7 @@
 	}}
 	settings.Limits.MaxAttempts = 3
 	settings.Limits.MaxRetryAfter = time.Second
-	host := &printer{}
+	host := &printingHost{}
 	balancer, err := policy.New(settings, 1, host)
 	if err != nil {
 		fmt.Println(err)
@@ -49,7 +49,7 @@
 	balancer.Request(now, policy.Request{ID: 2, Timeout: 2 * time.Second})
 	balancer.Outcome(now, policy.Outcome{ID: 2, Status: policy.ServerError, Latency: time.Millisecond})
 	for range 10 { // the timers lead to the retry after its backoff
-		now = max(now, host.at)
+		now = max(now, host.timerAt)
 		balancer.Timer(now, 0)
 	}
 	balancer.Outcome(now, policy.Outcome{
--- a/policy/watch_schedule_fleet_test.go
+++ b/policy/watch_schedule_fleet_test.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// discoveryService simulates the service that many Balancers watch. It serves its calls one after another, also
+// simulatedDiscovery simulates the service that many Balancers watch. It serves its calls one after another, also
 // abandoned ones. While it is down, a call fails after rejectAfter: it is rejected at once or late, or its node
 // abandons it without a response.
-type discoveryService struct {
-	perCall      time.Duration
+type simulatedDiscovery struct {
+	serviceTime  time.Duration
 	callTimeout  time.Duration // time after which a call fails
 	watchTimeout time.Duration // time that a call waits for changes; 0: it returns at once
 	busyUntil    time.Duration // time at which the last call in the queue returns
 
-	downAt, upAt    time.Duration   // it is down from the first to the second
-	rejectAfter     time.Duration   // time after which a call fails while it is down
-	unnotifiedCalls []time.Duration // start times of the calls by nodes not notified since it recovered
+	downAt, recoversAt time.Duration   // it is down from the first to the second
+	failureDelay       time.Duration   // time after which a call fails while it is down
+	unnotifiedCalls    []time.Duration // start times of the calls by nodes not notified since it recovered
 }
 
 // discoveryCall is a call of a node.
@@ -30,17 +30,17 @@
 
 // call starts a call. The service has changes from its recovery on. A node that does not know them is notified at
 // once.
-func (d *discoveryService) call(now time.Duration, node *watchingNode) discoveryCall {
+func (d *simulatedDiscovery) call(now time.Duration, node *watchingNode) discoveryCall {
 	notified := node.notifiedAt > 0
 	if !notified {
 		d.unnotifiedCalls = append(d.unnotifiedCalls, now)
 	}
-	if d.downAt <= now && now < d.upAt {
-		return discoveryCall{startedAt: now, endsAt: now + d.rejectAfter}
+	if d.downAt <= now && now < d.recoversAt {
+		return discoveryCall{startedAt: now, endsAt: now + d.failureDelay}
 	}
-	d.busyUntil = max(d.busyUntil, now) + d.perCall
+	d.busyUntil = max(d.busyUntil, now) + d.serviceTime
 	returnsAt := d.busyUntil
-	if now >= d.upAt && !notified || d.watchTimeout == 0 {
+	if now >= d.recoversAt && !notified || d.watchTimeout == 0 {
 		if returnsAt-now > d.callTimeout {
 			return discoveryCall{startedAt: now, endsAt: now + d.callTimeout}
 		}
@@ -53,8 +53,8 @@
 	return discoveryCall{startedAt: now, endsAt: returnsAt, succeeds: true}
 }
 
-// peakCalls returns the most calls within a second from a time on.
-func (d *discoveryService) peakCalls(from time.Duration) int {
+// peakCallRate returns the most calls within a second from a time on.
+func (d *simulatedDiscovery) peakCallRate(from time.Duration) int {
 	peak, first := 0, 0
 	for i, at := range d.unnotifiedCalls {
 		for d.unnotifiedCalls[first] < max(from, at-time.Second+1) && first < i {
@@ -68,43 +68,43 @@
 // watchingNode is a node that calls a discoveryService.
 type watchingNode struct {
 	*fakeHost
-	balancer   *Balancer
-	callsSeen  int // calls that the service has got
-	current    discoveryCall
-	calling    bool          // current is in flight
-	notifiedAt time.Duration // of the changes since the service recovered
-	repeats    bool          // a response is followed by another call
+	balancer     *Balancer
+	callsStarted int // calls that the service has got
+	currentCall  discoveryCall
+	callInFlight bool          // currentCall is in flight
+	notifiedAt   time.Duration // of the changes since the service recovered
+	watchesAgain bool          // a response is followed by another call
 }
 
 // step runs one node up to now.
-func (n *watchingNode) step(t *testing.T, now time.Duration, d *discoveryService) {
+func (n *watchingNode) step(t *testing.T, now time.Duration, d *simulatedDiscovery) {
 	t.Helper()
 	n.runDueTimers(n.balancer, now)
-	if n.calling && now >= n.current.endsAt {
-		n.calling = false
+	if n.callInFlight && now >= n.currentCall.endsAt {
+		n.callInFlight = false
 		n.endCall(now, d)
 	}
-	if n.watches > n.callsSeen {
-		if n.calling {
+	if n.watches > n.callsStarted {
+		if n.callInFlight {
 			t.Fatalf("%v: a node calls again while its call is in flight", now)
 		}
-		n.callsSeen = n.watches
-		n.current = d.call(now, n)
-		n.calling = true
+		n.callsStarted = n.watches
+		n.currentCall = d.call(now, n)
+		n.callInFlight = true
 	}
 }
 
 // endCall reports the end of the current call to the Balancer.
-func (n *watchingNode) endCall(now time.Duration, d *discoveryService) {
-	if !n.current.succeeds {
-		n.balancer.WatchFailed(now, n.current.startedAt+NotificationDeadline)
+func (n *watchingNode) endCall(now time.Duration, d *simulatedDiscovery) {
+	if !n.currentCall.succeeds {
+		n.balancer.WatchFailed(now, n.currentCall.startedAt+NotificationDeadline)
 		return
 	}
-	if n.notifiedAt == 0 && n.current.startedAt >= d.upAt {
+	if n.notifiedAt == 0 && n.currentCall.startedAt >= d.recoversAt {
 		n.notifiedAt = now
 	}
 	n.balancer.UpdateEndpoints(now, UpdateDelta, nil)
-	if n.repeats {
+	if n.watchesAgain {
 		n.watches++
 	}
 }
@@ -133,29 +133,29 @@
 // service has served all of those in its queue, so that some get no list for long.
 func TestAllNodesOfAReleaseGetTheEndpointList(t *testing.T) {
 	const nodes = 80
-	d := &discoveryService{perCall: 65 * ms, callTimeout: 2 * time.Second}
+	d := &simulatedDiscovery{serviceTime: 65 * ms, callTimeout: 2 * time.Second}
 	fleet := newWatchingNodes(t, nodes, 10*time.Second)
 	for now := time.Hour; now < time.Hour+12*time.Second; now += 5 * ms {
 		for _, node := range fleet {
 			node.step(t, now, d)
 		}
 	}
-	without := 0
+	notNotified := 0
 	for _, node := range fleet {
 		if node.notifiedAt == 0 {
-			without++
+			notNotified++
 		}
 	}
-	if without > 0 {
-		t.Fatalf("%d of %d nodes have no list 12 s after their start", without, nodes)
+	if notNotified > 0 {
+		t.Fatalf("%d of %d nodes have no list 12 s after their start", notNotified, nodes)
 	}
 }
 
 // outage is a time in which a discoveryService is down.
 type outage struct {
-	name        string
-	duration    time.Duration
-	rejectAfter time.Duration // time after which a call fails; nodeCallTimeout: the node abandons it
+	name         string
+	duration     time.Duration
+	failureDelay time.Duration // time after which a call fails; nodeCallTimeout: the node abandons it
 }
 
 const (
@@ -185,29 +185,29 @@
 }
 
 // checkRecovery runs nodes through an outage, and checks when they are notified and how often they call.
-func checkRecovery(t *testing.T, down outage, nodes int) {
+func checkRecovery(t *testing.T, outage outage, nodes int) {
 	t.Helper()
-	d := &discoveryService{
-		perCall: 3 * ms, callTimeout: nodeCallTimeout, watchTimeout: watchTimeout,
-		downAt: time.Hour + 8*time.Second, rejectAfter: down.rejectAfter,
+	d := &simulatedDiscovery{
+		serviceTime: 3 * ms, callTimeout: nodeCallTimeout, watchTimeout: watchTimeout,
+		downAt: time.Hour + 8*time.Second, failureDelay: outage.failureDelay,
 	}
-	d.upAt = d.downAt + down.duration
+	d.recoversAt = d.downAt + outage.duration
 	fleet := newWatchingNodes(t, nodes, 30*time.Second)
 	for _, node := range fleet {
-		node.repeats = true
+		node.watchesAgain = true
 	}
-	for now := time.Hour; now < d.upAt+8*time.Second; now += 5 * ms {
+	for now := time.Hour; now < d.recoversAt+8*time.Second; now += 5 * ms {
 		for _, node := range fleet {
 			node.step(t, now, d)
 		}
 	}
-	lags := notificationLags(fleet, d.upAt)
-	worst := lags[nodes-1]
+	delays := notificationDelays(fleet, d.recoversAt)
+	worst := delays[nodes-1]
 	idleWatches := nodes * int(time.Second) / int(watchTimeout) // per second
-	peak := d.peakCalls(d.upAt)
+	peak := d.peakCallRate(d.recoversAt)
 	maxPeak := 3 * max(idleWatches, int(time.Second/watchSpreadPerNode)) / 2
 	t.Logf("lag: median %v, worst %v; peak %d calls of nodes not notified per second, idle watches %d",
-		lags[nodes/2], worst, peak, idleWatches)
+		delays[nodes/2], worst, peak, idleWatches)
 	if worst >= NotificationDeadline {
 		t.Errorf("the last node is notified %v after the recovery", worst)
 	}
@@ -216,16 +216,16 @@
 	}
 }
 
-// notificationLags returns the sorted times from the recovery of the service until each node is notified; an
+// notificationDelays returns the sorted times from the recovery of the service until each node is notified; an
 // hour for those that are not.
-func notificationLags(fleet []*watchingNode, upAt time.Duration) []time.Duration {
-	var lags []time.Duration
+func notificationDelays(fleet []*watchingNode, recoversAt time.Duration) []time.Duration {
+	var delays []time.Duration
 	for _, node := range fleet {
 		if node.notifiedAt == 0 {
-			node.notifiedAt = upAt + time.Hour
+			node.notifiedAt = recoversAt + time.Hour
 		}
-		lags = append(lags, node.notifiedAt-upAt)
+		delays = append(delays, node.notifiedAt-recoversAt)
 	}
-	slices.Sort(lags)
-	return lags
+	slices.Sort(delays)
+	return delays
 }
--- a/policy/watch_schedule_test.go
+++ b/policy/watch_schedule_test.go
@@ -31,8 +31,8 @@
 // A watch that becomes unresponsive is repeated in the time left until the notification deadline. The nodes of a
 // fleet repeat it at different times, and the backoff does not grow beyond the time left.
 func TestUnresponsiveWatchIsRepeatedBeforeNotificationDeadline(t *testing.T) {
-	const left = NotificationDeadline / 4 // time until the notification deadline
-	const span = NotificationDeadline / 8 // time within which the next call must start
+	const remainingTime = NotificationDeadline / 4 // time until the notification deadline
+	const span = NotificationDeadline / 8          // time within which the next call must start
 	settings := testSettings()
 	settings.PollEndpoints, settings.Nodes = true, 300
 	tenths := map[time.Duration]bool{} // of the span, in which calls start
@@ -45,7 +45,7 @@
 		}
 		for range 5 {
 			host.timers = nil
-			balancer.WatchFailed(time.Hour, time.Hour+left)
+			balancer.WatchFailed(time.Hour, time.Hour+remainingTime)
 			if len(host.timers) != 1 || host.timers[0].token != timerWatch || host.timers[0].at > time.Hour+span {
 				t.Fatalf("timers %v", host.timers)
 			}
@@ -87,21 +87,21 @@
 func TestWatchBackoffDoublesUpToItsBoundAndIsReset(t *testing.T) {
 	settings := testSettings() // one node; MaxPollInterval is 10 s
 	schedule := newWatchSchedule(&settings, rand.New(rand.NewPCG(1, 0)))
-	const left = time.Hour
+	const remainingTime = time.Hour
 
-	first := schedule.nextBackoff(left)
+	first := schedule.nextBackoff(remainingTime)
 	var waits []time.Duration
 	for range 4 {
-		waits = append(waits, schedule.nextBackoff(left))
+		waits = append(waits, schedule.nextBackoff(remainingTime))
 	}
 	schedule.reset()
-	again := schedule.nextBackoff(left)
+	firstAfterReset := schedule.nextBackoff(remainingTime)
 
 	want := []time.Duration{time.Second, 2 * time.Second, 3 * time.Second, 3 * time.Second}
 	if !slices.Equal(waits, want) {
 		t.Errorf("waits %v after the first, want %v", waits, want)
 	}
-	if first > initialWatchBackoff || again > initialWatchBackoff {
-		t.Errorf("first waits %v and %v, want %v at most", first, again, initialWatchBackoff)
+	if first > initialWatchBackoff || firstAfterReset > initialWatchBackoff {
+		t.Errorf("first waits %v and %v, want %v at most", first, firstAfterReset, initialWatchBackoff)
 	}
 }
