--- a/internal/balancertest/build.go
+++ b/internal/balancertest/build.go
@@ -30,15 +30,15 @@
 	return path
 }
 
-// stepSource is a source file that makes the program step its wall clock as a WallClock says.
+// wallClockSource is a source file that makes the program step its wall clock as a WallClock says.
 //
 //go:embed testdata/wallclock/step.go
-var stepSource []byte
+var wallClockSource []byte
 
-// pauseSource is a source file that makes the program report how long the system has paused it.
+// pauseReportSource is a source file that makes the program report how long the system has paused it.
 //
 //go:embed testdata/pauses/report.go
-var pauseSource []byte
+var pauseReportSource []byte
 
 // BuildInstrumented builds the program with a wall clock that a WallClock steps without privileges, and with
 // a report of each long pause of the process. The monotonic clock and the program's own sources stay as they
@@ -46,11 +46,11 @@
 func BuildInstrumented(tb testing.TB) string {
 	tb.Helper()
 	dir := tb.TempDir()
-	originalTime := filepath.Join(goOutput(tb, "env", "GOROOT"), "src", "time", "time.go")
+	originalTime := filepath.Join(runGo(tb, "env", "GOROOT"), "src", "time", "time.go")
 	steppableTime := writeFile(tb, filepath.Join(dir, "time.go"), steppableTimeSource(tb, originalTime))
-	step := writeFile(tb, filepath.Join(dir, "step.go"), stepSource)
-	pauses := writeFile(tb, filepath.Join(dir, "pauses.go"), pauseSource)
-	program := goOutput(tb, "list", "-f", "{{.Dir}}", programPackage)
+	step := writeFile(tb, filepath.Join(dir, "step.go"), wallClockSource)
+	pauses := writeFile(tb, filepath.Join(dir, "pauses.go"), pauseReportSource)
+	program := runGo(tb, "list", "-f", "{{.Dir}}", programPackage)
 	overlay, err := json.Marshal(map[string]any{"Replace": map[string]string{
 		originalTime: steppableTime,
 		filepath.Join(program, "wall_clock_step.go"): step,
@@ -70,9 +70,9 @@
 		tb.Fatal(err)
 	}
 	source := string(text)
-	const now = "func Now() Time {\n\tsec, nsec, mono := runtimeNow()\n"
+	const nowStart = "func Now() Time {\n\tsec, nsec, mono := runtimeNow()\n"
 	for _, change := range []struct{ from, to string }{
-		{now, now + "\tsec += wallClockStep.Load()\n"},
+		{nowStart, nowStart + "\tsec += wallClockOffset.Load()\n"},
 		{"import (\n", "import (\n\t\"sync/atomic\"\n"},
 	} {
 		if strings.Count(source, change.from) != 1 {
@@ -80,12 +80,13 @@
 		}
 		source = strings.Replace(source, change.from, change.to, 1)
 	}
-	source += "\nvar wallClockStep atomic.Int64\n\nfunc StepWallClock(seconds int64) { wallClockStep.Store(seconds) }\n"
+	source += "\nvar wallClockOffset atomic.Int64\n" +
+		"\nfunc SetWallClockOffset(seconds int64) { wallClockOffset.Store(seconds) }\n"
 	return []byte(source)
 }
 
-// goOutput returns what a go command prints.
-func goOutput(tb testing.TB, arguments ...string) string {
+// runGo returns what a go command prints.
+func runGo(tb testing.TB, arguments ...string) string {
 	tb.Helper()
 	out, err := exec.CommandContext(tb.Context(), "go", arguments...).Output()
 	if err != nil {
--- a/internal/balancertest/process.go
+++ b/internal/balancertest/process.go
@@ -42,9 +42,9 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	file := NewConfigFile(tb, text)
+	configFile := NewConfigFile(tb, text)
 	cmd := exec.CommandContext(tb.Context(), command[0], command[1:]...)
-	cmd.Env = append([]string{file.Environment()}, options.Environment...)
+	cmd.Env = append([]string{configFile.Environment()}, options.Environment...)
 	stderr, err := cmd.StderrPipe()
 	if err != nil {
 		tb.Fatal(err)
@@ -52,25 +52,25 @@
 	if err := cmd.Start(); err != nil {
 		tb.Fatal(err)
 	}
-	addr, exited, waited := make(chan string, 1), make(chan error, 1), make(chan struct{})
+	addr, exited, stopped := make(chan string, 1), make(chan error, 1), make(chan struct{})
 	go func() {
-		defer close(waited)
+		defer close(stopped)
 		defer close(addr)
 		readLog(stderr, options.Logged, addr)
 		exited <- cmd.Wait()
 	}()
-	tb.Cleanup(func() { <-waited }) // the end of the context has killed the process
-	return Process{PID: cmd.Process.Pid, Addr: addr, Exited: exited, ConfigFile: file}
+	tb.Cleanup(func() { <-stopped }) // the end of the context has killed the process
+	return Process{PID: cmd.Process.Pid, Addr: addr, Exited: exited, ConfigFile: configFile}
 }
 
 // readLog reads a process's log to its end and sends the address at which the process serves.
-func readLog(log io.Reader, logged func(line string), addr chan<- string) {
-	for lines := bufio.NewScanner(log); lines.Scan(); {
-		if logged != nil {
-			logged(lines.Text())
+func readLog(stderr io.Reader, onLine func(line string), addr chan<- string) {
+	for lines := bufio.NewScanner(stderr); lines.Scan(); {
+		if onLine != nil {
+			onLine(lines.Text())
 		}
-		if at, ok := servingAddr(lines.Text()); ok {
-			addr <- at
+		if servedAddr, ok := servingAddr(lines.Text()); ok {
+			addr <- servedAddr
 		}
 	}
 }
--- a/internal/balancertest/testdata/pauses/report.go
+++ b/internal/balancertest/testdata/pauses/report.go
@@ -11,25 +11,25 @@
 
 const (
 	pauseCheckInterval = 5 * time.Millisecond
-	reportedPause      = 50 * time.Millisecond // shorter pauses are not reported
+	minReportedPause   = 50 * time.Millisecond // shorter pauses are not reported
 )
 
 func init() { go reportPauses() }
 
 func reportPauses() {
 	for {
-		began, beganProcessorTime := time.Now(), processorTime()
+		start, startCPUTime := time.Now(), cpuTime()
 		time.Sleep(pauseCheckInterval)
-		late := time.Since(began) - pauseCheckInterval
+		delay := time.Since(start) - pauseCheckInterval
 		// While the process itself is busy, it is not paused.
-		if pause := late - (processorTime() - beganProcessorTime); pause > reportedPause {
+		if pause := delay - (cpuTime() - startCPUTime); pause > minReportedPause {
 			fmt.Fprintf(os.Stderr, "paused for %v\n", pause)
 		}
 	}
 }
 
-// processorTime returns the processor time that the process has used.
-func processorTime() time.Duration {
+// cpuTime returns the processor time that the process has used.
+func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		panic(err)
--- a/internal/balancertest/testdata/wallclock/step.go
+++ b/internal/balancertest/testdata/wallclock/step.go
@@ -11,21 +11,21 @@
 )
 
 func init() {
-	step := func() {
+	applyOffset := func() {
 		text, err := os.ReadFile(os.Getenv("WALL_CLOCK_STEP_FILE"))
 		if err != nil {
 			return // no step
 		}
 		if seconds, err := strconv.ParseInt(string(text), 10, 64); err == nil {
-			time.StepWallClock(seconds)
+			time.SetWallClockOffset(seconds)
 		}
 	}
-	step()
+	applyOffset()
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGUSR1)
 	go func() {
 		for range signals {
-			step()
+			applyOffset()
 		}
 	}()
 }
--- a/internal/balancertest/wall_clock.go
+++ b/internal/balancertest/wall_clock.go
@@ -12,10 +12,10 @@
 type WallClock struct{ path string }
 
 // NewWallClock returns a clock that is ahead by some time when its process starts.
-func NewWallClock(tb testing.TB, ahead time.Duration) WallClock {
+func NewWallClock(tb testing.TB, offset time.Duration) WallClock {
 	tb.Helper()
 	clock := WallClock{filepath.Join(tb.TempDir(), "step")}
-	clock.set(tb, ahead)
+	clock.writeOffset(tb, offset)
 	return clock
 }
 
@@ -23,14 +23,14 @@
 func (c WallClock) Environment() string { return "WALL_CLOCK_STEP_FILE=" + c.path }
 
 // Step steps the clock of a running process, so that it is ahead by some time.
-func (c WallClock) Step(tb testing.TB, pid int, ahead time.Duration) {
+func (c WallClock) Step(tb testing.TB, pid int, offset time.Duration) {
 	tb.Helper()
-	c.set(tb, ahead)
+	c.writeOffset(tb, offset)
 	Signal(tb, pid, syscall.SIGUSR1)
 }
 
-// set writes the step to the file that the process reads.
-func (c WallClock) set(tb testing.TB, ahead time.Duration) {
+// writeOffset writes the step to the file that the process reads.
+func (c WallClock) writeOffset(tb testing.TB, offset time.Duration) {
 	tb.Helper()
-	replaceFile(tb, c.path, []byte(strconv.FormatInt(int64(ahead/time.Second), 10)))
+	replaceFile(tb, c.path, []byte(strconv.FormatInt(int64(offset/time.Second), 10)))
 }
