--- a/internal/balancertest/build.go
+++ b/internal/balancertest/build.go
@@ -1,6 +1,7 @@
-// Package balancertest builds the program of the load balancer's node and runs it as processes. It writes
-// their configuration, signals them, and steps the wall clock that they see. Whatever it starts ends with the
-// test that it was given. The tests of cmd/balancer and the soak use it; no program imports it.
+// Package balancertest builds the balancer program and runs it as separate processes for tests. It writes the
+// configuration file of each process, sends signals to the process, and can step the wall clock that the process
+// sees. Each process is killed at the end of its test at the latest. Only the tests of cmd/balancer and the soak
+// test use this package.
 package balancertest
 
 import (
@@ -11,13 +12,14 @@
 	"strings"
 	"testing"
 
-	_ "embed" // of the sources that are added to the program
+	_ "embed" // embeds the sources that are added to the instrumented program
 )
 
-// programPackage is the package of the program under test.
+// programPackage is the import path of the program under test.
 const programPackage = "calicohinge/cmd/balancer"
 
-// Build builds the program as deploy/balancer.toml does, with further flags, and returns its path.
+// Build builds the program with the build settings of deploy/balancer.toml and the given additional flags. It
+// returns the path of the executable.
 func Build(tb testing.TB, flags ...string) string {
 	tb.Helper()
 	path := filepath.Join(tb.TempDir(), "balancer")
@@ -25,24 +27,25 @@
 	build := exec.CommandContext(tb.Context(), "go", append(arguments, programPackage)...)
 	build.Env = append(os.Environ(), "CGO_ENABLED=1")
 	if out, err := build.CombinedOutput(); err != nil {
-		tb.Fatalf("%v\n%s", err, out)
+		tb.Fatalf("%v: %v\n%s", build, err, out)
 	}
 	return path
 }
 
-// wallClockSource is a source file that makes the program step its wall clock as a WallClock says.
+// wallClockSource is a source file that sets the offset of the program's wall clock from the file of a WallClock.
 //
 //go:embed testdata/wallclock/step.go
 var wallClockSource []byte
 
-// pauseReportSource is a source file that makes the program report how long the system has paused it.
+// pauseReportSource is a source file that makes the program log each long pause of its process.
 //
 //go:embed testdata/pauses/report.go
 var pauseReportSource []byte
 
-// BuildInstrumented builds the program with a wall clock that a WallClock steps without privileges, and with
-// a report of each long pause of the process. The monotonic clock and the program's own sources stay as they
-// are: package time is replaced by a copy whose Now adds an offset, and stepSource and pauseSource are added.
+// BuildInstrumented builds the program so that a WallClock can step its wall clock without privileges, and so that
+// it logs each long pause of its process. The build overlay replaces package time by a copy whose Now adds an
+// offset to the wall clock, and adds wallClockSource and pauseReportSource to the program. The monotonic clock and
+// the program's own sources are unchanged.
 func BuildInstrumented(tb testing.TB) string {
 	tb.Helper()
 	dir := tb.TempDir()
@@ -57,17 +60,18 @@
 		filepath.Join(program, "pauses.go"):          pauses,
 	}})
 	if err != nil {
-		tb.Fatal(err)
+		tb.Fatalf("encode the build overlay: %v", err)
 	}
 	return Build(tb, "-overlay="+writeFile(tb, filepath.Join(dir, "overlay.json"), overlay))
 }
 
-// steppableTimeSource returns the source of a file of package time with an offset of the wall clock.
+// steppableTimeSource returns the source of time.go of package time, changed so that Now adds an offset to the wall
+// clock and SetWallClockOffset sets it.
 func steppableTimeSource(tb testing.TB, path string) []byte {
 	tb.Helper()
 	text, err := os.ReadFile(path)
 	if err != nil {
-		tb.Fatal(err)
+		tb.Fatalf("read the source of package time: %v", err)
 	}
 	source := string(text)
 	const nowStart = "func Now() Time {\n\tsec, nsec, mono := runtimeNow()\n"
@@ -75,8 +79,8 @@
 		{nowStart, nowStart + "\tsec += wallClockOffset.Load()\n"},
 		{"import (\n", "import (\n\t\"sync/atomic\"\n"},
 	} {
-		if strings.Count(source, change.from) != 1 {
-			tb.Fatalf("%s: not one %q", path, change.from)
+		if n := strings.Count(source, change.from); n != 1 {
+			tb.Fatalf("%s contains %q %d times, want once", path, change.from, n)
 		}
 		source = strings.Replace(source, change.from, change.to, 1)
 	}
@@ -85,12 +89,12 @@
 	return []byte(source)
 }
 
-// runGo returns what a go command prints.
+// runGo runs a go command and returns its standard output without surrounding white space.
 func runGo(tb testing.TB, arguments ...string) string {
 	tb.Helper()
 	out, err := exec.CommandContext(tb.Context(), "go", arguments...).Output()
 	if err != nil {
-		tb.Fatalf("go %v: %v", arguments, err)
+		tb.Fatalf("go %s: %v", strings.Join(arguments, " "), err)
 	}
 	return strings.TrimSpace(string(out))
 }
