--- a/internal/balancertest/process.go
+++ b/internal/balancertest/process.go
@@ -11,28 +11,28 @@
 	"testing"
 )
 
-// Process is a node that runs as a process of its own.
+// Process is a node that runs as a separate process.
 type Process struct {
 	PID        int
-	Addr       <-chan string // receives the address at which it serves; closed when it exits
+	Addr       <-chan string // receives the node's address once it serves; closed when the process exits
 	Exited     <-chan error  // receives the result of exec.Cmd.Wait
 	ConfigFile ConfigFile
 }
 
-// Options are what a process may be started with beside its configuration.
+// Options are the optional parameters of StartWith.
 type Options struct {
-	Environment []string
-	Logged      func(line string) // called for each line that the process logs; may be nil
+	Environment []string          // variables beside BALANCER_CONFIG, as "name=value"; none are inherited
+	Logged      func(line string) // called for each line that the process writes to standard error; may be nil
 }
 
-// Start starts a command with a configuration. The process listens at a free port unless the configuration
-// has an address. It is killed at the end of the test.
+// Start starts a command as a process with the given configuration. If the configuration has no "listen" address,
+// Start adds one with a free port of the loopback interface. The process is killed at the end of the test.
 func Start(tb testing.TB, config map[string]any, command ...string) Process {
 	tb.Helper()
 	return StartWith(tb, Options{}, config, command...)
 }
 
-// StartWith is Start with options.
+// StartWith starts a process like Start, with options.
 func StartWith(tb testing.TB, options Options, config map[string]any, command ...string) Process {
 	tb.Helper()
 	if config["listen"] == nil {
@@ -40,17 +40,17 @@
 	}
 	text, err := json.Marshal(config)
 	if err != nil {
-		tb.Fatal(err)
+		tb.Fatalf("encode the configuration %v: %v", config, err)
 	}
 	configFile := NewConfigFile(tb, text)
 	cmd := exec.CommandContext(tb.Context(), command[0], command[1:]...)
 	cmd.Env = append([]string{configFile.Environment()}, options.Environment...)
 	stderr, err := cmd.StderrPipe()
 	if err != nil {
-		tb.Fatal(err)
+		tb.Fatalf("standard error of %v: %v", cmd, err)
 	}
 	if err := cmd.Start(); err != nil {
-		tb.Fatal(err)
+		tb.Fatalf("start %v: %v", cmd, err)
 	}
 	addr, exited, stopped := make(chan string, 1), make(chan error, 1), make(chan struct{})
 	go func() {
@@ -59,11 +59,12 @@
 		readLog(stderr, options.Logged, addr)
 		exited <- cmd.Wait()
 	}()
-	tb.Cleanup(func() { <-stopped }) // the end of the context has killed the process
+	tb.Cleanup(func() { <-stopped }) // tb.Context is canceled before cleanups run, which kills the process
 	return Process{PID: cmd.Process.Pid, Addr: addr, Exited: exited, ConfigFile: configFile}
 }
 
-// readLog reads a process's log to its end and sends the address at which the process serves.
+// readLog reads the log of a process to its end. It calls onLine for each line, and sends the address of the node
+// once the node logs it.
 func readLog(stderr io.Reader, onLine func(line string), addr chan<- string) {
 	for lines := bufio.NewScanner(stderr); lines.Scan(); {
 		if onLine != nil {
@@ -75,7 +76,7 @@
 	}
 }
 
-// servingAddr finds the address in the line that a node logs once it serves.
+// servingAddr returns the address from the "serving" line of a node's log. It reports false for all other lines.
 func servingAddr(line string) (string, bool) {
 	if !strings.Contains(line, " serving ") {
 		return "", false
@@ -84,10 +85,10 @@
 	return addr, ok
 }
 
-// Signal sends a process a signal. The process may have exited by then.
+// Signal sends a signal to a process. A process that has already exited is not an error.
 func Signal(tb testing.TB, pid int, signal syscall.Signal) {
 	tb.Helper()
 	if err := syscall.Kill(pid, signal); err != nil && !errors.Is(err, syscall.ESRCH) {
-		tb.Error(err)
+		tb.Errorf("send signal %v to process %d: %v", signal, pid, err)
 	}
 }
