--- a/internal/balancertest/readiness.go
+++ b/internal/balancertest/readiness.go
@@ -8,15 +8,16 @@
 	"calicohinge/internal/testkit"
 )
 
-// AwaitReady waits until the node at an address is ready, or fails the test.
+// AwaitReady waits until the node at an address is ready, and fails the test if that takes testkit.WaitTimeout.
 func AwaitReady(tb testing.TB, addr string) {
 	tb.Helper()
 	if TimeToReady(addr, time.Now(), testkit.WaitTimeout) >= testkit.WaitTimeout {
-		tb.Fatal("never ready")
+		tb.Fatalf("the node at %s was not ready within %v", addr, testkit.WaitTimeout)
 	}
 }
 
-// TimeToReady waits until the node at an address is ready, and returns the time since began, at most limit.
+// TimeToReady polls the node at an address until it is ready and returns the time since start. It gives up at limit
+// and then returns limit.
 func TimeToReady(addr string, start time.Time, limit time.Duration) time.Duration {
 	const pollInterval = 20 * time.Millisecond
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{}}
@@ -26,7 +27,7 @@
 		if err != nil {
 			continue
 		}
-		_ = response.Body.Close() // the status is all that counts
+		_ = response.Body.Close() // only the status is needed
 		if response.StatusCode == http.StatusOK {
 			return time.Since(start)
 		}
