--- a/internal/balancertest/wall_clock.go
+++ b/internal/balancertest/wall_clock.go
@@ -8,10 +8,12 @@
 	"time"
 )
 
-// WallClock steps the wall clock of one process of a program that BuildInstrumented has built.
+// WallClock sets the offset of the wall clock of one process. The program of the process must come from
+// BuildInstrumented.
 type WallClock struct{ path string }
 
-// NewWallClock returns a clock that is ahead by some time when its process starts.
+// NewWallClock returns a clock with which a process starts. The wall clock of the process is the machine's plus the
+// offset, in whole seconds; a negative offset sets it back.
 func NewWallClock(tb testing.TB, offset time.Duration) WallClock {
 	tb.Helper()
 	clock := WallClock{filepath.Join(tb.TempDir(), "step")}
@@ -19,17 +21,17 @@
 	return clock
 }
 
-// Environment returns the variable that a process with this clock is started with.
+// Environment returns the environment variable with which to start the process, as "name=value".
 func (c WallClock) Environment() string { return "WALL_CLOCK_STEP_FILE=" + c.path }
 
-// Step steps the clock of a running process, so that it is ahead by some time.
+// Step sets the offset of a running process from the machine's wall clock. The new offset replaces the old one.
 func (c WallClock) Step(tb testing.TB, pid int, offset time.Duration) {
 	tb.Helper()
 	c.writeOffset(tb, offset)
 	Signal(tb, pid, syscall.SIGUSR1)
 }
 
-// writeOffset writes the step to the file that the process reads.
+// writeOffset writes the offset, in seconds, to the file that the process reads.
 func (c WallClock) writeOffset(tb testing.TB, offset time.Duration) {
 	tb.Helper()
 	replaceFile(tb, c.path, []byte(strconv.FormatInt(int64(offset/time.Second), 10)))
