--- a/internal/balancertest/testdata/pauses/report.go
+++ b/internal/balancertest/testdata/pauses/report.go
@@ -1,5 +1,5 @@
-// This file is built into the program under test only, by BuildInstrumented. It reports on standard error how long
-// the system kept the process from running: the check of a rule allows for that time.
+// BuildInstrumented adds this file to the program under test. It reports on standard error how long the system kept
+// the process from running, so that checks of the node's timing can allow for that time.
 package main
 
 import (
@@ -16,19 +16,20 @@
 
 func init() { go reportPauses() }
 
+// reportPauses reports the time by which a short sleep takes too long. A sleep also ends late while the process keeps
+// the processors busy itself, so the processor time that it used meanwhile does not count.
 func reportPauses() {
 	for {
 		start, startCPUTime := time.Now(), cpuTime()
 		time.Sleep(pauseCheckInterval)
 		delay := time.Since(start) - pauseCheckInterval
-		// While the process itself is busy, it is not paused.
 		if pause := delay - (cpuTime() - startCPUTime); pause > minReportedPause {
 			fmt.Fprintf(os.Stderr, "paused for %v\n", pause)
 		}
 	}
 }
 
-// cpuTime returns the processor time that the process has used.
+// cpuTime returns the processor time that the process has used, in user and system mode.
 func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
--- a/internal/balancertest/testdata/wallclock/step.go
+++ b/internal/balancertest/testdata/wallclock/step.go
@@ -1,5 +1,6 @@
-// This file is built into the program under test only, by BuildInstrumented. It steps the wall clock of
-// the process: at its start, and at each SIGUSR1.
+// BuildInstrumented adds this file to the program under test. It sets the offset of the process's wall clock when
+// the process starts and at each SIGUSR1. It reads the offset in seconds from the file that WALL_CLOCK_STEP_FILE
+// names.
 package main
 
 import (
@@ -14,7 +15,7 @@
 	applyOffset := func() {
 		text, err := os.ReadFile(os.Getenv("WALL_CLOCK_STEP_FILE"))
 		if err != nil {
-			return // no step
+			return // without the file, the offset stays as it is
 		}
 		if seconds, err := strconv.ParseInt(string(text), 10, 64); err == nil {
 			time.SetWallClockOffset(seconds)
