--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -9,22 +9,24 @@
 
 const ms = time.Millisecond
 
-// fakeHost records the actions of one Balancer.
+// fakeHost is a Host that records the actions of one Balancer.
 type fakeHost struct {
 	sends    []sentAttempt
 	cancels  int
-	rejected map[RequestID]time.Duration
+	rejected map[RequestID]time.Duration // the Retry-After of each rejected request
 	failed   map[RequestID]bool
-	timers   []timer
+	timers   []timer // set and not yet run
 	watches  int
-	log      []string
+	log      []string // all actions in order, one line each
 }
 
+// sentAttempt records a call of Send.
 type sentAttempt struct {
 	id     RequestID
 	server ServerID
 }
 
+// timer records a call of SetTimer.
 type timer struct {
 	at    time.Duration
 	token uint64
@@ -63,7 +65,7 @@
 	h.timers = append(h.timers, timer{at, token})
 }
 
-// runDueTimers runs the timers that are due.
+// runDueTimers runs the timers that are due, but not those that are set meanwhile.
 func (h *fakeHost) runDueTimers(balancer *Balancer, now time.Duration) {
 	var due []timer
 	kept := h.timers[:0]
@@ -80,7 +82,7 @@
 	}
 }
 
-// popDueTimer removes and returns the first timer that is due by a time, or nil.
+// popDueTimer removes and returns the earliest timer if it is due by the given time, and returns nil otherwise.
 func (h *fakeHost) popDueTimer(by time.Duration) *timer {
 	if len(h.timers) == 0 {
 		return nil
@@ -104,7 +106,8 @@
 	h.watches++
 }
 
-// testSettings has an idempotent class, one with an idempotency key and one that is not idempotent, in this order.
+// testSettings returns settings of a single node with three classes: class 0 is idempotent, class 1 is idempotent
+// with a key, and class 2 is not idempotent.
 func testSettings() Settings {
 	s := Defaults()
 	class := Class{Deadline: 2 * time.Second, Objective: 800 * ms, PriorityWeight: 1}
@@ -120,29 +123,31 @@
 	return s
 }
 
-// harness drives a Balancer with a fakeHost on a virtual clock.
+// harness drives a Balancer with a fakeHost and a virtual clock.
 type harness struct {
 	t                *testing.T
 	balancer         *Balancer
 	host             *fakeHost
 	now              time.Duration
 	lastID           RequestID
-	outcomesReported map[RequestID]int // by request
+	outcomesReported map[RequestID]int // number of outcomes reported for each request
 }
 
+// newHarness returns a harness with the given number of ready servers, which come from a cached endpoint list.
 func newHarness(t *testing.T, settings Settings, servers int) *harness {
 	t.Helper()
 	host := newFakeHost()
 	balancer, err := New(settings, 1, host)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("New(%+v): %v", settings, err)
 	}
 	h := &harness{t: t, balancer: balancer, host: host, now: time.Hour, outcomesReported: map[RequestID]int{}}
 	h.updateEndpoints(UpdateCached, readyEndpoints(1, servers)...)
 	return h
 }
 
-// readyEndpoints returns readyEndpoints endpoints for the servers first to last, two to a cell and five to a zone.
+// readyEndpoints returns ready endpoints for the servers with the IDs first to last. Two consecutive IDs share a
+// cell, and five share a zone.
 func readyEndpoints(first, last int) []Endpoint {
 	var entries []Endpoint
 	for i := first; i <= last; i++ {
@@ -157,13 +162,14 @@
 	h.balancer.UpdateEndpoints(h.now, kind, entries)
 }
 
+// request makes a request of the given class arrive and returns its ID.
 func (h *harness) request(class int) RequestID {
 	h.lastID++
 	h.balancer.Request(h.now, Request{ID: h.lastID, Class: class, Timeout: 2 * time.Second})
 	return h.lastID
 }
 
-// attemptedServers returns the servers that a request was sent to.
+// attemptedServers returns the server of each attempt of a request, in order.
 func (h *harness) attemptedServers(id RequestID) []ServerID {
 	var servers []ServerID
 	for _, s := range h.host.sends {
@@ -174,7 +180,8 @@
 	return servers
 }
 
-// endAttempt ends the first attempt of a request that has not ended yet.
+// endAttempt reports the outcome of the earliest attempt of a request that has none yet. Status OK also completes the
+// request.
 func (h *harness) endAttempt(id RequestID, status Status, latency time.Duration) {
 	index := h.outcomesReported[id]
 	h.outcomesReported[id]++
@@ -184,7 +191,7 @@
 	})
 }
 
-// advance moves the clock and runs the timers that become due, also those that are set meanwhile.
+// advance moves the clock forward and runs the timers that become due, including those that are set meanwhile.
 func (h *harness) advance(d time.Duration) {
 	end := h.now + d
 	for due := h.host.popDueTimer(end); due != nil; due = h.host.popDueTimer(end) {
@@ -194,7 +201,8 @@
 	h.now = end
 }
 
-// serveRequests makes n requests of class 0 succeed with the same latency, one after another.
+// serveRequests makes n requests of class 0 arrive one after another. Each that was
+// sent succeeds with the given latency.
 func (h *harness) serveRequests(n int, latency time.Duration) {
 	for range n {
 		id := h.request(0)
@@ -205,7 +213,7 @@
 	}
 }
 
-// breakerCounts counts the breakerCounts by state.
+// breakerCounts returns the number of ready servers in each state of their circuit breaker.
 func (h *harness) breakerCounts() [3]int {
 	var count [3]int
 	for _, s := range h.balancer.endpoints.ready {
@@ -214,8 +222,9 @@
 	return count
 }
 
-// newUndersampledHarness has many nodes and warm measurements. Class 0 has a low priority weight, class 1 a
-// high one, of which late responses still earn half.
+// newUndersampledHarness returns a harness for one of 80 nodes that share 60 servers, in the undersampled regime. The
+// node has already measured latencies. Class 0 has a low priority weight. Class 1 has a high one, of which late
+// responses still earn half.
 func newUndersampledHarness(t *testing.T) *harness {
 	t.Helper()
 	settings := testSettings()
@@ -229,12 +238,13 @@
 	h := newHarness(t, settings, 60)
 	h.serveRequests(40, 30*ms)
 	if h.balancer.subset.regime != undersampled() {
-		t.Fatal("80 nodes at 60 servers are not undersampled")
+		t.Fatalf("80 nodes that share 60 servers have the regime %+v, want the undersampled one", h.balancer.subset.regime)
 	}
 	return h
 }
 
-// raiseMeanInFlightAboveLimit sets the mean number of attempts in flight above the limit, with none in flight now.
+// raiseMeanInFlightAboveLimit sets the concurrency limit to one attempt per server and the mean number of attempts in
+// flight to twice the node's part of it, while no attempt is in flight.
 func (h *harness) raiseMeanInFlightAboveLimit() {
 	h.balancer.refresh(h.now)
 	limiter, subset := &h.balancer.limiter, &h.balancer.subset
@@ -242,21 +252,22 @@
 	limiter.meanInFlight = 2 * limiter.limit / subset.nodesPerServer * float64(subset.closed)
 }
 
-// recordBreakerFailures counts failed attempts for the breaker of their server, all of them now.
+// recordBreakerFailures records failed attempts with the given status for the circuit breaker of a server, all at the
+// current time.
 func (h *harness) recordBreakerFailures(s *server, failures int, status Status) {
 	for range failures {
 		h.balancer.recordBreakerFailure(h.now, &attempt{server: s}, status)
 	}
 }
 
-// openAllBreakers ejects every server for good.
+// openAllBreakers opens the circuit breakers of all ready servers, which never become half-open.
 func (h *harness) openAllBreakers() {
 	for _, s := range h.balancer.endpoints.ready {
 		s.breaker.state, s.breaker.halfOpenAt = breakerOpen, maxTime
 	}
 }
 
-// succeedRequestsOlderThan makes all attempts succeed of those requests that were first sent at least this long ago.
+// succeedRequestsOlderThan ends all attempts with success of the requests that were first sent at least age ago.
 func (h *harness) succeedRequestsOlderThan(age time.Duration) {
 	for id := range h.lastID {
 		record := h.balancer.requests.byID[id]
