--- a/policy/invariants_test.go
+++ b/policy/invariants_test.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// invariantChecker generates random events for one Balancer and checks each action: one final response in time,
-// no execution against the idempotency, no send to a server that is not ready, no attempt beyond the limit.
+// invariantChecker generates random events for one Balancer. As its Host it checks the actions: each request
+// completes exactly once and in time, a request is never sent again if its idempotency forbids that, attempts go to
+// ready servers only, and no request has more attempts than the limit.
 type invariantChecker struct {
 	*fakeHost
 	t           *testing.T
@@ -19,14 +20,14 @@
 	maxAttempts int
 	now         time.Duration
 	requests    map[RequestID]*trackedRequest
-	completions map[RequestID]int
+	completions map[RequestID]int // how often each request completed
 	endpoints   map[ServerID]Endpoint
 }
 
-// maxLateness is the time after its deadline at which a request is completed at the latest.
+// maxLateness is the longest time after its deadline at which a request may complete.
 const maxLateness = 20 * ms
 
-// trackedRequest is a request as the checker knows it.
+// trackedRequest is what the checker knows about a request.
 type trackedRequest struct {
 	class     Class
 	deadline  time.Duration
@@ -34,11 +35,12 @@
 	completed bool
 }
 
+// trackedAttempt is what the checker knows about an attempt.
 type trackedAttempt struct {
 	endpoint    Endpoint
 	sentAt      time.Duration
 	inFlight    bool
-	notExecuted bool
+	notExecuted bool // it has ended with a status that rules out its execution
 }
 
 func (c *invariantChecker) Send(id RequestID, server ServerID, timeout time.Duration) {
@@ -46,43 +48,51 @@
 	tracked, endpoint := c.requests[id], c.endpoints[server]
 	switch {
 	case tracked == nil || tracked.completed:
-		c.t.Errorf("%v: sent request %d, which is completed", c.now, id)
+		c.t.Errorf("%v: Send of request %d to server %d, but the request is completed or unknown",
+			c.now, id, server)
 		return
 	case endpoint.State != Ready:
-		c.t.Errorf("%v: sent request %d to server %d in state %v", c.now, id, server, endpoint.State)
+		c.t.Errorf("%v: Send of request %d to server %d, which is %v, want a ready server",
+			c.now, id, server, endpoint.State)
 	case len(tracked.attempts) >= c.maxAttempts:
-		c.t.Errorf("%v: request %d has too many attempts", c.now, id)
+		c.t.Errorf("%v: Send of request %d after %d attempts, want %d attempts at most",
+			c.now, id, len(tracked.attempts), c.maxAttempts)
 	}
 	c.checkRetryAllowed(id, tracked, endpoint)
 	tracked.attempts = append(tracked.attempts, &trackedAttempt{endpoint: endpoint, sentAt: c.now, inFlight: true})
 }
 
-// checkRetryAllowed checks that a request may be sent to a server after the attempts that it has had.
+// checkRetryAllowed checks that the idempotency of a request permits an attempt at a server after its earlier
+// attempts, each of which may have been executed unless its outcome rules that out.
 func (c *invariantChecker) checkRetryAllowed(id RequestID, tracked *trackedRequest, endpoint Endpoint) {
 	for _, a := range tracked.attempts {
 		if a.notExecuted {
 			continue
 		}
 		if tracked.class.Idempotency == NotIdempotent {
-			c.t.Errorf("%v: request %d, not idempotent, sent again though it may have been executed", c.now, id)
+			c.t.Errorf("%v: request %d is sent again, but it is not idempotent and server %d may have executed it",
+				c.now, id, a.endpoint.Server)
 		}
 		keyKnown := a.endpoint.Cell == endpoint.Cell && c.now-a.sentAt < tracked.class.KeyRetention
 		if tracked.class.Idempotency == IdempotentWithKey && !keyKnown {
-			c.t.Errorf("%v: request %d retried where or when its key is not known", c.now, id)
+			c.t.Errorf("%v: request %d is sent again to cell %d, but its key is known only in cell %d from %v for %v",
+				c.now, id, endpoint.Cell, a.endpoint.Cell, a.sentAt, tracked.class.KeyRetention)
 		}
 	}
 }
 
-// recordCompletion checks that a request gets its only final response in time. It returns the request.
+// recordCompletion records the final response of a request and returns the request. It checks that the response is
+// the only one and that it is in time.
 func (c *invariantChecker) recordCompletion(id RequestID) *trackedRequest {
 	c.completions[id]++
 	tracked := c.requests[id]
 	if tracked == nil || tracked.completed {
-		c.t.Errorf("%v: request %d completed twice", c.now, id)
+		c.t.Errorf("%v: request %d gets a final response, but it is completed or unknown", c.now, id)
 		return &trackedRequest{}
 	}
 	if c.now > tracked.deadline+maxLateness {
-		c.t.Errorf("%v: request %d completed after its deadline at %v", c.now, id, tracked.deadline)
+		c.t.Errorf("%v: request %d completes %v after its deadline, want %v at most",
+			c.now, id, c.now-tracked.deadline, maxLateness)
 	}
 	tracked.completed = true
 	return tracked
@@ -93,7 +103,8 @@
 	tracked := c.recordCompletion(id)
 	for _, a := range tracked.attempts {
 		if !a.notExecuted && tracked.class.Idempotency != Idempotent {
-			c.t.Errorf("%v: request %d rejected though it may have been executed", c.now, id)
+			c.t.Errorf("%v: Reject of request %d, but it is %v and server %d may have executed it",
+				c.now, id, tracked.class.Idempotency, a.endpoint.Server)
 		}
 	}
 }
@@ -103,8 +114,8 @@
 	c.recordCompletion(id)
 }
 
-// endAttempt ends attempt i of a request with a random status. The status is Timeout from the deadline on, and
-// Cancelled if the request is completed.
+// endAttempt ends attempt i of a request with a random status. It is always Timeout from the deadline on, and always
+// Cancelled once the request is completed.
 func (c *invariantChecker) endAttempt(id RequestID, tracked *trackedRequest, i int) {
 	a := tracked.attempts[i]
 	status := []Status{OK, OK, OK, ServerError, Rejected, Timeout, ConnectFailed, Reset}[c.rng.IntN(8)]
@@ -123,7 +134,8 @@
 		Latency: c.now - a.sentAt, RequestCompleted: tracked.completed})
 }
 
-// step ends some attempts, disconnects a few clients and runs the timers that are due.
+// step ends some of the attempts in flight of the given requests, disconnects a few of their clients and runs the
+// timers that are due. Attempts end at the deadline or the completion of their request at the latest.
 func (c *invariantChecker) step(ids []RequestID) {
 	for _, id := range ids {
 		tracked := c.requests[id]
@@ -141,7 +153,7 @@
 	c.runDueTimers(c.balancer, c.now)
 }
 
-// changeRandomEndpoint drains, removes, restarts or adds a server.
+// changeRandomEndpoint drains, removes, restarts or adds one of twelve servers.
 func (c *invariantChecker) changeRandomEndpoint() {
 	id := ServerID(1 + c.rng.IntN(12))
 	endpoint := Endpoint{Server: id, Cell: int(id) / 3, Weight: 1, State: EndpointState(c.rng.IntN(3))}
@@ -152,7 +164,8 @@
 	c.balancer.UpdateEndpoints(c.now, UpdateDelta, []Endpoint{endpoint})
 }
 
-// newInvariantChecker starts a Balancer with eight servers.
+// newInvariantChecker returns a checker with a Balancer that has eight ready servers, three to a cell at most. The
+// seed determines all random choices.
 func newInvariantChecker(t *testing.T, seed uint64) *invariantChecker {
 	t.Helper()
 	settings := testSettings()
@@ -171,7 +184,7 @@
 	}
 	balancer, err := New(settings, seed, c)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("New(%+v): %v", settings, err)
 	}
 	c.balancer = balancer
 	entries := readyEndpoints(1, 8)
@@ -183,7 +196,7 @@
 	return c
 }
 
-// addRandomRequest sends a request of a random class and timeout.
+// addRandomRequest makes a request with a random class and timeout arrive.
 func (c *invariantChecker) addRandomRequest(id RequestID) {
 	class := c.rng.IntN(3)
 	timeout := time.Duration(300+c.rng.IntN(1700)) * ms
@@ -191,24 +204,24 @@
 	c.balancer.Request(c.now, Request{ID: id, Class: class, Timeout: timeout})
 }
 
-// checkAllReleased checks that every request got one final response, and that none is known any more.
+// checkAllReleased checks that every request completed exactly once, and that the Balancer has released all of them.
 func (c *invariantChecker) checkAllReleased(ids []RequestID) {
 	c.t.Helper()
 	for _, id := range ids {
 		if c.completions[id] != 1 {
-			c.t.Errorf("request %d got %d final responses", id, c.completions[id])
+			c.t.Errorf("request %d completed %d times, want once", id, c.completions[id])
 		}
 	}
 	known, active := len(c.balancer.requests.byID), len(c.balancer.requests.active)
 	if known > 0 || active > 0 {
-		c.t.Errorf("%d requests and %d active ones known at the end", known, active)
+		c.t.Errorf("the Balancer still has %d requests by ID and %d active ones at the end, want none", known, active)
 	}
 }
 
-// runRandomEvents returns the log of the actions.
+// runRandomEvents gives a Balancer random events, which the seed determines, checks its actions and returns their log.
 func runRandomEvents(t *testing.T, seed uint64) []string {
 	t.Helper()
-	const steps, stepsWithArrivals = 4000, 3500 // then the requests end
+	const steps, stepsWithArrivals = 4000, 3500 // in the last steps, the remaining requests end
 	c := newInvariantChecker(t, seed)
 	var ids []RequestID
 	for step := range steps {
@@ -232,18 +245,20 @@
 
 func TestInvariantsHoldUnderRandomEvents(t *testing.T) {
 	for seed := range uint64(6) {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { runRandomEvents(t, seed) })
+		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) { runRandomEvents(t, seed) })
 	}
 }
 
 func TestSameEventsAndSeedGiveTheSameActions(t *testing.T) {
 	first, second := runRandomEvents(t, 3), runRandomEvents(t, 3)
 	if strings.Join(first, "\n") != strings.Join(second, "\n") {
-		t.Fatal("two runs of the same events differ")
+		t.Fatalf("two runs with seed 3 took different actions (%d and %d of them), want the same",
+			len(first), len(second))
 	}
 }
 
-func TestInterleavedInstancesActAsEachAlone(t *testing.T) {
+// Guards against state that Balancers share: two that get the same events by turns must act like a single one.
+func TestInterleavedBalancersActLikeASingleOne(t *testing.T) {
 	drive := func(harnesses ...*harness) {
 		for i := range 300 {
 			for _, h := range harnesses {
@@ -261,6 +276,7 @@
 	drive(first, second)
 	want := strings.Join(alone.host.log, "\n")
 	if strings.Join(first.host.log, "\n") != want || strings.Join(second.host.log, "\n") != want {
-		t.Fatal("instances that take turns act unlike one alone")
+		t.Fatalf("two interleaved Balancers took %d and %d actions, want exactly the %d actions of a single one",
+			len(first.host.log), len(second.host.log), len(alone.host.log))
 	}
 }
