--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -238,7 +238,8 @@
 	h := newHarness(t, settings, 60)
 	h.serveRequests(40, 30*ms)
 	if h.balancer.subset.regime != undersampled() {
-		t.Fatalf("80 nodes that share 60 servers have the regime %+v, want the undersampled one", h.balancer.subset.regime)
+		t.Fatalf("80 nodes that share 60 servers have the regime %+v, want the undersampled one",
+			h.balancer.subset.regime)
 	}
 	return h
 }
