--- a/policy/simulated_fleet_test.go
+++ b/policy/simulated_fleet_test.go
@@ -9,14 +9,15 @@
 	"time"
 )
 
-// simulatedEvent happens in a simulatedFleet. Events of the same time run in the order of their scheduling.
+// simulatedEvent is a scheduled event of a simulatedFleet. Events with the same time run in the order in which they
+// were scheduled.
 type simulatedEvent struct {
 	at       time.Duration
 	sequence int
 	action   func()
 }
 
-// eventQueue is a heap of events.
+// eventQueue is a heap.Interface whose least event is the next one to run.
 type eventQueue []simulatedEvent
 
 func (e eventQueue) Len() int { return len(e) }
@@ -35,23 +36,23 @@
 	return last
 }
 
-// scenario describes a run of real Balancers with simulated servers on one virtual clock.
+// scenario configures a simulation in which real Balancers send requests to simulated servers, some of which restart.
 type scenario struct {
 	nodeCount, serverCount int
 	rules                  Rules
-	offeredLoad            float64       // offered work as a share of what all servers can do when warm
-	restartedFraction      float64       // share of the servers that restart
-	restartSpan            time.Duration // time within which they stop one after another
+	offeredLoad            float64       // offered work as a fraction of the capacity of all servers when warm
+	restartedFraction      float64       // fraction of the servers that restart, at least one server
+	restartSpan            time.Duration // time over which the restarted servers stop, one after another
 	downtime               time.Duration // time from the stop of a server to its start
-	replaceServers         bool          // a server starts under a new ID
-	burstFactor            float64       // factor on the arrivals once the first server has restarted
-	othersFail             bool          // a third of the other servers fails or hangs from then on
-	lateNotifications      bool          // a third of the nodes is notified of a start 1 to 5 s late
-	nodesRestartAfter      time.Duration // time from the first stop to the restart of all nodes; 0: they do not restart
-	leadTime               time.Duration // time with load before the first server stops
+	replaceServers         bool          // restarted servers get new IDs
+	burstFactor            float64       // multiplies the arrival rate once the first server has restarted; 0: no burst
+	othersFail             bool          // from that time on, a third of the other servers fails or hangs
+	lateNotifications      bool          // a third of the nodes is notified of changes 1 to 5 s late
+	nodesRestartAfter      time.Duration // time from the first stop to the restart of all nodes; 0: never
+	leadTime               time.Duration // time under load before the first server stops
 }
 
-// simulatedFleet runs a scenario and measures what the warming servers were sent.
+// simulatedFleet runs a scenario on a virtual clock and measures the work that is sent to servers that are warming up.
 type simulatedFleet struct {
 	scenario
 	t                 *testing.T
@@ -61,56 +62,66 @@
 	lastSequence      int
 	events            eventQueue
 	nodes             []*simulatedNode
-	cumulativeTraffic []float64 // cumulative shares of the nodes in the traffic
+	cumulativeTraffic []float64 // cumulative sums of the nodes' shares of the traffic, not normalized
 	servers           []*simulatedServer
-	arrivalFactor     float64    // on the rate of the arrivals
-	pendingUpdates    []Endpoint // that no node is notified of yet
+	arrivalFactor     float64    // multiplies the arrival rate
+	pendingUpdates    []Endpoint // changes of which no node is notified yet
 	lastID            RequestID
 
-	// The largest work within an OverloadWindow, as a multiple of its limit, in sends of nodes that were notified.
-	// The first value counts each request as mean work, the second counts the work that was drawn for it.
+	// Peak work that a server got within an OverloadWindow from nodes that were notified of its start, as a multiple
+	// of the limit. The first value counts the mean work of each request's class, the second the work of the request
+	// itself.
 	peakNotifiedMeanWork, peakNotifiedActualWork float64
 
-	overloads              int     // sends over the limit, with over two thirds of the window from notified nodes
-	workSent, workCapacity float64 // work sent to warming servers once listed, and what they could do in that time
+	// overloads is the number of sends with which the work of a window was over the limit, while notified nodes had
+	// sent more than two thirds of it.
+	overloads int
+
+	// Work that was sent to servers while they were warming up and the nodes could know of their start, and the work
+	// that these servers could do in that time.
+	workSent, workCapacity float64
 }
 
-// simulatedServer works at one request after another.
+// simulatedServer executes one attempt at a time. The others wait in its queue.
 type simulatedServer struct {
 	Endpoint
 	workRate     float64 // work per second when warm
-	fails, hangs bool
+	fails, hangs bool    // fails: responds with an error at once; hangs: starts no attempt
 	queue        []*simulatedAttempt
 	running      *simulatedAttempt
-	sends        []slowStartSend // within OverloadWindow
+	sends        []slowStartSend // within the last OverloadWindow
 }
 
-// slowStartSend is a send to a warming server. Its work is in requests of mean work.
+// slowStartSend records an attempt at a server that is warming up. Its work is in multiples of meanWork.
 type slowStartSend struct {
 	at         time.Duration
 	meanWork   float64 // mean work of the request's class
 	actualWork float64 // work of the request itself
-	notified   bool    // the node was notified of the server's start
+	notified   bool    // the node knew of the server's start
 }
 
-const meanWork = 0.04 // seconds, over all classes
+// meanWork is the mean work of a request over all classes, in seconds on a server of work rate 1.
+const meanWork = 0.04
 
-// meanClassWork returns the mean work of a class, of which six, one and one in eight requests are.
+// meanClassWork returns the mean work of a class. Of eight requests, six belong to class 0, one to class 1 and one to
+// class 2 on average, so that the mean over all requests is meanWork.
 func meanClassWork(class int) float64 {
 	return []float64{1.1 * meanWork, 0.6 * meanWork, 0.8 * meanWork}[class]
 }
 
+// schedule runs an action at the given time.
 func (f *simulatedFleet) schedule(at time.Duration, action func()) {
 	f.lastSequence++
 	heap.Push(&f.events, simulatedEvent{at, f.lastSequence, action})
 }
 
-// scheduleAfterRandomDelay runs an action after an exponentially distributed time.
+// scheduleAfterRandomDelay runs an action after an exponentially distributed delay.
 func (f *simulatedFleet) scheduleAfterRandomDelay(mean time.Duration, action func()) {
 	f.schedule(f.now+time.Duration(f.rng.ExpFloat64()*float64(mean)), action)
 }
 
-// capacityShare returns the present capacity by the rules, 1 when warm.
+// capacityShare returns the current capacity of a server as a fraction of its capacity when warm. It grows linearly
+// from SlowStartShare to 1 over SlowStartDuration.
 func (f *simulatedFleet) capacityShare(s *simulatedServer) float64 {
 	if age := f.now - s.StartedAt; s.StartedAt > 0 && age < f.rules.SlowStartDuration {
 		return f.rules.SlowStartShare + (1-f.rules.SlowStartShare)*age.Seconds()/f.rules.SlowStartDuration.Seconds()
@@ -118,7 +129,9 @@
 	return 1
 }
 
-// recordSlowStartSend adds a send to the window of a warming server, and compares the window with its limit.
+// recordSlowStartSend adds an attempt to the overload window of a server that is warming up, and compares the work in
+// the window with its limit. The limit is n + 2 sqrt(n) + 2 requests of mean work, where n is what the server can do
+// in the window times OverloadMultiple. The other terms allow for random peaks.
 func (f *simulatedFleet) recordSlowStartSend(s *simulatedServer, added slowStartSend) {
 	expired := func(send slowStartSend) bool { return f.now-send.at >= f.rules.OverloadWindow }
 	s.sends = append(slices.DeleteFunc(s.sends, expired), added)
@@ -133,7 +146,7 @@
 	n := f.rules.OverloadMultiple * s.workRate * f.capacityShare(s) * f.rules.OverloadWindow.Seconds() / meanWork
 	limit := n + 2*math.Sqrt(n) + 2
 	f.peakNotifiedMeanWork = max(f.peakNotifiedMeanWork, notified/limit)
-	if n >= 10 { // a few heavy requests exceed a lower limit by chance, and no node knows their work
+	if n >= 10 { // a few heavy requests may exceed a lower limit by chance, and no node knows their work
 		f.peakNotifiedActualWork = max(f.peakNotifiedActualWork, actual/limit)
 	}
 	if all > limit && notified > all*2/3 {
@@ -141,7 +154,7 @@
 	}
 }
 
-// startNextAttempt starts the next attempt of a server.
+// startNextAttempt starts the next queued attempt of a server that is idle and takes requests.
 func (f *simulatedFleet) startNextAttempt(s *simulatedServer) {
 	for s.running == nil && len(s.queue) > 0 && !s.hangs && s.State == Ready {
 		attempt := s.queue[0]
@@ -151,7 +164,7 @@
 		}
 		s.running = attempt
 		f.schedule(f.now+time.Duration(attempt.request.work/(s.workRate*f.capacityShare(s))*float64(time.Second)), func() {
-			if s.running == attempt {
+			if s.running == attempt { // the server has not restarted
 				s.running = nil
 				f.endAttempt(attempt, OK)
 				f.startNextAttempt(s)
@@ -160,7 +173,7 @@
 	}
 }
 
-// endAttempt gives a node the outcome of an attempt.
+// endAttempt reports the outcome of an attempt to its node, unless the attempt has ended or the node has stopped.
 func (f *simulatedFleet) endAttempt(attempt *simulatedAttempt, status Status) {
 	if attempt.ended || attempt.node.stopped {
 		return
@@ -173,7 +186,8 @@
 	})
 }
 
-// sendRequest has a client send a request to a node, and disconnect at its deadline.
+// sendRequest sends a client's request to a random node. The client disconnects at the deadline, which ends all
+// attempts. It has retried the request the given number of times already.
 func (f *simulatedFleet) sendRequest(class, retries int, work float64) {
 	i, _ := slices.BinarySearch(f.cumulativeTraffic, f.rng.Float64()*f.cumulativeTraffic[len(f.cumulativeTraffic)-1])
 	n := f.nodes[i]
@@ -190,7 +204,7 @@
 	})
 }
 
-// generateArrivals generates requests in an open loop.
+// generateArrivals sends a request of a random class and schedules the next one, whether or not this one is answered.
 func (f *simulatedFleet) generateArrivals() {
 	class := max(0, f.rng.IntN(8)-5)
 	f.sendRequest(class, 0, meanClassWork(class)*f.rng.ExpFloat64())
@@ -198,7 +212,7 @@
 	f.scheduleAfterRandomDelay(time.Duration(float64(time.Second)/rate), f.generateArrivals)
 }
 
-// startNode starts the process of a node with a list of all ready servers.
+// startNode starts a new process of node i, with a snapshot of the ready servers. An earlier process stops.
 func (f *simulatedFleet) startNode(i int) {
 	if f.nodes[i] != nil {
 		f.nodes[i].stopped = true
@@ -208,7 +222,7 @@
 	settings.Node = i
 	balancer, err := New(settings, f.rng.Uint64(), n)
 	if err != nil {
-		f.t.Fatal(err)
+		f.t.Fatalf("New(%+v): %v", settings, err)
 	}
 	n.balancer, f.nodes[i] = balancer, n
 	var entries []Endpoint
@@ -220,10 +234,11 @@
 	balancer.UpdateEndpoints(f.now, UpdateSnapshot, entries)
 }
 
-// notificationDelay is the time from a change until the first node is notified, with all changes until then.
+// notificationDelay is the time from a change until the first node is notified. The changes of that time are combined
+// into one update.
 const notificationDelay = 300 * ms
 
-// notifyNodes notifies all nodes of a change.
+// notifyNodes notifies all nodes of the change of an endpoint, each with a delay of its own.
 func (f *simulatedFleet) notifyNodes(e Endpoint) {
 	if f.pendingUpdates = append(f.pendingUpdates, e); len(f.pendingUpdates) > 1 {
 		return
@@ -242,7 +257,8 @@
 	})
 }
 
-// restartServer stops a server and starts it, or another one in its place, again.
+// restartServer stops a server, which resets its attempts. After the downtime it starts the server again, or another
+// one in its place.
 func (f *simulatedFleet) restartServer(s *simulatedServer) {
 	s.State = Removed
 	if s.running != nil {
@@ -266,7 +282,8 @@
 	})
 }
 
-// addWorkCapacity adds up what the warming servers could do.
+// addWorkCapacity adds to workCapacity what the servers that are warming up can do in the next step, and schedules
+// itself for the step after.
 func (f *simulatedFleet) addWorkCapacity() {
 	const step = 20 * ms
 	for _, s := range f.servers {
@@ -277,7 +294,7 @@
 	f.schedule(f.now+step, f.addWorkCapacity)
 }
 
-// simulate runs the scenario until the last server has warmed up.
+// simulate runs the scenario until all restarted servers are warm.
 func (c scenario) simulate(t *testing.T, seed uint64) *simulatedFleet {
 	t.Helper()
 	f := newSimulatedFleet(t, c, seed)
@@ -289,7 +306,8 @@
 	return f
 }
 
-// newSimulatedFleet starts the servers and nodes of a scenario.
+// newSimulatedFleet returns a fleet with the servers and nodes of a scenario, all of them running. The seed determines
+// all random choices.
 func newSimulatedFleet(t *testing.T, c scenario, seed uint64) *simulatedFleet {
 	t.Helper()
 	f := &simulatedFleet{
@@ -321,13 +339,13 @@
 	sum := 0.0
 	for i := range f.nodes {
 		f.startNode(i)
-		sum += 0.3 + 0.7*f.rng.ExpFloat64() // some nodes get several times the mean
+		sum += 0.3 + 0.7*f.rng.ExpFloat64() // some nodes get several times the mean traffic
 		f.cumulativeTraffic = append(f.cumulativeTraffic, sum)
 	}
 	return f
 }
 
-// scheduleFaults schedules the restarts of the scenario and all that goes with them.
+// scheduleFaults schedules the restarts of servers and nodes, the burst of arrivals and the failures of other servers.
 func (f *simulatedFleet) scheduleFaults(firstRestart time.Duration) {
 	restarted := max(1, int(f.restartedFraction*float64(f.serverCount)))
 	for i, s := range f.servers[:restarted] {
@@ -346,14 +364,14 @@
 	}
 }
 
-// restartNodes starts a new process of every node.
+// restartNodes stops all nodes and starts a new process of each.
 func (f *simulatedFleet) restartNodes() {
 	for i := range f.nodes {
 		f.startNode(i)
 	}
 }
 
-// runUntil runs the events up to the first at a time or later.
+// runUntil runs the events up to and including the first one at end or later.
 func (f *simulatedFleet) runUntil(end time.Duration) {
 	for f.now < end {
 		next := heap.Pop(&f.events).(simulatedEvent)
