--- a/policy/simulated_node_test.go
+++ b/policy/simulated_node_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// simulatedNode is the Host of one Balancer.
+// simulatedNode is the Host of one Balancer of a simulatedFleet.
 type simulatedNode struct {
 	fleet    *simulatedFleet
 	balancer *Balancer
@@ -13,25 +13,27 @@
 	stopped  bool
 }
 
-// simulatedAttempt is an attempt at a server.
+// simulatedAttempt is an attempt of a request at a server.
 type simulatedAttempt struct {
 	node    *simulatedNode
 	request *clientRequest
-	index   int
+	index   int // among the attempts of the request
 	server  *simulatedServer
 	sentAt  time.Duration
 	ended   bool
 }
 
-// clientRequest is one request of a client, which may retry it.
+// clientRequest is a request of a client. A client may retry it, as a new request.
 type clientRequest struct {
 	id             RequestID
-	class, retries int
-	work           float64 // seconds
+	class, retries int     // retries: how often the client has sent it before
+	work           float64 // seconds on a server of work rate 1
 	attempts       []*simulatedAttempt
 	completed      bool
 }
 
+// Send starts an attempt at a server. A server that is down takes 150 ms to fail the connection, and one that fails
+// responds within 2 ms. All other servers queue the attempt.
 func (n *simulatedNode) Send(id RequestID, server ServerID, _ time.Duration) {
 	f, request := n.fleet, n.requests[id]
 	s := f.servers[slices.IndexFunc(f.servers, func(s *simulatedServer) bool { return s.Server == server })]
@@ -58,6 +60,7 @@
 	}
 }
 
+// Cancel ends an attempt in an event of its own, because a Host must not call back into its Balancer.
 func (n *simulatedNode) Cancel(id RequestID, index int) {
 	attempt := n.requests[id].attempts[index]
 	n.fleet.schedule(n.fleet.now, func() { n.fleet.endAttempt(attempt, Cancelled) })
@@ -77,7 +80,8 @@
 	})
 }
 
-// completeUnserved ends a request; two in three clients retry it, twice at most, at any node.
+// completeUnserved completes a request that got no response from a server. With a probability of two thirds the client
+// retries it after Retry-After and a random delay, twice at most and at any node.
 func (n *simulatedNode) completeUnserved(id RequestID, wait time.Duration) {
 	request := n.requests[id]
 	request.completed = true
