--- a/policy/slow_start_fleet_test.go
+++ b/policy/slow_start_fleet_test.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Guards against warming servers that are overloaded by the sum of what many nodes send, none of which sees the
-// others, and against a slow start that keeps them idle. A server is overloaded by more than
-// N + 2 x root of N + 2 requests of mean work in OverloadWindow, where N is OverloadMultiple x its present
-// capacity.
-func TestSlowStartHoldsForManyNodes(t *testing.T) {
+// Guards against two failures of servers that are warming up: many nodes together overload them, since no node sees
+// what the others send, or slow start keeps them almost idle. A server counts as overloaded if it gets more than
+// n + 2 sqrt(n) + 2 requests of mean work within OverloadWindow, where n is what it can do in that time, given its
+// current capacity, times OverloadMultiple.
+func TestSlowStartOfManyNodesNeitherOverloadsNorStarvesServers(t *testing.T) {
 	const s = time.Second
 	defaultRules := Rules{
 		SlowStartShare: 0.3, SlowStartDuration: 9 * s, OverloadMultiple: 4, OverloadWindow: s, MaxPollInterval: 10 * s,
@@ -37,57 +37,69 @@
 	for _, tc := range []struct {
 		name         string
 		scenario     scenario
-		minUsedShare float64 // least share of what the warming servers can do that has to be sent
+		minUsedShare float64 // of the work that servers can do while they are warming up
 	}{
-		{"one restarts under two nodes", scenario{nodeCount: 2, restartedFraction: 0.05}, 0.05},
-		{"one restarts in a calm fleet", scenario{nodeCount: 20, restartedFraction: 0.05}, 0.05},
+		{"one server restarts, 2 nodes", scenario{nodeCount: 2, restartedFraction: 0.05}, 0.05},
+		{"one server restarts, 20 nodes", scenario{nodeCount: 20, restartedFraction: 0.05}, 0.05},
 		{
-			"one restarts, tight rules",
+			"one server restarts, tight rules",
 			scenario{nodeCount: 20, restartedFraction: 0.05, rules: tightRules}, 0.05,
 		},
 		{
-			"half as much again comes in the slow start",
+			"a fifth restarts, 1.5 times the arrivals from then on",
 			scenario{nodeCount: 20, restartedFraction: 0.2, burstFactor: 1.5}, 0.25,
 		},
-		{"six in ten are replaced under 8 nodes", replacedServers(8, defaultRules), 0.25},
-		{"six in ten are replaced under 30 nodes", replacedServers(30, defaultRules), 0.25},
-		{"six in ten are replaced, tight rules", replacedServers(30, tightRules), 0.15},
-		{"a zone returns under 2 nodes", zoneOutage(2, defaultRules), 0.4},
-		{"a zone returns under 30 nodes", zoneOutage(30, defaultRules), 0.35},
+		{"60% are replaced, 8 nodes", replacedServers(8, defaultRules), 0.25},
+		{"60% are replaced, 30 nodes", replacedServers(30, defaultRules), 0.25},
+		{"60% are replaced, tight rules", replacedServers(30, tightRules), 0.15},
+		{"a zone returns, 2 nodes", zoneOutage(2, defaultRules), 0.4},
+		{"a zone returns, 30 nodes", zoneOutage(30, defaultRules), 0.35},
 		{"a zone returns, tight rules", zoneOutage(20, tightRules), 0.25},
-		{"others fail or hang", scenario{nodeCount: 20, restartedFraction: 0.2, othersFail: true}, 0.25},
 		{
-			"a third is notified late of starts",
+			"a fifth restarts, others fail or hang",
+			scenario{nodeCount: 20, restartedFraction: 0.2, othersFail: true}, 0.25,
+		},
+		{
+			"a fifth restarts, a third of the nodes is notified late",
 			scenario{nodeCount: 20, restartedFraction: 0.2, lateNotifications: true}, 0.2,
 		},
-		{"a third is notified late of a zone", lateZoneOutage, 0.35},
+		{"a zone returns, a third of the nodes is notified late", lateZoneOutage, 0.35},
 		{
-			"nodes restart in a calm fleet",
+			"a fifth restarts, then all nodes",
 			scenario{nodeCount: 20, restartedFraction: 0.2, nodesRestartAfter: s}, 0.1,
 		},
-		{"nodes restart among replaced servers", replacedWhileNodesRestart, 0.12},
-		{"all restart, 2 nodes", scenario{nodeCount: 2, restartedFraction: 1, nodesRestartAfter: s}, 0.28},
-		{"all restart, 30 nodes", scenario{nodeCount: 30, restartedFraction: 1, nodesRestartAfter: s}, 0.28},
-		{"300 nodes, six in ten replaced", largeReplacement, 0.1},
-		{"300 nodes, a zone returns", largeZoneOutage, 0.25},
+		{"60% are replaced, all nodes restart meanwhile", replacedWhileNodesRestart, 0.12},
+		{
+			"all servers restart, then all 2 nodes",
+			scenario{nodeCount: 2, restartedFraction: 1, nodesRestartAfter: s}, 0.28,
+		},
+		{
+			"all servers restart, then all 30 nodes",
+			scenario{nodeCount: 30, restartedFraction: 1, nodesRestartAfter: s}, 0.28,
+		},
+		{"60% are replaced, 300 nodes", largeReplacement, 0.1},
+		{"a zone returns, 300 nodes", largeZoneOutage, 0.25},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			f := tc.scenario.withDefaults(defaultRules).simulate(t, 1)
 			usedShare := f.workSent / f.workCapacity
-			t.Logf("worst window %.2f of the limit (drawn work: %.2f), used %.2f",
+			t.Logf("peak work in a window: %.2f of the limit (actual work: %.2f); share of the capacity used: %.2f",
 				f.peakNotifiedMeanWork, f.peakNotifiedActualWork, usedShare)
 			if f.peakNotifiedMeanWork > 1 || f.peakNotifiedActualWork > 1 || f.overloads > 0 {
-				t.Errorf("notified nodes sent %.2f of the limit (drawn work: %.2f), and overloaded a server %d times",
+				t.Errorf("notified nodes sent a server %.2f of its limit (actual work: %.2f), want 1 at most; "+
+					"%d sends overloaded a server, want none",
 					f.peakNotifiedMeanWork, f.peakNotifiedActualWork, f.overloads)
 			}
 			if f.workSent < tc.minUsedShare*f.workCapacity {
-				t.Errorf("warming servers were sent %.2f of what they could do, want %.2f", usedShare, tc.minUsedShare)
+				t.Errorf("servers that were warming up got %.2f of the work that they could do, want %.2f at least",
+					usedShare, tc.minUsedShare)
 			}
 		})
 	}
 }
 
-// withDefaults fills in what a scenario leaves open.
+// withDefaults returns the scenario with defaults in place of zero values: an offered load of 0.5, the given rules, and
+// 20 servers with a lead time of 10 s.
 func (c scenario) withDefaults(rules Rules) scenario {
 	if c.offeredLoad == 0 {
 		c.offeredLoad = 0.5
