--- a/policy/simulated_node_test.go
+++ b/policy/simulated_node_test.go
@@ -33,7 +33,7 @@
 }
 
 // Send starts an attempt at a server. A server that is down takes 150 ms to fail the connection, and one that fails
-// responds within 2 ms. All other servers queue the attempt.
+// responds after 2 ms. All other servers queue the attempt.
 func (n *simulatedNode) Send(id RequestID, server ServerID, _ time.Duration) {
 	f, request := n.fleet, n.requests[id]
 	s := f.servers[slices.IndexFunc(f.servers, func(s *simulatedServer) bool { return s.Server == server })]
