--- a/policy/watch_schedule_fleet_test.go
+++ b/policy/watch_schedule_fleet_test.go
@@ -7,29 +7,29 @@
 	"time"
 )
 
-// simulatedDiscovery simulates the service that many Balancers watch. It serves its calls one after another, also
-// abandoned ones. While it is down, a call fails after rejectAfter: it is rejected at once or late, or its node
-// abandons it without a response.
+// simulatedDiscovery simulates a discovery service that many nodes call. It serves the calls one after another, even
+// those that their nodes have abandoned. While it is down, each call fails after failureDelay, either because the
+// service rejects it or because the node abandons it.
 type simulatedDiscovery struct {
-	serviceTime  time.Duration
-	callTimeout  time.Duration // time after which a call fails
-	watchTimeout time.Duration // time that a call waits for changes; 0: it returns at once
-	busyUntil    time.Duration // time at which the last call in the queue returns
-
-	downAt, recoversAt time.Duration   // it is down from the first to the second
-	failureDelay       time.Duration   // time after which a call fails while it is down
-	unnotifiedCalls    []time.Duration // start times of the calls by nodes not notified since it recovered
+	serviceTime  time.Duration // time that the service spends on each call
+	callTimeout  time.Duration // time after which a node abandons a call
+	watchTimeout time.Duration // time that a call waits for changes; 0: it does not wait
+	busyUntil    time.Duration // time by which the service has served all calls so far
+
+	downAt, recoversAt time.Duration   // the service is down from downAt until recoversAt
+	failureDelay       time.Duration   // time after which a call fails during the outage
+	unnotifiedCalls    []time.Duration // start times of the calls by nodes that are not notified yet
 }
 
-// discoveryCall is a call of a node.
+// discoveryCall is a call of a node to the discovery service.
 type discoveryCall struct {
 	startedAt time.Duration
 	endsAt    time.Duration
 	succeeds  bool
 }
 
-// call starts a call. The service has changes from its recovery on. A node that does not know them is notified at
-// once.
+// call starts a call of a node and returns when and how it ends. From its recovery on, the service has changes. A call
+// of a node that is not notified of them does not wait.
 func (d *simulatedDiscovery) call(now time.Duration, node *watchingNode) discoveryCall {
 	notified := node.notifiedAt > 0
 	if !notified {
@@ -47,13 +47,14 @@
 		return discoveryCall{startedAt: now, endsAt: returnsAt, succeeds: true}
 	}
 	returnsAt += d.watchTimeout
-	if now < d.downAt && returnsAt > d.downAt { // a watch ends as the service goes down
+	if now < d.downAt && returnsAt > d.downAt { // an idle watch fails when the service goes down
 		return discoveryCall{startedAt: now, endsAt: d.downAt}
 	}
 	return discoveryCall{startedAt: now, endsAt: returnsAt, succeeds: true}
 }
 
-// peakCallRate returns the most calls within a second from a time on.
+// peakCallRate returns the largest number of calls that nodes not yet notified made within one second, from the given
+// time on.
 func (d *simulatedDiscovery) peakCallRate(from time.Duration) int {
 	peak, first := 0, 0
 	for i, at := range d.unnotifiedCalls {
@@ -65,18 +66,19 @@
 	return peak
 }
 
-// watchingNode is a node that calls a discoveryService.
+// watchingNode is the Host of a Balancer that watches a simulatedDiscovery.
 type watchingNode struct {
 	*fakeHost
 	balancer     *Balancer
-	callsStarted int // calls that the service has got
+	callsStarted int // calls of WatchEndpoints that have led to a call of the service
 	currentCall  discoveryCall
-	callInFlight bool          // currentCall is in flight
-	notifiedAt   time.Duration // of the changes since the service recovered
-	watchesAgain bool          // a response is followed by another call
+	callInFlight bool          // currentCall has not ended
+	notifiedAt   time.Duration // when it got the changes since the recovery; 0: it has not
+	watchesAgain bool          // a successful call is followed by the next one
 }
 
-// step runs one node up to now.
+// step runs the node's due timers, ends its call if it is due to end and starts the call that the Balancer has
+// requested.
 func (n *watchingNode) step(t *testing.T, now time.Duration, d *simulatedDiscovery) {
 	t.Helper()
 	n.runDueTimers(n.balancer, now)
@@ -86,7 +88,8 @@
 	}
 	if n.watches > n.callsStarted {
 		if n.callInFlight {
-			t.Fatalf("%v: a node calls again while its call is in flight", now)
+			t.Fatalf("%v: WatchEndpoints was called again while the call started at %v is in flight",
+				now, n.currentCall.startedAt)
 		}
 		n.callsStarted = n.watches
 		n.currentCall = d.call(now, n)
@@ -94,7 +97,7 @@
 	}
 }
 
-// endCall reports the end of the current call to the Balancer.
+// endCall reports the end of the current call to the Balancer, and watches again if the node does so.
 func (n *watchingNode) endCall(now time.Duration, d *simulatedDiscovery) {
 	if !n.currentCall.succeeds {
 		n.balancer.WatchFailed(now, n.currentCall.startedAt+NotificationDeadline)
@@ -109,7 +112,7 @@
 	}
 }
 
-// newWatchingNodes returns nodes that start at the same time with the same cached list.
+// newWatchingNodes returns nodes that start at the same time with the same cached endpoint list.
 func newWatchingNodes(t *testing.T, nodes int, maxPollInterval time.Duration) []*watchingNode {
 	t.Helper()
 	var fleet []*watchingNode
@@ -120,7 +123,7 @@
 		node := &watchingNode{fakeHost: newFakeHost()}
 		balancer, err := New(settings, uint64(i+1), node)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("New for node %d of %d: %v", i, nodes, err)
 		}
 		node.balancer = balancer
 		balancer.UpdateEndpoints(time.Hour, UpdateCached, readyEndpoints(1, 60))
@@ -129,9 +132,10 @@
 	return fleet
 }
 
-// Guards against nodes that call at the same time: their first calls time out and are repeated before the
-// service has served all of those in its queue, so that some get no list for long.
-func TestAllNodesOfAReleaseGetTheEndpointList(t *testing.T) {
+// Guards against many nodes that start together, as in a release, and call the discovery service at the same time.
+// Their calls would time out and be repeated before the service has served its queue, so that some nodes would get no
+// endpoint list for a long time.
+func TestNodesThatStartTogetherAllGetTheEndpointList(t *testing.T) {
 	const nodes = 80
 	d := &simulatedDiscovery{serviceTime: 65 * ms, callTimeout: 2 * time.Second}
 	fleet := newWatchingNodes(t, nodes, 10*time.Second)
@@ -147,36 +151,37 @@
 		}
 	}
 	if notNotified > 0 {
-		t.Fatalf("%d of %d nodes have no list 12 s after their start", notNotified, nodes)
+		t.Fatalf("%d of %d nodes have no endpoint list 12 s after they started together, want none", notNotified, nodes)
 	}
 }
 
-// outage is a time in which a discoveryService is down.
+// outage is a time in which a simulatedDiscovery is down.
 type outage struct {
 	name         string
 	duration     time.Duration
-	failureDelay time.Duration // time after which a call fails; nodeCallTimeout: the node abandons it
+	failureDelay time.Duration // time after which a call fails; with nodeCallTimeout, the node abandons it
 }
 
 const (
-	watchTimeout    = 3 * time.Second      // time that the calls of the real nodes wait for changes
-	nodeCallTimeout = watchTimeout * 3 / 2 // time after which the real nodes abandon a call
+	watchTimeout    = 3 * time.Second      // time that the calls of nodes in production wait for changes
+	nodeCallTimeout = watchTimeout * 3 / 2 // time after which nodes in production abandon a call
 )
 
-// The discovery service is down for a while, in several ways, and recovers with changes. Every node must be
-// notified within NotificationDeadline, however its calls have failed. The calls must not peak: a service that
-// serves the watches of all nodes has to serve their calls after its recovery with half as many again. Each
-// node makes two calls then: one that notifies it, and the next watch.
-func TestEveryNodeIsNotifiedAfterDiscoveryReturns(t *testing.T) {
+// The discovery service is down for a while and recovers with changes. Every node must be notified within
+// NotificationDeadline, however its calls failed. The calls until then must be spread over time: their peak rate is
+// at most 1.5 times the rate of the idle watches of all nodes, or 1.5 calls per watchSpreadPerNode if that is more. A
+// service that serves the idle watches thus needs half as much capacity again for its recovery. Each node makes two
+// calls then: one that notifies it, and the next watch.
+func TestEveryNodeIsNotifiedInTimeAfterDiscoveryRecovers(t *testing.T) {
 	t.Parallel()
 	for _, down := range []outage{
-		{"rejects", 9 * time.Second, 0},
-		{"rejects for a moment", 10 * ms, 0},
-		{"rejects late", 9 * time.Second, 3 * time.Second},
+		{"rejects calls at once for 9s", 9 * time.Second, 0},
+		{"rejects calls at once for 10ms", 10 * ms, 0},
+		{"rejects calls after 3s", 9 * time.Second, 3 * time.Second},
 		{"unresponsive", 9 * time.Second, nodeCallTimeout},
 	} {
 		for _, nodes := range []int{1, 3, 20, 300, 650} {
-			t.Run(fmt.Sprintf("%s/%d", down.name, nodes), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s, %d nodes", down.name, nodes), func(t *testing.T) {
 				t.Parallel()
 				checkRecovery(t, down, nodes)
 			})
@@ -184,7 +189,8 @@
 	}
 }
 
-// checkRecovery runs nodes through an outage, and checks when they are notified and how often they call.
+// checkRecovery runs nodes through an outage. It checks when they are notified, and how many calls they make in a
+// second until then.
 func checkRecovery(t *testing.T, outage outage, nodes int) {
 	t.Helper()
 	d := &simulatedDiscovery{
@@ -203,21 +209,22 @@
 	}
 	delays := notificationDelays(fleet, d.recoversAt)
 	worst := delays[nodes-1]
-	idleWatches := nodes * int(time.Second) / int(watchTimeout) // per second
+	idleWatches := nodes * int(time.Second) / int(watchTimeout) // calls per second without changes
 	peak := d.peakCallRate(d.recoversAt)
 	maxPeak := 3 * max(idleWatches, int(time.Second/watchSpreadPerNode)) / 2
-	t.Logf("lag: median %v, worst %v; peak %d calls of nodes not notified per second, idle watches %d",
+	t.Logf("notified after the recovery: median %v, worst %v; calls per second until then: peak %d, idle watches %d",
 		delays[nodes/2], worst, peak, idleWatches)
 	if worst >= NotificationDeadline {
-		t.Errorf("the last node is notified %v after the recovery", worst)
+		t.Errorf("the last of %d nodes is notified %v after the recovery, want less than %v",
+			nodes, worst, NotificationDeadline)
 	}
 	if peak > maxPeak {
-		t.Errorf("%d calls in a second, over %d", peak, maxPeak)
+		t.Errorf("%d nodes made %d calls in a second after the recovery, want %d at most", nodes, peak, maxPeak)
 	}
 }
 
-// notificationDelays returns the sorted times from the recovery of the service until each node is notified; an
-// hour for those that are not.
+// notificationDelays returns the times from the recovery of the service until each node was notified, sorted. A node
+// that was not notified counts as one hour.
 func notificationDelays(fleet []*watchingNode, recoversAt time.Duration) []time.Duration {
 	var delays []time.Duration
 	for _, node := range fleet {
