--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -7,7 +7,7 @@
 	"calicohinge/policy"
 )
 
-// printingHost is a Host that only prints its actions.
+// printingHost is a Host that prints the actions of a Balancer and keeps the time of the timer set last.
 type printingHost struct{ timerAt time.Duration }
 
 func (p *printingHost) Send(id policy.RequestID, _ policy.ServerID, _ time.Duration) {
@@ -21,7 +21,7 @@
 func (p *printingHost) SetTimer(at time.Duration, _ uint64) { p.timerAt = at }
 func (p *printingHost) WatchEndpoints()                     { fmt.Println("watch the endpoints") }
 
-// The first request succeeds, the second succeeds at its retry, and the third is rejected since no server is
+// The first request succeeds at once, the second succeeds with a retry, and the third is rejected because no server is
 // left.
 func Example() {
 	settings := policy.Defaults()
@@ -36,7 +36,7 @@
 		fmt.Println(err)
 		return
 	}
-	now := time.Second // any monotonic clock
+	now := time.Second // on any monotonic clock
 	balancer.UpdateEndpoints(now, policy.UpdateSnapshot, []policy.Endpoint{
 		{Server: 1, State: policy.Ready, Weight: 1},
 		{Server: 2, State: policy.Ready, Weight: 1},
@@ -48,7 +48,7 @@
 
 	balancer.Request(now, policy.Request{ID: 2, Timeout: 2 * time.Second})
 	balancer.Outcome(now, policy.Outcome{ID: 2, Status: policy.ServerError, Latency: time.Millisecond})
-	for range 10 { // the timers lead to the retry after its backoff
+	for range 10 { // the periodic check retries the request after its backoff
 		now = max(now, host.timerAt)
 		balancer.Timer(now, 0)
 	}
