--- a/policy/size_test.go
+++ b/policy/size_test.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	maxFileLines  = 400 // of one decision file
-	maxLineLength = 110 // characters, a tab counting as four
+	maxFileLines  = 400 // lines of a decision file
+	maxLineLength = 110 // bytes of a line, where a tab counts as four
 )
 
-// decisionFiles returns the files that deploy/balancer.toml lists as the decision logic.
+// decisionFiles returns the paths of the files that deploy/balancer.toml lists as the decision logic.
 func decisionFiles(t *testing.T) []string {
 	t.Helper()
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("read the list of decision files: %v", err)
 	}
 	list := regexp.MustCompile(`(?ms)^policy = \[(.*?)\]`).FindSubmatch(deploy)
 	if list == nil {
-		t.Fatal("deploy/balancer.toml has no list of decision files")
+		t.Fatal("deploy/balancer.toml has no \"policy\" list, which names the decision files")
 	}
 	var files []string
 	for _, match := range regexp.MustCompile(`"([^"]+)"`).FindAllSubmatch(list[1], -1) {
@@ -33,36 +33,37 @@
 	return files
 }
 
-// Users port the decisions by hand, so each concern must fit on a few screens.
-func TestDecisionFilesStayWithinTheirSize(t *testing.T) {
+// Users port the decision logic by hand, so each file must fit on a few screens.
+func TestDecisionFilesStayWithinSizeLimits(t *testing.T) {
 	for _, name := range decisionFiles(t) {
 		text, err := os.ReadFile(filepath.Join("..", name))
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("read a file that deploy/balancer.toml lists: %v", err)
 		}
 		lines := bytes.Split(text, []byte("\n"))
 		if len(lines) > maxFileLines {
-			t.Errorf("%s has %d lines, at most %d may be", name, len(lines), maxFileLines)
+			t.Errorf("%s has %d lines, want %d at most", name, len(lines), maxFileLines)
 		}
 		for i, line := range lines {
 			line = bytes.ReplaceAll(line, []byte("\t"), []byte("    "))
 			if len(line) > maxLineLength {
-				t.Errorf("%s:%d has %d characters", name, i+1, len(line))
+				t.Errorf("%s:%d has %d bytes, want %d at most", name, i+1, len(line), maxLineLength)
 			}
 		}
 	}
 }
 
-func TestEveryFileButTheInterfaceAndValidationIsListedAsDecisions(t *testing.T) {
+// The API and the validation of settings make no decisions about requests. All other files of the package do.
+func TestDeployFileListsAllDecisionFiles(t *testing.T) {
 	names, err := filepath.Glob("*.go")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("list the files of the package: %v", err)
 	}
 	listed := decisionFiles(t)
 	for _, name := range names {
 		unlisted := strings.HasSuffix(name, "_test.go") || name == "api.go" || name == "validate.go"
 		if !unlisted && !slices.Contains(listed, "policy/"+name) {
-			t.Errorf("%s is not listed in deploy/balancer.toml", name)
+			t.Errorf("deploy/balancer.toml does not list policy/%s, want all decision files", name)
 		}
 	}
 }
