--- a/policy/simulated_fleet_test.go
+++ b/policy/simulated_fleet_test.go
@@ -331,9 +331,9 @@
 			Idempotency: NotIdempotent,
 		},
 	}
-	speeds := []float64{1.5, 1.5, 0.9, 0.55, 0.55}
+	workRates := []float64{1.5, 1.5, 0.9, 0.55, 0.55}
 	for i, e := range readyEndpoints(1, c.serverCount) {
-		f.servers = append(f.servers, &simulatedServer{Endpoint: e, workRate: speeds[i%len(speeds)]})
+		f.servers = append(f.servers, &simulatedServer{Endpoint: e, workRate: workRates[i%len(workRates)]})
 	}
 	f.rng.Shuffle(c.serverCount, func(i, j int) { f.servers[i], f.servers[j] = f.servers[j], f.servers[i] })
 	sum := 0.0
