--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -201,8 +201,8 @@
 	h.now = end
 }
 
-// serveRequests makes n requests of class 0 arrive one after another. Each that was
-// sent succeeds with the given latency.
+// serveRequests makes n requests of class 0 arrive one after another. Each request that is sent to a server succeeds
+// with the given latency.
 func (h *harness) serveRequests(n int, latency time.Duration) {
 	for range n {
 		id := h.request(0)
@@ -268,7 +268,7 @@
 	}
 }
 
-// succeedRequestsOlderThan ends all attempts with success of the requests that were first sent at least age ago.
+// succeedRequestsOlderThan ends all attempts of the requests that were first sent at least age ago, with status OK.
 func (h *harness) succeedRequestsOlderThan(age time.Duration) {
 	for id := range h.lastID {
 		record := h.balancer.requests.byID[id]
