--- a/policy/watch_schedule_test.go
+++ b/policy/watch_schedule_test.go
@@ -43,13 +43,13 @@
 		host := newFakeHost()
 		balancer, err := New(settings, uint64(node), host)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("New for node %d of %d: %v", node, settings.Nodes, err)
 		}
 		for range 5 {
 			host.timers = nil
 			balancer.WatchFailed(time.Hour, time.Hour+remainingTime)
 			if len(host.timers) != 1 || host.timers[0].token != timerWatch || host.timers[0].at > time.Hour+span {
-				t.Fatalf("node %d: WatchFailed with %v left set the timers %v, want one with token %d by %v",
+				t.Fatalf("node %d: WatchFailed with %v until the deadline set the timers %v, want one with token %d by %v",
 					node, remainingTime, host.timers, timerWatch, time.Hour+span)
 			}
 			tenths[host.timers[0].at.Truncate(span/10)] = true
@@ -72,7 +72,7 @@
 		host := newFakeHost()
 		balancer, err := New(settings, 1, host)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("New with %d nodes: %v", tc.nodes, err)
 		}
 
 		balancer.UpdateEndpoints(time.Hour, UpdateCached, tc.entries)
