--- a/internal/balancertest/build.go
+++ b/internal/balancertest/build.go
@@ -43,9 +43,9 @@
 var pauseReportSource []byte
 
 // BuildInstrumented builds the program so that a WallClock can step its wall clock without privileges, and so that
-// it logs each long pause of its process. The build overlay replaces package time by a copy whose Now adds an
-// offset to the wall clock, and adds wallClockSource and pauseReportSource to the program. The monotonic clock and
-// the program's own sources are unchanged.
+// it logs each long pause of its process. The build overlay replaces the time.go of package time by a copy whose Now
+// adds an offset to the wall clock, and adds wallClockSource and pauseReportSource to the program. The monotonic
+// clock and the program's own sources are unchanged.
 func BuildInstrumented(tb testing.TB) string {
 	tb.Helper()
 	dir := tb.TempDir()
--- a/internal/balancertest/wall_clock.go
+++ b/internal/balancertest/wall_clock.go
@@ -24,7 +24,7 @@
 // Environment returns the environment variable with which to start the process, as "name=value".
 func (c WallClock) Environment() string { return "WALL_CLOCK_STEP_FILE=" + c.path }
 
-// Step sets the offset of a running process from the machine's wall clock. The new offset replaces the old one.
+// Step changes the offset of the wall clock of a running process. The new offset replaces the old one.
 func (c WallClock) Step(tb testing.TB, pid int, offset time.Duration) {
 	tb.Helper()
 	c.writeOffset(tb, offset)
