--- a/internal/balancertest/wall_clock.go
+++ b/internal/balancertest/wall_clock.go
@@ -8,29 +8,31 @@
 	"time"
 )
 
-// WallClock steps the wall clock of one process of a program that BuildInstrumented has built.
+// WallClock sets the offset of the wall clock of one process. The program of the process must come from
+// BuildInstrumented.
 type WallClock struct{ path string }
 
-// NewWallClock returns a clock that is ahead by some time when its process starts.
-func NewWallClock(tb testing.TB, ahead time.Duration) WallClock {
+// NewWallClock returns a clock with which a process starts. The wall clock of the process is the machine's plus the
+// offset, in whole seconds; a negative offset sets it back.
+func NewWallClock(tb testing.TB, offset time.Duration) WallClock {
 	tb.Helper()
 	clock := WallClock{filepath.Join(tb.TempDir(), "step")}
-	clock.set(tb, ahead)
+	clock.writeOffset(tb, offset)
 	return clock
 }
 
-// Environment returns the variable that a process with this clock is started with.
+// Environment returns the environment variable with which to start the process, as "name=value".
 func (c WallClock) Environment() string { return "WALL_CLOCK_STEP_FILE=" + c.path }
 
-// Step steps the clock of a running process, so that it is ahead by some time.
-func (c WallClock) Step(tb testing.TB, pid int, ahead time.Duration) {
+// Step changes the offset of the wall clock of a running process. The new offset replaces the old one.
+func (c WallClock) Step(tb testing.TB, pid int, offset time.Duration) {
 	tb.Helper()
-	c.set(tb, ahead)
+	c.writeOffset(tb, offset)
 	Signal(tb, pid, syscall.SIGUSR1)
 }
 
-// set writes the step to the file that the process reads.
-func (c WallClock) set(tb testing.TB, ahead time.Duration) {
+// writeOffset writes the offset, in seconds, to the file that the process reads.
+func (c WallClock) writeOffset(tb testing.TB, offset time.Duration) {
 	tb.Helper()
-	replaceFile(tb, c.path, []byte(strconv.FormatInt(int64(ahead/time.Second), 10)))
+	replaceFile(tb, c.path, []byte(strconv.FormatInt(int64(offset/time.Second), 10)))
 }
--- a/policy/circuit_breaker_test.go
+++ b/policy/circuit_breaker_test.go
@@ -13,7 +13,7 @@
 	if failing.breaker.state != breakerOpen {
 		t.Fatalf("breaker %v after %d consecutive failures, want open", failing.breaker.state, failureThreshold)
 	}
-	h.serve(20, 50*ms)
+	h.serveRequests(20, 50*ms)
 	for _, s := range h.host.sends {
 		if s.server == failing.Server {
 			t.Fatalf("request %d was sent to server %d, whose breaker is open", s.id, s.server)
@@ -21,10 +21,10 @@
 	}
 	h.advance(failing.breaker.halfOpenAt - h.now)
 	trial := h.request(0)
-	if got := h.sendsOf(trial); len(got) != 1 || got[0] != failing.Server {
+	if got := h.attemptedServers(trial); len(got) != 1 || got[0] != failing.Server {
 		t.Fatalf("request when a breaker is half-open was sent to %v, want only its server %d", got, failing.Server)
 	}
-	if other := h.sendsOf(h.request(0)); len(other) != 1 || other[0] == failing.Server {
+	if other := h.attemptedServers(h.request(0)); len(other) != 1 || other[0] == failing.Server {
 		t.Fatalf("request during the trial of server %d was sent to %v, want one other server", failing.Server, other)
 	}
 	before := failing.breaker.openDuration
@@ -69,7 +69,7 @@
 	for _, s := range h.balancer.endpoints.ready {
 		h.recordBreakerFailures(s, 2*failureThreshold, Timeout)
 	}
-	if got := h.breakers(); got[breakerOpen] != 3 {
+	if got := h.breakerCounts(); got[breakerOpen] != 3 {
 		t.Fatalf("%d of 6 breakers open after timeouts at all servers, want 3", got[breakerOpen])
 	}
 }
@@ -85,8 +85,8 @@
 		t.Fatalf("all breakers open: rejected at once %v, Retry-After %v; want true, above 0 and at most 1 s", ok, after)
 	}
 	h.advance(2 * initialOpenDuration)
-	if trial := h.request(0); len(h.sendsOf(trial)) != 1 {
-		t.Fatalf("request after all breakers turned half-open: %d sends, want 1", len(h.sendsOf(trial)))
+	if trial := h.request(0); len(h.attemptedServers(trial)) != 1 {
+		t.Fatalf("request after all breakers turned half-open: %d sends, want 1", len(h.attemptedServers(trial)))
 	}
 }
 
@@ -96,9 +96,9 @@
 	s := h.balancer.endpoints.ready[0]
 	h.recordBreakerFailures(s, failureThreshold, ServerError)
 	h.now = s.breaker.halfOpenAt + ms
-	if id := h.request(2); len(h.sendsOf(id)) != 0 {
+	if id := h.request(2); len(h.attemptedServers(id)) != 0 {
 		t.Fatalf("request that is not idempotent, just after the breaker turned half-open: %d sends, want none",
-			len(h.sendsOf(id)))
+			len(h.attemptedServers(id)))
 	}
 	h.advance(s.breaker.openDuration + ms)
 	if h.request(2); len(h.host.sends) != 1 {
--- a/policy/concurrency_limit_test.go
+++ b/policy/concurrency_limit_test.go
@@ -131,10 +131,10 @@
 		id := h.request(0)
 		h.advance(10 * ms)
 		inFlightSum += h.balancer.limiter.inFlight
-		if len(h.sendsOf(id)) == 0 {
+		if len(h.attemptedServers(id)) == 0 {
 			queued++
 		}
-		h.succeedOlderThan(500 * ms)
+		h.succeedRequestsOlderThan(500 * ms)
 	}
 
 	if mean := float64(inFlightSum) / requests; queued == 0 || mean > 2*nodeLimit+1 {
@@ -157,8 +157,8 @@
 			h.endAttempt(a.request.ID, OK, 10*ms)
 		}
 	}
-	if id := h.request(0); len(h.sendsOf(id)) != 1 {
-		t.Fatalf("request while only ejected servers have attempts in flight: %d sends, want 1", len(h.sendsOf(id)))
+	if id := h.request(0); len(h.attemptedServers(id)) != 1 {
+		t.Fatalf("request while only ejected servers have attempts in flight: %d sends, want 1", len(h.attemptedServers(id)))
 	}
 }
 
@@ -166,14 +166,14 @@
 // margin, while requests of low priority are served.
 func TestHighPriorityRequestIsSentWhileLowPriorityOneIsQueued(t *testing.T) {
 	h := newUndersampledHarness(t)
-	h.fillToLimit()
+	h.raiseMeanInFlightAboveLimit()
 
 	lowPriority, highPriority := h.request(0), h.request(1)
 
-	if n := len(h.sendsOf(lowPriority)); n != 0 {
+	if n := len(h.attemptedServers(lowPriority)); n != 0 {
 		t.Errorf("low-priority request at a node above its limit: %d sends, want none", n)
 	}
-	if n := len(h.sendsOf(highPriority)); n != 1 {
+	if n := len(h.attemptedServers(highPriority)); n != 1 {
 		t.Errorf("high-priority request at a node above its limit: %d sends, want 1", n)
 	}
 }
--- a/policy/disconnect_test.go
+++ b/policy/disconnect_test.go
@@ -52,7 +52,7 @@
 		{
 			name: "hedged request",
 			prepare: func(h *harness) RequestID {
-				h.serve(100, 20*ms)
+				h.serveRequests(100, 20*ms)
 				h.host.timers = nil // so that no timer is handled before the periodic check
 				id := h.request(0)
 				h.now += 400 * ms
@@ -78,13 +78,13 @@
 	t.Helper()
 	h := newHarness(t, settings, 3)
 	id := c.prepare(h)
-	sends, cancels, wantSends := len(h.sendsOf(id)), h.host.cancels, 1
+	sends, cancels, wantSends := len(h.attemptedServers(id)), h.host.cancels, 1
 	if order == disconnectsFirst {
 		h.balancer.ClientDisconnected(h.now, id)
 		wantSends = 0
 	}
 	c.startNextAttempt(h)
-	if n := len(h.sendsOf(id)) - sends; order != disconnectsFirst && n != 1 {
+	if n := len(h.attemptedServers(id)) - sends; order != disconnectsFirst && n != 1 {
 		t.Errorf("event that starts the next attempt: %d sends, want 1", n)
 	}
 	if order == staysConnected {
@@ -105,7 +105,7 @@
 	}
 	h.advance(10 * time.Second)
 	known := h.balancer.requests.byID[id] != nil
-	if n := len(h.sendsOf(id)) - sends; n != wantSends || known {
+	if n := len(h.attemptedServers(id)) - sends; n != wantSends || known {
 		t.Errorf("10 s after the last outcome: %d sends since the attempt was due, request known %v; want %d, false",
 			n, known, wantSends)
 	}
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -9,28 +9,30 @@
 
 const ms = time.Millisecond
 
-// fakeHost records the actions of one Balancer.
+// fakeHost is a Host that records the actions of one Balancer.
 type fakeHost struct {
 	sends    []sentAttempt
 	cancels  int
-	rejected map[RequestID]time.Duration
+	rejected map[RequestID]time.Duration // the Retry-After of each rejected request
 	failed   map[RequestID]bool
-	timers   []timer
+	timers   []timer // set and not yet run
 	watches  int
-	log      []string
+	log      []string // all actions in order, one line each
 }
 
+// sentAttempt records a call of Send.
 type sentAttempt struct {
 	id     RequestID
 	server ServerID
 }
 
+// timer records a call of SetTimer.
 type timer struct {
 	at    time.Duration
 	token uint64
 }
 
-func newHost() *fakeHost {
+func newFakeHost() *fakeHost {
 	return &fakeHost{rejected: map[RequestID]time.Duration{}, failed: map[RequestID]bool{}}
 }
 
@@ -63,8 +65,8 @@
 	h.timers = append(h.timers, timer{at, token})
 }
 
-// fire runs the timers that are due.
-func (h *fakeHost) fire(balancer *Balancer, now time.Duration) {
+// runDueTimers runs the timers that are due, but not those that are set meanwhile.
+func (h *fakeHost) runDueTimers(balancer *Balancer, now time.Duration) {
 	var due []timer
 	kept := h.timers[:0]
 	for _, t := range h.timers {
@@ -80,8 +82,8 @@
 	}
 }
 
-// takeTimer removes and returns the first timer that is due by a time, or nil.
-func (h *fakeHost) takeTimer(by time.Duration) *timer {
+// popDueTimer removes and returns the earliest timer if it is due by the given time, and returns nil otherwise.
+func (h *fakeHost) popDueTimer(by time.Duration) *timer {
 	if len(h.timers) == 0 {
 		return nil
 	}
@@ -104,7 +106,8 @@
 	h.watches++
 }
 
-// testSettings has an idempotent class, one with an idempotency key and one that is not idempotent, in this order.
+// testSettings returns settings of a single node with three classes: class 0 is idempotent, class 1 is idempotent
+// with a key, and class 2 is not idempotent.
 func testSettings() Settings {
 	s := Defaults()
 	class := Class{Deadline: 2 * time.Second, Objective: 800 * ms, PriorityWeight: 1}
@@ -120,30 +123,32 @@
 	return s
 }
 
-// harness drives a Balancer with a fakeHost on a virtual clock.
+// harness drives a Balancer with a fakeHost and a virtual clock.
 type harness struct {
-	t             *testing.T
-	balancer      *Balancer
-	host          *fakeHost
-	now           time.Duration
-	lastID        RequestID
-	outcomesGiven map[RequestID]int // by request
+	t                *testing.T
+	balancer         *Balancer
+	host             *fakeHost
+	now              time.Duration
+	lastID           RequestID
+	outcomesReported map[RequestID]int // number of outcomes reported for each request
 }
 
+// newHarness returns a harness with the given number of ready servers, which come from a cached endpoint list.
 func newHarness(t *testing.T, settings Settings, servers int) *harness {
 	t.Helper()
-	host := newHost()
+	host := newFakeHost()
 	balancer, err := New(settings, 1, host)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("New(%+v): %v", settings, err)
 	}
-	h := &harness{t: t, balancer: balancer, host: host, now: time.Hour, outcomesGiven: map[RequestID]int{}}
-	h.update(UpdateCached, ready(1, servers)...)
+	h := &harness{t: t, balancer: balancer, host: host, now: time.Hour, outcomesReported: map[RequestID]int{}}
+	h.updateEndpoints(UpdateCached, readyEndpoints(1, servers)...)
 	return h
 }
 
-// ready returns ready endpoints for the servers first to last, two to a cell and five to a zone.
-func ready(first, last int) []Endpoint {
+// readyEndpoints returns ready endpoints for the servers with the IDs first to last. Two consecutive IDs share a
+// cell, and five share a zone.
+func readyEndpoints(first, last int) []Endpoint {
 	var entries []Endpoint
 	for i := first; i <= last; i++ {
 		entries = append(entries, Endpoint{
@@ -153,18 +158,19 @@
 	return entries
 }
 
-func (h *harness) update(kind UpdateKind, entries ...Endpoint) {
+func (h *harness) updateEndpoints(kind UpdateKind, entries ...Endpoint) {
 	h.balancer.UpdateEndpoints(h.now, kind, entries)
 }
 
+// request makes a request of the given class arrive and returns its ID.
 func (h *harness) request(class int) RequestID {
 	h.lastID++
 	h.balancer.Request(h.now, Request{ID: h.lastID, Class: class, Timeout: 2 * time.Second})
 	return h.lastID
 }
 
-// sendsOf returns the servers that a request was sent to.
-func (h *harness) sendsOf(id RequestID) []ServerID {
+// attemptedServers returns the server of each attempt of a request, in order.
+func (h *harness) attemptedServers(id RequestID) []ServerID {
 	var servers []ServerID
 	for _, s := range h.host.sends {
 		if s.id == id {
@@ -174,39 +180,41 @@
 	return servers
 }
 
-// endAttempt ends the first attempt of a request that has not ended yet.
+// endAttempt reports the outcome of the earliest attempt of a request that has none yet. Status OK also completes the
+// request.
 func (h *harness) endAttempt(id RequestID, status Status, latency time.Duration) {
-	index := h.outcomesGiven[id]
-	h.outcomesGiven[id]++
+	index := h.outcomesReported[id]
+	h.outcomesReported[id]++
 	h.balancer.Outcome(h.now, Outcome{
-		ID: id, Attempt: index, Server: h.sendsOf(id)[index], Status: status, Latency: latency,
+		ID: id, Attempt: index, Server: h.attemptedServers(id)[index], Status: status, Latency: latency,
 		RequestCompleted: status == OK,
 	})
 }
 
-// advance moves the clock and runs the timers that become due, also those that are set meanwhile.
+// advance moves the clock forward and runs the timers that become due, including those that are set meanwhile.
 func (h *harness) advance(d time.Duration) {
 	end := h.now + d
-	for due := h.host.takeTimer(end); due != nil; due = h.host.takeTimer(end) {
+	for due := h.host.popDueTimer(end); due != nil; due = h.host.popDueTimer(end) {
 		h.now = max(h.now, due.at)
 		h.balancer.Timer(h.now, due.token)
 	}
 	h.now = end
 }
 
-// serve makes n requests of class 0 succeed with the same latency, one after another.
-func (h *harness) serve(n int, latency time.Duration) {
+// serveRequests makes n requests of class 0 arrive one after another. Each request that is sent to a server succeeds
+// with the given latency.
+func (h *harness) serveRequests(n int, latency time.Duration) {
 	for range n {
 		id := h.request(0)
 		h.advance(latency)
-		if h.outcomesGiven[id] < len(h.sendsOf(id)) {
+		if h.outcomesReported[id] < len(h.attemptedServers(id)) {
 			h.endAttempt(id, OK, latency)
 		}
 	}
 }
 
-// breakers counts the breakers by state.
-func (h *harness) breakers() [3]int {
+// breakerCounts returns the number of ready servers in each state of their circuit breaker.
+func (h *harness) breakerCounts() [3]int {
 	var count [3]int
 	for _, s := range h.balancer.endpoints.ready {
 		count[s.breaker.state]++
@@ -214,8 +222,9 @@
 	return count
 }
 
-// newUndersampledHarness has many nodes and warm measurements. Class 0 has a low priority weight, class 1 a
-// high one, of which late responses still earn half.
+// newUndersampledHarness returns a harness for one of 80 nodes that share 60 servers, in the undersampled regime. The
+// node has already measured latencies. Class 0 has a low priority weight. Class 1 has a high one, of which late
+// responses still earn half.
 func newUndersampledHarness(t *testing.T) *harness {
 	t.Helper()
 	settings := testSettings()
@@ -227,37 +236,40 @@
 	}
 	settings.Classes = []Class{class, highPriority}
 	h := newHarness(t, settings, 60)
-	h.serve(40, 30*ms)
+	h.serveRequests(40, 30*ms)
 	if h.balancer.subset.regime != undersampled() {
-		t.Fatal("80 nodes at 60 servers are not undersampled")
+		t.Fatalf("80 nodes that share 60 servers have the regime %+v, want the undersampled one",
+			h.balancer.subset.regime)
 	}
 	return h
 }
 
-// fillToLimit sets the mean number of attempts in flight above the limit, with none in flight now.
-func (h *harness) fillToLimit() {
+// raiseMeanInFlightAboveLimit sets the concurrency limit to one attempt per server and the mean number of attempts in
+// flight to twice the node's part of it, while no attempt is in flight.
+func (h *harness) raiseMeanInFlightAboveLimit() {
 	h.balancer.refresh(h.now)
 	limiter, subset := &h.balancer.limiter, &h.balancer.subset
 	limiter.limit, limiter.knownGoodLimit, limiter.congestionSeen = 1, 1, true
 	limiter.meanInFlight = 2 * limiter.limit / subset.nodesPerServer * float64(subset.closed)
 }
 
-// recordBreakerFailures counts failed attempts for the breaker of their server, all of them now.
+// recordBreakerFailures records failed attempts with the given status for the circuit breaker of a server, all at the
+// current time.
 func (h *harness) recordBreakerFailures(s *server, failures int, status Status) {
 	for range failures {
 		h.balancer.recordBreakerFailure(h.now, &attempt{server: s}, status)
 	}
 }
 
-// openAllBreakers ejects every server for good.
+// openAllBreakers opens the circuit breakers of all ready servers, which never become half-open.
 func (h *harness) openAllBreakers() {
 	for _, s := range h.balancer.endpoints.ready {
 		s.breaker.state, s.breaker.halfOpenAt = breakerOpen, maxTime
 	}
 }
 
-// succeedOlderThan makes all attempts succeed of those requests that were first sent at least this long ago.
-func (h *harness) succeedOlderThan(age time.Duration) {
+// succeedRequestsOlderThan ends all attempts of the requests that were first sent at least age ago, with status OK.
+func (h *harness) succeedRequestsOlderThan(age time.Duration) {
 	for id := range h.lastID {
 		record := h.balancer.requests.byID[id]
 		if record == nil || len(record.attempts) == 0 || h.now-record.attempts[0].sentAt < age {
--- a/policy/outcome_test.go
+++ b/policy/outcome_test.go
@@ -66,7 +66,7 @@
 // Guards against sending requests to an unresponsive server until its attempts time out.
 func TestUnresponsiveServerIsAvoidedBeforeAnyTimeout(t *testing.T) {
 	h := newHarness(t, testSettings(), 6)
-	h.serve(100, 20*ms)
+	h.serveRequests(100, 20*ms)
 	unresponsive := h.balancer.endpoints.ready[2]
 	for range 60 {
 		id := h.request(0)
@@ -88,7 +88,7 @@
 // succeedAtOtherServers ends one attempt of a request with success: the first one that was not sent to the excluded
 // server.
 func (h *harness) succeedAtOtherServers(id RequestID, excluded ServerID, latency time.Duration) {
-	for index, s := range h.sendsOf(id) {
+	for index, s := range h.attemptedServers(id) {
 		if s != excluded {
 			h.balancer.Outcome(h.now, Outcome{
 				ID: id, Attempt: index, Server: s, Status: OK, Latency: latency, RequestCompleted: true,
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -21,14 +21,14 @@
 	overQuota, withinQuota := requestFrom(0), requestFrom(1)
 
 	for id := RequestID(1); id < withinQuota; id++ {
-		if id != overQuota && len(h.sendsOf(id)) > h.outcomesGiven[id] {
+		if id != overQuota && len(h.attemptedServers(id)) > h.outcomesReported[id] {
 			h.endAttempt(id, OK, 10*ms)
 		}
 	}
 
-	if len(h.sendsOf(overQuota)) != 0 || len(h.sendsOf(withinQuota)) != 1 {
+	if len(h.attemptedServers(overQuota)) != 0 || len(h.attemptedServers(withinQuota)) != 1 {
 		t.Fatalf("%d sends of the request over its quota, %d of the one within it; want 0, 1",
-			len(h.sendsOf(overQuota)), len(h.sendsOf(withinQuota)))
+			len(h.attemptedServers(overQuota)), len(h.attemptedServers(withinQuota)))
 	}
 }
 
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -32,7 +32,7 @@
 			if got := h.resultOf(id); got != tc.want {
 				t.Fatalf("request %s 200 ms after its first attempt ended, want %s", got, tc.want)
 			}
-			servers := h.sendsOf(id)
+			servers := h.attemptedServers(id)
 			if len(servers) < 2 {
 				return
 			}
@@ -51,7 +51,7 @@
 func (h *harness) resultOf(id RequestID) string {
 	_, rejected := h.host.rejected[id]
 	switch {
-	case len(h.sendsOf(id)) == 2:
+	case len(h.attemptedServers(id)) == 2:
 		return "retried"
 	case rejected:
 		return "rejected"
@@ -71,7 +71,7 @@
 	h.advance(150 * ms)
 	h.endAttempt(id, ServerError, 150*ms)
 	h.advance(300 * ms)
-	if n := len(h.sendsOf(id)); n != 1 || !h.host.failed[id] {
+	if n := len(h.attemptedServers(id)); n != 1 || !h.host.failed[id] {
 		t.Fatalf("first attempt ended 50 ms after the key retention: %d sends, failed %v; want 1, true",
 			n, h.host.failed[id])
 	}
@@ -86,7 +86,7 @@
 	for i := range 3 {
 		start := h.now
 		h.endAttempt(id, ServerError, ms)
-		for len(h.sendsOf(id)) == i+1 && h.now < start+time.Second {
+		for len(h.attemptedServers(id)) == i+1 && h.now < start+time.Second {
 			h.advance(ms)
 		}
 		backoffs = append(backoffs, h.now-start)
--- a/policy/simulated_fleet_test.go
+++ b/policy/simulated_fleet_test.go
@@ -9,14 +9,15 @@
 	"time"
 )
 
-// simulatedEvent happens in a simulatedFleet. Events of the same time run in the order of their scheduling.
+// simulatedEvent is a scheduled event of a simulatedFleet. Events with the same time run in the order in which they
+// were scheduled.
 type simulatedEvent struct {
 	at       time.Duration
 	sequence int
 	action   func()
 }
 
-// eventQueue is a heap of events.
+// eventQueue is a heap.Interface whose least event is the next one to run.
 type eventQueue []simulatedEvent
 
 func (e eventQueue) Len() int { return len(e) }
@@ -35,82 +36,92 @@
 	return last
 }
 
-// scenario describes a run of real Balancers with simulated servers on one virtual clock.
+// scenario configures a simulation in which real Balancers send requests to simulated servers, some of which restart.
 type scenario struct {
-	nodes, servers    int
-	rules             Rules
-	load              float64       // offered work as a share of what all servers can do when warm
-	restarted         float64       // share of the servers that restart
-	restartSpan       time.Duration // time within which they stop one after another
-	downtime          time.Duration // time from the stop of a server to its start
-	replaced          bool          // a server starts under a new ID
-	burst             float64       // factor on the arrivals once the first server has restarted
-	othersFail        bool          // a third of the other servers fails or hangs from then on
-	lateNotice        bool          // a third of the nodes is notified of a start 1 to 5 s late
-	nodesRestartAfter time.Duration // time from the first stop to the restart of all nodes; 0: they do not restart
-	warmUp            time.Duration // time with load before the first server stops
+	nodeCount, serverCount int
+	rules                  Rules
+	offeredLoad            float64       // offered work as a fraction of the capacity of all servers when warm
+	restartedFraction      float64       // fraction of the servers that restart, at least one server
+	restartSpan            time.Duration // time over which the restarted servers stop, one after another
+	downtime               time.Duration // time from the stop of a server to its start
+	replaceServers         bool          // restarted servers get new IDs
+	burstFactor            float64       // multiplies the arrival rate once the first server has restarted; 0: no burst
+	othersFail             bool          // from that time on, a third of the other servers fails or hangs
+	lateNotifications      bool          // a third of the nodes is notified of changes 1 to 5 s late
+	nodesRestartAfter      time.Duration // time from the first stop to the restart of all nodes; 0: never
+	leadTime               time.Duration // time under load before the first server stops
 }
 
-// simulatedFleet runs a scenario and measures what the warming servers were sent.
+// simulatedFleet runs a scenario on a virtual clock and measures the work that is sent to servers that are warming up.
 type simulatedFleet struct {
 	scenario
-	t              *testing.T
-	settings       Settings
-	rng            *rand.Rand
-	now            time.Duration
-	lastSequence   int
-	events         eventQueue
-	nodes          []*simulatedNode
-	weights        []float64 // cumulative shares of the nodes in the traffic
-	servers        []*simulatedServer
-	arrivalFactor  float64    // on the rate of the arrivals
-	pendingUpdates []Endpoint // that no node is notified of yet
-	lastID         RequestID
-
-	// The largest work within an OverloadWindow, as a multiple of its limit, in sends of nodes that were notified.
-	// The first value counts each request as mean work, the second counts the work that was drawn for it.
-	worstNotified, worstNotifiedDrawn float64
-
-	overloads              int     // sends over the limit, with over two thirds of the window from notified nodes
-	workSent, workPossible float64 // work sent to warming servers once listed, and what they could do in that time
+	t                 *testing.T
+	settings          Settings
+	rng               *rand.Rand
+	now               time.Duration
+	lastSequence      int
+	events            eventQueue
+	nodes             []*simulatedNode
+	cumulativeTraffic []float64 // cumulative sums of the nodes' shares of the traffic, not normalized
+	servers           []*simulatedServer
+	arrivalFactor     float64    // multiplies the arrival rate
+	pendingUpdates    []Endpoint // changes of which no node is notified yet
+	lastID            RequestID
+
+	// Peak work that a server got within an OverloadWindow from nodes that were notified of its start, as a multiple
+	// of the limit. The first value counts the mean work of each request's class, the second the work of the request
+	// itself.
+	peakNotifiedMeanWork, peakNotifiedActualWork float64
+
+	// overloads is the number of sends with which the work of a window was over the limit, while notified nodes had
+	// sent more than two thirds of it.
+	overloads int
+
+	// Work that was sent to servers while they were warming up and the nodes could know of their start, and the work
+	// that these servers could do in that time.
+	workSent, workCapacity float64
 }
 
-// simulatedServer works at one request after another.
+// simulatedServer executes one attempt at a time. The others wait in its queue.
 type simulatedServer struct {
 	Endpoint
-	speed        float64 // work per second when warm
-	fails, hangs bool
-	queue        []*serverJob
-	running      *serverJob
-	sends        []slowStartSend // within OverloadWindow
+	workRate     float64 // work per second when warm
+	fails, hangs bool    // fails: responds with an error at once; hangs: starts no attempt
+	queue        []*simulatedAttempt
+	running      *simulatedAttempt
+	sends        []slowStartSend // within the last OverloadWindow
 }
 
-// slowStartSend is a send to a warming server. Its work is in requests of mean work.
+// slowStartSend records an attempt at a server that is warming up. Its work is in multiples of meanWork.
 type slowStartSend struct {
-	at        time.Duration
-	meanWork  float64 // mean work of the request's class
-	drawnWork float64 // work of the request itself
-	notified  bool    // the node was notified of the server's start
+	at         time.Duration
+	meanWork   float64 // mean work of the request's class
+	actualWork float64 // work of the request itself
+	notified   bool    // the node knew of the server's start
 }
 
-const meanWork = 0.04 // seconds, over all classes
+// meanWork is the mean work of a request over all classes, in seconds on a server of work rate 1.
+const meanWork = 0.04
 
-// classWork returns the mean work of a class, of which six, one and one in eight requests are.
-func classWork(class int) float64 {
+// meanClassWork returns the mean work of a class. Of eight requests, six belong to class 0, one to class 1 and one to
+// class 2 on average, so that the mean over all requests is meanWork.
+func meanClassWork(class int) float64 {
 	return []float64{1.1 * meanWork, 0.6 * meanWork, 0.8 * meanWork}[class]
 }
 
-func (f *simulatedFleet) schedule(at time.Duration, do func()) {
+// schedule runs an action at the given time.
+func (f *simulatedFleet) schedule(at time.Duration, action func()) {
 	f.lastSequence++
-	heap.Push(&f.events, simulatedEvent{at, f.lastSequence, do})
+	heap.Push(&f.events, simulatedEvent{at, f.lastSequence, action})
 }
 
-// scheduleAbout runs an action after an exponentially distributed time.
-func (f *simulatedFleet) scheduleAbout(mean time.Duration, do func()) {
-	f.schedule(f.now+time.Duration(f.rng.ExpFloat64()*float64(mean)), do)
+// scheduleAfterRandomDelay runs an action after an exponentially distributed delay.
+func (f *simulatedFleet) scheduleAfterRandomDelay(mean time.Duration, action func()) {
+	f.schedule(f.now+time.Duration(f.rng.ExpFloat64()*float64(mean)), action)
 }
 
-// capacityShare returns the present capacity by the rules, 1 when warm.
+// capacityShare returns the current capacity of a server as a fraction of its capacity when warm. It grows linearly
+// from SlowStartShare to 1 over SlowStartDuration.
 func (f *simulatedFleet) capacityShare(s *simulatedServer) float64 {
 	if age := f.now - s.StartedAt; s.StartedAt > 0 && age < f.rules.SlowStartDuration {
 		return f.rules.SlowStartShare + (1-f.rules.SlowStartShare)*age.Seconds()/f.rules.SlowStartDuration.Seconds()
@@ -118,97 +129,100 @@
 	return 1
 }
 
-// recordSlowStartSend adds a send to the window of a warming server, and compares the window with its limit.
+// recordSlowStartSend adds an attempt to the overload window of a server that is warming up, and compares the work in
+// the window with its limit. The limit is n + 2 sqrt(n) + 2 requests of mean work, where n is what the server can do
+// in the window times OverloadMultiple. The other terms allow for random peaks.
 func (f *simulatedFleet) recordSlowStartSend(s *simulatedServer, added slowStartSend) {
 	expired := func(send slowStartSend) bool { return f.now-send.at >= f.rules.OverloadWindow }
 	s.sends = append(slices.DeleteFunc(s.sends, expired), added)
-	all, notified, drawn := 0.0, 0.0, 0.0
+	all, notified, actual := 0.0, 0.0, 0.0
 	for _, send := range s.sends {
 		all += send.meanWork
 		if send.notified {
 			notified += send.meanWork
-			drawn += send.drawnWork
+			actual += send.actualWork
 		}
 	}
-	n := f.rules.OverloadMultiple * s.speed * f.capacityShare(s) * f.rules.OverloadWindow.Seconds() / meanWork
+	n := f.rules.OverloadMultiple * s.workRate * f.capacityShare(s) * f.rules.OverloadWindow.Seconds() / meanWork
 	limit := n + 2*math.Sqrt(n) + 2
-	f.worstNotified = max(f.worstNotified, notified/limit)
-	if n >= 10 { // a few heavy requests exceed a lower limit by chance, and no node knows their work
-		f.worstNotifiedDrawn = max(f.worstNotifiedDrawn, drawn/limit)
+	f.peakNotifiedMeanWork = max(f.peakNotifiedMeanWork, notified/limit)
+	if n >= 10 { // a few heavy requests may exceed a lower limit by chance, and no node knows their work
+		f.peakNotifiedActualWork = max(f.peakNotifiedActualWork, actual/limit)
 	}
 	if all > limit && notified > all*2/3 {
 		f.overloads++
 	}
 }
 
-// serve starts the next job of a server.
-func (f *simulatedFleet) serve(s *simulatedServer) {
+// startNextAttempt starts the next queued attempt of a server that is idle and takes requests.
+func (f *simulatedFleet) startNextAttempt(s *simulatedServer) {
 	for s.running == nil && len(s.queue) > 0 && !s.hangs && s.State == Ready {
-		j := s.queue[0]
+		attempt := s.queue[0]
 		s.queue = s.queue[1:]
-		if j.ended {
+		if attempt.ended {
 			continue
 		}
-		s.running = j
-		f.schedule(f.now+time.Duration(j.request.work/(s.speed*f.capacityShare(s))*float64(time.Second)), func() {
-			if s.running == j {
+		s.running = attempt
+		f.schedule(f.now+time.Duration(attempt.request.work/(s.workRate*f.capacityShare(s))*float64(time.Second)), func() {
+			if s.running == attempt { // the server has not restarted
 				s.running = nil
-				f.end(j, OK)
-				f.serve(s)
+				f.endAttempt(attempt, OK)
+				f.startNextAttempt(s)
 			}
 		})
 	}
 }
 
-// end gives a node the outcome of an attempt.
-func (f *simulatedFleet) end(j *serverJob, status Status) {
-	if j.ended || j.node.dead {
+// endAttempt reports the outcome of an attempt to its node, unless the attempt has ended or the node has stopped.
+func (f *simulatedFleet) endAttempt(attempt *simulatedAttempt, status Status) {
+	if attempt.ended || attempt.node.stopped {
 		return
 	}
-	j.ended = true
-	j.request.completed = j.request.completed || status == OK || status == Timeout
-	j.node.balancer.Outcome(f.now, Outcome{
-		ID: j.request.id, Attempt: j.index, Server: j.server.Server, Status: status,
-		RequestCompleted: j.request.completed, Latency: f.now - j.sent,
+	attempt.ended = true
+	attempt.request.completed = attempt.request.completed || status == OK || status == Timeout
+	attempt.node.balancer.Outcome(f.now, Outcome{
+		ID: attempt.request.id, Attempt: attempt.index, Server: attempt.server.Server, Status: status,
+		RequestCompleted: attempt.request.completed, Latency: f.now - attempt.sentAt,
 	})
 }
 
-// request has a client send a request to a node, and disconnect at its deadline.
-func (f *simulatedFleet) request(class, attempt int, work float64) {
-	i, _ := slices.BinarySearch(f.weights, f.rng.Float64()*f.weights[len(f.weights)-1])
+// sendRequest sends a client's request to a random node. The client disconnects at the deadline, which ends all
+// attempts. It has retried the request the given number of times already.
+func (f *simulatedFleet) sendRequest(class, retries int, work float64) {
+	i, _ := slices.BinarySearch(f.cumulativeTraffic, f.rng.Float64()*f.cumulativeTraffic[len(f.cumulativeTraffic)-1])
 	n := f.nodes[i]
 	f.lastID++
-	request := &clientRequest{id: f.lastID, class: class, attempt: attempt, work: work}
+	request := &clientRequest{id: f.lastID, class: class, retries: retries, work: work}
 	n.requests[request.id] = request
-	left := f.settings.Classes[class].Deadline
-	n.balancer.Request(f.now, Request{ID: request.id, Class: class, Timeout: left})
-	f.schedule(f.now+left, func() {
-		for _, j := range request.jobs {
-			f.end(j, Timeout)
+	timeout := f.settings.Classes[class].Deadline
+	n.balancer.Request(f.now, Request{ID: request.id, Class: class, Timeout: timeout})
+	f.schedule(f.now+timeout, func() {
+		for _, attempt := range request.attempts {
+			f.endAttempt(attempt, Timeout)
 		}
 		f.schedule(f.now+time.Second, func() { delete(n.requests, request.id) })
 	})
 }
 
-// arrive generates requests in an open loop.
-func (f *simulatedFleet) arrive() {
+// generateArrivals sends a request of a random class and schedules the next one, whether or not this one is answered.
+func (f *simulatedFleet) generateArrivals() {
 	class := max(0, f.rng.IntN(8)-5)
-	f.request(class, 0, classWork(class)*f.rng.ExpFloat64())
-	rate := f.load * float64(f.scenario.servers) / meanWork * f.arrivalFactor
-	f.scheduleAbout(time.Duration(float64(time.Second)/rate), f.arrive)
+	f.sendRequest(class, 0, meanClassWork(class)*f.rng.ExpFloat64())
+	rate := f.offeredLoad * float64(f.serverCount) / meanWork * f.arrivalFactor
+	f.scheduleAfterRandomDelay(time.Duration(float64(time.Second)/rate), f.generateArrivals)
 }
 
-// startNode starts the process of a node with a list of all ready servers.
+// startNode starts a new process of node i, with a snapshot of the ready servers. An earlier process stops.
 func (f *simulatedFleet) startNode(i int) {
 	if f.nodes[i] != nil {
-		f.nodes[i].dead = true
+		f.nodes[i].stopped = true
 	}
 	n := &simulatedNode{fleet: f, requests: map[RequestID]*clientRequest{}}
 	settings := f.settings
 	settings.Node = i
 	balancer, err := New(settings, f.rng.Uint64(), n)
 	if err != nil {
-		f.t.Fatal(err)
+		f.t.Fatalf("New(%+v): %v", settings, err)
 	}
 	n.balancer, f.nodes[i] = balancer, n
 	var entries []Endpoint
@@ -220,11 +234,12 @@
 	balancer.UpdateEndpoints(f.now, UpdateSnapshot, entries)
 }
 
-// notificationDelay is the time from a change until the first node is notified, with all changes until then.
+// notificationDelay is the time from a change until the first node is notified. The changes of that time are combined
+// into one update.
 const notificationDelay = 300 * ms
 
-// announce notifies all nodes of a change.
-func (f *simulatedFleet) announce(e Endpoint) {
+// notifyNodes notifies all nodes of the change of an endpoint, each with a delay of its own.
+func (f *simulatedFleet) notifyNodes(e Endpoint) {
 	if f.pendingUpdates = append(f.pendingUpdates, e); len(f.pendingUpdates) > 1 {
 		return
 	}
@@ -233,63 +248,66 @@
 		f.pendingUpdates = nil
 		for i := range f.nodes {
 			notify := func() { f.nodes[i].balancer.UpdateEndpoints(f.now, UpdateDelta, updates) }
-			if f.lateNotice && i%3 == 0 {
+			if f.lateNotifications && i%3 == 0 {
 				f.schedule(f.now+time.Second+time.Duration(f.rng.Float64()*float64(4*time.Second)), notify)
 			} else {
-				f.scheduleAbout(100*ms, notify)
+				f.scheduleAfterRandomDelay(100*ms, notify)
 			}
 		}
 	})
 }
 
-// restart stops a server and starts it, or another one in its place, again.
-func (f *simulatedFleet) restart(s *simulatedServer) {
+// restartServer stops a server, which resets its attempts. After the downtime it starts the server again, or another
+// one in its place.
+func (f *simulatedFleet) restartServer(s *simulatedServer) {
 	s.State = Removed
 	if s.running != nil {
 		s.queue = append(s.queue, s.running)
 	}
-	for _, j := range s.queue {
-		f.end(j, Reset)
+	for _, attempt := range s.queue {
+		f.endAttempt(attempt, Reset)
 	}
 	s.queue, s.running = nil, nil
-	if f.downtime > 0 || f.replaced {
-		f.announce(s.Endpoint)
+	if f.downtime > 0 || f.replaceServers {
+		f.notifyNodes(s.Endpoint)
 	}
 	f.schedule(f.now+f.downtime, func() {
-		if f.replaced {
-			s = &simulatedServer{Endpoint: s.Endpoint, speed: s.speed}
+		if f.replaceServers {
+			s = &simulatedServer{Endpoint: s.Endpoint, workRate: s.workRate}
 			s.Server += 1000
 			f.servers = append(f.servers, s)
 		}
 		s.State, s.StartedAt, s.sends = Ready, f.now, nil
-		f.announce(s.Endpoint)
+		f.notifyNodes(s.Endpoint)
 	})
 }
 
-// sumCapacity adds up what the warming servers could do.
-func (f *simulatedFleet) sumCapacity() {
+// addWorkCapacity adds to workCapacity what the servers that are warming up can do in the next step, and schedules
+// itself for the step after.
+func (f *simulatedFleet) addWorkCapacity() {
 	const step = 20 * ms
 	for _, s := range f.servers {
 		if share := f.capacityShare(s); s.State == Ready && share < 1 && f.now >= s.StartedAt+notificationDelay {
-			f.workPossible += s.speed * share * step.Seconds()
+			f.workCapacity += s.workRate * share * step.Seconds()
 		}
 	}
-	f.schedule(f.now+step, f.sumCapacity)
+	f.schedule(f.now+step, f.addWorkCapacity)
 }
 
-// simulate runs the scenario until the last server has warmed up.
+// simulate runs the scenario until all restarted servers are warm.
 func (c scenario) simulate(t *testing.T, seed uint64) *simulatedFleet {
 	t.Helper()
 	f := newSimulatedFleet(t, c, seed)
-	f.arrive()
-	began := f.now + c.warmUp
-	f.scheduleFaults(began)
-	f.schedule(began, f.sumCapacity)
-	f.runUntil(began + c.restartSpan + c.downtime + c.rules.SlowStartDuration)
+	f.generateArrivals()
+	firstRestart := f.now + c.leadTime
+	f.scheduleFaults(firstRestart)
+	f.schedule(firstRestart, f.addWorkCapacity)
+	f.runUntil(firstRestart + c.restartSpan + c.downtime + c.rules.SlowStartDuration)
 	return f
 }
 
-// newSimulatedFleet starts the servers and nodes of a scenario.
+// newSimulatedFleet returns a fleet with the servers and nodes of a scenario, all of them running. The seed determines
+// all random choices.
 func newSimulatedFleet(t *testing.T, c scenario, seed uint64) *simulatedFleet {
 	t.Helper()
 	f := &simulatedFleet{
@@ -298,10 +316,10 @@
 		settings:      testSettings(),
 		rng:           rand.New(rand.NewPCG(seed, 0)),
 		now:           time.Hour,
-		nodes:         make([]*simulatedNode, c.nodes),
+		nodes:         make([]*simulatedNode, c.nodeCount),
 		arrivalFactor: 1,
 	}
-	f.settings.Nodes, f.settings.Rules = c.nodes, c.rules
+	f.settings.Nodes, f.settings.Rules = c.nodeCount, c.rules
 	f.settings.Classes = []Class{
 		{Deadline: 600 * ms, Objective: 300 * ms, PriorityWeight: 1, LateFraction: 0.25},
 		{
@@ -313,51 +331,51 @@
 			Idempotency: NotIdempotent,
 		},
 	}
-	speeds := []float64{1.5, 1.5, 0.9, 0.55, 0.55}
-	for i, e := range ready(1, c.servers) {
-		f.servers = append(f.servers, &simulatedServer{Endpoint: e, speed: speeds[i%len(speeds)]})
+	workRates := []float64{1.5, 1.5, 0.9, 0.55, 0.55}
+	for i, e := range readyEndpoints(1, c.serverCount) {
+		f.servers = append(f.servers, &simulatedServer{Endpoint: e, workRate: workRates[i%len(workRates)]})
 	}
-	f.rng.Shuffle(c.servers, func(i, j int) { f.servers[i], f.servers[j] = f.servers[j], f.servers[i] })
+	f.rng.Shuffle(c.serverCount, func(i, j int) { f.servers[i], f.servers[j] = f.servers[j], f.servers[i] })
 	sum := 0.0
 	for i := range f.nodes {
 		f.startNode(i)
-		sum += 0.3 + 0.7*f.rng.ExpFloat64() // some nodes get several times the mean
-		f.weights = append(f.weights, sum)
+		sum += 0.3 + 0.7*f.rng.ExpFloat64() // some nodes get several times the mean traffic
+		f.cumulativeTraffic = append(f.cumulativeTraffic, sum)
 	}
 	return f
 }
 
-// scheduleFaults schedules the restarts of the scenario and all that goes with them.
-func (f *simulatedFleet) scheduleFaults(began time.Duration) {
-	restarted := max(1, int(f.restarted*float64(f.scenario.servers)))
+// scheduleFaults schedules the restarts of servers and nodes, the burst of arrivals and the failures of other servers.
+func (f *simulatedFleet) scheduleFaults(firstRestart time.Duration) {
+	restarted := max(1, int(f.restartedFraction*float64(f.serverCount)))
 	for i, s := range f.servers[:restarted] {
-		at := began + f.restartSpan*time.Duration(i)/time.Duration(restarted)
-		f.schedule(at, func() { f.restart(s) })
+		at := firstRestart + f.restartSpan*time.Duration(i)/time.Duration(restarted)
+		f.schedule(at, func() { f.restartServer(s) })
 	}
 	others := f.servers[restarted:]
-	f.schedule(began+f.downtime, func() {
-		f.arrivalFactor = max(1, f.burst)
+	f.schedule(firstRestart+f.downtime, func() {
+		f.arrivalFactor = max(1, f.burstFactor)
 		for i := 0; f.othersFail && i < len(others)/3; i++ {
 			others[i].fails, others[i].hangs = i%2 == 0, i%2 == 1
 		}
 	})
 	if f.nodesRestartAfter > 0 {
-		f.schedule(began+f.nodesRestartAfter, f.restartNodes)
+		f.schedule(firstRestart+f.nodesRestartAfter, f.restartNodes)
 	}
 }
 
-// restartNodes starts a new process of every node.
+// restartNodes stops all nodes and starts a new process of each.
 func (f *simulatedFleet) restartNodes() {
 	for i := range f.nodes {
 		f.startNode(i)
 	}
 }
 
-// runUntil runs the events up to the first at a time or later.
+// runUntil runs the events up to and including the first one at end or later.
 func (f *simulatedFleet) runUntil(end time.Duration) {
 	for f.now < end {
-		event := heap.Pop(&f.events).(simulatedEvent)
-		f.now = event.at
-		event.action()
+		next := heap.Pop(&f.events).(simulatedEvent)
+		f.now = next.at
+		next.action()
 	}
 }
--- a/policy/slow_start_fleet_test.go
+++ b/policy/slow_start_fleet_test.go
@@ -5,81 +5,107 @@
 	"time"
 )
 
-// Guards against warming servers that are overloaded by the sum of what many nodes send, none of which sees the
-// others, and against a slow start that keeps them idle. A server is overloaded by more than
-// N + 2 x root of N + 2 requests of mean work in OverloadWindow, where N is OverloadMultiple x its present
-// capacity.
-func TestSlowStartHoldsForManyNodes(t *testing.T) {
+// Guards against two failures of servers that are warming up: many nodes together overload them, since no node sees
+// what the others send, or slow start keeps them almost idle. A server counts as overloaded if it gets more than
+// n + 2 sqrt(n) + 2 requests of mean work within OverloadWindow, where n is what it can do in that time, given its
+// current capacity, times OverloadMultiple.
+func TestSlowStartOfManyNodesNeitherOverloadsNorStarvesServers(t *testing.T) {
 	const s = time.Second
-	usual := Rules{
+	defaultRules := Rules{
 		SlowStartShare: 0.3, SlowStartDuration: 9 * s, OverloadMultiple: 4, OverloadWindow: s, MaxPollInterval: 10 * s,
 	}
-	tight := Rules{
+	tightRules := Rules{
 		SlowStartShare: 0.2, SlowStartDuration: 6 * s, OverloadMultiple: 2, OverloadWindow: 500 * ms,
 		MaxPollInterval: 10 * s,
 	}
-	short := usual
-	short.SlowStartDuration = 2500 * ms
-	replaced := func(nodes int, rules Rules) scenario {
-		return scenario{nodes: nodes, restarted: 0.6, restartSpan: 7 * s, replaced: true, rules: rules}
+	shortSlowStart := defaultRules
+	shortSlowStart.SlowStartDuration = 2500 * ms
+	replacedServers := func(nodes int, rules Rules) scenario {
+		return scenario{
+			nodeCount: nodes, restartedFraction: 0.6, restartSpan: 7 * s, replaceServers: true, rules: rules,
+		}
 	}
-	zone := func(nodes int, rules Rules) scenario {
-		return scenario{nodes: nodes, load: 0.75, restarted: 0.5, downtime: 5 * s, rules: rules}
+	zoneOutage := func(nodes int, rules Rules) scenario {
+		return scenario{nodeCount: nodes, offeredLoad: 0.75, restartedFraction: 0.5, downtime: 5 * s, rules: rules}
 	}
-	lateZone, replacedUnderNewNodes := zone(30, usual), replaced(30, usual)
-	lateZone.lateNotice = true
-	replacedUnderNewNodes.nodesRestartAfter = 3 * s
-	largeReplaced, largeZone := replaced(300, short), zone(300, short)
-	largeReplaced.servers, largeReplaced.warmUp, largeReplaced.restartSpan = 200, 2*s, 2*s
-	largeZone.servers, largeZone.warmUp, largeZone.downtime = 200, 2*s, 2*s
+	lateZoneOutage, replacedWhileNodesRestart := zoneOutage(30, defaultRules), replacedServers(30, defaultRules)
+	lateZoneOutage.lateNotifications = true
+	replacedWhileNodesRestart.nodesRestartAfter = 3 * s
+	largeReplacement, largeZoneOutage := replacedServers(300, shortSlowStart), zoneOutage(300, shortSlowStart)
+	largeReplacement.serverCount, largeReplacement.leadTime, largeReplacement.restartSpan = 200, 2*s, 2*s
+	largeZoneOutage.serverCount, largeZoneOutage.leadTime, largeZoneOutage.downtime = 200, 2*s, 2*s
 	for _, tc := range []struct {
-		name     string
-		scenario scenario
-		minUsed  float64 // least share of what the warming servers can do that has to be sent
+		name         string
+		scenario     scenario
+		minUsedShare float64 // of the work that servers can do while they are warming up
 	}{
-		{"one restarts under two nodes", scenario{nodes: 2, restarted: 0.05}, 0.05},
-		{"one restarts in a calm fleet", scenario{nodes: 20, restarted: 0.05}, 0.05},
-		{"one restarts, tight rules", scenario{nodes: 20, restarted: 0.05, rules: tight}, 0.05},
-		{"half as much again comes in the slow start", scenario{nodes: 20, restarted: 0.2, burst: 1.5}, 0.25},
-		{"six in ten are replaced under 8 nodes", replaced(8, usual), 0.25},
-		{"six in ten are replaced under 30 nodes", replaced(30, usual), 0.25},
-		{"six in ten are replaced, tight rules", replaced(30, tight), 0.15},
-		{"a zone returns under 2 nodes", zone(2, usual), 0.4},
-		{"a zone returns under 30 nodes", zone(30, usual), 0.35},
-		{"a zone returns, tight rules", zone(20, tight), 0.25},
-		{"others fail or hang", scenario{nodes: 20, restarted: 0.2, othersFail: true}, 0.25},
-		{"a third is notified late of starts", scenario{nodes: 20, restarted: 0.2, lateNotice: true}, 0.2},
-		{"a third is notified late of a zone", lateZone, 0.35},
-		{"nodes restart in a calm fleet", scenario{nodes: 20, restarted: 0.2, nodesRestartAfter: s}, 0.1},
-		{"nodes restart among replaced servers", replacedUnderNewNodes, 0.12},
-		{"all restart, 2 nodes", scenario{nodes: 2, restarted: 1, nodesRestartAfter: s}, 0.28},
-		{"all restart, 30 nodes", scenario{nodes: 30, restarted: 1, nodesRestartAfter: s}, 0.28},
-		{"300 nodes, six in ten replaced", largeReplaced, 0.1},
-		{"300 nodes, a zone returns", largeZone, 0.25},
+		{"one server restarts, 2 nodes", scenario{nodeCount: 2, restartedFraction: 0.05}, 0.05},
+		{"one server restarts, 20 nodes", scenario{nodeCount: 20, restartedFraction: 0.05}, 0.05},
+		{
+			"one server restarts, tight rules",
+			scenario{nodeCount: 20, restartedFraction: 0.05, rules: tightRules}, 0.05,
+		},
+		{
+			"a fifth restarts, 1.5 times the arrivals from then on",
+			scenario{nodeCount: 20, restartedFraction: 0.2, burstFactor: 1.5}, 0.25,
+		},
+		{"60% are replaced, 8 nodes", replacedServers(8, defaultRules), 0.25},
+		{"60% are replaced, 30 nodes", replacedServers(30, defaultRules), 0.25},
+		{"60% are replaced, tight rules", replacedServers(30, tightRules), 0.15},
+		{"a zone returns, 2 nodes", zoneOutage(2, defaultRules), 0.4},
+		{"a zone returns, 30 nodes", zoneOutage(30, defaultRules), 0.35},
+		{"a zone returns, tight rules", zoneOutage(20, tightRules), 0.25},
+		{
+			"a fifth restarts, others fail or hang",
+			scenario{nodeCount: 20, restartedFraction: 0.2, othersFail: true}, 0.25,
+		},
+		{
+			"a fifth restarts, a third of the nodes is notified late",
+			scenario{nodeCount: 20, restartedFraction: 0.2, lateNotifications: true}, 0.2,
+		},
+		{"a zone returns, a third of the nodes is notified late", lateZoneOutage, 0.35},
+		{
+			"a fifth restarts, then all nodes",
+			scenario{nodeCount: 20, restartedFraction: 0.2, nodesRestartAfter: s}, 0.1,
+		},
+		{"60% are replaced, all nodes restart meanwhile", replacedWhileNodesRestart, 0.12},
+		{
+			"all servers restart, then all 2 nodes",
+			scenario{nodeCount: 2, restartedFraction: 1, nodesRestartAfter: s}, 0.28,
+		},
+		{
+			"all servers restart, then all 30 nodes",
+			scenario{nodeCount: 30, restartedFraction: 1, nodesRestartAfter: s}, 0.28,
+		},
+		{"60% are replaced, 300 nodes", largeReplacement, 0.1},
+		{"a zone returns, 300 nodes", largeZoneOutage, 0.25},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			f := tc.scenario.withDefaults(usual).simulate(t, 1)
-			used := f.workSent / f.workPossible
-			t.Logf("worst window %.2f of the limit (drawn work: %.2f), used %.2f",
-				f.worstNotified, f.worstNotifiedDrawn, used)
-			if f.worstNotified > 1 || f.worstNotifiedDrawn > 1 || f.overloads > 0 {
-				t.Errorf("notified nodes sent %.2f of the limit (drawn work: %.2f), and overloaded a server %d times",
-					f.worstNotified, f.worstNotifiedDrawn, f.overloads)
+			f := tc.scenario.withDefaults(defaultRules).simulate(t, 1)
+			usedShare := f.workSent / f.workCapacity
+			t.Logf("peak work in a window: %.2f of the limit (actual work: %.2f); share of the capacity used: %.2f",
+				f.peakNotifiedMeanWork, f.peakNotifiedActualWork, usedShare)
+			if f.peakNotifiedMeanWork > 1 || f.peakNotifiedActualWork > 1 || f.overloads > 0 {
+				t.Errorf("notified nodes sent a server %.2f of its limit (actual work: %.2f), want 1 at most; "+
+					"%d sends overloaded a server, want none",
+					f.peakNotifiedMeanWork, f.peakNotifiedActualWork, f.overloads)
 			}
-			if f.workSent < tc.minUsed*f.workPossible {
-				t.Errorf("warming servers were sent %.2f of what they could do, want %.2f", used, tc.minUsed)
+			if f.workSent < tc.minUsedShare*f.workCapacity {
+				t.Errorf("servers that were warming up got %.2f of the work that they could do, want %.2f at least",
+					usedShare, tc.minUsedShare)
 			}
 		})
 	}
 }
 
-// withDefaults fills in what a scenario leaves open.
+// withDefaults returns the scenario with defaults in place of zero values: an offered load of 0.5, the given rules, and
+// 20 servers with a lead time of 10 s.
 func (c scenario) withDefaults(rules Rules) scenario {
-	if c.load == 0 {
-		c.load = 0.5
+	if c.offeredLoad == 0 {
+		c.offeredLoad = 0.5
 	}
-	if c.servers == 0 {
-		c.servers, c.warmUp = 20, 10*time.Second
+	if c.serverCount == 0 {
+		c.serverCount, c.leadTime = 20, 10*time.Second
 	}
 	if c.rules == (Rules{}) {
 		c.rules = rules
