--- a/internal/node/connection_limits_test.go
+++ b/internal/node/connection_limits_test.go
@@ -17,7 +17,7 @@
 // Clients open hundreds of connections and send nothing or part of a request: other clients are still served, and
 // the node closes these connections before long.
 func TestConnectionsWithoutARequestAreEvicted(t *testing.T) {
-	n := startWithFewSockets(t, testkit.NewBackend(t, testkit.OK).Endpoint("s-0"))
+	n := startNodeWithFewSockets(t, testkit.NewBackend(t, testkit.OK).Endpoint("s-0"))
 	var flood []net.Conn
 	for i := range 150 {
 		nc := n.dial()
@@ -42,7 +42,7 @@
 // waited until a connection has been idle for seconds, many of them would wait behind one
 // another until all have disconnected.
 func TestIdleConnectionsAreEvictedAtOnce(t *testing.T) {
-	n := startWithFewSockets(t, testkit.NewBackend(t, testkit.OK).Endpoint("s-0"))
+	n := startNodeWithFewSockets(t, testkit.NewBackend(t, testkit.OK).Endpoint("s-0"))
 	began := time.Now()
 	for range 200 {
 		if resp := n.roundTrip(n.dial()); resp.StatusCode != http.StatusOK {
@@ -57,12 +57,12 @@
 // Every connection has a request in flight: a further client is rejected with Retry-After. The node closes its
 // connection.
 func TestClientsOverTheConnectionLimitAreRejected(t *testing.T) {
-	server := newGatedBackend(t)
-	n := startWithFewSockets(t, server.Endpoint("s-0"))
+	server := newBlockedBackend(t)
+	n := startNodeWithFewSockets(t, server.Endpoint("s-0"))
 	var busy []net.Conn
 	for range 20 { // some of the requests may be queued: their connections are in use as well
 		nc := n.dial()
-		if err := n.request("read").Write(nc); err != nil {
+		if err := n.newRequest("read").Write(nc); err != nil {
 			t.Fatal(err)
 		}
 		busy = append(busy, nc)
@@ -73,7 +73,7 @@
 	if !rejected.Close || rejected.Header.Get("Retry-After") == "" {
 		t.Errorf("close %v, headers %v", rejected.Close, rejected.Header)
 	}
-	server.open()
+	server.unblock()
 	for _, nc := range busy {
 		if resp := n.readResponse(nc); resp.StatusCode != http.StatusOK {
 			t.Fatalf("a request in flight got status %d", resp.StatusCode)
@@ -97,11 +97,11 @@
 // deadline: the node closes it.
 func TestClientThatReadsNothingIsDisconnected(t *testing.T) {
 	text := strings.Repeat("x", maxBodyBytes)
-	n, _ := startReady(t, testkit.NewBackend(t, func(w http.ResponseWriter, _ *http.Request) { send(w, text) }))
+	n, _ := startReadyNode(t, testkit.NewBackend(t, func(w http.ResponseWriter, _ *http.Request) { send(w, text) }))
 	nc := n.dial()
 	var err error
 	for err == nil {
-		r := n.request("read")
+		r := n.newRequest("read")
 		r.Header.Set("X-Timeout-Ms", "1000")
 		err = r.Write(nc)
 	}
@@ -116,11 +116,11 @@
 	s := startHandler(t, testkit.NewBackend(t, testkit.OK).Endpoint("s-0"))
 	abuses := []func(nc net.Conn){
 		func(nc net.Conn) { send(nc, "\x00\xff noise\r\n\r\n") },
-		func(nc net.Conn) { send(nc, wireText(s.request("read"))[:40]) },
+		func(nc net.Conn) { send(nc, wireText(s.newRequest("read"))[:40]) },
 		s.sendHundreds,
-		func(nc net.Conn) { s.sendHundreds(nc); closeConn(nc) },
-		func(nc net.Conn) { send(nc, strings.Repeat("x", 2*(maxHeaderBytes+maxBodyBytes))); closeConn(nc) },
-		func(nc net.Conn) { s.wantServed(nc) }, // no abuse
+		func(nc net.Conn) { s.sendHundreds(nc); closeQuietly(nc) },
+		func(nc net.Conn) { send(nc, strings.Repeat("x", 2*(maxHeaderBytes+maxBodyBytes))); closeQuietly(nc) },
+		func(nc net.Conn) { s.wantServedOn(nc) }, // no abuse
 	}
 	var open []net.Conn
 	for i := range 60 {
@@ -129,15 +129,15 @@
 		abuses[i%len(abuses)](nc)
 	}
 	for _, nc := range open {
-		closeConn(nc)
+		closeQuietly(nc)
 	}
 	s.awaitNoConns()
 }
 
 // sendHundreds sends hundreds of requests without reading the responses.
-func (s *handlerServer) sendHundreds(nc net.Conn) {
+func (s *testHandler) sendHundreds(nc net.Conn) {
 	for range 300 {
-		sendRequest(nc, s.request("read"))
+		sendRequest(nc, s.newRequest("read"))
 	}
 }
 
@@ -151,8 +151,8 @@
 			l := startAtServerConnectionLimit(t)
 			further := l.newFurtherRequest(class)
 			done := l.submitAsync(t.Context(), further)
-			l.untilInLoop("an attempt", func() bool { return len(further.attempts) > 0 })
-			l.server.open()
+			l.awaitInLoop("an attempt", func() bool { return len(further.attempts) > 0 })
+			l.server.unblock()
 			l.wantStatus(done, http.StatusOK)
 			l.wantServedAfterwards(class)
 		})
@@ -163,7 +163,7 @@
 			if len(l.server.Requests) > 0 {
 				t.Error("the further request was sent")
 			}
-			l.server.open()
+			l.server.unblock()
 			l.wantServedAfterwards(class)
 		})
 	}
@@ -172,14 +172,14 @@
 // limitedLoop is a loop whose requests in flight use all connections to servers.
 type limitedLoop struct {
 	*testLoop
-	server   *gatedBackend
+	server   *blockedBackend
 	inFlight []<-chan response
 }
 
 func startAtServerConnectionLimit(t *testing.T) *limitedLoop {
 	t.Helper()
 	const connections, servers = 2, 40 // none of the servers is at its own limit
-	server := newGatedBackend(t)
+	server := newBlockedBackend(t)
 	var list []endpointjson.Endpoint
 	for i := range servers {
 		list = append(list, server.Endpoint(fmt.Sprintf("s-%d", i)))
--- a/internal/node/disconnect_concurrency_test.go
+++ b/internal/node/disconnect_concurrency_test.go
@@ -15,7 +15,7 @@
 const concurrentClients = 300
 
 // sendOnNewConns sends a request from each client on a connection of its own, of one class after another.
-func (s *handlerServer) sendOnNewConns(classes ...string) []*net.TCPConn {
+func (s *testHandler) sendOnNewConns(classes ...string) []*net.TCPConn {
 	s.t.Helper()
 	var clients []*net.TCPConn
 	for i := range concurrentClients {
@@ -25,7 +25,7 @@
 }
 
 // disconnectAll disconnects the clients, in one way after another, and waits until the node's sockets show it.
-func (s *handlerServer) disconnectAll(clients []*net.TCPConn, disconnects ...func(*net.TCPConn)) {
+func (s *testHandler) disconnectAll(clients []*net.TCPConn, disconnects ...func(*net.TCPConn)) {
 	s.t.Helper()
 	for i, client := range clients {
 		disconnects[i%len(disconnects)](client)
@@ -60,7 +60,7 @@
 	resume()
 
 	s.awaitNoRequests()
-	if n := startedAttempts(all...); len(all) != concurrentClients || n > 0 || len(b.Requests) > 0 {
+	if n := countStartedAttempts(all...); len(all) != concurrentClients || n > 0 || len(b.Requests) > 0 {
 		t.Errorf("%d of %d attempts began, %d arrived", n, len(all), len(b.Requests))
 	}
 }
@@ -82,14 +82,14 @@
 	l.queue.post(eventFunc(l.advanceClock))
 
 	s.disconnectAll(clients, closeTCP)
-	startedBefore, attemptsBefore := startedAttempts(paused.requests...), countAttempts(paused.requests)
+	startedBefore, attemptsBefore := countStartedAttempts(paused.requests...), countAttempts(paused.requests)
 	servers.stuck.Admit()
 	s.awaitIdleConns(paused.states[stateConnecting], servers.stuck.Addr())
 	paused.resume()
 	s.awaitNoRequests()
 
-	l.inLoop(func() {
-		late := startedAttempts(paused.requests...) - startedBefore
+	l.runInLoop(func() {
+		late := countStartedAttempts(paused.requests...) - startedBefore
 		t.Logf("%v; %d attempts started before the disconnects; then %d were decided, %d started",
 			paused.states, startedBefore, countAttempts(paused.requests)-attemptsBefore, late)
 		if late > 0 || len(paused.states) != 4 {
@@ -148,7 +148,7 @@
 }
 
 // pauseAtRest pauses the loop once all requests have arrived and none is moving.
-func (s *handlerServer) pauseAtRest(servers mixedServers) requestsAtRest {
+func (s *testHandler) pauseAtRest(servers mixedServers) requestsAtRest {
 	s.t.Helper()
 	var paused requestsAtRest
 	testkit.Until(s.t, "all requests at rest", func() bool {
--- a/internal/node/disconnect_race_test.go
+++ b/internal/node/disconnect_race_test.go
@@ -17,10 +17,10 @@
 type requestPoint struct {
 	class    string
 	serves   http.HandlerFunc
-	others   int                                       // requests that use all capacity before
-	due      func(s *handlerServer, now time.Duration) // makes the balancer decide the next attempt
-	started  int                                       // attempts that started before the client disconnects
-	inFlight int                                       // attempts that are in flight when it disconnects
+	others   int                                     // requests that use all capacity before
+	due      func(s *testHandler, now time.Duration) // makes the balancer decide the next attempt
+	started  int                                     // attempts that started before the client disconnects
+	inFlight int                                     // attempts that are in flight when it disconnects
 }
 
 func requestPoints() map[string]requestPoint {
@@ -38,10 +38,10 @@
 }
 
 // advanceClock makes retries and hedged requests fall due.
-func advanceClock(s *handlerServer, now time.Duration) { s.loop.advanceClock(now) }
+func advanceClock(s *testHandler, now time.Duration) { s.loop.advanceClock(now) }
 
 // freeCapacity ends one of the attempts in flight, so that a queued request could be sent.
-func freeCapacity(s *handlerServer, now time.Duration) {
+func freeCapacity(s *testHandler, now time.Duration) {
 	for _, r := range s.loop.requests.byID {
 		if r.inFlight > 0 {
 			s.loop.reportOutcome(now, r, 0, upstream.Result{Status: policy.OK})
@@ -65,7 +65,7 @@
 		"ends its sending":    {"", closeWrite},
 		"pipelines, closes":   {pipelined, closeTCP},
 		"sends much, closes":  {readAhead, closeTCP},
-		"sends on, closes":    {"", func(nc *net.TCPConn) { send(nc, "GET /read HTTP/1.1\r\nHost: x"); closeConn(nc) }},
+		"sends on, closes":    {"", func(nc *net.TCPConn) { send(nc, "GET /read HTTP/1.1\r\nHost: x"); closeQuietly(nc) }},
 		"sends on and resets": {"", func(nc *net.TCPConn) { send(nc, readAhead); resetConn(nc) }},
 	}
 }
@@ -97,7 +97,7 @@
 
 // servedRequest is a request at a point of its lifecycle, in a loop that is paused there.
 type servedRequest struct {
-	*handlerServer
+	*testHandler
 	point         requestPoint
 	disconnection disconnection
 	client        *net.TCPConn
@@ -112,13 +112,13 @@
 	t.Helper()
 	a, b := testkit.NewBackend(t, point.serves), testkit.NewBackend(t, point.serves)
 	s := &servedRequest{
-		handlerServer: startHandler(t, a.Endpoint("s-0"), b.Endpoint("s-1")),
+		testHandler:   startHandler(t, a.Endpoint("s-0"), b.Endpoint("s-1")),
 		point:         point,
 		disconnection: disconnection,
 		checked:       make(chan bool, 10),
 	}
 	l := s.loop
-	l.inLoop(func() { // a request took half a minute here
+	l.runInLoop(func() { // a request took half a minute here
 		l.balancer.Request(l.clock.now(), policy.Request{ID: 1 << 31, Timeout: time.Hour})
 		l.balancer.Outcome(l.clock.now(), policy.Outcome{ID: 1 << 31, RequestCompleted: true, Latency: 30 * time.Second})
 	})
@@ -143,7 +143,7 @@
 }
 
 // decide makes the balancer decide the next attempt.
-func (s *servedRequest) decide(now time.Duration) { s.point.due(s.handlerServer, now) }
+func (s *servedRequest) decide(now time.Duration) { s.point.due(s.testHandler, now) }
 
 // disconnectBeforeDecision disconnects the client, so that the loop learns of it before the next decision.
 func (s *servedRequest) disconnectBeforeDecision() {
@@ -179,8 +179,8 @@
 	} else {
 		s.awaitNoRequests()
 	}
-	l.inLoop(func() {
-		if n := startedAttempts(s.request); n != s.point.started || l.requests.lastID != s.lastID {
+	l.runInLoop(func() {
+		if n := countStartedAttempts(s.request); n != s.point.started || l.requests.lastID != s.lastID {
 			s.t.Errorf("%d attempts started, want %d; requests %d, want %d", n, s.point.started, l.requests.lastID, s.lastID)
 		}
 	})
--- a/internal/node/disconnect_test.go
+++ b/internal/node/disconnect_test.go
@@ -15,20 +15,20 @@
 func TestDisconnectCancelsTheAttempt(t *testing.T) {
 	cancelled := make(chan struct{}, 1)
 	b := testkit.NewBackend(t, testkit.Unresponsive(cancelled))
-	n, _ := startReady(t, b)
+	n, _ := startReadyNode(t, b)
 	nc := n.dial()
-	if err := n.request("read").Write(nc); err != nil {
+	if err := n.newRequest("read").Write(nc); err != nil {
 		t.Fatal(err)
 	}
 	testkit.Wait(t, b.Requests, "the request")
-	closeConn(nc)
+	closeQuietly(nc)
 	testkit.Wait(t, cancelled, "the cancelled attempt")
 }
 
 // startWithBusyServer starts a loop before a server whose capacity one request uses.
-func startWithBusyServer(t *testing.T) (*testLoop, *gatedBackend) {
+func startWithBusyServer(t *testing.T) (*testLoop, *blockedBackend) {
 	t.Helper()
-	server := newGatedBackend(t)
+	server := newBlockedBackend(t)
 	l := startLoop(t, server.Endpoint("s-0"))
 	l.submitAsync(t.Context(), l.newRequest(classPay, staysConnected))
 	testkit.Wait(t, server.Requests, "the first request")
@@ -44,7 +44,7 @@
 
 	disconnect()
 	l.awaitRequests(1, 1)
-	server.open()
+	server.unblock()
 	l.awaitRequests(0, 0)
 
 	if len(server.Requests) > 0 {
@@ -66,9 +66,9 @@
 	l.awaitRequests(2, 1)
 
 	send(client, strings.Repeat("more ", 1000)) // bytes ahead hide the end
-	closeConn(client)
+	closeQuietly(client)
 	awaitSocketState(t, c.Conn, sockstate.Readable)
-	server.open()
+	server.unblock()
 
 	if testkit.Wait(t, hasResponse, "the end of the request") {
 		t.Error("a client that disconnected got a response")
@@ -101,7 +101,7 @@
 
 // A client disconnects between two attempts: the second is not made.
 func TestNoRetryAfterADisconnect(t *testing.T) {
-	servers := firstRequestFails(t, testkit.ServerError)
+	servers := newBackendsFailingFirst(t, testkit.ServerError)
 	l := startLoop(t, servers[0].Endpoint("s-0"), servers[1].Endpoint("s-1"))
 	ctx, disconnect := context.WithCancel(t.Context())
 	l.submitAsync(ctx, l.newRequest(classRead, staysConnected))
@@ -121,14 +121,14 @@
 func TestDisconnectBehindReadAheadCancelsTheAttempt(t *testing.T) {
 	cancelled := make(chan struct{}, 1)
 	b := testkit.NewBackend(t, testkit.Unresponsive(cancelled))
-	n := startReadyWith(t, b.Endpoint("s-0"), withDeadlines(600000))
+	n := startReadyNodeWithConfig(t, b.Endpoint("s-0"), withDeadlines(600000))
 	nc := n.dial()
-	r := n.request("pay")
+	r := n.newRequest("pay")
 	r.Header.Set("X-Timeout-Ms", "600000")
 	sendRequest(nc, r)
 	testkit.Wait(t, b.Requests, "the request")
 	send(nc, strings.Repeat("x", 5000))
-	closeConn(nc)
+	closeQuietly(nc)
 	testkit.Wait(t, cancelled, "the cancelled attempt")
 }
 
@@ -150,7 +150,7 @@
 		client := s.sendOnNewConn("read", "")
 		testkit.Wait(t, failing.Requests, "the first attempt")
 		s.loop.awaitRequests(1, 0)
-		s.loop.notifyEndpoints(policy.UpdateDelta, stuck.Endpoint("s-0"))
+		s.loop.reportEndpoints(policy.UpdateDelta, stuck.Endpoint("s-0"))
 		s.loop.queue.post(eventFunc(s.loop.advanceClock))
 		s.wantNoAttemptAfterDisconnect(client, stuck, 1)
 	})
@@ -158,19 +158,19 @@
 
 // wantNoAttemptAfterDisconnect disconnects a client while the attempt with an index waits for its
 // connection to a stuck server, and fails the test if the attempt is sent.
-func (s *handlerServer) wantNoAttemptAfterDisconnect(client *net.TCPConn, stuck *testkit.StuckServer, index int) {
+func (s *testHandler) wantNoAttemptAfterDisconnect(client *net.TCPConn, stuck *testkit.StuckServer, index int) {
 	s.t.Helper()
 	l := s.loop
 	l.awaitRequests(1, 1)
 	resume := l.pause()
 	r := l.lastRequest()
-	closeConn(client)
+	closeQuietly(client)
 	s.awaitDisconnect(client)
 	sent := stuck.Admit()
 	s.awaitIdleConns(1, stuck.Addr())
 	resume()
 	s.awaitNoRequests()
-	if n := startedAttempts(r); len(r.attempts) != index+1 || n != index || len(sent) > 0 {
+	if n := countStartedAttempts(r); len(r.attempts) != index+1 || n != index || len(sent) > 0 {
 		s.t.Errorf("%d of %d attempts began, want %d", n, len(r.attempts), index)
 	}
 }
--- a/internal/node/discovery_failure_test.go
+++ b/internal/node/discovery_failure_test.go
@@ -35,10 +35,10 @@
 
 func testWatchIsReopened(t *testing.T, mode string, fail func(*testkit.ScriptedDiscovery)) {
 	t.Helper()
-	n, scripted := startScripted(t, mode, nil)
+	n, scripted := startWithScriptedDiscovery(t, mode, nil)
 	testkit.Wait(t, scripted.Calls, "the first call")
 	scripted.Responses <- `{"generation":3,"reset":true,"instances":[]}`
-	n.waitReady(http.StatusOK)
+	n.awaitReadiness(http.StatusOK)
 	testkit.Wait(t, scripted.Calls, "the watch")
 
 	began := time.Now()
@@ -47,7 +47,7 @@
 	if took := time.Since(began); took >= policy.NotificationDeadline {
 		t.Errorf("reopened after %v", took)
 	}
-	queryStarts(t, again, "after=3&")
+	wantQueryPrefix(t, again, "after=3&")
 
 	b := testkit.NewBackend(t, testkit.OK)
 	text, err := json.MarshalIndent(endpointjson.List{Generation: 4, Endpoints: []endpointjson.Endpoint{b.Endpoint("s-0")}}, "", "  ")
@@ -65,30 +65,30 @@
 func TestDiscoveryMoveCancelsCallsInFlight(t *testing.T) {
 	for _, mode := range discoveryModes() {
 		t.Run(mode, func(t *testing.T) {
-			n, old := startScripted(t, mode, nil)
+			n, old := startWithScriptedDiscovery(t, mode, nil)
 			first := testkit.Wait(t, old.Calls, "the first call")
 			next := testkit.NewScriptedDiscovery(t)
 
 			n.node.SetDiscoveryAddress(next.Address) // before any list is known
-			queryStarts(t, testkit.Wait(t, next.Calls, "a call to the new address"), "")
-			stillOpen(t, first)
+			wantQueryPrefix(t, testkit.Wait(t, next.Calls, "a call to the new address"), "")
+			wantCallInFlight(t, first)
 			next.Responses <- `{"generation":9,"reset":true,"instances":[]}`
-			n.waitReady(http.StatusOK)
+			n.awaitReadiness(http.StatusOK)
 			testkit.Wait(t, first.Context().Done(), "the end of the old call")
 			watch := testkit.Wait(t, next.Calls, "the watch")
 
 			n.node.SetDiscoveryAddress(old.Address) // and back, during the watch
-			queryStarts(t, testkit.Wait(t, old.Calls, "a call to the old address"), "")
-			stillOpen(t, watch)
+			wantQueryPrefix(t, testkit.Wait(t, old.Calls, "a call to the old address"), "")
+			wantCallInFlight(t, watch)
 			old.Responses <- `{"generation":2,"reset":true,"instances":[]}`
 			testkit.Wait(t, watch.Context().Done(), "the end of the watch")
-			queryStarts(t, testkit.Wait(t, old.Calls, "its watch"), "after=2&")
+			wantQueryPrefix(t, testkit.Wait(t, old.Calls, "its watch"), "after=2&")
 		})
 	}
 }
 
-// stillOpen fails the test if a call has ended.
-func stillOpen(t *testing.T, call *http.Request) {
+// wantCallInFlight fails the test if a call has ended.
+func wantCallInFlight(t *testing.T, call *http.Request) {
 	t.Helper()
 	if err := call.Context().Err(); err != nil {
 		t.Errorf("the call to the previous address has ended: %v", err)
@@ -102,13 +102,13 @@
 	for _, mode := range discoveryModes() {
 		t.Run(mode, func(t *testing.T) {
 			t.Parallel()
-			n, _ := startScripted(t, mode, func(file map[string]any) {
+			n, _ := startWithScriptedDiscovery(t, mode, func(file map[string]any) {
 				file["known"] = endpointjson.List{Endpoints: []endpointjson.Endpoint{{InstanceID: "s", Address: "127.0.0.1:1", Lifecycle: "Gone"}}}
-				file["settings"] = testkit.JSON(strings.Replace(string(settingsWith(mode)), `"Limits"`,
+				file["settings"] = testkit.JSON(strings.Replace(string(settingsWithMode(mode)), `"Limits"`,
 					`"Balancers": 300, "Contract": {"MustAskInMs": 600000}, "Limits"`, 1))
 			})
 			next := testkit.NewScriptedDiscovery(t)
-			n.waitReady(http.StatusOK)
+			n.awaitReadiness(http.StatusOK)
 
 			began := time.Now()
 			n.node.SetDiscoveryAddress(next.Address)
@@ -134,19 +134,19 @@
 		t.Run(mode, func(t *testing.T) {
 			t.Parallel()
 			a, b := testkit.NewBackend(t, testkit.OK), testkit.NewBackend(t, testkit.OK)
-			n, scripted := startScripted(t, mode, nil)
+			n, scripted := startWithScriptedDiscovery(t, mode, nil)
 			testkit.Wait(t, scripted.Calls, "the first call")
-			scripted.Responses <- listText(t, endpointjson.List{Generation: 5, Endpoints: []endpointjson.Endpoint{a.Endpoint("s-0")}})
+			scripted.Responses <- listJSON(t, endpointjson.List{Generation: 5, Endpoints: []endpointjson.Endpoint{a.Endpoint("s-0")}})
 			testkit.Wait(t, scripted.Calls, "the watch")
 
 			scripted.Responses <- testkit.ResponseUnavailable
 			testkit.Wait(t, scripted.Calls, "a call while it is down")
 			scripted.Responses <- testkit.ResponseUnavailable
-			queryStarts(t, testkit.Wait(t, scripted.Calls, "a call as it is back"), "after=5&")
-			scripted.Responses <- listText(t, endpointjson.List{
+			wantQueryPrefix(t, testkit.Wait(t, scripted.Calls, "a call as it is back"), "after=5&")
+			scripted.Responses <- listJSON(t, endpointjson.List{
 				Generation: 6, Endpoints: []endpointjson.Endpoint{draining(a.Endpoint("s-0")), b.Endpoint("s-1")},
 			})
-			queryStarts(t, testkit.Wait(t, scripted.Calls, "the next watch"), "after=6&")
+			wantQueryPrefix(t, testkit.Wait(t, scripted.Calls, "the next watch"), "after=6&")
 
 			n.wantStatus("read", http.StatusOK)
 			if sends := len(a.Requests); sends > 0 {
@@ -156,15 +156,15 @@
 	}
 }
 
-// failCall fails the present call of a node to discovery.
-type failCall func(*testNode, *testkit.ScriptedDiscovery)
+// callFailure fails the present call of a node to discovery.
+type callFailure func(*testNode, *testkit.ScriptedDiscovery)
 
-// failedCalls are the ways in which a call can fail.
-func failedCalls() map[string]failCall {
-	respond := func(text string) failCall {
+// callFailures are the ways in which a call can fail.
+func callFailures() map[string]callFailure {
+	respond := func(text string) callFailure {
 		return func(_ *testNode, scripted *testkit.ScriptedDiscovery) { scripted.Responses <- text }
 	}
-	return map[string]failCall{
+	return map[string]callFailure{
 		"status 503":   respond(testkit.ResponseUnavailable),
 		"reset":        respond(testkit.ResponseReset),
 		"no list":      respond("<html>"),
@@ -178,17 +178,17 @@
 // Two calls to discovery in a row fail, in each way in which they can, at a node of a large fleet that seldom polls.
 // The node counts as notified of changes policy.NotificationDeadline after discovery can be reached again.
 func TestFailedCallsAreRetriedBeforeTheNotificationDeadline(t *testing.T) {
-	for name, fail := range failedCalls() {
+	for name, fail := range callFailures() {
 		t.Run(name, func(t *testing.T) {
 			testFailedCallsAreRetried(t, fail)
 		})
 	}
 }
 
-func testFailedCallsAreRetried(t *testing.T, fail failCall) {
+func testFailedCallsAreRetried(t *testing.T, fail callFailure) {
 	t.Helper()
 	scripted := testkit.NewScriptedDiscovery(t)
-	n := start(t, testConfig(t, testkit.NewRegistry(t), largeFleetConfig(scripted.Address)))
+	n := startNode(t, testConfig(t, testkit.NewRegistry(t), withLargeFleet(scripted.Address)))
 	testkit.Wait(t, scripted.Calls, "the first call")
 	scripted.Responses <- `{"generation":3,"reset":true,"instances":[{"instanceId":"s","hostPort":"127.0.0.1:1","lifecycle":"Ready"}]}`
 	testkit.Wait(t, scripted.Calls, "the watch")
@@ -206,7 +206,7 @@
 func TestRefusedCallsAreRetriedBeforeTheNotificationDeadline(t *testing.T) {
 	t.Parallel()
 	reserved := testkit.ReserveAddr(t)
-	cfg := testConfig(t, testkit.NewRegistry(t), largeFleetConfig(reserved.Address))
+	cfg := testConfig(t, testkit.NewRegistry(t), withLargeFleet(reserved.Address))
 	client := discovery.New(discovery.Config{Address: reserved.Address, Poll: true})
 	l := newTestLoop(t, cfg, upstream.NewPool(upstreamConfig(cfg, 20)), client)
 	go client.Run(t.Context(), l.endpoints)
@@ -218,14 +218,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer closeConn(back)
+	defer closeQuietly(back)
 	began := time.Now()
 	go l.run()
 	nc, err := back.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	closeConn(nc)
+	closeQuietly(nc)
 	if took := time.Since(began); took >= policy.NotificationDeadline {
 		t.Errorf("called again after %v", took)
 	}
@@ -274,40 +274,40 @@
 func testRecoveryDuringAFlood(t *testing.T, mode string, fail outage) {
 	t.Helper()
 	a, b := testkit.NewBackend(t, testkit.OK), testkit.NewBackend(t, testkit.OK)
-	n, scripted := startScripted(t, mode, func(file map[string]any) {
+	n, scripted := startWithScriptedDiscovery(t, mode, func(file map[string]any) {
 		file["limits"] = map[string]any{"sockets": fewSockets}
 		file["known"] = endpointjson.List{Generation: 1, Reset: true, Endpoints: []endpointjson.Endpoint{a.Endpoint("s-0")}}
 	})
-	n.waitReady(http.StatusOK)
+	n.awaitReadiness(http.StatusOK)
 
 	var idle []net.Conn
 	fail(t, scripted, func() { idle = n.openFlood(90) })
-	n.mustServe(1, "while discovery is down")
-	n.waitReady(http.StatusOK)
+	n.wantRequestsServed(1, "while discovery is down")
+	n.awaitReadiness(http.StatusOK)
 	if open := countOpen(idle); open > 22 {
 		t.Errorf("%d idle connections are open, want 22 at most", open)
 	}
 
 	testkit.Wait(t, scripted.Calls, "the call as it is back")
-	text := listText(t, endpointjson.List{Generation: 2, Endpoints: []endpointjson.Endpoint{draining(a.Endpoint("s-0")), b.Endpoint("s-1")}})
+	text := listJSON(t, endpointjson.List{Generation: 2, Endpoints: []endpointjson.Endpoint{draining(a.Endpoint("s-0")), b.Endpoint("s-1")}})
 	back := make(chan struct{})
 	var clients sync.WaitGroup
 	for range 5 {
 		clients.Go(func() { <-back; n.openFlood(30) })
-		clients.Go(func() { <-back; n.mustServe(4, "as discovery is back") })
+		clients.Go(func() { <-back; n.wantRequestsServed(4, "as discovery is back") })
 	}
 	began := time.Now()
 	close(back)
 	scripted.Responses <- text
-	queryStarts(t, testkit.Wait(t, scripted.Calls, "the next watch"), "after=2&")
+	wantQueryPrefix(t, testkit.Wait(t, scripted.Calls, "the next watch"), "after=2&")
 	if took := time.Since(began); took > policy.NotificationDeadline {
 		t.Errorf("follows after %v", took)
 	}
 	clients.Wait()
 
-	received(a)
+	takeRequests(a)
 	n.openFlood(60)
-	n.mustServe(20, "afterwards")
+	n.wantRequestsServed(20, "afterwards")
 	if len(a.Requests) > 0 {
 		t.Errorf("%d sends to the server that drains", len(a.Requests))
 	}
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -12,14 +12,14 @@
 	b := testkit.NewBackend(t, testkit.OK)
 	d := testkit.NewRegistry(t)
 	d.SetDown(true)
-	n := start(t, testConfig(t, d, nil))
+	n := startNode(t, testConfig(t, d, nil))
 	testkit.Wait(t, d.Queries, "a first call")
 	testkit.Wait(t, d.Queries, "a call after the failed one")
-	n.waitReady(http.StatusServiceUnavailable)
+	n.awaitReadiness(http.StatusServiceUnavailable)
 
 	d.SetEndpoints(b.Endpoint("s-0"))
 	d.SetDown(false)
-	n.waitReady(http.StatusOK)
+	n.awaitReadiness(http.StatusOK)
 	n.wantStatus("read", http.StatusOK)
 
 	d.SetDown(true) // the list stays
@@ -32,8 +32,8 @@
 func TestDiscoveryAtANewAddressIsFollowed(t *testing.T) {
 	a, b := testkit.NewBackend(t, testkit.OK), testkit.NewBackend(t, testkit.OK)
 	old := testkit.NewRegistry(t, a.Endpoint("s-a"))
-	n := start(t, testConfig(t, old, nil))
-	n.waitReady(http.StatusOK)
+	n := startNode(t, testConfig(t, old, nil))
+	n.awaitReadiness(http.StatusOK)
 	next := testkit.NewRegistry(t, b.Endpoint("s-b"))
 	for len(old.Queries) > 0 {
 		<-old.Queries
@@ -46,9 +46,9 @@
 		t.Errorf("the new address is queried with %q", q)
 	}
 	testkit.Wait(t, next.Queries, "the watch")
-	n.waitReady(http.StatusOK)
+	n.awaitReadiness(http.StatusOK)
 
-	received(a)
+	takeRequests(a)
 	n.wantStatus("read", http.StatusOK)
 	if len(a.Requests) > 0 || len(b.Requests) == 0 {
 		t.Errorf("%d sends to the server of the old list, %d to the new one's", len(a.Requests), len(b.Requests))
@@ -71,26 +71,26 @@
 	b := testkit.NewBackend(t, testkit.OK)
 	d := testkit.NewRegistry(t)
 	d.SetDown(true)
-	n := start(t, testConfig(t, d, func(file map[string]any) {
+	n := startNode(t, testConfig(t, d, func(file map[string]any) {
 		file["known"] = endpointjson.List{Generation: 7, Reset: true, Endpoints: []endpointjson.Endpoint{b.Endpoint("s-0")}}
 	}))
-	n.waitReady(http.StatusOK)
+	n.awaitReadiness(http.StatusOK)
 	n.wantStatus("read", http.StatusOK)
-	awaitWatch(t, d, "after=7")
+	wantWatchQuery(t, d, "after=7")
 }
 
 // Generation 0 is an ordinary generation: a list that has it is watched from there, and not requested in full again.
 func TestGenerationZeroIsWatched(t *testing.T) {
-	_, d := startReady(t, testkit.NewBackend(t, testkit.OK))
+	_, d := startReadyNode(t, testkit.NewBackend(t, testkit.OK))
 	testkit.Wait(t, d.Queries, "the first call")
-	awaitWatch(t, d, "after=0")
+	wantWatchQuery(t, d, "after=0")
 }
 
 // In polling mode the balancer requests the list.
 func TestPolledEndpointListIsRequested(t *testing.T) {
 	b := testkit.NewBackend(t, testkit.OK)
-	n := startReadyWith(t, b.Endpoint("s-0"), func(file map[string]any) {
-		file["settings"] = settingsWith("on_request")
+	n := startReadyNodeWithConfig(t, b.Endpoint("s-0"), func(file map[string]any) {
+		file["settings"] = settingsWithMode("on_request")
 	})
 	n.wantStatus("read", http.StatusOK)
 }
--- a/internal/node/endpoints_test.go
+++ b/internal/node/endpoints_test.go
@@ -14,11 +14,11 @@
 
 func TestDrainingServerGetsNoRequests(t *testing.T) {
 	a, b := testkit.NewBackend(t, testkit.OK), testkit.NewBackend(t, testkit.OK)
-	n, d := startReady(t, a, b)
+	n, d := startReadyNode(t, a, b)
 	drains := draining(a.Endpoint("s-0"))
 	d.SetEndpointsAndWait(t, drains, b.Endpoint("s-1"))
 	for range 20 {
-		if r := n.do(n.request("read")); r.status != http.StatusOK {
+		if r := n.do(n.newRequest("read")); r.status != http.StatusOK {
 			t.Fatalf("status %d", r.status)
 		}
 	}
@@ -32,10 +32,10 @@
 // A server at a new address is another process: connections to the old one are closed.
 func TestServerAtANewAddressGetsNewConnections(t *testing.T) {
 	a, b := testkit.NewBackend(t, testkit.OK), testkit.NewBackend(t, testkit.OK)
-	n, d := startReady(t, a)
-	n.do(n.request("read"))
+	n, d := startReadyNode(t, a)
+	n.do(n.newRequest("read"))
 	d.SetEndpointsAndWait(t, b.Endpoint("s-0"))
-	n.do(n.request("read"))
+	n.do(n.newRequest("read"))
 	if len(a.Requests) != 1 || len(b.Requests) != 1 {
 		t.Errorf("%d sends to the old address, %d to the new one", len(a.Requests), len(b.Requests))
 	}
@@ -57,7 +57,7 @@
 			changed := change(stuck.Endpoint("s-0"))
 			other := testkit.NewBackend(t, testkit.OK)
 
-			l.notifyEndpoints(policy.UpdateSnapshot, append(changed, other.Endpoint("s-1"))...)
+			l.reportEndpoints(policy.UpdateSnapshot, append(changed, other.Endpoint("s-1"))...)
 			l.wantFirstAttemptsRevoked()
 			sent := stuck.Admit()
 
@@ -74,7 +74,7 @@
 		restarted.StartedUnixMilli = float64(time.Now().UnixMilli())
 		other := testkit.NewBackend(t, testkit.OK)
 
-		l.notifyEndpoints(policy.UpdateSnapshot, restarted, other.Endpoint("s-1"))
+		l.reportEndpoints(policy.UpdateSnapshot, restarted, other.Endpoint("s-1"))
 		l.wantFirstAttemptsRevoked()
 		stuck.Admit()
 
@@ -95,7 +95,7 @@
 // wantFirstAttemptsRevoked fails the test if the first attempt of an active request may be sent.
 func (l *testLoop) wantFirstAttemptsRevoked() {
 	l.t.Helper()
-	l.inLoop(func() {
+	l.runInLoop(func() {
 		for _, r := range l.requests.byID {
 			if a := r.attempts[0]; a.state == attemptInFlight || !a.call.Revoked() {
 				l.t.Error("the attempt may still be sent")
@@ -114,8 +114,8 @@
 	testkit.Wait(t, failing.Requests, "the first attempt")
 	l.awaitRequests(1, 0)
 
-	l.notifyEndpoints(policy.UpdateDelta, drains.Endpoint("s-1"))
-	l.notifyEndpoints(policy.UpdateDelta, draining(drains.Endpoint("s-1")), other.Endpoint("s-2"))
+	l.reportEndpoints(policy.UpdateDelta, drains.Endpoint("s-1"))
+	l.reportEndpoints(policy.UpdateDelta, draining(drains.Endpoint("s-1")), other.Endpoint("s-2"))
 
 	l.wantStatus(done, http.StatusOK)
 	if sends := len(drains.Requests); sends > 0 {
@@ -126,7 +126,7 @@
 // Lists of discovery may be malformed; the node calls again and uses the valid endpoints.
 func TestMalformedEndpointListsAreSkipped(t *testing.T) {
 	valid := testkit.NewBackend(t, testkit.OK)
-	n, scripted := startScripted(t, "pushed", nil)
+	n, scripted := startWithScriptedDiscovery(t, "pushed", nil)
 	scripted.Responses <- "what?"
 	scripted.Responses <- `{"generation":"x"}`
 	scripted.Responses <- `{"generation":3,"instances":[{"instanceId":5}]}`
@@ -134,7 +134,7 @@
 		`{"instanceId":"s-2","hostPort":"nowhere","lifecycle":"Novel"},` +
 		`{"instanceId":"s-0","hostPort":"` + valid.Address() + `","zone":"far","cell":-1,"lifecycle":"Ready",` +
 		`"weight":-3,"startedAtMs":1.5e12,"novel":[]}]}`
-	n.waitReady(http.StatusOK)
+	n.awaitReadiness(http.StatusOK)
 	n.wantStatus("read", http.StatusOK)
 }
 
--- a/internal/node/forwarding_test.go
+++ b/internal/node/forwarding_test.go
@@ -35,8 +35,8 @@
 		w.Header().Set("Keep-Alive", "timeout=5")
 		send(w, "rooms")
 	})
-	n, _ := startReady(t, b)
-	sent := n.request("push")
+	n, _ := startReadyNode(t, b)
+	sent := n.newRequest("push")
 	sent.Header.Set("Connection", "X-Hop")
 	sent.Header.Set("X-Hop", "1")
 	sent.Header.Set("User-Agent", "") // none: the node must not put its own
@@ -72,12 +72,12 @@
 			return
 		}
 		send(nc, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi")
-		closeConn(nc)
+		closeQuietly(nc)
 		closed <- struct{}{}
 	})
-	n, _ := startReady(t, b)
+	n, _ := startReadyNode(t, b)
 	for range 5 {
-		if a := n.do(n.request("pay")); a.status != http.StatusOK {
+		if a := n.do(n.newRequest("pay")); a.status != http.StatusOK {
 			t.Fatalf("status %d", a.status)
 		}
 		testkit.Wait(t, closed, "the server's close")
@@ -95,10 +95,10 @@
 		"behind it":   {"", "GET /"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := startHandlerLingering(t, time.Hour, b.Endpoint("s-0"))
+			s := startHandlerWithLinger(t, time.Hour, b.Endpoint("s-0"))
 			s.handler.draining.Store(true)
-			nc := s.slowDial()
-			send(nc, wireText(s.request("read"))+c.ahead)
+			nc := s.dialWithSmallReceiveBuffer()
+			send(nc, wireText(s.newRequest("read"))+c.ahead)
 			in := bufio.NewReader(nc)
 			if _, err := in.Peek(1); err != nil {
 				t.Fatal(err)
@@ -115,7 +115,7 @@
 			if body, err := io.ReadAll(resp.Body); string(body) != text {
 				t.Errorf("%d bytes, %v", len(body), err)
 			}
-			if closeConn(nc); c.behind == "" {
+			if closeQuietly(nc); c.behind == "" {
 				s.awaitNoConns()
 			}
 		})
@@ -128,13 +128,13 @@
 	text := strings.Repeat("x", maxBodyBytes)
 	b := testkit.NewBackend(t, func(w http.ResponseWriter, _ *http.Request) { send(w, text) })
 	s := startHandler(t, b.Endpoint("s-0"))
-	slow, other := s.slowDial(), s.dial()
-	sendByteByByte(slow, wireText(s.request("pay")), func() { s.roundTrip(other) })
+	slow, other := s.dialWithSmallReceiveBuffer(), s.dial()
+	sendByteByByte(slow, wireText(s.newRequest("pay")), func() { s.roundTrip(other) })
 	in := iotest.OneByteReader(slow)
 	if _, err := io.ReadFull(in, make([]byte, 5)); err != nil {
 		t.Fatal(err)
 	}
-	s.wantServed(other)
+	s.wantServedOn(other)
 	resp, err := http.ReadResponse(bufio.NewReader(io.MultiReader(strings.NewReader("HTTP/"), in)), nil)
 	if err != nil || resp.StatusCode != http.StatusOK {
 		t.Fatalf("%+v, %v", resp, err)
@@ -142,19 +142,19 @@
 	if body, err := io.ReadAll(resp.Body); string(body) != text {
 		t.Errorf("%d bytes, %v", len(body), err)
 	}
-	closeConn(slow)
-	closeConn(other)
+	closeQuietly(slow)
+	closeQuietly(other)
 	s.awaitNoConns()
 }
 
 // A pipelined request gets its response too, and its connection does not count as idle meanwhile.
 func TestPipelinedRequestsGetResponses(t *testing.T) {
-	n, _ := startReady(t, testkit.NewBackend(t, testkit.OK))
+	n, _ := startReadyNode(t, testkit.NewBackend(t, testkit.OK))
 	nc := n.dial()
 	const pipelined = 3
 	var text strings.Builder
 	for range pipelined {
-		sendRequest(&text, n.request("read"))
+		sendRequest(&text, n.newRequest("read"))
 	}
 	send(nc, text.String())
 	in := bufio.NewReader(nc)
@@ -173,6 +173,6 @@
 		time.Sleep(readTimeout + 200*time.Millisecond) // a timeout is under test
 		testkit.OK(w, r)
 	})
-	n, _ := startReady(t, b)
+	n, _ := startReadyNode(t, b)
 	n.wantStatus("pay", http.StatusOK)
 }
--- a/internal/node/harness_client_test.go
+++ b/internal/node/harness_client_test.go
@@ -15,8 +15,8 @@
 	"calicohinge/internal/testkit"
 )
 
-// slowReceiveBuffer is the size of the receive buffer of a client that reads slowly.
-const slowReceiveBuffer = 4096
+// smallReceiveBuffer is the size of the receive buffer of a client that reads slowly.
+const smallReceiveBuffer = 4096
 
 // partialRequest is the beginning of a request that is never completed.
 const partialRequest = "GET /read HTTP/1.1\r\nHost: x\r\nX-Req"
@@ -27,8 +27,8 @@
 	return n.dialWith(&net.Dialer{})
 }
 
-// slowDial returns a connection with a small receive buffer.
-func (n *testNode) slowDial() net.Conn {
+// dialWithSmallReceiveBuffer returns a connection with a small receive buffer.
+func (n *testNode) dialWithSmallReceiveBuffer() net.Conn {
 	n.t.Helper()
 	return n.dialWith(&net.Dialer{Control: shrinkReceiveBuffer})
 }
@@ -39,8 +39,8 @@
 	if err != nil {
 		n.t.Fatal(err)
 	}
-	closeAtEnd(n.t, nc)
-	limitToTestTimeout(nc)
+	closeAtTestEnd(n.t, nc)
+	setTestDeadline(nc)
 	return nc
 }
 
@@ -48,7 +48,7 @@
 func shrinkReceiveBuffer(_, _ string, conn syscall.RawConn) error {
 	var setErr error
 	err := conn.Control(func(fd uintptr) {
-		setErr = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, slowReceiveBuffer)
+		setErr = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, smallReceiveBuffer)
 	})
 	return errors.Join(err, setErr)
 }
@@ -56,7 +56,7 @@
 // roundTrip makes a request on a connection and reads the response.
 func (n *testNode) roundTrip(nc net.Conn) *http.Response {
 	n.t.Helper()
-	if err := n.request("read").Write(nc); err != nil {
+	if err := n.newRequest("read").Write(nc); err != nil {
 		n.t.Fatal(err)
 	}
 	resp := n.readResponse(nc)
@@ -64,8 +64,8 @@
 	return resp
 }
 
-// wantServed fails the test unless a request on the connection is served.
-func (n *testNode) wantServed(nc net.Conn) {
+// wantServedOn fails the test unless a request on the connection is served.
+func (n *testNode) wantServedOn(nc net.Conn) {
 	n.t.Helper()
 	if resp := n.roundTrip(nc); resp.StatusCode != http.StatusOK {
 		n.t.Errorf("status %d, want 200", resp.StatusCode)
@@ -82,9 +82,9 @@
 	return resp
 }
 
-// rawStatuses sends a text and returns the statuses of the responses until the node
+// sendRaw sends a text and returns the statuses of the responses until the node
 // closes the connection; a node that doesn't close it fails the test.
-func (n *testNode) rawStatuses(text string) []int {
+func (n *testNode) sendRaw(text string) []int {
 	n.t.Helper()
 	nc := n.dial()
 	go send(nc, text)
@@ -105,24 +105,24 @@
 	}
 }
 
-// requestStatus makes a request as clients do: again on a new connection if the first is closed.
-func (n *testNode) requestStatus() (int, error) {
-	status, err := n.requestStatusOnce()
+// statusWithRedial makes a request as clients do: again on a new connection if the first is closed.
+func (n *testNode) statusWithRedial() (int, error) {
+	status, err := n.statusOnNewConn()
 	if err != nil {
-		return n.requestStatusOnce()
+		return n.statusOnNewConn()
 	}
 	return status, nil
 }
 
-// requestStatusOnce makes a request on a new connection.
-func (n *testNode) requestStatusOnce() (int, error) {
+// statusOnNewConn makes a request on a new connection.
+func (n *testNode) statusOnNewConn() (int, error) {
 	nc, err := net.Dial("tcp", n.addr)
 	if err != nil {
 		return 0, err
 	}
-	defer closeConn(nc)
-	limitToTestTimeout(nc)
-	r := n.request("read")
+	defer closeQuietly(nc)
+	setTestDeadline(nc)
+	r := n.newRequest("read")
 	if err := r.Write(nc); err != nil {
 		return 0, err
 	}
@@ -134,11 +134,11 @@
 	return resp.StatusCode, err
 }
 
-// mustServe makes requests one after another and fails the test for each that is not served.
-func (n *testNode) mustServe(requests int, when string) {
+// wantRequestsServed makes requests one after another and fails the test for each that is not served.
+func (n *testNode) wantRequestsServed(requests int, when string) {
 	n.t.Helper()
 	for range requests {
-		if status, err := n.requestStatus(); err != nil || status != http.StatusOK {
+		if status, err := n.statusWithRedial(); err != nil || status != http.StatusOK {
 			n.t.Errorf("%s: status %d, %v", when, status, err)
 		}
 	}
@@ -154,13 +154,13 @@
 			n.t.Error(err)
 			return conns
 		}
-		closeAtEnd(n.t, nc)
+		closeAtTestEnd(n.t, nc)
 		conns = append(conns, nc)
 		switch i % 3 {
 		case 1:
 			send(nc, partialRequest)
 		case 2:
-			r := n.request("read")
+			r := n.newRequest("read")
 			sendRequest(nc, r)
 			if resp, err := http.ReadResponse(bufio.NewReader(nc), r); err == nil { // else it was evicted
 				discard(resp.Body)
@@ -206,11 +206,11 @@
 
 func discard(r io.Reader) { _, _ = io.Copy(io.Discard, r) }
 
-func closeConn(c io.Closer) { _ = c.Close() }
+func closeQuietly(c io.Closer) { _ = c.Close() }
 
-func closeAtEnd(t *testing.T, c io.Closer) {
+func closeAtTestEnd(t *testing.T, c io.Closer) {
 	t.Helper()
-	t.Cleanup(func() { closeConn(c) })
+	t.Cleanup(func() { closeQuietly(c) })
 }
 
 // closeTCP closes a connection with a FIN.
@@ -225,5 +225,5 @@
 // closeWrite ends the sending of a client that goes on reading.
 func closeWrite(conn *net.TCPConn) { _ = conn.CloseWrite() }
 
-// limitToTestTimeout limits the reads and writes of a test on a connection.
-func limitToTestTimeout(conn net.Conn) { _ = conn.SetDeadline(time.Now().Add(testkit.WaitTimeout)) }
+// setTestDeadline limits the reads and writes of a test on a connection.
+func setTestDeadline(conn net.Conn) { _ = conn.SetDeadline(time.Now().Add(testkit.WaitTimeout)) }
--- a/internal/node/harness_discovery_test.go
+++ b/internal/node/harness_discovery_test.go
@@ -13,19 +13,21 @@
 // discoveryModes are the ways to follow the endpoint list, as the settings name them.
 func discoveryModes() []string { return []string{"pushed", "on_request"} }
 
-// settingsWith returns the settings with a discovery mode.
-func settingsWith(mode string) testkit.JSON {
-	return testkit.JSON(strings.Replace(settingsText, "pushed", mode, 1))
+// settingsWithMode returns the settings with a discovery mode.
+func settingsWithMode(mode string) testkit.JSON {
+	return testkit.JSON(strings.Replace(settingsJSON, "pushed", mode, 1))
 }
 
-// startScripted starts a node before a discovery service whose responses the test gives. change
+// startWithScriptedDiscovery starts a node before a discovery service whose responses the test gives. change
 // may alter its configuration.
-func startScripted(t *testing.T, mode string, change func(file map[string]any)) (*testNode, *testkit.ScriptedDiscovery) {
+func startWithScriptedDiscovery(
+	t *testing.T, mode string, change func(file map[string]any),
+) (*testNode, *testkit.ScriptedDiscovery) {
 	t.Helper()
 	scripted := testkit.NewScriptedDiscovery(t)
-	n := start(t, testConfig(t, testkit.NewRegistry(t), func(file map[string]any) {
+	n := startNode(t, testConfig(t, testkit.NewRegistry(t), func(file map[string]any) {
 		file["discovery"] = scripted.Address
-		file["settings"] = settingsWith(mode)
+		file["settings"] = settingsWithMode(mode)
 		if change != nil {
 			change(file)
 		}
@@ -33,19 +35,19 @@
 	return n, scripted
 }
 
-// largeFleetConfig returns a change of the configuration to that of a node among many, which seldom polls the
+// withLargeFleet returns a change of the configuration to that of a node among many, which seldom polls the
 // discovery service at an address.
-func largeFleetConfig(discovery string) func(file map[string]any) {
+func withLargeFleet(discovery string) func(file map[string]any) {
 	return func(file map[string]any) {
 		file["discovery"] = discovery
-		text := strings.Replace(settingsText, "pushed", "on_request", 1)
+		text := strings.Replace(settingsJSON, "pushed", "on_request", 1)
 		file["settings"] = testkit.JSON(strings.Replace(text, `"Limits"`,
 			`"Balancers": 650, "Me": 649, "Contract": {"MustAskInMs": 30000}, "Limits"`, 1))
 	}
 }
 
-// listText returns an endpoint list as discovery sends it.
-func listText(t *testing.T, list endpointjson.List) string {
+// listJSON returns an endpoint list as discovery sends it.
+func listJSON(t *testing.T, list endpointjson.List) string {
 	t.Helper()
 	text, err := json.Marshal(list)
 	if err != nil {
@@ -60,8 +62,8 @@
 	return e
 }
 
-// queryStarts fails the test unless a call's query starts with the wanted text, or is empty if that is "".
-func queryStarts(t *testing.T, call *http.Request, want string) {
+// wantQueryPrefix fails the test unless a call's query starts with the wanted text, or is empty if that is "".
+func wantQueryPrefix(t *testing.T, call *http.Request, want string) {
 	t.Helper()
 	query := call.URL.RawQuery
 	if !strings.HasPrefix(query, want) || want == "" && query != "" {
@@ -69,8 +71,8 @@
 	}
 }
 
-// awaitWatch waits for the next call to a registry, and fails the test unless its query contains a text.
-func awaitWatch(t *testing.T, registry *testkit.Registry, want string) {
+// wantWatchQuery waits for the next call to a registry, and fails the test unless its query contains a text.
+func wantWatchQuery(t *testing.T, registry *testkit.Registry, want string) {
 	t.Helper()
 	if query := testkit.Wait(t, registry.Queries, "the watch"); !strings.Contains(query, want) {
 		t.Errorf("the watch has the query %q", query)
--- a/internal/node/harness_handler_test.go
+++ b/internal/node/harness_handler_test.go
@@ -18,33 +18,33 @@
 	"calicohinge/policy"
 )
 
-// handlerServer is a handler that serves on a socket, and the loop behind it. The tests can
+// testHandler is a handler that serves on a socket, and the loop behind it. The tests can
 // pause the loop, so that a socket shows what the loop has not learned.
-type handlerServer struct {
+type testHandler struct {
 	*testNode
 	handler *handler
 	loop    *testLoop
 	conns   sync.Map // *downstream.Conn by its client's address
 }
 
-// startHandler starts a handlerServer with deadlines that no test reaches, and 400 client connections.
-func startHandler(t *testing.T, list ...endpointjson.Endpoint) *handlerServer {
+// startHandler starts a testHandler with deadlines that no test reaches, and 400 client connections.
+func startHandler(t *testing.T, list ...endpointjson.Endpoint) *testHandler {
 	t.Helper()
-	return startHandlerLingering(t, downstream.DefaultLingerTimeout, list...)
+	return startHandlerWithLinger(t, downstream.DefaultLingerTimeout, list...)
 }
 
-// startHandlerLingering is startHandler with another linger timeout.
-func startHandlerLingering(t *testing.T, linger time.Duration, list ...endpointjson.Endpoint) *handlerServer {
+// startHandlerWithLinger is startHandler with another linger timeout.
+func startHandlerWithLinger(t *testing.T, linger time.Duration, list ...endpointjson.Endpoint) *testHandler {
 	t.Helper()
 	cfg := testConfig(t, testkit.NewRegistry(t), withDeadlines(600000))
 	cfg.Policy.Classes[classPush].KeyRetention = 10 * time.Minute
 	cfg.ConnectTimeout = testkit.WaitTimeout
 	l := newTestLoop(t, cfg, upstream.NewPool(upstreamConfig(cfg, 400)), noWatcher{})
 	go l.run()
-	l.notifyEndpoints(policy.UpdateSnapshot, list...)
+	l.reportEndpoints(policy.UpdateSnapshot, list...)
 	conns := downstreamConfig(400, 0)
 	conns.LingerTimeout = linger
-	s := &handlerServer{loop: l, handler: newHandler(cfg, l.loop, downstream.NewConns(conns))}
+	s := &testHandler{loop: l, handler: newHandler(cfg, l.loop, downstream.NewConns(conns))}
 	listener := testkit.Listen(t)
 	s.testNode = &testNode{t: t, addr: listener.Addr().String()}
 	srv := s.handler.server()
@@ -53,7 +53,7 @@
 		s.handler.conns.ConnState(nc, state)
 	}
 	go func() { _ = srv.Serve(s.handler.conns.Listener(listener)) }() // until srv is closed
-	closeAtEnd(t, srv)
+	closeAtTestEnd(t, srv)
 	return s
 }
 
@@ -68,37 +68,37 @@
 }
 
 // sendOnNewConn sends a request on a new connection, with further bytes in the same write.
-func (s *handlerServer) sendOnNewConn(class, behind string) *net.TCPConn {
+func (s *testHandler) sendOnNewConn(class, following string) *net.TCPConn {
 	s.t.Helper()
 	nc := s.dial().(*net.TCPConn)
-	if _, err := io.WriteString(nc, s.requestText(class)+behind); err != nil {
+	if _, err := io.WriteString(nc, s.requestText(class)+following); err != nil {
 		s.t.Fatal(err)
 	}
 	return nc
 }
 
 // requestText returns a valid request, with a long timeout, as it is on the wire.
-func (s *handlerServer) requestText(class string) string {
-	r := s.request(class)
+func (s *testHandler) requestText(class string) string {
+	r := s.newRequest(class)
 	r.Header.Set("X-Timeout-Ms", "600000")
 	return wireText(r)
 }
 
 // nodeConn returns the node's end of a client's connection; nil before it is accepted.
-func (s *handlerServer) nodeConn(client net.Conn) *downstream.Conn {
+func (s *testHandler) nodeConn(client net.Conn) *downstream.Conn {
 	c, _ := s.conns.Load(client.LocalAddr().String())
 	conn, _ := c.(*downstream.Conn)
 	return conn
 }
 
 // awaitDisconnect waits until the node's end of a connection shows that its client has disconnected.
-func (s *handlerServer) awaitDisconnect(client *net.TCPConn) {
+func (s *testHandler) awaitDisconnect(client *net.TCPConn) {
 	s.t.Helper()
 	awaitSocketState(s.t, s.nodeConn(client).Conn, sockstate.Closed)
 }
 
 // awaitNoRequests waits until no part of the node has an active request.
-func (s *handlerServer) awaitNoRequests() {
+func (s *testHandler) awaitNoRequests() {
 	s.t.Helper()
 	s.loop.awaitRequests(0, 0)
 	testkit.Until(s.t, "the IDs to be free", func() bool {
@@ -107,7 +107,7 @@
 }
 
 // awaitIdleConns waits until the pool has n idle connections to an address.
-func (s *handlerServer) awaitIdleConns(n int, addr net.Addr) {
+func (s *testHandler) awaitIdleConns(n int, addr net.Addr) {
 	s.t.Helper()
 	testkit.Until(s.t, "idle connections", func() bool {
 		idle := 0
@@ -121,7 +121,7 @@
 }
 
 // awaitNoConns waits until all connections are closed but idle ones to servers.
-func (s *handlerServer) awaitNoConns() {
+func (s *testHandler) awaitNoConns() {
 	s.t.Helper()
 	s.loop.awaitRequests(0, 0)
 	testkit.Until(s.t, "the connections' end", func() bool {
@@ -135,17 +135,17 @@
 	t.Helper()
 	listener := testkit.Listen(t)
 	limited := conns.Listener(listener)
-	closeAtEnd(t, limited)
+	closeAtTestEnd(t, limited)
 	client, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	closeAtEnd(t, client)
+	closeAtTestEnd(t, client)
 	nc, err := limited.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	closeAtEnd(t, nc)
+	closeAtTestEnd(t, nc)
 	return client, nc.(*downstream.Conn)
 }
 
--- a/internal/node/harness_loop_test.go
+++ b/internal/node/harness_loop_test.go
@@ -35,7 +35,7 @@
 	change(&pool)
 	l := newTestLoop(t, cfg, upstream.NewPool(pool), noWatcher{})
 	go l.run()
-	l.notifyEndpoints(policy.UpdateSnapshot, list...)
+	l.reportEndpoints(policy.UpdateSnapshot, list...)
 	return l
 }
 
@@ -66,8 +66,8 @@
 	}
 }
 
-// notifyEndpoints reports an endpoint update as the discovery client would.
-func (l *testLoop) notifyEndpoints(kind policy.UpdateKind, list ...endpointjson.Endpoint) {
+// reportEndpoints reports an endpoint update as the discovery client would.
+func (l *testLoop) reportEndpoints(kind policy.UpdateKind, list ...endpointjson.Endpoint) {
 	l.endpoints.UpdateEndpoints(kind, endpointjson.TranslateAll(list))
 }
 
@@ -97,20 +97,20 @@
 	}
 }
 
-// inLoop runs a function in the loop, after all events that were posted before.
-func (l *testLoop) inLoop(run func()) {
+// runInLoop runs a function in the loop, after all events that were posted before.
+func (l *testLoop) runInLoop(run func()) {
 	l.t.Helper()
 	done := make(chan struct{})
 	l.queue.post(eventFunc(func(time.Duration) { run(); close(done) }))
 	testkit.Wait(l.t, done, "the loop")
 }
 
-// untilInLoop waits until a condition holds, which is checked in the loop.
-func (l *testLoop) untilInLoop(description string, holds func() bool) {
+// awaitInLoop waits until a condition holds, which is checked in the loop.
+func (l *testLoop) awaitInLoop(description string, holds func() bool) {
 	l.t.Helper()
 	testkit.Until(l.t, description, func() bool {
 		held := false
-		l.inLoop(func() { held = holds() })
+		l.runInLoop(func() { held = holds() })
 		return held
 	})
 }
@@ -119,7 +119,7 @@
 func (l *testLoop) awaitRequests(requests, inFlight int) {
 	l.t.Helper()
 	description := fmt.Sprintf("%d requests with %d attempts in flight", requests, inFlight)
-	l.untilInLoop(description, func() bool {
+	l.awaitInLoop(description, func() bool {
 		sum := 0
 		for _, r := range l.requests.byID {
 			sum += r.inFlight
@@ -161,8 +161,8 @@
 	l.balancer.Timer(l.clock.now(), 0)
 }
 
-// startedAttempts counts the attempts whose first byte was released for writing.
-func startedAttempts(requests ...*request) int {
+// countStartedAttempts counts the attempts whose first byte was released for writing.
+func countStartedAttempts(requests ...*request) int {
 	started := 0
 	for _, r := range requests {
 		for _, a := range r.attempts {
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -20,7 +20,7 @@
 	"calicohinge/internal/testkit"
 )
 
-const settingsText = `{
+const settingsJSON = `{
 	"Accounts": [{"Name": "acme", "QuotaPerS": 1000}],
 	"Classes": [
 		{"Name": "read", "Effect": "pure", "DeadlineMs": 8000, "PromiseMs": 6000, "Importance": 1},
@@ -30,7 +30,7 @@
 		"MaxRetryAfterMs": 600, "RetryAfter": true, "SecondCopies": true},
 	"RegistryMode": "pushed", "TickMs": 5, "Zones": ["a"], "Novel": {"x": 1}}`
 
-// The indexes of the classes of settingsText.
+// The indexes of the classes of settingsJSON.
 const (
 	classRead = iota // idempotent
 	classPush        // idempotent with a key
@@ -46,7 +46,7 @@
 	file := map[string]any{
 		"name": "n0", "listen": "127.0.0.1:0", "discovery": d.Listener.Addr().String(), "seed": "8c1f30d27a5be964",
 		"limits":   map[string]any{"cores": 1, "memory_mb": 192, "sockets": 256},
-		"settings": json.RawMessage(settingsText), "novel": true,
+		"settings": json.RawMessage(settingsJSON), "novel": true,
 	}
 	if change != nil {
 		change(file)
@@ -69,12 +69,12 @@
 }
 
 // withDeadlines sets the deadline of all classes, and their objective to three quarters of it.
-func withDeadlines(ms int) func(file map[string]any) { return withTimes(ms, ms*3/4) }
+func withDeadlines(ms int) func(file map[string]any) { return withDeadlinesAndObjectives(ms, ms*3/4) }
 
-// withTimes sets the deadline and the objective of all classes.
-func withTimes(deadlineMs, objectiveMs int) func(file map[string]any) {
+// withDeadlinesAndObjectives sets the deadline and the objective of all classes.
+func withDeadlinesAndObjectives(deadlineMs, objectiveMs int) func(file map[string]any) {
 	return func(file map[string]any) {
-		text := strings.ReplaceAll(settingsText, `"DeadlineMs": 8000, "PromiseMs": 6000`,
+		text := strings.ReplaceAll(settingsJSON, `"DeadlineMs": 8000, "PromiseMs": 6000`,
 			fmt.Sprintf(`"DeadlineMs": %d, "PromiseMs": %d`, deadlineMs, objectiveMs))
 		file["settings"] = json.RawMessage(text)
 	}
@@ -82,26 +82,26 @@
 
 // testNode is a node that serves.
 type testNode struct {
-	t    *testing.T
-	node *Node
-	addr string
-	stop context.CancelFunc
-	done chan error // gets what Run returned
+	t         *testing.T
+	node      *Node
+	addr      string
+	stop      context.CancelFunc
+	runResult chan error // gets what Run returned
 
 	lastID atomic.Int64 // of the requests made
 }
 
-// start starts a node. The node stops at the end of the test.
-func start(t *testing.T, cfg *config.Config) *testNode {
+// startNode starts a node. The node stops at the end of the test.
+func startNode(t *testing.T, cfg *config.Config) *testNode {
 	t.Helper()
 	n, err := Listen(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &testNode{t: t, node: n, addr: n.Addr().String(), stop: cancel, done: make(chan error, 1)}
+	r := &testNode{t: t, node: n, addr: n.Addr().String(), stop: cancel, runResult: make(chan error, 1)}
 	ended := make(chan struct{})
-	go func() { r.done <- n.Run(ctx); close(ended) }()
+	go func() { r.runResult <- n.Run(ctx); close(ended) }()
 	t.Cleanup(func() {
 		cancel()
 		select {
@@ -113,49 +113,49 @@
 	return r
 }
 
-// startReady starts a node before the given servers and waits until it is ready.
-func startReady(t *testing.T, backends ...*testkit.Backend) (*testNode, *testkit.Registry) {
+// startReadyNode starts a node before the given servers and waits until it is ready.
+func startReadyNode(t *testing.T, backends ...*testkit.Backend) (*testNode, *testkit.Registry) {
 	t.Helper()
 	var list []endpointjson.Endpoint
 	for i, b := range backends {
 		list = append(list, b.Endpoint(fmt.Sprintf("s-%d", i)))
 	}
 	d := testkit.NewRegistry(t, list...)
-	n := start(t, testConfig(t, d, nil))
-	n.waitReady(http.StatusOK)
+	n := startNode(t, testConfig(t, d, nil))
+	n.awaitReadiness(http.StatusOK)
 	return n, d
 }
 
-// startReadyWith is startReady with one server and a changed configuration.
-func startReadyWith(t *testing.T, server endpointjson.Endpoint, change func(file map[string]any)) *testNode {
+// startReadyNodeWithConfig is startReadyNode with one server and a changed configuration.
+func startReadyNodeWithConfig(t *testing.T, server endpointjson.Endpoint, change func(file map[string]any)) *testNode {
 	t.Helper()
-	n := start(t, testConfig(t, testkit.NewRegistry(t, server), change))
-	n.waitReady(http.StatusOK)
+	n := startNode(t, testConfig(t, testkit.NewRegistry(t, server), change))
+	n.awaitReadiness(http.StatusOK)
 	return n
 }
 
 // fewSockets is a number of sockets that permits 20 client connections and a reserve of 2.
 const fewSockets = 64
 
-// startWithFewSockets starts a node that permits few client connections, none of which is in use.
-func startWithFewSockets(t *testing.T, server endpointjson.Endpoint) *testNode {
+// startNodeWithFewSockets starts a node that permits few client connections, none of which is in use.
+func startNodeWithFewSockets(t *testing.T, server endpointjson.Endpoint) *testNode {
 	t.Helper()
-	n := startReadyWith(t, server, func(file map[string]any) {
+	n := startReadyNodeWithConfig(t, server, func(file map[string]any) {
 		file["limits"] = map[string]any{"cores": 1, "memory_mb": 192, "sockets": fewSockets}
 	})
 	http.DefaultClient.CloseIdleConnections()
 	return n
 }
 
-// waitReady waits until the readiness check gets a status.
-func (n *testNode) waitReady(status int) {
+// awaitReadiness waits until the readiness check gets a status.
+func (n *testNode) awaitReadiness(status int) {
 	n.t.Helper()
 	for end := time.Now().Add(testkit.WaitTimeout); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
 		resp, err := http.Get("http://" + n.addr + "/health/ready")
 		if err != nil {
 			continue
 		}
-		closeConn(resp.Body)
+		closeQuietly(resp.Body)
 		if resp.StatusCode == status {
 			return
 		}
@@ -166,13 +166,13 @@
 // awaitExit waits until Run returns, and fails the test if Run returns an error.
 func (n *testNode) awaitExit() {
 	n.t.Helper()
-	if err := testkit.Wait(n.t, n.done, "the node's exit"); err != nil {
+	if err := testkit.Wait(n.t, n.runResult, "the node's exit"); err != nil {
 		n.t.Errorf("Run returned %v", err)
 	}
 }
 
-// request makes a valid request of a class.
-func (n *testNode) request(class string) *http.Request {
+// newRequest makes a valid newRequest of a class.
+func (n *testNode) newRequest(class string) *http.Request {
 	id := fmt.Sprintf("%016x", n.lastID.Add(1))
 	method, body := http.MethodPost, []byte(`{"x":1}`)
 	if class == "read" {
@@ -207,7 +207,7 @@
 	if err != nil {
 		n.t.Fatalf("no response: %v", err)
 	}
-	defer closeConn(resp.Body)
+	defer closeQuietly(resp.Body)
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
 		n.t.Fatalf("response cut off: %v", err)
@@ -218,18 +218,18 @@
 // wantStatus makes a request of a class and fails the test unless it gets this status.
 func (n *testNode) wantStatus(class string, want int) {
 	n.t.Helper()
-	if got := n.do(n.request(class)).status; got != want {
+	if got := n.do(n.newRequest(class)).status; got != want {
 		n.t.Errorf("%s: status %d, want %d", class, got, want)
 	}
 }
 
-// gatedBackend is a server whose responses wait until it is opened.
-type gatedBackend struct {
+// blockedBackend is a server whose responses wait until it is opened.
+type blockedBackend struct {
 	*testkit.Backend
-	open func()
+	unblock func()
 }
 
-func newGatedBackend(t *testing.T) *gatedBackend {
+func newBlockedBackend(t *testing.T) *blockedBackend {
 	t.Helper()
 	gate := make(chan struct{})
 	backend := testkit.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
@@ -238,11 +238,11 @@
 	})
 	open := sync.OnceFunc(func() { close(gate) })
 	t.Cleanup(open)
-	return &gatedBackend{backend, open}
+	return &blockedBackend{backend, open}
 }
 
-// firstRequestFails returns two servers. The one that gets the first request responds with fail.
-func firstRequestFails(t *testing.T, fail http.HandlerFunc) []*testkit.Backend {
+// newBackendsFailingFirst returns two servers. The one that gets the first request responds with fail.
+func newBackendsFailingFirst(t *testing.T, fail http.HandlerFunc) []*testkit.Backend {
 	t.Helper()
 	var failed atomic.Bool
 	handle := func(w http.ResponseWriter, r *http.Request) {
@@ -255,8 +255,8 @@
 	return []*testkit.Backend{testkit.NewBackend(t, handle), testkit.NewBackend(t, handle)}
 }
 
-// received removes and returns the requests that the servers have got.
-func received(servers ...*testkit.Backend) []*http.Request {
+// takeRequests removes and returns the requests that the servers have got.
+func takeRequests(servers ...*testkit.Backend) []*http.Request {
 	var requests []*http.Request
 	for _, server := range servers {
 		for len(server.Requests) > 0 {
@@ -266,8 +266,8 @@
 	return requests
 }
 
-// sameHeader fails the test if a field differs between a request sent and the one received.
-func sameHeader(t *testing.T, sent, got *http.Request, names ...string) {
+// wantSameHeaders fails the test if a field differs between a request sent and the one received.
+func wantSameHeaders(t *testing.T, sent, got *http.Request, names ...string) {
 	t.Helper()
 	for _, name := range names {
 		if got.Header.Get(name) != sent.Header.Get(name) {
--- a/internal/node/key_retention_test.go
+++ b/internal/node/key_retention_test.go
@@ -12,11 +12,11 @@
 
 // retentionCase is a request with two attempts, one of which gets its connection late.
 type retentionCase struct {
-	class     int
-	first     policy.Status // of the first attempt, Cancelled for one that is still in flight
-	expires   bool          // the retention ends before the late connection is open
-	late      int           // the index of the attempt whose connection is open late
-	wantSends int           // of that attempt
+	class         int
+	firstStatus   policy.Status // of the first attempt, Cancelled for one that is still in flight
+	expiresFirst  bool          // the retention ends before the late connection is open
+	lateAttempt   int           // the index of the attempt whose connection is open late
+	wantLateSends int           // of that attempt
 }
 
 // The connection of an attempt is open before or after the end of the key's retention. After the end, no attempt of
@@ -45,30 +45,30 @@
 		stuck.Endpoint("late"), unresponsive.Endpoint("unresponsive"))
 	retention := l.host.classes[classPush].KeyRetention
 	servers := []policy.ServerID{endpoint.IDOf("unresponsive"), endpoint.IDOf("unresponsive")}
-	servers[c.late] = endpoint.IDOf("late")
+	servers[c.lateAttempt] = endpoint.IDOf("late")
 	r := l.newRequest(c.class, staysConnected)
 	r.completion = make(chan completion, 1)
 	r.deadlineTimer = time.NewTimer(time.Hour)
 
-	l.inLoop(func() {
+	l.runInLoop(func() {
 		r.activate(1000)
 		l.requests.add(r)
 		l.host.Send(r.id, servers[0], 0)
-		if c.first != policy.Cancelled {
-			l.reportOutcome(l.clock.now(), r, 0, upstream.Result{Status: c.first})
+		if c.firstStatus != policy.Cancelled {
+			l.reportOutcome(l.clock.now(), r, 0, upstream.Result{Status: c.firstStatus})
 		}
-		if c.expires {
+		if c.expiresFirst {
 			r.attempts[0].startedAt += 20*time.Millisecond - retention
 		}
 		l.host.Send(r.id, servers[1], 0)
 	})
 	testkit.Until(t, "the retention's end", func() bool { // which is under test
-		return !c.expires || l.clock.now() >= r.attempts[0].startedAt+retention
+		return !c.expiresFirst || l.clock.now() >= r.attempts[0].startedAt+retention
 	})
 	sent := stuck.Admit()
 
-	l.untilInLoop("the outcome", func() bool { return r.attempts[c.late].state != attemptInFlight })
-	if len(sent) != c.wantSends {
-		t.Errorf("%d sends, want %d", len(sent), c.wantSends)
+	l.awaitInLoop("the outcome", func() bool { return r.attempts[c.lateAttempt].state != attemptInFlight })
+	if len(sent) != c.wantLateSends {
+		t.Errorf("%d sends, want %d", len(sent), c.wantLateSends)
 	}
 }
--- a/internal/node/retry_test.go
+++ b/internal/node/retry_test.go
@@ -30,13 +30,13 @@
 		{"not idempotent after a rejection", "pay", testkit.NotProcessed, 2, 200},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			servers := firstRequestFails(t, c.fail)
-			n, _ := startReady(t, servers...)
-			sent := n.request(c.class)
+			servers := newBackendsFailingFirst(t, c.fail)
+			n, _ := startReadyNode(t, servers...)
+			sent := n.newRequest(c.class)
 			status := n.do(sent).status
-			sends := received(servers...)
+			sends := takeRequests(servers...)
 			for _, got := range sends {
-				sameHeader(t, sent, got, "X-Request-ID", "Idempotency-Key")
+				wantSameHeaders(t, sent, got, "X-Request-ID", "Idempotency-Key")
 			}
 			if status != c.status || len(sends) != c.sends {
 				t.Fatalf("status %d after %d sends, want %d after %d", status, len(sends), c.status, c.sends)
@@ -50,8 +50,8 @@
 func TestUnresponsiveServerFailsTheRequestAtItsDeadline(t *testing.T) {
 	cancelled := make(chan struct{}, 1)
 	b := testkit.NewBackend(t, testkit.Unresponsive(cancelled))
-	n, _ := startReady(t, b)
-	r := n.request("pay")
+	n, _ := startReadyNode(t, b)
+	r := n.newRequest("pay")
 	r.Header.Set("X-Timeout-Ms", "300")
 	a := n.do(r)
 	if a.status != http.StatusBadGateway || a.took < 200*time.Millisecond {
@@ -76,13 +76,13 @@
 		testkit.OK(w, r)
 	}
 	a, b := testkit.NewBackend(t, handle), testkit.NewBackend(t, handle)
-	n, _ := startReady(t, a, b)
+	n, _ := startReadyNode(t, a, b)
 	for range 50 { // the balancer learns the usual latency
-		n.do(n.request("push"))
+		n.do(n.newRequest("push"))
 	}
 	ignoreNext.Store(true)
 	before := len(a.Requests) + len(b.Requests)
-	if r := n.do(n.request("push")); r.status != http.StatusOK {
+	if r := n.do(n.newRequest("push")); r.status != http.StatusOK {
 		t.Fatalf("status %d", r.status)
 	}
 	testkit.Wait(t, cancelled, "the cancelled attempt")
@@ -94,14 +94,14 @@
 // With every circuit breaker open the rejection comes at once, with Retry-After.
 func TestAllServersDownRejectsWithRetryAfter(t *testing.T) {
 	down := endpointjson.Endpoint{InstanceID: "s-0", Address: testkit.FreeAddr(t), Zone: "a", Lifecycle: "Ready", Weight: 1}
-	n := startReadyWith(t, down, nil)
+	n := startReadyNodeWithConfig(t, down, nil)
 	for range 10 {
 		for range 5 { // opens the breaker: there is no time for a retry
-			r := n.request("push")
+			r := n.newRequest("push")
 			r.Header.Set("X-Timeout-Ms", "300")
 			n.wantRejectionWithRetryAfter(r)
 		}
-		if rejection := n.wantRejectionWithRetryAfter(n.request("push")); rejection.took < time.Second {
+		if rejection := n.wantRejectionWithRetryAfter(n.newRequest("push")); rejection.took < time.Second {
 			return
 		}
 	}
@@ -126,7 +126,7 @@
 // endOfConnection ends a server's connection after a part of a response.
 type endOfConnection func(nc net.Conn)
 
-func endWithClose(nc net.Conn) { closeConn(nc) }
+func endWithClose(nc net.Conn) { closeQuietly(nc) }
 
 func endWithReset(nc net.Conn) { resetConn(nc.(*net.TCPConn)) }
 
@@ -182,14 +182,14 @@
 		testkit.OK(w, r)
 	}
 	servers := []*testkit.Backend{testkit.NewBackend(t, handle), testkit.NewBackend(t, handle), testkit.NewBackend(t, handle)}
-	n, _ := startReady(t, servers...)
+	n, _ := startReadyNode(t, servers...)
 	for _, c := range []struct {
 		class                      string
 		truncations, sends, status int
 	}{{"read", 1, 2, 200}, {"read", 2, 3, 200}, {"push", 1, 2, 200}, {"push", 2, 3, 200}, {"pay", 1, 1, 502}} {
 		truncations.Store(int32(c.truncations))
-		a := n.do(n.request(c.class))
-		sends := len(received(servers...))
+		a := n.do(n.newRequest(c.class))
+		sends := len(takeRequests(servers...))
 		if a.status != c.status || sends != c.sends || (a.status == 200 && a.body != "done") {
 			t.Errorf("%s after %d truncations: status %d, body %q, %d sends", c.class, c.truncations, a.status, a.body, sends)
 		}
@@ -200,9 +200,9 @@
 // attempt. After a reset it would be incomplete.
 func TestResponseWithNoLengthIsForwarded(t *testing.T) {
 	server := testkit.NewBackend(t, truncatedResponse("HTTP/1.1 200 OK\r\n\r\nall of it", endWithClose))
-	n, _ := startReady(t, server)
+	n, _ := startReadyNode(t, server)
 	for _, class := range classNames() {
-		a := n.do(n.request(class))
+		a := n.do(n.newRequest(class))
 		if a.status != http.StatusOK || a.body != "all of it" {
 			t.Errorf("%s: status %d, body %q", class, a.status, a.body)
 		}
@@ -231,7 +231,7 @@
 	testkit.Until(t, "the connection to be pooled", func() bool { return l.pool.Stats().Idle() == 1 })
 
 	done := l.submitAsync(t.Context(), l.newRequest(classPay, staysConnected))
-	l.notifyEndpoints(policy.UpdateDelta, b.Endpoint("s-1")) // another one could take it
+	l.reportEndpoints(policy.UpdateDelta, b.Endpoint("s-1")) // another one could take it
 
 	l.wantStatus(done, http.StatusBadGateway)
 	l.awaitRequests(0, 0)
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -29,17 +29,17 @@
 // Requests that were accepted before a shutdown are served, and new connections are still
 // accepted while clients are assigned to the node.
 func TestShutdownCompletesAcceptedRequests(t *testing.T) {
-	server := newGatedBackend(t)
-	n, _ := startReady(t, server.Backend)
+	server := newBlockedBackend(t)
+	n, _ := startReadyNode(t, server.Backend)
 	accepted := make(chan clientResponse, 1)
-	go func() { accepted <- n.do(n.request("pay")) }()
+	go func() { accepted <- n.do(n.newRequest("pay")) }()
 	testkit.Wait(t, server.Requests, "the request")
 
 	n.stop()
-	n.waitReady(http.StatusServiceUnavailable)
+	n.awaitReadiness(http.StatusServiceUnavailable)
 	late := n.dial()
-	sendRequest(late, n.request("pay"))
-	server.open()
+	sendRequest(late, n.newRequest("pay"))
+	server.unblock()
 
 	if a := testkit.Wait(t, accepted, "a response"); a.status != http.StatusOK {
 		t.Errorf("status %d", a.status)
@@ -65,16 +65,16 @@
 		lateAt    = drainsAt - 400*time.Millisecond
 		checkedTo = drainsAt - 150*time.Millisecond
 	)
-	n := startReadyWith(t, b.Endpoint("s-0"), withTimes(3000, 2700))
+	n := startReadyNodeWithConfig(t, b.Endpoint("s-0"), withDeadlinesAndObjectives(3000, 2700))
 	steady, late := n.dial(), n.dial()
 	n.roundTrip(steady)
 	n.roundTrip(late)
 
 	began := time.Now()
 	n.stop()
-	n.waitReady(http.StatusServiceUnavailable)
+	n.awaitReadiness(http.StatusServiceUnavailable)
 	n.wantServedUntil(steady, began.Add(lateAt), began.Add(drainsAt))
-	if err := n.request("pay").Write(late); err != nil {
+	if err := n.newRequest("pay").Write(late); err != nil {
 		t.Fatal(err)
 	}
 	n.wantServedUntil(steady, began.Add(checkedTo), began.Add(drainsAt))
@@ -103,7 +103,7 @@
 
 // keepAliveRoundTrip sends a request. It returns an error unless it is served and the connection stays open.
 func (n *testNode) keepAliveRoundTrip(nc net.Conn) error {
-	if err := n.request("read").Write(nc); err != nil {
+	if err := n.newRequest("read").Write(nc); err != nil {
 		return err
 	}
 	resp, err := http.ReadResponse(bufio.NewReader(nc), nil)
@@ -121,7 +121,7 @@
 func TestShutdownFailsLongRequestsBeforeTheKill(t *testing.T) {
 	t.Parallel()
 	b := testkit.NewBackend(t, testkit.Unresponsive(make(chan struct{}, 1)))
-	n := startReadyWith(t, b.Endpoint("s-0"), withDeadlines(60000))
+	n := startReadyNodeWithConfig(t, b.Endpoint("s-0"), withDeadlines(60000))
 	client := n.sendLongRequest()
 	testkit.Wait(t, b.Requests, "the request")
 
@@ -151,7 +151,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			n := startReadyWith(t, c.server, withDeadlines(60000))
+			n := startReadyNodeWithConfig(t, c.server, withDeadlines(60000))
 			clients := n.sendLongRequests(c.first + 1)
 			began := time.Now()
 			n.stop()
@@ -183,7 +183,7 @@
 func (n *testNode) sendLongRequest() net.Conn {
 	n.t.Helper()
 	nc := n.dial()
-	r := n.request("pay")
+	r := n.newRequest("pay")
 	r.Header.Set("X-Timeout-Ms", "60000")
 	if err := r.Write(nc); err != nil {
 		n.t.Fatal(err)
@@ -204,13 +204,13 @@
 // A shutdown begins while a request is half read: it is served once it is complete.
 func TestShutdownServesARequestThatIsBeingRead(t *testing.T) {
 	t.Parallel()
-	n, _ := startReady(t, testkit.NewBackend(t, testkit.OK))
+	n, _ := startReadyNode(t, testkit.NewBackend(t, testkit.OK))
 	nc := n.dial()
-	text := wireText(n.request("pay"))
+	text := wireText(n.newRequest("pay"))
 	half := len(text) - 3
 	send(nc, text[:half])
 	n.stop()
-	n.waitReady(http.StatusServiceUnavailable)
+	n.awaitReadiness(http.StatusServiceUnavailable)
 	send(nc, text[half:])
 	if resp := n.readResponse(nc); resp.StatusCode != http.StatusOK {
 		t.Fatalf("status %d", resp.StatusCode)
@@ -221,21 +221,21 @@
 // that are open, and Run returns the failure.
 func TestListenerFailureBeginsAGracefulShutdown(t *testing.T) {
 	t.Parallel()
-	server := newGatedBackend(t)
-	n, _ := startReady(t, server.Backend)
+	server := newBlockedBackend(t)
+	n, _ := startReadyNode(t, server.Backend)
 	client, other := n.sendLongRequest(), n.dial()
 	testkit.Wait(t, server.Requests, "the request")
 
 	if err := n.node.listener.Close(); err != nil {
 		t.Fatal(err)
 	}
-	server.open()
+	server.unblock()
 
-	n.wantServed(other)
+	n.wantServedOn(other)
 	if resp := n.readResponse(client); resp.StatusCode != http.StatusOK {
 		t.Errorf("the request in flight got status %d", resp.StatusCode)
 	}
-	if err := testkit.Wait(t, n.done, "the node's exit"); !errors.Is(err, net.ErrClosed) {
+	if err := testkit.Wait(t, n.runResult, "the node's exit"); !errors.Is(err, net.ErrClosed) {
 		t.Errorf("Run returned %v", err)
 	}
 }
@@ -245,7 +245,7 @@
 func TestTerminationRejectsRequestsOnUnusedConnections(t *testing.T) {
 	t.Parallel()
 	b := testkit.NewBackend(t, testkit.Unresponsive(make(chan struct{}, 1)))
-	n := startReadyWith(t, b.Endpoint("s-0"), withDeadlines(300))
+	n := startReadyNodeWithConfig(t, b.Endpoint("s-0"), withDeadlines(300))
 	n.sendLongRequest() // keeps the shutdown waiting
 	testkit.Wait(t, b.Requests, "the request")
 	const unused = 10
@@ -260,7 +260,7 @@
 	testkit.Until(t, "the end of the listening", func() bool {
 		conn, err := net.DialTimeout("tcp", n.addr, probeTimeout)
 		if err == nil {
-			closeConn(conn)
+			closeQuietly(conn)
 		}
 		return errors.Is(err, syscall.ECONNREFUSED)
 	})
@@ -277,14 +277,14 @@
 func TestShutdownRespondsToAConnectionThatWaitsForAdmission(t *testing.T) {
 	t.Parallel()
 	b := testkit.NewBackend(t, testkit.Unresponsive(make(chan struct{}, 100)))
-	n := startWithFewSockets(t, b.Endpoint("s-0"))
+	n := startNodeWithFewSockets(t, b.Endpoint("s-0"))
 	const connections = 40 // more than divideDescriptors grants to clients
 	clients := n.sendLongRequests(connections)
 	began := time.Now()
 	n.stop()
 	for _, client := range clients {
 		n.wantServerErrors([]net.Conn{client})
-		closeConn(client) // makes room for the next
+		closeQuietly(client) // makes room for the next
 	}
 	wantBeforeKill(t, began)
 }
--- a/internal/node/validation_test.go
+++ b/internal/node/validation_test.go
@@ -14,7 +14,7 @@
 
 func TestMalformedRequestsAreRejected(t *testing.T) {
 	b := testkit.NewBackend(t, testkit.OK)
-	n, _ := startReady(t, b)
+	n, _ := startReadyNode(t, b)
 	for name, c := range map[string]struct {
 		class  string
 		change func(r *http.Request)
@@ -39,7 +39,7 @@
 		}, 413},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := n.request(c.class)
+			r := n.newRequest(c.class)
 			c.change(r)
 			a := n.do(r)
 			if a.status != c.status || a.body == "" || len(a.body) > 100 {
@@ -62,19 +62,19 @@
 // The ID of an active request names that one alone: a second request with it is rejected and
 // the first goes on.
 func TestDuplicateRequestIDIsRejected(t *testing.T) {
-	server := newGatedBackend(t)
-	n, _ := startReady(t, server.Backend)
-	first := n.request("push")
+	server := newBlockedBackend(t)
+	n, _ := startReadyNode(t, server.Backend)
+	first := n.newRequest("push")
 	done := make(chan clientResponse, 1)
 	go func() { done <- n.do(first) }()
 	testkit.Wait(t, server.Requests, "the first one")
-	second := n.request("read")
+	second := n.newRequest("read")
 	second.Header.Set("X-Request-ID", first.Header.Get("X-Request-ID"))
 
 	if a := n.do(second); a.status != http.StatusConflict {
 		t.Errorf("status %d", a.status)
 	}
-	server.open()
+	server.unblock()
 	if a := testkit.Wait(t, done, "the first response"); a.status != http.StatusOK {
 		t.Errorf("the first one got status %d", a.status)
 	}
@@ -91,7 +91,7 @@
 func TestMalformedMessagesAreRejected(t *testing.T) {
 	t.Parallel()
 	b := testkit.NewBackend(t, testkit.OK)
-	n, _ := startReady(t, b)
+	n, _ := startReadyNode(t, b)
 	head := func(class, more string) string {
 		return "POST /" + class + " HTTP/1.1\r\nHost: x\r\nX-Request-ID: a1\r\nX-Tenant-Id: acme\r\n" +
 			"X-Timeout-Ms: 5000\r\n" + more + "\r\n"
@@ -127,7 +127,7 @@
 			t.Parallel()
 			n := &testNode{t: t, addr: n.addr}
 			began := time.Now()
-			got := n.rawStatuses(c.text)
+			got := n.sendRaw(c.text)
 			if !slices.Equal(got, c.want) {
 				t.Errorf("statuses %v, want %v", got, c.want)
 			}
@@ -144,7 +144,7 @@
 		cfg := testConfig(t, testkit.NewRegistry(t), withDeadlines(objective*4/3))
 		parser := requestParser{cfg, newClock()}
 		n := &testNode{t: t, addr: "x"}
-		parsed, err := parser.parse(n.request("read"))
+		parsed, err := parser.parse(n.newRequest("read"))
 		if err != nil {
 			t.Fatal(err)
 		}
