--- a/internal/node/discovery_failure_test.go
+++ b/internal/node/discovery_failure_test.go
@@ -43,14 +43,15 @@
 
 	began := time.Now()
 	fail(scripted)
-	again := testkit.Wait(t, scripted.Calls, "the reopened watch")
+	reopened := testkit.Wait(t, scripted.Calls, "the reopened watch")
 	if took := time.Since(began); took >= policy.NotificationDeadline {
 		t.Errorf("reopened after %v", took)
 	}
-	wantQueryPrefix(t, again, "after=3&")
+	wantQueryPrefix(t, reopened, "after=3&")
 
-	b := testkit.NewBackend(t, testkit.OK)
-	text, err := json.MarshalIndent(endpointjson.List{Generation: 4, Endpoints: []endpointjson.Endpoint{b.Endpoint("s-0")}}, "", "  ")
+	server := testkit.NewBackend(t, testkit.OK)
+	list := endpointjson.List{Generation: 4, Endpoints: []endpointjson.Endpoint{server.Endpoint("s-0")}}
+	text, err := json.MarshalIndent(list, "", "  ")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -103,7 +104,9 @@
 		t.Run(mode, func(t *testing.T) {
 			t.Parallel()
 			n, _ := startWithScriptedDiscovery(t, mode, func(file map[string]any) {
-				file["known"] = endpointjson.List{Endpoints: []endpointjson.Endpoint{{InstanceID: "s", Address: "127.0.0.1:1", Lifecycle: "Gone"}}}
+				file["known"] = endpointjson.List{
+					Endpoints: []endpointjson.Endpoint{{InstanceID: "s", Address: "127.0.0.1:1", Lifecycle: "Gone"}},
+				}
 				file["settings"] = testkit.JSON(strings.Replace(string(settingsWithMode(mode)), `"Limits"`,
 					`"Balancers": 300, "Contract": {"MustAskInMs": 600000}, "Limits"`, 1))
 			})
@@ -133,10 +136,12 @@
 	for _, mode := range discoveryModes() {
 		t.Run(mode, func(t *testing.T) {
 			t.Parallel()
-			a, b := testkit.NewBackend(t, testkit.OK), testkit.NewBackend(t, testkit.OK)
+			oldServer, newServer := testkit.NewBackend(t, testkit.OK), testkit.NewBackend(t, testkit.OK)
 			n, scripted := startWithScriptedDiscovery(t, mode, nil)
 			testkit.Wait(t, scripted.Calls, "the first call")
-			scripted.Responses <- listJSON(t, endpointjson.List{Generation: 5, Endpoints: []endpointjson.Endpoint{a.Endpoint("s-0")}})
+			scripted.Responses <- listJSON(t, endpointjson.List{
+				Generation: 5, Endpoints: []endpointjson.Endpoint{oldServer.Endpoint("s-0")},
+			})
 			testkit.Wait(t, scripted.Calls, "the watch")
 
 			scripted.Responses <- testkit.ResponseUnavailable
@@ -144,12 +149,12 @@
 			scripted.Responses <- testkit.ResponseUnavailable
 			wantQueryPrefix(t, testkit.Wait(t, scripted.Calls, "a call as it is back"), "after=5&")
 			scripted.Responses <- listJSON(t, endpointjson.List{
-				Generation: 6, Endpoints: []endpointjson.Endpoint{draining(a.Endpoint("s-0")), b.Endpoint("s-1")},
+				Generation: 6, Endpoints: []endpointjson.Endpoint{draining(oldServer.Endpoint("s-0")), newServer.Endpoint("s-1")},
 			})
 			wantQueryPrefix(t, testkit.Wait(t, scripted.Calls, "the next watch"), "after=6&")
 
 			n.wantStatus("read", http.StatusOK)
-			if sends := len(a.Requests); sends > 0 {
+			if sends := len(oldServer.Requests); sends > 0 {
 				t.Errorf("%d sends to the server that drains", sends)
 			}
 		})
@@ -190,7 +195,8 @@
 	scripted := testkit.NewScriptedDiscovery(t)
 	n := startNode(t, testConfig(t, testkit.NewRegistry(t), withLargeFleet(scripted.Address)))
 	testkit.Wait(t, scripted.Calls, "the first call")
-	scripted.Responses <- `{"generation":3,"reset":true,"instances":[{"instanceId":"s","hostPort":"127.0.0.1:1","lifecycle":"Ready"}]}`
+	scripted.Responses <- `{"generation":3,"reset":true,"instances":[` +
+		`{"instanceId":"s","hostPort":"127.0.0.1:1","lifecycle":"Ready"}]}`
 	testkit.Wait(t, scripted.Calls, "the watch")
 	for range 2 {
 		began := time.Now()
@@ -214,14 +220,14 @@
 		testkit.Wait(t, l.queue.posted, "an event").handle(l.loop, l.clock.now())
 	}
 
-	back, err := reserved.Listen()
+	listener, err := reserved.Listen()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer closeQuietly(back)
+	defer closeQuietly(listener)
 	began := time.Now()
 	go l.run()
-	nc, err := back.Accept()
+	nc, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -273,10 +279,12 @@
 
 func testRecoveryDuringAFlood(t *testing.T, mode string, fail outage) {
 	t.Helper()
-	a, b := testkit.NewBackend(t, testkit.OK), testkit.NewBackend(t, testkit.OK)
+	oldServer, newServer := testkit.NewBackend(t, testkit.OK), testkit.NewBackend(t, testkit.OK)
 	n, scripted := startWithScriptedDiscovery(t, mode, func(file map[string]any) {
 		file["limits"] = map[string]any{"sockets": fewSockets}
-		file["known"] = endpointjson.List{Generation: 1, Reset: true, Endpoints: []endpointjson.Endpoint{a.Endpoint("s-0")}}
+		file["known"] = endpointjson.List{
+			Generation: 1, Reset: true, Endpoints: []endpointjson.Endpoint{oldServer.Endpoint("s-0")},
+		}
 	})
 	n.awaitReadiness(http.StatusOK)
 
@@ -289,15 +297,17 @@
 	}
 
 	testkit.Wait(t, scripted.Calls, "the call as it is back")
-	text := listJSON(t, endpointjson.List{Generation: 2, Endpoints: []endpointjson.Endpoint{draining(a.Endpoint("s-0")), b.Endpoint("s-1")}})
-	back := make(chan struct{})
+	text := listJSON(t, endpointjson.List{
+		Generation: 2, Endpoints: []endpointjson.Endpoint{draining(oldServer.Endpoint("s-0")), newServer.Endpoint("s-1")},
+	})
+	recovered := make(chan struct{})
 	var clients sync.WaitGroup
 	for range 5 {
-		clients.Go(func() { <-back; n.openFlood(30) })
-		clients.Go(func() { <-back; n.wantRequestsServed(4, "as discovery is back") })
+		clients.Go(func() { <-recovered; n.openFlood(30) })
+		clients.Go(func() { <-recovered; n.wantRequestsServed(4, "as discovery is back") })
 	}
 	began := time.Now()
-	close(back)
+	close(recovered)
 	scripted.Responses <- text
 	wantQueryPrefix(t, testkit.Wait(t, scripted.Calls, "the next watch"), "after=2&")
 	if took := time.Since(began); took > policy.NotificationDeadline {
@@ -305,10 +315,10 @@
 	}
 	clients.Wait()
 
-	takeRequests(a)
+	takeRequests(oldServer)
 	n.openFlood(60)
 	n.wantRequestsServed(20, "afterwards")
-	if len(a.Requests) > 0 {
-		t.Errorf("%d sends to the server that drains", len(a.Requests))
+	if len(oldServer.Requests) > 0 {
+		t.Errorf("%d sends to the server that drains", len(oldServer.Requests))
 	}
 }
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -9,20 +9,20 @@
 )
 
 func TestDiscoveryOutageIsSurvived(t *testing.T) {
-	b := testkit.NewBackend(t, testkit.OK)
-	d := testkit.NewRegistry(t)
-	d.SetDown(true)
-	n := startNode(t, testConfig(t, d, nil))
-	testkit.Wait(t, d.Queries, "a first call")
-	testkit.Wait(t, d.Queries, "a call after the failed one")
+	server := testkit.NewBackend(t, testkit.OK)
+	registry := testkit.NewRegistry(t)
+	registry.SetDown(true)
+	n := startNode(t, testConfig(t, registry, nil))
+	testkit.Wait(t, registry.Queries, "a first call")
+	testkit.Wait(t, registry.Queries, "a call after the failed one")
 	n.awaitReadiness(http.StatusServiceUnavailable)
 
-	d.SetEndpoints(b.Endpoint("s-0"))
-	d.SetDown(false)
+	registry.SetEndpoints(server.Endpoint("s-0"))
+	registry.SetDown(false)
 	n.awaitReadiness(http.StatusOK)
 	n.wantStatus("read", http.StatusOK)
 
-	d.SetDown(true) // the list stays
+	registry.SetDown(true) // the list stays
 	n.wantStatus("read", http.StatusOK)
 }
 
@@ -30,11 +30,11 @@
 // requested from the new address, whatever its generation. The node serves and stays ready throughout, also while
 // the new address doesn't respond.
 func TestDiscoveryAtANewAddressIsFollowed(t *testing.T) {
-	a, b := testkit.NewBackend(t, testkit.OK), testkit.NewBackend(t, testkit.OK)
-	old := testkit.NewRegistry(t, a.Endpoint("s-a"))
+	oldServer, newServer := testkit.NewBackend(t, testkit.OK), testkit.NewBackend(t, testkit.OK)
+	old := testkit.NewRegistry(t, oldServer.Endpoint("s-a"))
 	n := startNode(t, testConfig(t, old, nil))
 	n.awaitReadiness(http.StatusOK)
-	next := testkit.NewRegistry(t, b.Endpoint("s-b"))
+	next := testkit.NewRegistry(t, newServer.Endpoint("s-b"))
 	for len(old.Queries) > 0 {
 		<-old.Queries
 	}
@@ -42,23 +42,24 @@
 	n.node.SetDiscoveryAddress(testkit.FreeAddr(t)) // nobody there yet
 	n.wantStatus("read", http.StatusOK)
 	n.node.SetDiscoveryAddress(next.Listener.Addr().String())
-	if q := testkit.Wait(t, next.Queries, "the first call"); q != "" {
-		t.Errorf("the new address is queried with %q", q)
+	if query := testkit.Wait(t, next.Queries, "the first call"); query != "" {
+		t.Errorf("the new address is queried with %q", query)
 	}
 	testkit.Wait(t, next.Queries, "the watch")
 	n.awaitReadiness(http.StatusOK)
 
-	takeRequests(a)
+	takeRequests(oldServer)
 	n.wantStatus("read", http.StatusOK)
-	if len(a.Requests) > 0 || len(b.Requests) == 0 {
-		t.Errorf("%d sends to the server of the old list, %d to the new one's", len(a.Requests), len(b.Requests))
+	if len(oldServer.Requests) > 0 || len(newServer.Requests) == 0 {
+		t.Errorf("%d sends to the server of the old list, %d to the new one's",
+			len(oldServer.Requests), len(newServer.Requests))
 	}
 	next.SetEndpointsAndWait(t)
 	n.wantStatus("read", http.StatusServiceUnavailable) // the new address is watched
 
 	n.node.SetDiscoveryAddress(old.Listener.Addr().String())
-	for q := range old.Queries {
-		if q == "" {
+	for query := range old.Queries {
+		if query == "" {
 			break
 		}
 	}
@@ -68,28 +69,30 @@
 
 // The cached endpoint list serves while discovery is down.
 func TestCachedEndpointListServesDuringAnOutage(t *testing.T) {
-	b := testkit.NewBackend(t, testkit.OK)
-	d := testkit.NewRegistry(t)
-	d.SetDown(true)
-	n := startNode(t, testConfig(t, d, func(file map[string]any) {
-		file["known"] = endpointjson.List{Generation: 7, Reset: true, Endpoints: []endpointjson.Endpoint{b.Endpoint("s-0")}}
+	server := testkit.NewBackend(t, testkit.OK)
+	registry := testkit.NewRegistry(t)
+	registry.SetDown(true)
+	n := startNode(t, testConfig(t, registry, func(file map[string]any) {
+		file["known"] = endpointjson.List{
+			Generation: 7, Reset: true, Endpoints: []endpointjson.Endpoint{server.Endpoint("s-0")},
+		}
 	}))
 	n.awaitReadiness(http.StatusOK)
 	n.wantStatus("read", http.StatusOK)
-	wantWatchQuery(t, d, "after=7")
+	wantWatchQuery(t, registry, "after=7")
 }
 
 // Generation 0 is an ordinary generation: a list that has it is watched from there, and not requested in full again.
 func TestGenerationZeroIsWatched(t *testing.T) {
-	_, d := startReadyNode(t, testkit.NewBackend(t, testkit.OK))
-	testkit.Wait(t, d.Queries, "the first call")
-	wantWatchQuery(t, d, "after=0")
+	_, registry := startReadyNode(t, testkit.NewBackend(t, testkit.OK))
+	testkit.Wait(t, registry.Queries, "the first call")
+	wantWatchQuery(t, registry, "after=0")
 }
 
 // In polling mode the balancer requests the list.
 func TestPolledEndpointListIsRequested(t *testing.T) {
-	b := testkit.NewBackend(t, testkit.OK)
-	n := startReadyNodeWithConfig(t, b.Endpoint("s-0"), func(file map[string]any) {
+	server := testkit.NewBackend(t, testkit.OK)
+	n := startReadyNodeWithConfig(t, server.Endpoint("s-0"), func(file map[string]any) {
 		file["settings"] = settingsWithMode("on_request")
 	})
 	n.wantStatus("read", http.StatusOK)
--- a/internal/node/endpoints_test.go
+++ b/internal/node/endpoints_test.go
@@ -13,31 +13,31 @@
 )
 
 func TestDrainingServerGetsNoRequests(t *testing.T) {
-	a, b := testkit.NewBackend(t, testkit.OK), testkit.NewBackend(t, testkit.OK)
-	n, d := startReadyNode(t, a, b)
-	drains := draining(a.Endpoint("s-0"))
-	d.SetEndpointsAndWait(t, drains, b.Endpoint("s-1"))
+	drainingServer, otherServer := testkit.NewBackend(t, testkit.OK), testkit.NewBackend(t, testkit.OK)
+	n, registry := startReadyNode(t, drainingServer, otherServer)
+	drainingEndpoint := draining(drainingServer.Endpoint("s-0"))
+	registry.SetEndpointsAndWait(t, drainingEndpoint, otherServer.Endpoint("s-1"))
 	for range 20 {
 		if r := n.do(n.newRequest("read")); r.status != http.StatusOK {
 			t.Fatalf("status %d", r.status)
 		}
 	}
-	if len(a.Requests) != 0 || len(b.Requests) != 20 {
-		t.Errorf("%d sends to the draining server, %d to the other", len(a.Requests), len(b.Requests))
+	if len(drainingServer.Requests) != 0 || len(otherServer.Requests) != 20 {
+		t.Errorf("%d sends to the draining server, %d to the other", len(drainingServer.Requests), len(otherServer.Requests))
 	}
-	d.SetEndpointsAndWait(t, drains) // no server is left
+	registry.SetEndpointsAndWait(t, drainingEndpoint) // no server is left
 	n.wantStatus("read", http.StatusServiceUnavailable)
 }
 
 // A server at a new address is another process: connections to the old one are closed.
 func TestServerAtANewAddressGetsNewConnections(t *testing.T) {
-	a, b := testkit.NewBackend(t, testkit.OK), testkit.NewBackend(t, testkit.OK)
-	n, d := startReadyNode(t, a)
+	oldServer, newServer := testkit.NewBackend(t, testkit.OK), testkit.NewBackend(t, testkit.OK)
+	n, registry := startReadyNode(t, oldServer)
 	n.do(n.newRequest("read"))
-	d.SetEndpointsAndWait(t, b.Endpoint("s-0"))
+	registry.SetEndpointsAndWait(t, newServer.Endpoint("s-0"))
 	n.do(n.newRequest("read"))
-	if len(a.Requests) != 1 || len(b.Requests) != 1 {
-		t.Errorf("%d sends to the old address, %d to the new one", len(a.Requests), len(b.Requests))
+	if len(oldServer.Requests) != 1 || len(newServer.Requests) != 1 {
+		t.Errorf("%d sends to the old address, %d to the new one", len(oldServer.Requests), len(newServer.Requests))
 	}
 }
 
@@ -108,17 +108,17 @@
 // server.
 func TestRetryAvoidsADrainingServer(t *testing.T) {
 	failing := testkit.NewBackend(t, testkit.ServerError)
-	drains, other := testkit.NewBackend(t, testkit.OK), testkit.NewBackend(t, testkit.OK)
+	drainingServer, other := testkit.NewBackend(t, testkit.OK), testkit.NewBackend(t, testkit.OK)
 	l := startLoop(t, failing.Endpoint("s-0"))
 	done := l.submitAsync(t.Context(), l.newRequest(classRead, staysConnected))
 	testkit.Wait(t, failing.Requests, "the first attempt")
 	l.awaitRequests(1, 0)
 
-	l.reportEndpoints(policy.UpdateDelta, drains.Endpoint("s-1"))
-	l.reportEndpoints(policy.UpdateDelta, draining(drains.Endpoint("s-1")), other.Endpoint("s-2"))
+	l.reportEndpoints(policy.UpdateDelta, drainingServer.Endpoint("s-1"))
+	l.reportEndpoints(policy.UpdateDelta, draining(drainingServer.Endpoint("s-1")), other.Endpoint("s-2"))
 
 	l.wantStatus(done, http.StatusOK)
-	if sends := len(drains.Requests); sends > 0 {
+	if sends := len(drainingServer.Requests); sends > 0 {
 		t.Errorf("%d sends to the server that drains", sends)
 	}
 }
@@ -142,20 +142,20 @@
 // long ago. It must not change from list to list, as a change means a restart.
 func TestServerStartTimesAreStableOnTheClock(t *testing.T) {
 	l := newTestLoop(t, testConfig(t, testkit.NewRegistry(t), nil), nil, noWatcher{})
-	start := func(startedAt time.Time) time.Duration {
+	clockStart := func(startedAt time.Time) time.Duration {
 		list := []endpoint.Endpoint{{ID: 1, State: policy.Ready, StartedAt: startedAt}}
 		now := processstart.Moment{Clock: l.clock.now(), Wall: time.Now()}
 		return l.endpoints.processStarts.Update(policy.UpdateSnapshot, list, now)[0]
 	}
 	startedAt := time.Now().Add(-3 * time.Second).Round(0)
-	first := start(startedAt)
+	first := clockStart(startedAt)
 	if age := l.clock.now() - first; age < 2900*time.Millisecond || age > 3*time.Second+testkit.WaitTimeout {
 		t.Errorf("a start 3 s ago is %v ago on the clock", age)
 	}
-	if again := start(startedAt); again != first {
-		t.Errorf("the start moved from %v to %v", first, again)
+	if second := clockStart(startedAt); second != first {
+		t.Errorf("the start moved from %v to %v", first, second)
 	}
-	if start(time.Time{}) != 0 {
+	if clockStart(time.Time{}) != 0 {
 		t.Error("a start long ago is not 0")
 	}
 }
--- a/internal/node/harness_client_test.go
+++ b/internal/node/harness_client_test.go
@@ -88,10 +88,10 @@
 	n.t.Helper()
 	nc := n.dial()
 	go send(nc, text)
-	in := bufio.NewReader(nc)
+	reader := bufio.NewReader(nc)
 	var statuses []int
 	for {
-		resp, err := http.ReadResponse(in, nil)
+		resp, err := http.ReadResponse(reader, nil)
 		if testkit.IsTimeout(err) {
 			n.t.Fatal("the node keeps the connection")
 		}
--- a/internal/node/harness_handler_test.go
+++ b/internal/node/harness_handler_test.go
@@ -42,9 +42,9 @@
 	l := newTestLoop(t, cfg, upstream.NewPool(upstreamConfig(cfg, 400)), noWatcher{})
 	go l.run()
 	l.reportEndpoints(policy.UpdateSnapshot, list...)
-	conns := downstreamConfig(400, 0)
-	conns.LingerTimeout = linger
-	s := &testHandler{loop: l, handler: newHandler(cfg, l.loop, downstream.NewConns(conns))}
+	connsConfig := downstreamConfig(400, 0)
+	connsConfig.LingerTimeout = linger
+	s := &testHandler{loop: l, handler: newHandler(cfg, l.loop, downstream.NewConns(connsConfig))}
 	listener := testkit.Listen(t)
 	s.testNode = &testNode{t: t, addr: listener.Addr().String()}
 	srv := s.handler.server()
@@ -86,8 +86,8 @@
 
 // nodeConn returns the node's end of a client's connection; nil before it is accepted.
 func (s *testHandler) nodeConn(client net.Conn) *downstream.Conn {
-	c, _ := s.conns.Load(client.LocalAddr().String())
-	conn, _ := c.(*downstream.Conn)
+	loaded, _ := s.conns.Load(client.LocalAddr().String())
+	conn, _ := loaded.(*downstream.Conn)
 	return conn
 }
 
@@ -134,14 +134,14 @@
 func acceptedConn(t *testing.T, conns *downstream.Conns) (net.Conn, *downstream.Conn) {
 	t.Helper()
 	listener := testkit.Listen(t)
-	limited := conns.Listener(listener)
-	closeAtTestEnd(t, limited)
+	limitedListener := conns.Listener(listener)
+	closeAtTestEnd(t, limitedListener)
 	client, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	closeAtTestEnd(t, client)
-	nc, err := limited.Accept()
+	nc, err := limitedListener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -41,10 +41,10 @@
 func classNames() []string { return []string{classRead: "read", classPush: "push", classPay: "pay"} }
 
 // testConfig returns a configuration as read from a file, which change may alter.
-func testConfig(t *testing.T, d *testkit.Registry, change func(file map[string]any)) *config.Config {
+func testConfig(t *testing.T, registry *testkit.Registry, change func(file map[string]any)) *config.Config {
 	t.Helper()
 	file := map[string]any{
-		"name": "n0", "listen": "127.0.0.1:0", "discovery": d.Listener.Addr().String(), "seed": "8c1f30d27a5be964",
+		"name": "n0", "listen": "127.0.0.1:0", "discovery": registry.Listener.Addr().String(), "seed": "8c1f30d27a5be964",
 		"limits":   map[string]any{"cores": 1, "memory_mb": 192, "sockets": 256},
 		"settings": json.RawMessage(settingsJSON), "novel": true,
 	}
@@ -99,9 +99,9 @@
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &testNode{t: t, node: n, addr: n.Addr().String(), stop: cancel, runResult: make(chan error, 1)}
+	running := &testNode{t: t, node: n, addr: n.Addr().String(), stop: cancel, runResult: make(chan error, 1)}
 	ended := make(chan struct{})
-	go func() { r.runResult <- n.Run(ctx); close(ended) }()
+	go func() { running.runResult <- n.Run(ctx); close(ended) }()
 	t.Cleanup(func() {
 		cancel()
 		select {
@@ -110,7 +110,7 @@
 			t.Error("the node does not stop")
 		}
 	})
-	return r
+	return running
 }
 
 // startReadyNode starts a node before the given servers and waits until it is ready.
@@ -120,10 +120,10 @@
 	for i, b := range backends {
 		list = append(list, b.Endpoint(fmt.Sprintf("s-%d", i)))
 	}
-	d := testkit.NewRegistry(t, list...)
-	n := startNode(t, testConfig(t, d, nil))
+	registry := testkit.NewRegistry(t, list...)
+	n := startNode(t, testConfig(t, registry, nil))
 	n.awaitReadiness(http.StatusOK)
-	return n, d
+	return n, registry
 }
 
 // startReadyNodeWithConfig is startReadyNode with one server and a changed configuration.
