--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -53,7 +53,7 @@
 	}
 	text, err := json.Marshal(file)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("json.Marshal(%v): %v", file, err)
 	}
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, text, 0o600); err != nil {
@@ -63,7 +63,7 @@
 		return map[string]string{"BALANCER_CONFIG": path}[name]
 	})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("config.Load of %s: %v", text, err)
 	}
 	return cfg
 }
@@ -96,7 +96,7 @@
 	t.Helper()
 	n, err := Listen(cfg)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Listen with address %q: %v", cfg.Listen, err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	running := &testNode{t: t, node: n, addr: n.Addr().String(), stop: cancel, runResult: make(chan error, 1)}
@@ -107,7 +107,7 @@
 		select {
 		case <-ended:
 		case <-time.After(testkit.WaitTimeout):
-			t.Error("the node does not stop")
+			t.Errorf("Run has not returned %v after its context was cancelled", testkit.WaitTimeout)
 		}
 	})
 	return running
@@ -150,24 +150,27 @@
 // awaitReadiness waits until the readiness check gets a status.
 func (n *testNode) awaitReadiness(status int) {
 	n.t.Helper()
+	var last string
 	for end := time.Now().Add(testkit.WaitTimeout); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
 		resp, err := http.Get("http://" + n.addr + "/health/ready")
 		if err != nil {
+			last = err.Error()
 			continue
 		}
 		closeQuietly(resp.Body)
 		if resp.StatusCode == status {
 			return
 		}
+		last = resp.Status
 	}
-	n.t.Fatalf("readiness never became %d", status)
+	n.t.Fatalf("GET /health/ready: last result %q, want status %d within %v", last, status, testkit.WaitTimeout)
 }
 
 // awaitExit waits until Run returns, and fails the test if Run returns an error.
 func (n *testNode) awaitExit() {
 	n.t.Helper()
-	if err := testkit.Wait(n.t, n.runResult, "the node's exit"); err != nil {
-		n.t.Errorf("Run returned %v", err)
+	if err := testkit.Wait(n.t, n.runResult, "Run to return"); err != nil {
+		n.t.Errorf("Run returned error %v, want nil", err)
 	}
 }
 
@@ -180,7 +183,7 @@
 	}
 	r, err := http.NewRequest(method, "http://"+n.addr+"/"+class+"?obj=7f3a%2F9c&z", bytes.NewReader(body))
 	if err != nil {
-		n.t.Fatal(err)
+		n.t.Fatalf("http.NewRequest for class %s: %v", class, err)
 	}
 	r.Header.Set("X-Request-ID", id)
 	r.Header.Set("X-Tenant-Id", "acme")
@@ -205,12 +208,12 @@
 	began := time.Now()
 	resp, err := http.DefaultClient.Do(r)
 	if err != nil {
-		n.t.Fatalf("no response: %v", err)
+		n.t.Fatalf("sending a request and reading the response header: %v", err)
 	}
 	defer closeQuietly(resp.Body)
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		n.t.Fatalf("response cut off: %v", err)
+		n.t.Fatalf("%s %s: reading the response body: %v after %d bytes", r.Method, r.URL, err, len(body))
 	}
 	return clientResponse{resp.StatusCode, resp.Header, string(body), time.Since(began)}
 }
@@ -219,7 +222,7 @@
 func (n *testNode) wantStatus(class string, want int) {
 	n.t.Helper()
 	if got := n.do(n.newRequest(class)).status; got != want {
-		n.t.Errorf("%s: status %d, want %d", class, got, want)
+		n.t.Errorf("request of class %s: status %d, want %d", class, got, want)
 	}
 }
 
@@ -271,7 +274,7 @@
 	t.Helper()
 	for _, name := range names {
 		if got.Header.Get(name) != sent.Header.Get(name) {
-			t.Errorf("%s: %q became %q", name, sent.Header.Get(name), got.Header.Get(name))
+			t.Errorf("header %s: the server received %q, want %q as sent", name, got.Header.Get(name), sent.Header.Get(name))
 		}
 	}
 }
