--- a/internal/node/harness_client_test.go
+++ b/internal/node/harness_client_test.go
@@ -57,7 +57,7 @@
 func (n *testNode) roundTrip(nc net.Conn) *http.Response {
 	n.t.Helper()
 	if err := n.newRequest("read").Write(nc); err != nil {
-		n.t.Fatal(err)
+		n.t.Fatalf("sending a request of class read on the connection from %v: %v", nc.LocalAddr(), err)
 	}
 	resp := n.readResponse(nc)
 	discard(resp.Body)
@@ -68,7 +68,7 @@
 func (n *testNode) wantServedOn(nc net.Conn) {
 	n.t.Helper()
 	if resp := n.roundTrip(nc); resp.StatusCode != http.StatusOK {
-		n.t.Errorf("status %d, want 200", resp.StatusCode)
+		n.t.Errorf("request of class read on the connection from %v: status %d, want 200", nc.LocalAddr(), resp.StatusCode)
 	}
 }
 
@@ -77,7 +77,7 @@
 	n.t.Helper()
 	resp, err := http.ReadResponse(bufio.NewReader(nc), nil)
 	if err != nil {
-		n.t.Fatalf("no response: %v", err)
+		n.t.Fatalf("reading a response on the connection from %v: %v", nc.LocalAddr(), err)
 	}
 	return resp
 }
@@ -93,13 +93,13 @@
 	for {
 		resp, err := http.ReadResponse(reader, nil)
 		if testkit.IsTimeout(err) {
-			n.t.Fatal("the node keeps the connection")
+			n.t.Fatalf("%.100q: the connection is still open after %d responses, want it closed", text, len(statuses))
 		}
 		if err != nil {
 			return statuses
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); testkit.IsTimeout(err) {
-			n.t.Fatal("the response doesn't end")
+			n.t.Fatalf("%.100q: response %d, with status %d, does not end", text, len(statuses)+1, resp.StatusCode)
 		}
 		statuses = append(statuses, resp.StatusCode)
 	}
@@ -139,7 +139,7 @@
 	n.t.Helper()
 	for range requests {
 		if status, err := n.statusWithRedial(); err != nil || status != http.StatusOK {
-			n.t.Errorf("%s: status %d, %v", when, status, err)
+			n.t.Errorf("request of class read %s: status %d, error %v; want status 200 without an error", when, status, err)
 		}
 	}
 }
@@ -151,7 +151,7 @@
 	for i := range count {
 		nc, err := net.Dial("tcp", n.addr)
 		if err != nil {
-			n.t.Error(err)
+			n.t.Errorf("opening connection %d of %d: %v", i+1, count, err)
 			return conns
 		}
 		closeAtTestEnd(n.t, nc)
@@ -183,7 +183,8 @@
 // awaitSocketState waits until a connection's socket has a state.
 func awaitSocketState(t *testing.T, nc net.Conn, want sockstate.State) {
 	t.Helper()
-	testkit.Until(t, fmt.Sprintf("a connection in state %v", want), func() bool { return sockstate.Peek(nc) == want })
+	description := fmt.Sprintf("the socket from %v to %v to be in state %q", nc.LocalAddr(), nc.RemoteAddr(), want)
+	testkit.Until(t, description, func() bool { return sockstate.Peek(nc) == want })
 }
 
 // countOpen counts the connections that the node has not closed.
