--- a/internal/node/harness_discovery_test.go
+++ b/internal/node/harness_discovery_test.go
@@ -51,7 +51,7 @@
 	t.Helper()
 	text, err := json.Marshal(list)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("json.Marshal(%+v): %v", list, err)
 	}
 	return string(text)
 }
@@ -67,14 +67,14 @@
 	t.Helper()
 	query := call.URL.RawQuery
 	if !strings.HasPrefix(query, want) || want == "" && query != "" {
-		t.Errorf("query %q, want one that starts with %q", query, want)
+		t.Errorf("discovery was called with query %q, want prefix %q (\"\": no query)", query, want)
 	}
 }
 
 // wantWatchQuery waits for the next call to a registry, and fails the test unless its query contains a text.
 func wantWatchQuery(t *testing.T, registry *testkit.Registry, want string) {
 	t.Helper()
-	if query := testkit.Wait(t, registry.Queries, "the watch"); !strings.Contains(query, want) {
-		t.Errorf("the watch has the query %q", query)
+	if query := testkit.Wait(t, registry.Queries, "the next call to discovery"); !strings.Contains(query, want) {
+		t.Errorf("discovery was called with query %q, want %q in it", query, want)
 	}
 }
