--- a/internal/node/harness_handler_test.go
+++ b/internal/node/harness_handler_test.go
@@ -1,6 +1,7 @@
 package node
 
 import (
+	"fmt"
 	"io"
 	"net"
 	"net/http"
@@ -62,7 +63,7 @@
 	t.Helper()
 	l, err := newLoop(t.Context(), cfg, pool, watcher)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("newLoop: %v", err)
 	}
 	return &testLoop{loop: l, t: t}
 }
@@ -72,7 +73,7 @@
 	s.t.Helper()
 	nc := s.dial().(*net.TCPConn)
 	if _, err := io.WriteString(nc, s.requestText(class)+following); err != nil {
-		s.t.Fatal(err)
+		s.t.Fatalf("sending a request of class %s: %v", class, err)
 	}
 	return nc
 }
@@ -101,7 +102,7 @@
 func (s *testHandler) awaitNoRequests() {
 	s.t.Helper()
 	s.loop.awaitRequests(0, 0)
-	testkit.Until(s.t, "the IDs to be free", func() bool {
+	testkit.Until(s.t, "the handler to have no active request IDs", func() bool {
 		return s.handler.activeIDs.count() == 0
 	})
 }
@@ -109,7 +110,7 @@
 // awaitIdleConns waits until the pool has n idle connections to an address.
 func (s *testHandler) awaitIdleConns(n int, addr net.Addr) {
 	s.t.Helper()
-	testkit.Until(s.t, "idle connections", func() bool {
+	testkit.Until(s.t, fmt.Sprintf("%d idle connections to %v", n, addr), func() bool {
 		idle := 0
 		for _, server := range s.loop.pool.Stats().Servers {
 			if server.Address == addr.String() {
@@ -124,7 +125,7 @@
 func (s *testHandler) awaitNoConns() {
 	s.t.Helper()
 	s.loop.awaitRequests(0, 0)
-	testkit.Until(s.t, "the connections' end", func() bool {
+	testkit.Until(s.t, "no client connections and only idle server connections to be open", func() bool {
 		pool := s.loop.pool.Stats()
 		return s.handler.conns.Open() == 0 && pool.Open == pool.Idle()
 	})
