--- a/internal/node/harness_loop_test.go
+++ b/internal/node/harness_loop_test.go
@@ -92,8 +92,8 @@
 // wantStatus fails the test unless a request that was submitted gets a response with this status.
 func (l *testLoop) wantStatus(done <-chan response, want int) {
 	l.t.Helper()
-	if final := testkit.Wait(l.t, done, "a response"); final.status != want {
-		l.t.Errorf("status %d, want %d", final.status, want)
+	if final := testkit.Wait(l.t, done, "the response to a submitted request"); final.status != want {
+		l.t.Errorf("submitted request: response with status %d, want %d", final.status, want)
 	}
 }
 
@@ -102,7 +102,7 @@
 	l.t.Helper()
 	done := make(chan struct{})
 	l.queue.post(eventFunc(func(time.Duration) { run(); close(done) }))
-	testkit.Wait(l.t, done, "the loop")
+	testkit.Wait(l.t, done, "the loop to run a function")
 }
 
 // awaitInLoop waits until a condition holds, which is checked in the loop.
@@ -147,7 +147,7 @@
 func (l *testLoop) pause() func() {
 	l.t.Helper()
 	point := l.queuePause()
-	testkit.Wait(l.t, point.reached, "the loop")
+	testkit.Wait(l.t, point.reached, "the loop to pause")
 	return point.resume
 }
 
