--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -43,7 +43,7 @@
 	n.wantStatus("read", http.StatusOK)
 	n.node.SetDiscoveryAddress(next.Listener.Addr().String())
 	if query := testkit.Wait(t, next.Queries, "the first call"); query != "" {
-		t.Errorf("the new address is queried with %q", query)
+		t.Errorf("first call to the new discovery address: query %q, want none", query)
 	}
 	testkit.Wait(t, next.Queries, "the watch")
 	n.awaitReadiness(http.StatusOK)
@@ -51,7 +51,7 @@
 	takeRequests(oldServer)
 	n.wantStatus("read", http.StatusOK)
 	if len(oldServer.Requests) > 0 || len(newServer.Requests) == 0 {
-		t.Errorf("%d sends to the server of the old list, %d to the new one's",
+		t.Errorf("%d requests sent to the server of the old list and %d to that of the new one, want 0 and at least 1",
 			len(oldServer.Requests), len(newServer.Requests))
 	}
 	next.SetEndpointsAndWait(t)
