--- a/internal/node/endpoints_test.go
+++ b/internal/node/endpoints_test.go
@@ -19,11 +19,12 @@
 	registry.SetEndpointsAndWait(t, drainingEndpoint, otherServer.Endpoint("s-1"))
 	for range 20 {
 		if r := n.do(n.newRequest("read")); r.status != http.StatusOK {
-			t.Fatalf("status %d", r.status)
+			t.Fatalf("request of class read: status %d, want 200", r.status)
 		}
 	}
 	if len(drainingServer.Requests) != 0 || len(otherServer.Requests) != 20 {
-		t.Errorf("%d sends to the draining server, %d to the other", len(drainingServer.Requests), len(otherServer.Requests))
+		t.Errorf("%d requests sent to the draining server and %d to the other one, want 0 and 20",
+			len(drainingServer.Requests), len(otherServer.Requests))
 	}
 	registry.SetEndpointsAndWait(t, drainingEndpoint) // no server is left
 	n.wantStatus("read", http.StatusServiceUnavailable)
@@ -37,7 +38,8 @@
 	registry.SetEndpointsAndWait(t, newServer.Endpoint("s-0"))
 	n.do(n.newRequest("read"))
 	if len(oldServer.Requests) != 1 || len(newServer.Requests) != 1 {
-		t.Errorf("%d sends to the old address, %d to the new one", len(oldServer.Requests), len(newServer.Requests))
+		t.Errorf("%d requests sent to the old address and %d to the new one, want 1 and 1",
+			len(oldServer.Requests), len(newServer.Requests))
 	}
 }
 
@@ -63,7 +65,7 @@
 
 			l.wantStatus(done, http.StatusOK)
 			if len(sent) > 0 {
-				t.Errorf("%q was sent", <-sent)
+				t.Errorf("the revoked attempt sent %q, want nothing", <-sent)
 			}
 		})
 	}
@@ -97,8 +99,9 @@
 	l.t.Helper()
 	l.runInLoop(func() {
 		for _, r := range l.requests.byID {
-			if a := r.attempts[0]; a.state == attemptInFlight || !a.call.Revoked() {
-				l.t.Error("the attempt may still be sent")
+			a := r.attempts[0]
+			if inFlight, revoked := a.state == attemptInFlight, a.call.Revoked(); inFlight || !revoked {
+				l.t.Errorf("first attempt of request %v: in flight %t, revoked %t; want false and true", r.id, inFlight, revoked)
 			}
 		}
 	})
@@ -119,7 +122,7 @@
 
 	l.wantStatus(done, http.StatusOK)
 	if sends := len(drainingServer.Requests); sends > 0 {
-		t.Errorf("%d sends to the server that drains", sends)
+		t.Errorf("%d requests sent to the draining server, want none", sends)
 	}
 }
 
@@ -150,12 +153,13 @@
 	startedAt := time.Now().Add(-3 * time.Second).Round(0)
 	first := clockStart(startedAt)
 	if age := l.clock.now() - first; age < 2900*time.Millisecond || age > 3*time.Second+testkit.WaitTimeout {
-		t.Errorf("a start 3 s ago is %v ago on the clock", age)
+		t.Errorf("a server that started 3 s ago has age %v on the node's clock, want from 2.9 s to %v",
+			age, 3*time.Second+testkit.WaitTimeout)
 	}
 	if second := clockStart(startedAt); second != first {
-		t.Errorf("the start moved from %v to %v", first, second)
+		t.Errorf("start on the node's clock: %v in the first list, %v in the second; want the same", first, second)
 	}
-	if clockStart(time.Time{}) != 0 {
-		t.Error("a start long ago is not 0")
+	if got := clockStart(time.Time{}); got != 0 {
+		t.Errorf("start on the node's clock of a server without a start time: %v, want 0", got)
 	}
 }
