--- a/internal/node/key_retention_test.go
+++ b/internal/node/key_retention_test.go
@@ -1,6 +1,7 @@
 package node
 
 import (
+	"fmt"
 	"testing"
 	"time"
 
@@ -62,13 +63,14 @@
 		}
 		l.host.Send(r.id, servers[1], 0)
 	})
-	testkit.Until(t, "the retention's end", func() bool { // which is under test
+	testkit.Until(t, "the end of the key's retention", func() bool { // which is under test
 		return !c.expiresFirst || l.clock.now() >= r.attempts[0].startedAt+retention
 	})
 	sent := stuck.Admit()
 
-	l.awaitInLoop("the outcome", func() bool { return r.attempts[c.lateAttempt].state != attemptInFlight })
+	description := fmt.Sprintf("the outcome of attempt %d", c.lateAttempt)
+	l.awaitInLoop(description, func() bool { return r.attempts[c.lateAttempt].state != attemptInFlight })
 	if len(sent) != c.wantLateSends {
-		t.Errorf("%d sends, want %d", len(sent), c.wantLateSends)
+		t.Errorf("attempt %d was sent %d times, want %d", c.lateAttempt, len(sent), c.wantLateSends)
 	}
 }
