--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -20,6 +20,8 @@
 	"calicohinge/internal/testkit"
 )
 
+// settingsJSON is the "settings" object of the configuration file in most tests. It contains an unknown setting, which
+// the node must ignore.
 const settingsJSON = `{
 	"Accounts": [{"Name": "acme", "QuotaPerS": 1000}],
 	"Classes": [
@@ -30,17 +32,18 @@
 		"MaxRetryAfterMs": 600, "RetryAfter": true, "SecondCopies": true},
 	"RegistryMode": "pushed", "TickMs": 5, "Zones": ["a"], "Novel": {"x": 1}}`
 
-// The indexes of the classes of settingsJSON.
+// Indexes of the classes in settingsJSON.
 const (
 	classRead = iota // idempotent
 	classPush        // idempotent with a key
 	classPay         // not idempotent
 )
 
-// classNames returns the names of the classes by index.
+// classNames returns the names of the classes in the order of their indexes.
 func classNames() []string { return []string{classRead: "read", classPush: "push", classPay: "pay"} }
 
-// testConfig returns a configuration as read from a file, which change may alter.
+// testConfig writes a configuration file for a node that uses the given discovery service, and loads it. The function
+// change, unless it is nil, alters the content of the file first.
 func testConfig(t *testing.T, registry *testkit.Registry, change func(file map[string]any)) *config.Config {
 	t.Helper()
 	file := map[string]any{
@@ -68,10 +71,11 @@
 	return cfg
 }
 
-// withDeadlines sets the deadline of all classes, and their objective to three quarters of it.
+// withDeadlines returns a change to the configuration: all classes get a deadline, and three quarters of it as their
+// latency objective.
 func withDeadlines(ms int) func(file map[string]any) { return withDeadlinesAndObjectives(ms, ms*3/4) }
 
-// withDeadlinesAndObjectives sets the deadline and the objective of all classes.
+// withDeadlinesAndObjectives returns a change to the configuration: all classes get a deadline and a latency objective.
 func withDeadlinesAndObjectives(deadlineMs, objectiveMs int) func(file map[string]any) {
 	return func(file map[string]any) {
 		text := strings.ReplaceAll(settingsJSON, `"DeadlineMs": 8000, "PromiseMs": 6000`,
@@ -80,18 +84,18 @@
 	}
 }
 
-// testNode is a node that serves.
+// testNode is a node that serves clients at addr. In a testHandler, the fields node, stop and runResult are not set.
 type testNode struct {
 	t         *testing.T
 	node      *Node
 	addr      string
 	stop      context.CancelFunc
-	runResult chan error // gets what Run returned
+	runResult chan error // receives the result of Run
 
-	lastID atomic.Int64 // of the requests made
+	lastID atomic.Int64 // ID of the latest request that newRequest has made
 }
 
-// startNode starts a node. The node stops at the end of the test.
+// startNode starts a node and stops it at the end of the test.
 func startNode(t *testing.T, cfg *config.Config) *testNode {
 	t.Helper()
 	n, err := Listen(cfg)
@@ -113,7 +117,7 @@
 	return running
 }
 
-// startReadyNode starts a node before the given servers and waits until it is ready.
+// startReadyNode starts a node whose endpoint list contains the given servers, and waits until the node is ready.
 func startReadyNode(t *testing.T, backends ...*testkit.Backend) (*testNode, *testkit.Registry) {
 	t.Helper()
 	var list []endpointjson.Endpoint
@@ -126,7 +130,7 @@
 	return n, registry
 }
 
-// startReadyNodeWithConfig is startReadyNode with one server and a changed configuration.
+// startReadyNodeWithConfig is startReadyNode with one server and a change to the configuration, which may be nil.
 func startReadyNodeWithConfig(t *testing.T, server endpointjson.Endpoint, change func(file map[string]any)) *testNode {
 	t.Helper()
 	n := startNode(t, testConfig(t, testkit.NewRegistry(t, server), change))
@@ -134,10 +138,12 @@
 	return n
 }
 
-// fewSockets is a number of sockets that permits 20 client connections and a reserve of 2.
+// fewSockets is the smallest number of sockets that a configuration may have. It permits 20 client connections and a
+// reserve of 2.
 const fewSockets = 64
 
-// startNodeWithFewSockets starts a node that permits few client connections, none of which is in use.
+// startNodeWithFewSockets starts a node with few sockets. It closes the connections that the readiness check has left
+// idle, so that the test can use all client connections.
 func startNodeWithFewSockets(t *testing.T, server endpointjson.Endpoint) *testNode {
 	t.Helper()
 	n := startReadyNodeWithConfig(t, server, func(file map[string]any) {
@@ -147,7 +153,7 @@
 	return n
 }
 
-// awaitReadiness waits until the readiness check gets a status.
+// awaitReadiness waits until the readiness check returns the given status.
 func (n *testNode) awaitReadiness(status int) {
 	n.t.Helper()
 	var last string
@@ -166,7 +172,7 @@
 	n.t.Fatalf("GET /health/ready: last result %q, want status %d within %v", last, status, testkit.WaitTimeout)
 }
 
-// awaitExit waits until Run returns, and fails the test if Run returns an error.
+// awaitExit waits until Run returns, and fails the test if it returns an error.
 func (n *testNode) awaitExit() {
 	n.t.Helper()
 	if err := testkit.Wait(n.t, n.runResult, "Run to return"); err != nil {
@@ -174,7 +180,7 @@
 	}
 }
 
-// newRequest makes a valid newRequest of a class.
+// newRequest returns a new valid request of a class.
 func (n *testNode) newRequest(class string) *http.Request {
 	id := fmt.Sprintf("%016x", n.lastID.Add(1))
 	method, body := http.MethodPost, []byte(`{"x":1}`)
@@ -194,15 +200,15 @@
 	return r
 }
 
-// clientResponse is a response that was read to its end.
+// clientResponse is a response that has been read completely.
 type clientResponse struct {
 	status int
 	header http.Header
 	body   string
-	took   time.Duration
+	took   time.Duration // from the start of the request to the end of the response
 }
 
-// do makes a request and reads its response.
+// do sends a request with the default HTTP client and reads the complete response.
 func (n *testNode) do(r *http.Request) clientResponse {
 	n.t.Helper()
 	began := time.Now()
@@ -218,7 +224,7 @@
 	return clientResponse{resp.StatusCode, resp.Header, string(body), time.Since(began)}
 }
 
-// wantStatus makes a request of a class and fails the test unless it gets this status.
+// wantStatus sends a request of a class and fails the test unless the response has the wanted status.
 func (n *testNode) wantStatus(class string, want int) {
 	n.t.Helper()
 	if got := n.do(n.newRequest(class)).status; got != want {
@@ -226,12 +232,13 @@
 	}
 }
 
-// blockedBackend is a server whose responses wait until it is opened.
+// blockedBackend is a server that does not respond until unblock is called.
 type blockedBackend struct {
 	*testkit.Backend
 	unblock func()
 }
 
+// newBlockedBackend starts a blockedBackend, which is unblocked at the end of the test at the latest.
 func newBlockedBackend(t *testing.T) *blockedBackend {
 	t.Helper()
 	gate := make(chan struct{})
@@ -244,7 +251,8 @@
 	return &blockedBackend{backend, open}
 }
 
-// newBackendsFailingFirst returns two servers. The one that gets the first request responds with fail.
+// newBackendsFailingFirst starts two servers. The first request that reaches either of them is handled by fail, all
+// others get status 200.
 func newBackendsFailingFirst(t *testing.T, fail http.HandlerFunc) []*testkit.Backend {
 	t.Helper()
 	var failed atomic.Bool
@@ -258,7 +266,7 @@
 	return []*testkit.Backend{testkit.NewBackend(t, handle), testkit.NewBackend(t, handle)}
 }
 
-// takeRequests removes and returns the requests that the servers have got.
+// takeRequests removes and returns the requests that the servers have recorded.
 func takeRequests(servers ...*testkit.Backend) []*http.Request {
 	var requests []*http.Request
 	for _, server := range servers {
@@ -269,7 +277,8 @@
 	return requests
 }
 
-// wantSameHeaders fails the test if a field differs between a request sent and the one received.
+// wantSameHeaders fails the test if one of the named header fields differs between the request that the client sent and
+// the one that the server received.
 func wantSameHeaders(t *testing.T, sent, got *http.Request, names ...string) {
 	t.Helper()
 	for _, name := range names {
