--- a/internal/node/harness_client_test.go
+++ b/internal/node/harness_client_test.go
@@ -15,24 +15,25 @@
 	"calicohinge/internal/testkit"
 )
 
-// smallReceiveBuffer is the size of the receive buffer of a client that reads slowly.
+// smallReceiveBuffer is the size in bytes of the receive buffer of a client that reads slowly.
 const smallReceiveBuffer = 4096
 
-// partialRequest is the beginning of a request that is never completed.
+// partialRequest is the beginning of a request whose remainder is never sent.
 const partialRequest = "GET /read HTTP/1.1\r\nHost: x\r\nX-Req"
 
-// dial returns a connection to the node.
+// dial opens a connection to the node.
 func (n *testNode) dial() net.Conn {
 	n.t.Helper()
 	return n.dialWith(&net.Dialer{})
 }
 
-// dialWithSmallReceiveBuffer returns a connection with a small receive buffer.
+// dialWithSmallReceiveBuffer opens a connection whose client end has a receive buffer of smallReceiveBuffer bytes.
 func (n *testNode) dialWithSmallReceiveBuffer() net.Conn {
 	n.t.Helper()
 	return n.dialWith(&net.Dialer{Control: shrinkReceiveBuffer})
 }
 
+// dialWith opens a connection to the node with a dialer. The connection is closed at the end of the test.
 func (n *testNode) dialWith(dialer *net.Dialer) net.Conn {
 	n.t.Helper()
 	nc, err := dialer.Dial("tcp", n.addr)
@@ -44,7 +45,7 @@
 	return nc
 }
 
-// shrinkReceiveBuffer is a net.Dialer.Control.
+// shrinkReceiveBuffer is a Control function for net.Dialer: it sets the receive buffer size before the socket connects.
 func shrinkReceiveBuffer(_, _ string, conn syscall.RawConn) error {
 	var setErr error
 	err := conn.Control(func(fd uintptr) {
@@ -53,7 +54,7 @@
 	return errors.Join(err, setErr)
 }
 
-// roundTrip makes a request on a connection and reads the response.
+// roundTrip sends a request of class read on a connection and reads the complete response.
 func (n *testNode) roundTrip(nc net.Conn) *http.Response {
 	n.t.Helper()
 	if err := n.newRequest("read").Write(nc); err != nil {
@@ -64,7 +65,7 @@
 	return resp
 }
 
-// wantServedOn fails the test unless a request on the connection is served.
+// wantServedOn sends a request on a connection and fails the test unless the response has status 200.
 func (n *testNode) wantServedOn(nc net.Conn) {
 	n.t.Helper()
 	if resp := n.roundTrip(nc); resp.StatusCode != http.StatusOK {
@@ -72,7 +73,8 @@
 	}
 }
 
-// readResponse reads the header of the only response on a connection.
+// readResponse reads the status line and header of a response. The connection must not carry another response yet: its
+// bytes could be lost in the read buffer.
 func (n *testNode) readResponse(nc net.Conn) *http.Response {
 	n.t.Helper()
 	resp, err := http.ReadResponse(bufio.NewReader(nc), nil)
@@ -82,8 +84,8 @@
 	return resp
 }
 
-// sendRaw sends a text and returns the statuses of the responses until the node
-// closes the connection; a node that doesn't close it fails the test.
+// sendRaw sends a text on a new connection and returns the statuses of the responses until the node closes the
+// connection. It fails the test if the node leaves the connection open.
 func (n *testNode) sendRaw(text string) []int {
 	n.t.Helper()
 	nc := n.dial()
@@ -105,7 +107,8 @@
 	}
 }
 
-// statusWithRedial makes a request as clients do: again on a new connection if the first is closed.
+// statusWithRedial sends a request on a new connection and returns the status of the response. Like most clients, it
+// sends the request again on another connection if the first one fails.
 func (n *testNode) statusWithRedial() (int, error) {
 	status, err := n.statusOnNewConn()
 	if err != nil {
@@ -114,7 +117,7 @@
 	return status, nil
 }
 
-// statusOnNewConn makes a request on a new connection.
+// statusOnNewConn sends a request of class read on a new connection and returns the status of the response.
 func (n *testNode) statusOnNewConn() (int, error) {
 	nc, err := net.Dial("tcp", n.addr)
 	if err != nil {
@@ -134,7 +137,8 @@
 	return resp.StatusCode, err
 }
 
-// wantRequestsServed makes requests one after another and fails the test for each that is not served.
+// wantRequestsServed sends requests one after another and fails the test for each that does not get status 200. The
+// failure message contains when, which says at which point of the test they are sent.
 func (n *testNode) wantRequestsServed(requests int, when string) {
 	n.t.Helper()
 	for range requests {
@@ -144,8 +148,8 @@
 	}
 }
 
-// openFlood opens connections that stay open: on each first of three nothing is sent, on each second half a
-// request, and each third one is idle after its response, unless it was evicted before.
+// openFlood opens connections and leaves them open. Of each three connections, the first sends nothing, the second
+// sends part of a request, and the third is idle after a response, unless the node evicts it before the response.
 func (n *testNode) openFlood(count int) []net.Conn {
 	var conns []net.Conn
 	for i := range count {
@@ -162,7 +166,7 @@
 		case 2:
 			r := n.newRequest("read")
 			sendRequest(nc, r)
-			if resp, err := http.ReadResponse(bufio.NewReader(nc), r); err == nil { // else it was evicted
+			if resp, err := http.ReadResponse(bufio.NewReader(nc), r); err == nil { // otherwise it was evicted
 				discard(resp.Body)
 			}
 		}
@@ -170,7 +174,7 @@
 	return conns
 }
 
-// sendByteByByte writes a byte at a time.
+// sendByteByByte writes a text one byte at a time and calls halfway before the byte in the middle.
 func sendByteByByte(nc net.Conn, text string, halfway func()) {
 	for i, c := range []byte(text) {
 		if i == len(text)/2 {
@@ -180,14 +184,14 @@
 	}
 }
 
-// awaitSocketState waits until a connection's socket has a state.
+// awaitSocketState waits until the socket of a connection is in the wanted state.
 func awaitSocketState(t *testing.T, nc net.Conn, want sockstate.State) {
 	t.Helper()
 	description := fmt.Sprintf("the socket from %v to %v to be in state %q", nc.LocalAddr(), nc.RemoteAddr(), want)
 	testkit.Until(t, description, func() bool { return sockstate.Peek(nc) == want })
 }
 
-// countOpen counts the connections that the node has not closed.
+// countOpen returns how many of the connections the node has not closed.
 func countOpen(conns []net.Conn) int {
 	open := 0
 	for _, nc := range conns {
@@ -198,8 +202,8 @@
 	return open
 }
 
-// The functions below ignore errors: a client may send or close after the node has closed the connection, and
-// the tests see that when they read.
+// The functions below ignore errors: a client may send or close after the node has closed the connection. A test
+// detects that when it reads from the connection.
 
 func send(w io.Writer, text string) { _, _ = io.WriteString(w, text) }
 
@@ -214,17 +218,17 @@
 	t.Cleanup(func() { closeQuietly(c) })
 }
 
-// closeTCP closes a connection with a FIN.
+// closeTCP closes a client's connection with a FIN.
 func closeTCP(conn *net.TCPConn) { _ = conn.Close() }
 
-// resetConn closes a connection with a TCP reset.
+// resetConn closes a client's connection with a TCP reset.
 func resetConn(conn *net.TCPConn) {
 	_ = conn.SetLinger(0)
 	_ = conn.Close()
 }
 
-// closeWrite ends the sending of a client that goes on reading.
+// closeWrite shuts down the sending side of a client's connection. The client can still receive.
 func closeWrite(conn *net.TCPConn) { _ = conn.CloseWrite() }
 
-// setTestDeadline limits the reads and writes of a test on a connection.
+// setTestDeadline makes reads and writes on a connection fail after testkit.WaitTimeout, so that a test cannot hang.
 func setTestDeadline(conn net.Conn) { _ = conn.SetDeadline(time.Now().Add(testkit.WaitTimeout)) }
