--- a/internal/node/harness_discovery_test.go
+++ b/internal/node/harness_discovery_test.go
@@ -10,16 +10,16 @@
 	"calicohinge/internal/testkit"
 )
 
-// discoveryModes are the ways to follow the endpoint list, as the settings name them.
+// discoveryModes returns the values of the setting RegistryMode: the ways in which a node follows the endpoint list.
 func discoveryModes() []string { return []string{"pushed", "on_request"} }
 
-// settingsWithMode returns the settings with a discovery mode.
+// settingsWithMode returns settingsJSON with a value of RegistryMode.
 func settingsWithMode(mode string) testkit.JSON {
 	return testkit.JSON(strings.Replace(settingsJSON, "pushed", mode, 1))
 }
 
-// startWithScriptedDiscovery starts a node before a discovery service whose responses the test gives. change
-// may alter its configuration.
+// startWithScriptedDiscovery starts a node that calls a discovery service whose responses the test sends one by one.
+// The function change, unless it is nil, alters the configuration.
 func startWithScriptedDiscovery(
 	t *testing.T, mode string, change func(file map[string]any),
 ) (*testNode, *testkit.ScriptedDiscovery) {
@@ -35,8 +35,8 @@
 	return n, scripted
 }
 
-// withLargeFleet returns a change of the configuration to that of a node among many, which seldom polls the
-// discovery service at an address.
+// withLargeFleet returns a change to the configuration: the node is one of 650, and polls the discovery service at the
+// given address rarely, with up to 30 s between two polls.
 func withLargeFleet(discovery string) func(file map[string]any) {
 	return func(file map[string]any) {
 		file["discovery"] = discovery
@@ -46,7 +46,7 @@
 	}
 }
 
-// listJSON returns an endpoint list as discovery sends it.
+// listJSON returns an endpoint list in the format in which discovery sends it.
 func listJSON(t *testing.T, list endpointjson.List) string {
 	t.Helper()
 	text, err := json.Marshal(list)
@@ -56,13 +56,14 @@
 	return string(text)
 }
 
-// draining returns an endpoint as one that drains.
+// draining returns the endpoint of a server that drains.
 func draining(e endpointjson.Endpoint) endpointjson.Endpoint {
 	e.Lifecycle = "Terminating"
 	return e
 }
 
-// wantQueryPrefix fails the test unless a call's query starts with the wanted text, or is empty if that is "".
+// wantQueryPrefix fails the test unless the query of a call to discovery starts with the wanted text. If that text is
+// empty, the query must be empty too.
 func wantQueryPrefix(t *testing.T, call *http.Request, want string) {
 	t.Helper()
 	query := call.URL.RawQuery
@@ -71,7 +72,7 @@
 	}
 }
 
-// wantWatchQuery waits for the next call to a registry, and fails the test unless its query contains a text.
+// wantWatchQuery waits for the next call to a registry and fails the test unless its query contains the wanted text.
 func wantWatchQuery(t *testing.T, registry *testkit.Registry, want string) {
 	t.Helper()
 	if query := testkit.Wait(t, registry.Queries, "the next call to discovery"); !strings.Contains(query, want) {
