--- a/internal/node/harness_handler_test.go
+++ b/internal/node/harness_handler_test.go
@@ -19,22 +19,22 @@
 	"calicohinge/policy"
 )
 
-// testHandler is a handler that serves on a socket, and the loop behind it. The tests can
-// pause the loop, so that a socket shows what the loop has not learned.
+// testHandler is a handler that serves clients, with the loop that it submits their requests to. A test can pause the
+// loop, so that a socket already shows that a client has disconnected while the loop has not handled the event yet.
 type testHandler struct {
 	*testNode
 	handler *handler
 	loop    *testLoop
-	conns   sync.Map // *downstream.Conn by its client's address
+	conns   sync.Map // the node's end of each connection, by the client's address
 }
 
-// startHandler starts a testHandler with deadlines that no test reaches, and 400 client connections.
+// startHandler starts a testHandler with deadlines that no test reaches, and a limit of 400 client connections.
 func startHandler(t *testing.T, list ...endpointjson.Endpoint) *testHandler {
 	t.Helper()
 	return startHandlerWithLinger(t, downstream.DefaultLingerTimeout, list...)
 }
 
-// startHandlerWithLinger is startHandler with another linger timeout.
+// startHandlerWithLinger is startHandler with the given linger timeout.
 func startHandlerWithLinger(t *testing.T, linger time.Duration, list ...endpointjson.Endpoint) *testHandler {
 	t.Helper()
 	cfg := testConfig(t, testkit.NewRegistry(t), withDeadlines(600000))
@@ -53,12 +53,12 @@
 		s.conns.Store(nc.RemoteAddr().String(), nc)
 		s.handler.conns.ConnState(nc, state)
 	}
-	go func() { _ = srv.Serve(s.handler.conns.Listener(listener)) }() // until srv is closed
+	go func() { _ = srv.Serve(s.handler.conns.Listener(listener)) }() // returns when srv is closed
 	closeAtTestEnd(t, srv)
 	return s
 }
 
-// newTestLoop returns a loop that does not run yet.
+// newTestLoop returns a testLoop whose run method has not been called yet.
 func newTestLoop(t *testing.T, cfg *config.Config, pool *upstream.Pool, watcher watcher) *testLoop {
 	t.Helper()
 	l, err := newLoop(t.Context(), cfg, pool, watcher)
@@ -68,7 +68,7 @@
 	return &testLoop{loop: l, t: t}
 }
 
-// sendOnNewConn sends a request on a new connection, with further bytes in the same write.
+// sendOnNewConn sends a request of a class on a new connection, with the following bytes in the same write.
 func (s *testHandler) sendOnNewConn(class, following string) *net.TCPConn {
 	s.t.Helper()
 	nc := s.dial().(*net.TCPConn)
@@ -78,27 +78,27 @@
 	return nc
 }
 
-// requestText returns a valid request, with a long timeout, as it is on the wire.
+// requestText returns a valid request of a class in wire format. Its timeout is so long that no test reaches it.
 func (s *testHandler) requestText(class string) string {
 	r := s.newRequest(class)
 	r.Header.Set("X-Timeout-Ms", "600000")
 	return wireText(r)
 }
 
-// nodeConn returns the node's end of a client's connection; nil before it is accepted.
+// nodeConn returns the node's end of a client's connection, or nil if the node has not accepted it yet.
 func (s *testHandler) nodeConn(client net.Conn) *downstream.Conn {
 	loaded, _ := s.conns.Load(client.LocalAddr().String())
 	conn, _ := loaded.(*downstream.Conn)
 	return conn
 }
 
-// awaitDisconnect waits until the node's end of a connection shows that its client has disconnected.
+// awaitDisconnect waits until the node's end of a connection shows that the client has disconnected.
 func (s *testHandler) awaitDisconnect(client *net.TCPConn) {
 	s.t.Helper()
 	awaitSocketState(s.t, s.nodeConn(client).Conn, sockstate.Closed)
 }
 
-// awaitNoRequests waits until no part of the node has an active request.
+// awaitNoRequests waits until the loop has released all requests and the handler has no active request IDs.
 func (s *testHandler) awaitNoRequests() {
 	s.t.Helper()
 	s.loop.awaitRequests(0, 0)
@@ -121,7 +121,7 @@
 	})
 }
 
-// awaitNoConns waits until all connections are closed but idle ones to servers.
+// awaitNoConns waits until all requests are released and all connections are closed, except idle ones to servers.
 func (s *testHandler) awaitNoConns() {
 	s.t.Helper()
 	s.loop.awaitRequests(0, 0)
@@ -131,7 +131,7 @@
 	})
 }
 
-// acceptedConn returns both ends of an admitted connection, the client's first.
+// acceptedConn opens a connection that conns admits, and returns the client's end and the node's end.
 func acceptedConn(t *testing.T, conns *downstream.Conns) (net.Conn, *downstream.Conn) {
 	t.Helper()
 	listener := testkit.Listen(t)
@@ -150,7 +150,7 @@
 	return client, nc.(*downstream.Conn)
 }
 
-// wireText returns a request as it is on the wire.
+// wireText returns a request in wire format.
 func wireText(r *http.Request) string {
 	var text strings.Builder
 	sendRequest(&text, r)
