--- a/internal/node/harness_loop_test.go
+++ b/internal/node/harness_loop_test.go
@@ -15,7 +15,7 @@
 	"calicohinge/policy"
 )
 
-// testLoop is a node's loop and pool without handler and discovery.
+// testLoop is the loop of a node. It runs without the other components of the node, unless a test adds them.
 type testLoop struct {
 	*loop
 	t *testing.T
@@ -27,7 +27,7 @@
 	return startLoopWith(t, func(*upstream.Config) {}, list...)
 }
 
-// startLoopWith is startLoop with a changed configuration of the pool.
+// startLoopWith is startLoop with a change to the configuration of the pool.
 func startLoopWith(t *testing.T, change func(*upstream.Config), list ...endpointjson.Endpoint) *testLoop {
 	t.Helper()
 	cfg := testConfig(t, testkit.NewRegistry(t), nil)
@@ -39,26 +39,26 @@
 	return l
 }
 
-// noWatcher stands for discovery in a test that has none.
+// noWatcher is the watcher in tests without a discovery client. It ignores all requests for watches.
 type noWatcher struct{}
 
 func (noWatcher) RequestWatch() {}
 
-// eventFunc is an event of a test.
+// eventFunc is an event that calls a function of a test in the loop's goroutine.
 type eventFunc func(now time.Duration)
 
 func (f eventFunc) handle(_ *loop, now time.Duration) { f(now) }
 
-// clientFunc is a client connection whose state a function returns.
+// clientFunc is a client connection. The function reports whether the client has disconnected.
 type clientFunc func() bool
 
 // ClientDisconnected implements clientConn.
 func (f clientFunc) ClientDisconnected() bool { return f() }
 
-// staysConnected is a client that does not disconnect.
+// staysConnected is the clientFunc of a client that does not disconnect.
 func staysConnected() bool { return false }
 
-// forwardedTestRequest returns a request as the handler forwards it.
+// forwardedTestRequest returns a request in the form in which the handler forwards it to a server.
 func forwardedTestRequest() *upstream.Request {
 	return &upstream.Request{
 		Method: "POST", URL: &url.URL{Path: "/pay"}, Host: "x", Header: http.Header{}, Body: []byte("b"),
@@ -66,12 +66,12 @@
 	}
 }
 
-// reportEndpoints reports an endpoint update as the discovery client would.
+// reportEndpoints reports an update of the endpoint list to the loop, like the discovery client.
 func (l *testLoop) reportEndpoints(kind policy.UpdateKind, list ...endpointjson.Endpoint) {
 	l.endpoints.UpdateEndpoints(kind, endpointjson.TranslateAll(list))
 }
 
-// newRequest makes a request as the handler would.
+// newRequest returns a request in the form in which the handler submits it to the loop.
 func (l *testLoop) newRequest(class int, disconnected func() bool) *request {
 	return &request{
 		Request: *forwardedTestRequest(), class: class, deadline: l.clock.now() + time.Minute,
@@ -79,17 +79,18 @@
 	}
 }
 
-// submitAsync submits a request and returns a channel, which gets the response, or an empty one if there is none.
+// submitAsync submits a request and returns a channel that receives its response. If the request completes without one,
+// the channel receives the zero response.
 func (l *testLoop) submitAsync(ctx context.Context, r *request) <-chan response {
 	done := make(chan response, 1)
 	go func() {
-		final, _ := l.submit(ctx, r) // the status shows it
+		final, _ := l.submit(ctx, r) // on an error the status is 0
 		done <- final
 	}()
 	return done
 }
 
-// wantStatus fails the test unless a request that was submitted gets a response with this status.
+// wantStatus waits for the response to a submitted request and fails the test unless it has the wanted status.
 func (l *testLoop) wantStatus(done <-chan response, want int) {
 	l.t.Helper()
 	if final := testkit.Wait(l.t, done, "the response to a submitted request"); final.status != want {
@@ -97,7 +98,8 @@
 	}
 }
 
-// runInLoop runs a function in the loop, after all events that were posted before.
+// runInLoop runs a function in the loop's goroutine, after the events that were posted before, and waits until it
+// returns.
 func (l *testLoop) runInLoop(run func()) {
 	l.t.Helper()
 	done := make(chan struct{})
@@ -105,7 +107,7 @@
 	testkit.Wait(l.t, done, "the loop to run a function")
 }
 
-// awaitInLoop waits until a condition holds, which is checked in the loop.
+// awaitInLoop waits until a condition holds. The condition is checked in the loop's goroutine.
 func (l *testLoop) awaitInLoop(description string, holds func() bool) {
 	l.t.Helper()
 	testkit.Until(l.t, description, func() bool {
@@ -115,7 +117,7 @@
 	})
 }
 
-// awaitRequests waits until the loop has the given numbers of requests and of attempts in flight.
+// awaitRequests waits until the loop holds exactly the given numbers of requests and of attempts in flight.
 func (l *testLoop) awaitRequests(requests, inFlight int) {
 	l.t.Helper()
 	description := fmt.Sprintf("%d requests with %d attempts in flight", requests, inFlight)
@@ -128,13 +130,14 @@
 	})
 }
 
-// pausePoint is an event that blocks the loop, once it is reached, until it is resumed.
+// pausePoint is a queued event that blocks the loop until resume is called. The channel reached is closed when the loop
+// handles the event.
 type pausePoint struct {
 	reached <-chan struct{}
 	resume  func()
 }
 
-// queuePause queues a pause behind the events that were posted before.
+// queuePause posts an event that blocks the loop after it has handled the events that were posted before.
 func (l *testLoop) queuePause() pausePoint {
 	blocked, unblock := make(chan struct{}), make(chan struct{})
 	resume := sync.OnceFunc(func() { close(unblock) })
@@ -143,7 +146,7 @@
 	return pausePoint{blocked, resume}
 }
 
-// pause blocks the loop and returns the function that resumes it.
+// pause waits until the loop is blocked and returns the function that resumes it.
 func (l *testLoop) pause() func() {
 	l.t.Helper()
 	point := l.queuePause()
@@ -151,17 +154,18 @@
 	return point.resume
 }
 
-// lastRequest returns the request that arrived last. The loop is paused.
+// lastRequest returns the request that arrived last. The loop must be paused.
 func (l *testLoop) lastRequest() *request { return l.requests.get(l.requests.lastID) }
 
-// advanceClock moves the clock past every backoff and the delay of a hedged request, and fires a timer of the
-// balancer, so that it acts.
+// advanceClock moves the node's clock forward past every backoff and past the delay of a hedged request. It then
+// fires a timer of the balancer, so that the balancer starts the attempts that have fallen due. It must run in the
+// loop.
 func (l *testLoop) advanceClock(time.Duration) {
 	l.clock.origin = l.clock.origin.Add(-200 * time.Second)
 	l.balancer.Timer(l.clock.now(), 0)
 }
 
-// countStartedAttempts counts the attempts whose first byte was released for writing.
+// countStartedAttempts returns how many attempts of the requests have been permitted to write their first byte.
 func countStartedAttempts(requests ...*request) int {
 	started := 0
 	for _, r := range requests {
