--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -8,13 +8,15 @@
 	"calicohinge/internal/testkit"
 )
 
-func TestDiscoveryOutageIsSurvived(t *testing.T) {
+// Discovery is down when the node starts: the node becomes ready once discovery has recovered. During a later outage it
+// continues to serve with its endpoint list.
+func TestNodeServesAfterAndDuringDiscoveryOutages(t *testing.T) {
 	server := testkit.NewBackend(t, testkit.OK)
 	registry := testkit.NewRegistry(t)
 	registry.SetDown(true)
 	n := startNode(t, testConfig(t, registry, nil))
-	testkit.Wait(t, registry.Queries, "a first call")
-	testkit.Wait(t, registry.Queries, "a call after the failed one")
+	testkit.Wait(t, registry.Queries, "the first call to discovery")
+	testkit.Wait(t, registry.Queries, "a call to discovery after a failed one")
 	n.awaitReadiness(http.StatusServiceUnavailable)
 
 	registry.SetEndpoints(server.Endpoint("s-0"))
@@ -22,14 +24,14 @@
 	n.awaitReadiness(http.StatusOK)
 	n.wantStatus("read", http.StatusOK)
 
-	registry.SetDown(true) // the list stays
+	registry.SetDown(true) // the node keeps its list
 	n.wantStatus("read", http.StatusOK)
 }
 
-// The address of discovery changes more than once, as after SIGHUP. The old watch ends, and the complete list is
-// requested from the new address, whatever its generation. The node serves and stays ready throughout, also while
-// the new address doesn't respond.
-func TestDiscoveryAtANewAddressIsFollowed(t *testing.T) {
+// The address of discovery changes several times, as it does after SIGHUP. Each time, the watch at the previous
+// address ends and the node requests the complete list from the new address, whatever generation it has. The node
+// serves and stays ready throughout, even while a new address does not respond.
+func TestNodeFollowsDiscoveryToANewAddress(t *testing.T) {
 	oldServer, newServer := testkit.NewBackend(t, testkit.OK), testkit.NewBackend(t, testkit.OK)
 	old := testkit.NewRegistry(t, oldServer.Endpoint("s-a"))
 	n := startNode(t, testConfig(t, old, nil))
@@ -39,13 +41,13 @@
 		<-old.Queries
 	}
 
-	n.node.SetDiscoveryAddress(testkit.FreeAddr(t)) // nobody there yet
+	n.node.SetDiscoveryAddress(testkit.FreeAddr(t)) // nothing listens there
 	n.wantStatus("read", http.StatusOK)
 	n.node.SetDiscoveryAddress(next.Listener.Addr().String())
-	if query := testkit.Wait(t, next.Queries, "the first call"); query != "" {
+	if query := testkit.Wait(t, next.Queries, "the first call to the new address"); query != "" {
 		t.Errorf("first call to the new discovery address: query %q, want none", query)
 	}
-	testkit.Wait(t, next.Queries, "the watch")
+	testkit.Wait(t, next.Queries, "the watch at the new address")
 	n.awaitReadiness(http.StatusOK)
 
 	takeRequests(oldServer)
@@ -55,7 +57,7 @@
 			len(oldServer.Requests), len(newServer.Requests))
 	}
 	next.SetEndpointsAndWait(t)
-	n.wantStatus("read", http.StatusServiceUnavailable) // the new address is watched
+	n.wantStatus("read", http.StatusServiceUnavailable) // the watch at the new address has returned the empty list
 
 	n.node.SetDiscoveryAddress(old.Listener.Addr().String())
 	for query := range old.Queries {
@@ -63,12 +65,13 @@
 			break
 		}
 	}
-	testkit.Wait(t, old.Queries, "the watch")
+	testkit.Wait(t, old.Queries, "the watch at the first address")
 	n.wantStatus("read", http.StatusOK)
 }
 
-// The cached endpoint list serves while discovery is down.
-func TestCachedEndpointListServesDuringAnOutage(t *testing.T) {
+// Discovery is down when the node starts. The node becomes ready, serves with the cached endpoint list, and calls
+// discovery from the generation of that list.
+func TestCachedEndpointListIsUsedDuringAnOutage(t *testing.T) {
 	server := testkit.NewBackend(t, testkit.OK)
 	registry := testkit.NewRegistry(t)
 	registry.SetDown(true)
@@ -82,15 +85,16 @@
 	wantWatchQuery(t, registry, "after=7")
 }
 
-// Generation 0 is an ordinary generation: a list that has it is watched from there, and not requested in full again.
+// Generation 0 is valid: after a list of generation 0, the node watches for changes since that generation and does not
+// request the complete list again.
 func TestGenerationZeroIsWatched(t *testing.T) {
 	_, registry := startReadyNode(t, testkit.NewBackend(t, testkit.OK))
-	testkit.Wait(t, registry.Queries, "the first call")
+	testkit.Wait(t, registry.Queries, "the first call to discovery")
 	wantWatchQuery(t, registry, "after=0")
 }
 
-// In polling mode the balancer requests the list.
-func TestPolledEndpointListIsRequested(t *testing.T) {
+// In polling mode, the balancer requests each call to discovery. The node gets the list and serves.
+func TestPollingNodeGetsTheEndpointList(t *testing.T) {
 	server := testkit.NewBackend(t, testkit.OK)
 	n := startReadyNodeWithConfig(t, server.Endpoint("s-0"), func(file map[string]any) {
 		file["settings"] = settingsWithMode("on_request")
