--- a/internal/node/discovery_failure_test.go
+++ b/internal/node/discovery_failure_test.go
@@ -16,8 +16,8 @@
 	"calicohinge/policy"
 )
 
-// A watch that becomes unresponsive or is reset is reopened before the node counts as notified of the changes that it
-// has missed. These changes arrive, also in indented JSON.
+// A watch becomes unresponsive or is reset. The node reopens it from its generation, before it counts as notified of
+// the changes that it has missed, and applies these changes. They arrive as indented JSON, which is valid too.
 func TestUnresponsiveOrResetWatchIsReopened(t *testing.T) {
 	t.Parallel()
 	for _, mode := range discoveryModes() {
@@ -36,7 +36,7 @@
 func testWatchIsReopened(t *testing.T, mode string, fail func(*testkit.ScriptedDiscovery)) {
 	t.Helper()
 	n, scripted := startWithScriptedDiscovery(t, mode, nil)
-	testkit.Wait(t, scripted.Calls, "the first call")
+	testkit.Wait(t, scripted.Calls, "the first call to discovery")
 	scripted.Responses <- `{"generation":3,"reset":true,"instances":[]}`
 	n.awaitReadiness(http.StatusOK)
 	testkit.Wait(t, scripted.Calls, "the watch")
@@ -60,35 +60,35 @@
 	n.wantStatus("read", http.StatusOK)
 }
 
-// The address of discovery changes during the first call, and again during a watch. The complete list is requested
-// from the new address, and the old call is cancelled once that list has arrived. Until then its response may be on
-// its way, and would be used.
-func TestDiscoveryMoveCancelsCallsInFlight(t *testing.T) {
+// The address of discovery changes during the first call, and again during a watch. Each time, the node requests the
+// complete list from the new address. It cancels the call to the previous address only once that list has arrived:
+// until then, a response from the previous address may be on its way, and the node would use it.
+func TestDiscoveryAddressChangeCancelsCallInFlight(t *testing.T) {
 	for _, mode := range discoveryModes() {
 		t.Run(mode, func(t *testing.T) {
 			n, old := startWithScriptedDiscovery(t, mode, nil)
-			first := testkit.Wait(t, old.Calls, "the first call")
+			first := testkit.Wait(t, old.Calls, "the first call to discovery")
 			next := testkit.NewScriptedDiscovery(t)
 
-			n.node.SetDiscoveryAddress(next.Address) // before any list is known
+			n.node.SetDiscoveryAddress(next.Address) // before the node has a list
 			wantQueryPrefix(t, testkit.Wait(t, next.Calls, "a call to the new address"), "")
 			wantCallInFlight(t, first)
 			next.Responses <- `{"generation":9,"reset":true,"instances":[]}`
 			n.awaitReadiness(http.StatusOK)
-			testkit.Wait(t, first.Context().Done(), "the end of the old call")
-			watch := testkit.Wait(t, next.Calls, "the watch")
+			testkit.Wait(t, first.Context().Done(), "the cancellation of the first call")
+			watch := testkit.Wait(t, next.Calls, "the watch at the new address")
 
-			n.node.SetDiscoveryAddress(old.Address) // and back, during the watch
-			wantQueryPrefix(t, testkit.Wait(t, old.Calls, "a call to the old address"), "")
+			n.node.SetDiscoveryAddress(old.Address) // changes back during the watch
+			wantQueryPrefix(t, testkit.Wait(t, old.Calls, "a call to the first address"), "")
 			wantCallInFlight(t, watch)
 			old.Responses <- `{"generation":2,"reset":true,"instances":[]}`
-			testkit.Wait(t, watch.Context().Done(), "the end of the watch")
-			wantQueryPrefix(t, testkit.Wait(t, old.Calls, "its watch"), "after=2&")
+			testkit.Wait(t, watch.Context().Done(), "the cancellation of the watch")
+			wantQueryPrefix(t, testkit.Wait(t, old.Calls, "the watch at the first address"), "after=2&")
 		})
 	}
 }
 
-// wantCallInFlight fails the test if a call has ended.
+// wantCallInFlight fails the test if a call to the previous address has ended.
 func wantCallInFlight(t *testing.T, call *http.Request) {
 	t.Helper()
 	if err := call.Context().Err(); err != nil {
@@ -96,8 +96,9 @@
 	}
 }
 
-// The new address of discovery resets the first calls. The node counts as notified of the list there 4 s after the
-// change of the address: also in a large fleet, it must not back off as after other failures.
+// The first calls to a new address of discovery are reset. The node counts as notified of the list at that address 4 s
+// after the change (testkit.AddressChangeDeadline). It must therefore retry sooner than after other failures, even in a
+// large fleet, where backoffs are long.
 func TestNewDiscoveryAddressIsRetriedQuickly(t *testing.T) {
 	t.Parallel()
 	for _, mode := range discoveryModes() {
@@ -119,7 +120,7 @@
 				testkit.Wait(t, next.Calls, "a call to the new address")
 				next.Responses <- testkit.ResponseReset
 			}
-			testkit.Wait(t, next.Calls, "a call after the failed ones")
+			testkit.Wait(t, next.Calls, "a call to the new address after failed ones")
 			if took := time.Since(began); took >= testkit.AddressChangeDeadline {
 				t.Errorf("fourth call to the new address %v after the change, want less than %v",
 					took, testkit.AddressChangeDeadline)
@@ -130,25 +131,25 @@
 	}
 }
 
-// Discovery fails the watch, and recovers with a change: the node calls again by itself, from the generation that it
-// has, and applies the change.
-func TestBrokenWatchResumesAtItsGeneration(t *testing.T) {
+// A watch fails, and discovery recovers with a change of the list. The node calls again without further cause, from the
+// generation that it has, and applies the change.
+func TestFailedWatchResumesAtItsGeneration(t *testing.T) {
 	t.Parallel()
 	for _, mode := range discoveryModes() {
 		t.Run(mode, func(t *testing.T) {
 			t.Parallel()
 			oldServer, newServer := testkit.NewBackend(t, testkit.OK), testkit.NewBackend(t, testkit.OK)
 			n, scripted := startWithScriptedDiscovery(t, mode, nil)
-			testkit.Wait(t, scripted.Calls, "the first call")
+			testkit.Wait(t, scripted.Calls, "the first call to discovery")
 			scripted.Responses <- listJSON(t, endpointjson.List{
 				Generation: 5, Endpoints: []endpointjson.Endpoint{oldServer.Endpoint("s-0")},
 			})
 			testkit.Wait(t, scripted.Calls, "the watch")
 
 			scripted.Responses <- testkit.ResponseUnavailable
-			testkit.Wait(t, scripted.Calls, "a call while it is down")
+			testkit.Wait(t, scripted.Calls, "a call during the outage")
 			scripted.Responses <- testkit.ResponseUnavailable
-			wantQueryPrefix(t, testkit.Wait(t, scripted.Calls, "a call as it is back"), "after=5&")
+			wantQueryPrefix(t, testkit.Wait(t, scripted.Calls, "a call after the outage"), "after=5&")
 			scripted.Responses <- listJSON(t, endpointjson.List{
 				Generation: 6, Endpoints: []endpointjson.Endpoint{draining(oldServer.Endpoint("s-0")), newServer.Endpoint("s-1")},
 			})
@@ -162,10 +163,10 @@
 	}
 }
 
-// callFailure fails the present call of a node to discovery.
+// callFailure makes the call that a node has in flight to discovery fail.
 type callFailure func(*testNode, *testkit.ScriptedDiscovery)
 
-// callFailures are the ways in which a call can fail.
+// callFailures returns the ways in which a call to discovery can fail, by name.
 func callFailures() map[string]callFailure {
 	respond := func(text string) callFailure {
 		return func(_ *testNode, scripted *testkit.ScriptedDiscovery) { scripted.Responses <- text }
@@ -173,16 +174,17 @@
 	return map[string]callFailure{
 		"status 503":   respond(testkit.ResponseUnavailable),
 		"reset":        respond(testkit.ResponseReset),
-		"no list":      respond("<html>"),
+		"malformed":    respond("<html>"),
 		"unresponsive": func(*testNode, *testkit.ScriptedDiscovery) {},
-		"cancelled at SIGHUP": func(n *testNode, _ *testkit.ScriptedDiscovery) { // with the same address
+		"cancelled by SIGHUP": func(n *testNode, _ *testkit.ScriptedDiscovery) { // the address stays the same
 			n.node.SetDiscoveryAddress(n.node.cfg.Discovery)
 		},
 	}
 }
 
-// Two calls to discovery in a row fail, in each way in which they can, at a node of a large fleet that seldom polls.
-// The node counts as notified of changes policy.NotificationDeadline after discovery can be reached again.
+// Two calls to discovery in a row fail in the same way. The node counts as notified of changes
+// policy.NotificationDeadline after discovery can be reached again, so it must call again before that, even in a large
+// fleet, where a node polls rarely.
 func TestFailedCallsAreRetriedBeforeTheNotificationDeadline(t *testing.T) {
 	for name, fail := range callFailures() {
 		t.Run(name, func(t *testing.T) {
@@ -195,7 +197,7 @@
 	t.Helper()
 	scripted := testkit.NewScriptedDiscovery(t)
 	n := startNode(t, testConfig(t, testkit.NewRegistry(t), withLargeFleet(scripted.Address)))
-	testkit.Wait(t, scripted.Calls, "the first call")
+	testkit.Wait(t, scripted.Calls, "the first call to discovery")
 	scripted.Responses <- `{"generation":3,"reset":true,"instances":[` +
 		`{"instanceId":"s","hostPort":"127.0.0.1:1","lifecycle":"Ready"}]}`
 	testkit.Wait(t, scripted.Calls, "the watch")
@@ -209,7 +211,8 @@
 	}
 }
 
-// Connections to discovery are refused until it listens again: the node calls before the notification deadline.
+// Connections to discovery are refused until it listens again. The node must then call before the notification
+// deadline, even in a large fleet, where a node polls rarely.
 func TestRefusedCallsAreRetriedBeforeTheNotificationDeadline(t *testing.T) {
 	t.Parallel()
 	reserved := testkit.ReserveAddr(t)
@@ -217,8 +220,8 @@
 	client := discovery.New(discovery.Config{Address: reserved.Address, Poll: true})
 	l := newTestLoop(t, cfg, upstream.NewPool(upstreamConfig(cfg, 20)), client)
 	go client.Run(t.Context(), l.endpoints)
-	for range 5 { // no list, a refused call, a timer, the same again
-		testkit.Wait(t, l.queue.posted, "an event").handle(l.loop, l.clock.now())
+	for range 5 { // no cached list, a refused call, a timer, a refused call, a timer
+		testkit.Wait(t, l.queue.posted, "the loop's next event").handle(l.loop, l.clock.now())
 	}
 
 	listener, err := reserved.Listen()
@@ -238,35 +241,36 @@
 	}
 }
 
-// outage fails a node's calls to discovery, from the first one on, and runs a function meanwhile.
+// outage makes the calls of a node to discovery fail, beginning with the first one, and calls meanwhile during the
+// outage.
 type outage func(t *testing.T, scripted *testkit.ScriptedDiscovery, meanwhile func())
 
-// failTwice returns an outage in which two calls get a response that is a failure.
+// failTwice returns an outage in which two calls get the given response, which is a failure.
 func failTwice(response string) outage {
 	return func(t *testing.T, scripted *testkit.ScriptedDiscovery, meanwhile func()) {
 		t.Helper()
-		testkit.Wait(t, scripted.Calls, "a first call")
+		testkit.Wait(t, scripted.Calls, "the first call to discovery")
 		scripted.Responses <- response
 		meanwhile()
-		testkit.Wait(t, scripted.Calls, "a call while it is down")
+		testkit.Wait(t, scripted.Calls, "a call during the outage")
 		scripted.Responses <- response
 	}
 }
 
-// staysUnresponsive is an outage in which a call gets no response.
+// staysUnresponsive is an outage in which the first call gets no response.
 func staysUnresponsive(t *testing.T, scripted *testkit.ScriptedDiscovery, meanwhile func()) {
 	t.Helper()
-	testkit.Wait(t, scripted.Calls, "a first call")
+	testkit.Wait(t, scripted.Calls, "the first call to discovery")
 	meanwhile()
 }
 
-// Idle clients use every connection while discovery fails, in each of three ways, and more connect when it has
-// recovered: the node applies the new list in time and responds to all requests.
-func TestDiscoveryRecoversDuringAConnectionFlood(t *testing.T) {
+// Idle clients use all client connections while discovery fails, and more clients connect when it recovers. The node
+// must apply the new list before the notification deadline and respond to all requests.
+func TestNodeFollowsDiscoveryDuringAConnectionFlood(t *testing.T) {
 	t.Parallel()
 	for _, mode := range discoveryModes() {
 		for name, fail := range map[string]outage{
-			"down":         failTwice(testkit.ResponseUnavailable),
+			"status 503":   failTwice(testkit.ResponseUnavailable),
 			"reset":        failTwice(testkit.ResponseReset),
 			"unresponsive": staysUnresponsive,
 		} {
@@ -291,13 +295,13 @@
 
 	var idle []net.Conn
 	fail(t, scripted, func() { idle = n.openFlood(90) })
-	n.wantRequestsServed(1, "while discovery is down")
+	n.wantRequestsServed(1, "during the outage of discovery")
 	n.awaitReadiness(http.StatusOK)
-	if open := countOpen(idle); open > 22 {
+	if open := countOpen(idle); open > 22 { // 20 connections and the reserve of 2
 		t.Errorf("%d idle client connections are open during the outage, want at most 22", open)
 	}
 
-	testkit.Wait(t, scripted.Calls, "the call as it is back")
+	testkit.Wait(t, scripted.Calls, "the first call that succeeds")
 	text := listJSON(t, endpointjson.List{
 		Generation: 2, Endpoints: []endpointjson.Endpoint{draining(oldServer.Endpoint("s-0")), newServer.Endpoint("s-1")},
 	})
@@ -305,7 +309,7 @@
 	var clients sync.WaitGroup
 	for range 5 {
 		clients.Go(func() { <-recovered; n.openFlood(30) })
-		clients.Go(func() { <-recovered; n.wantRequestsServed(4, "as discovery is back") })
+		clients.Go(func() { <-recovered; n.wantRequestsServed(4, "while discovery recovers") })
 	}
 	began := time.Now()
 	close(recovered)
@@ -318,7 +322,7 @@
 
 	takeRequests(oldServer)
 	n.openFlood(60)
-	n.wantRequestsServed(20, "afterwards")
+	n.wantRequestsServed(20, "after the recovery of discovery")
 	if len(oldServer.Requests) > 0 {
 		t.Errorf("%d requests sent to the draining server, want none", len(oldServer.Requests))
 	}
