--- a/internal/node/endpoints_test.go
+++ b/internal/node/endpoints_test.go
@@ -12,6 +12,7 @@
 	"calicohinge/policy"
 )
 
+// A draining server gets no requests, even if no other server is left.
 func TestDrainingServerGetsNoRequests(t *testing.T) {
 	drainingServer, otherServer := testkit.NewBackend(t, testkit.OK), testkit.NewBackend(t, testkit.OK)
 	n, registry := startReadyNode(t, drainingServer, otherServer)
@@ -26,11 +27,11 @@
 		t.Errorf("%d requests sent to the draining server and %d to the other one, want 0 and 20",
 			len(drainingServer.Requests), len(otherServer.Requests))
 	}
-	registry.SetEndpointsAndWait(t, drainingEndpoint) // no server is left
+	registry.SetEndpointsAndWait(t, drainingEndpoint) // no other server is left
 	n.wantStatus("read", http.StatusServiceUnavailable)
 }
 
-// A server at a new address is another process: connections to the old one are closed.
+// A server at a new address is a new process, so the node closes its connections to the old address and opens new ones.
 func TestServerAtANewAddressGetsNewConnections(t *testing.T) {
 	oldServer, newServer := testkit.NewBackend(t, testkit.OK), testkit.NewBackend(t, testkit.OK)
 	n, registry := startReadyNode(t, oldServer)
@@ -43,8 +44,9 @@
 	}
 }
 
-// The node is notified that a server drains, was removed or has restarted while a connection to the server is being
-// opened: nothing is sent on that connection, and the request goes to another server.
+// The node is notified that a server drains, was removed or has restarted while an attempt waits for a connection to
+// that server. The attempt is revoked, so that nothing is sent on the connection, and the request goes to another
+// server.
 func TestEndpointChangeRevokesAttemptsThatAwaitAConnection(t *testing.T) {
 	t.Parallel()
 	for name, change := range map[string]func(server endpointjson.Endpoint) []endpointjson.Endpoint{
@@ -69,7 +71,7 @@
 			}
 		})
 	}
-	t.Run("restarted", func(t *testing.T) { // the server may be selected again
+	t.Run("restarted", func(t *testing.T) { // the server may be selected again and get a request
 		t.Parallel()
 		l, stuck, done := startWithStuckAttempt(t)
 		restarted := stuck.Endpoint("s-0")
@@ -84,7 +86,7 @@
 	})
 }
 
-// startWithStuckAttempt starts a loop with a request that awaits its connection.
+// startWithStuckAttempt starts a loop with one request, whose attempt waits for a connection to a stuck server.
 func startWithStuckAttempt(t *testing.T) (*testLoop, *testkit.StuckServer, <-chan response) {
 	t.Helper()
 	stuck := testkit.NewStuckServer(t)
@@ -94,7 +96,7 @@
 	return l, stuck, done
 }
 
-// wantFirstAttemptsRevoked fails the test if the first attempt of an active request may be sent.
+// wantFirstAttemptsRevoked fails the test unless the first attempt of each request has ended and has been revoked.
 func (l *testLoop) wantFirstAttemptsRevoked() {
 	l.t.Helper()
 	l.runInLoop(func() {
@@ -107,14 +109,13 @@
 	})
 }
 
-// The node is notified that a server drains while a request waits for its next attempt: the attempt goes to another
-// server.
+// The node is notified that a server drains while a request waits for its retry. The retry goes to another server.
 func TestRetryAvoidsADrainingServer(t *testing.T) {
 	failing := testkit.NewBackend(t, testkit.ServerError)
 	drainingServer, other := testkit.NewBackend(t, testkit.OK), testkit.NewBackend(t, testkit.OK)
 	l := startLoop(t, failing.Endpoint("s-0"))
 	done := l.submitAsync(t.Context(), l.newRequest(classRead, staysConnected))
-	testkit.Wait(t, failing.Requests, "the first attempt")
+	testkit.Wait(t, failing.Requests, "the first attempt at the failing server")
 	l.awaitRequests(1, 0)
 
 	l.reportEndpoints(policy.UpdateDelta, drainingServer.Endpoint("s-1"))
@@ -126,7 +127,8 @@
 	}
 }
 
-// Lists of discovery may be malformed; the node calls again and uses the valid endpoints.
+// Discovery may send malformed lists, and lists with malformed endpoints. The node calls again after a malformed
+// list, and uses the valid endpoints of a list that also has malformed ones.
 func TestMalformedEndpointListsAreSkipped(t *testing.T) {
 	valid := testkit.NewBackend(t, testkit.OK)
 	n, scripted := startWithScriptedDiscovery(t, "pushed", nil)
@@ -141,8 +143,9 @@
 	n.wantStatus("read", http.StatusOK)
 }
 
-// A server that started before this node may still be warming up. Its start on the clock must be after 0, as 0 means
-// long ago. It must not change from list to list, as a change means a restart.
+// A server that started shortly before the node may still be warming up. Its start on the node's clock must therefore
+// be after 0, since 0 means long ago. It must not differ from list to list, since a difference means that the server
+// has restarted.
 func TestServerStartTimesAreStableOnTheClock(t *testing.T) {
 	l := newTestLoop(t, testConfig(t, testkit.NewRegistry(t), nil), nil, noWatcher{})
 	clockStart := func(startedAt time.Time) time.Duration {
