--- a/internal/node/key_retention_test.go
+++ b/internal/node/key_retention_test.go
@@ -11,26 +11,27 @@
 	"calicohinge/policy"
 )
 
-// retentionCase is a request with two attempts, one of which gets its connection late.
+// retentionCase describes a request with two attempts. The connection of one of them opens late.
 type retentionCase struct {
 	class         int
-	firstStatus   policy.Status // of the first attempt, Cancelled for one that is still in flight
-	expiresFirst  bool          // the retention ends before the late connection is open
-	lateAttempt   int           // the index of the attempt whose connection is open late
-	wantLateSends int           // of that attempt
+	firstStatus   policy.Status // outcome of the first attempt; Cancelled if it is still in flight
+	expiresFirst  bool          // the key's retention ends before the late connection opens
+	lateAttempt   int           // index of the attempt whose connection opens late
+	wantLateSends int           // how often that attempt is sent
 }
 
-// The connection of an attempt is open before or after the end of the key's retention. After the end, no attempt of
-// the request is written if another one may have been executed. This holds for the first attempt as well.
-func TestRepeatsStayWithinTheKeyRetention(t *testing.T) {
+// The connection for an attempt opens before or after the end of the idempotency key's retention. After the end,
+// servers may have discarded the key and would execute the request again. No attempt may therefore be sent then, not
+// even the first one, if another attempt may have been executed.
+func TestAttemptsRespectTheKeyRetention(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]retentionCase{
-		"a repeat in time":                    {classPush, policy.ServerError, false, 1, 1},
-		"a repeat too late":                   {classPush, policy.ServerError, true, 1, 0},
-		"a hedged request too late":           {classPush, policy.Cancelled, true, 1, 0},
-		"the first one, too late for a hedge": {classPush, policy.Cancelled, true, 0, 0},
-		"behind one that was not executed":    {classPush, policy.Rejected, true, 1, 1},
-		"of an idempotent class":              {classRead, policy.ServerError, true, 1, 1},
+		"retry before the end":                    {classPush, policy.ServerError, false, 1, 1},
+		"retry after the end":                     {classPush, policy.ServerError, true, 1, 0},
+		"hedged request after the end":            {classPush, policy.Cancelled, true, 1, 0},
+		"first attempt after the end, hedged":     {classPush, policy.Cancelled, true, 0, 0},
+		"retry after the end, first not executed": {classPush, policy.Rejected, true, 1, 1},
+		"retry after the end, idempotent class":   {classRead, policy.ServerError, true, 1, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -59,11 +60,11 @@
 			l.reportOutcome(l.clock.now(), r, 0, upstream.Result{Status: c.firstStatus})
 		}
 		if c.expiresFirst {
-			r.attempts[0].startedAt += 20*time.Millisecond - retention
+			r.attempts[0].startedAt += 20*time.Millisecond - retention // the retention ends in 20 ms
 		}
 		l.host.Send(r.id, servers[1], 0)
 	})
-	testkit.Until(t, "the end of the key's retention", func() bool { // which is under test
+	testkit.Until(t, "the end of the key's retention", func() bool { // the test is about attempts after it
 		return !c.expiresFirst || l.clock.now() >= r.attempts[0].startedAt+retention
 	})
 	sent := stuck.Admit()
