--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -8,89 +8,96 @@
 	"calicohinge/internal/testkit"
 )
 
-func TestDiscoveryOutageIsSurvived(t *testing.T) {
-	b := testkit.NewBackend(t, testkit.OK)
-	d := testkit.NewRegistry(t)
-	d.SetDown(true)
-	n := start(t, testConfig(t, d, nil))
-	testkit.Wait(t, d.Queries, "a first call")
-	testkit.Wait(t, d.Queries, "a call after the failed one")
-	n.waitReady(http.StatusServiceUnavailable)
+// Discovery is down when the node starts: the node becomes ready once discovery has recovered. During a later outage it
+// continues to serve with its endpoint list.
+func TestNodeServesAfterAndDuringDiscoveryOutages(t *testing.T) {
+	server := testkit.NewBackend(t, testkit.OK)
+	registry := testkit.NewRegistry(t)
+	registry.SetDown(true)
+	n := startNode(t, testConfig(t, registry, nil))
+	testkit.Wait(t, registry.Queries, "the first call to discovery")
+	testkit.Wait(t, registry.Queries, "a call to discovery after a failed one")
+	n.awaitReadiness(http.StatusServiceUnavailable)
 
-	d.SetEndpoints(b.Endpoint("s-0"))
-	d.SetDown(false)
-	n.waitReady(http.StatusOK)
+	registry.SetEndpoints(server.Endpoint("s-0"))
+	registry.SetDown(false)
+	n.awaitReadiness(http.StatusOK)
 	n.wantStatus("read", http.StatusOK)
 
-	d.SetDown(true) // the list stays
+	registry.SetDown(true) // the node keeps its list
 	n.wantStatus("read", http.StatusOK)
 }
 
-// The address of discovery changes more than once, as after SIGHUP. The old watch ends, and the complete list is
-// requested from the new address, whatever its generation. The node serves and stays ready throughout, also while
-// the new address doesn't respond.
-func TestDiscoveryAtANewAddressIsFollowed(t *testing.T) {
-	a, b := testkit.NewBackend(t, testkit.OK), testkit.NewBackend(t, testkit.OK)
-	old := testkit.NewRegistry(t, a.Endpoint("s-a"))
-	n := start(t, testConfig(t, old, nil))
-	n.waitReady(http.StatusOK)
-	next := testkit.NewRegistry(t, b.Endpoint("s-b"))
+// The address of discovery changes several times, as it does after SIGHUP. Each time, the watch at the previous
+// address ends and the node requests the complete list from the new address, whatever generation it has. The node
+// serves and stays ready throughout, even while a new address does not respond.
+func TestNodeFollowsDiscoveryToANewAddress(t *testing.T) {
+	oldServer, newServer := testkit.NewBackend(t, testkit.OK), testkit.NewBackend(t, testkit.OK)
+	old := testkit.NewRegistry(t, oldServer.Endpoint("s-a"))
+	n := startNode(t, testConfig(t, old, nil))
+	n.awaitReadiness(http.StatusOK)
+	next := testkit.NewRegistry(t, newServer.Endpoint("s-b"))
 	for len(old.Queries) > 0 {
 		<-old.Queries
 	}
 
-	n.node.SetDiscoveryAddress(testkit.FreeAddr(t)) // nobody there yet
+	n.node.SetDiscoveryAddress(testkit.FreeAddr(t)) // nothing listens there
 	n.wantStatus("read", http.StatusOK)
 	n.node.SetDiscoveryAddress(next.Listener.Addr().String())
-	if q := testkit.Wait(t, next.Queries, "the first call"); q != "" {
-		t.Errorf("the new address is queried with %q", q)
+	if query := testkit.Wait(t, next.Queries, "the first call to the new address"); query != "" {
+		t.Errorf("first call to the new discovery address: query %q, want none", query)
 	}
-	testkit.Wait(t, next.Queries, "the watch")
-	n.waitReady(http.StatusOK)
+	testkit.Wait(t, next.Queries, "the watch at the new address")
+	n.awaitReadiness(http.StatusOK)
 
-	received(a)
+	takeRequests(oldServer)
 	n.wantStatus("read", http.StatusOK)
-	if len(a.Requests) > 0 || len(b.Requests) == 0 {
-		t.Errorf("%d sends to the server of the old list, %d to the new one's", len(a.Requests), len(b.Requests))
+	if len(oldServer.Requests) > 0 || len(newServer.Requests) == 0 {
+		t.Errorf("%d requests sent to the server of the old list and %d to that of the new one, want 0 and at least 1",
+			len(oldServer.Requests), len(newServer.Requests))
 	}
 	next.SetEndpointsAndWait(t)
-	n.wantStatus("read", http.StatusServiceUnavailable) // the new address is watched
+	n.wantStatus("read", http.StatusServiceUnavailable) // the watch at the new address has returned the empty list
 
 	n.node.SetDiscoveryAddress(old.Listener.Addr().String())
-	for q := range old.Queries {
-		if q == "" {
+	for query := range old.Queries {
+		if query == "" {
 			break
 		}
 	}
-	testkit.Wait(t, old.Queries, "the watch")
+	testkit.Wait(t, old.Queries, "the watch at the first address")
 	n.wantStatus("read", http.StatusOK)
 }
 
-// The cached endpoint list serves while discovery is down.
-func TestCachedEndpointListServesDuringAnOutage(t *testing.T) {
-	b := testkit.NewBackend(t, testkit.OK)
-	d := testkit.NewRegistry(t)
-	d.SetDown(true)
-	n := start(t, testConfig(t, d, func(file map[string]any) {
-		file["known"] = endpointjson.List{Generation: 7, Reset: true, Endpoints: []endpointjson.Endpoint{b.Endpoint("s-0")}}
+// Discovery is down when the node starts. The node becomes ready, serves with the cached endpoint list, and calls
+// discovery from the generation of that list.
+func TestCachedEndpointListIsUsedDuringAnOutage(t *testing.T) {
+	server := testkit.NewBackend(t, testkit.OK)
+	registry := testkit.NewRegistry(t)
+	registry.SetDown(true)
+	n := startNode(t, testConfig(t, registry, func(file map[string]any) {
+		file["known"] = endpointjson.List{
+			Generation: 7, Reset: true, Endpoints: []endpointjson.Endpoint{server.Endpoint("s-0")},
+		}
 	}))
-	n.waitReady(http.StatusOK)
+	n.awaitReadiness(http.StatusOK)
 	n.wantStatus("read", http.StatusOK)
-	awaitWatch(t, d, "after=7")
+	wantWatchQuery(t, registry, "after=7")
 }
 
-// Generation 0 is an ordinary generation: a list that has it is watched from there, and not requested in full again.
+// Generation 0 is valid: after a list of generation 0, the node watches for changes since that generation and does not
+// request the complete list again.
 func TestGenerationZeroIsWatched(t *testing.T) {
-	_, d := startReady(t, testkit.NewBackend(t, testkit.OK))
-	testkit.Wait(t, d.Queries, "the first call")
-	awaitWatch(t, d, "after=0")
+	_, registry := startReadyNode(t, testkit.NewBackend(t, testkit.OK))
+	testkit.Wait(t, registry.Queries, "the first call to discovery")
+	wantWatchQuery(t, registry, "after=0")
 }
 
-// In polling mode the balancer requests the list.
-func TestPolledEndpointListIsRequested(t *testing.T) {
-	b := testkit.NewBackend(t, testkit.OK)
-	n := startReadyWith(t, b.Endpoint("s-0"), func(file map[string]any) {
-		file["settings"] = settingsWith("on_request")
+// In polling mode, the balancer requests each call to discovery. The node gets the list and serves.
+func TestPollingNodeGetsTheEndpointList(t *testing.T) {
+	server := testkit.NewBackend(t, testkit.OK)
+	n := startReadyNodeWithConfig(t, server.Endpoint("s-0"), func(file map[string]any) {
+		file["settings"] = settingsWithMode("on_request")
 	})
 	n.wantStatus("read", http.StatusOK)
 }
--- a/internal/node/endpoints_test.go
+++ b/internal/node/endpoints_test.go
@@ -12,37 +12,41 @@
 	"calicohinge/policy"
 )
 
+// A draining server gets no requests, even if no other server is left.
 func TestDrainingServerGetsNoRequests(t *testing.T) {
-	a, b := testkit.NewBackend(t, testkit.OK), testkit.NewBackend(t, testkit.OK)
-	n, d := startReady(t, a, b)
-	drains := draining(a.Endpoint("s-0"))
-	d.SetEndpointsAndWait(t, drains, b.Endpoint("s-1"))
+	drainingServer, otherServer := testkit.NewBackend(t, testkit.OK), testkit.NewBackend(t, testkit.OK)
+	n, registry := startReadyNode(t, drainingServer, otherServer)
+	drainingEndpoint := draining(drainingServer.Endpoint("s-0"))
+	registry.SetEndpointsAndWait(t, drainingEndpoint, otherServer.Endpoint("s-1"))
 	for range 20 {
-		if r := n.do(n.request("read")); r.status != http.StatusOK {
-			t.Fatalf("status %d", r.status)
+		if r := n.do(n.newRequest("read")); r.status != http.StatusOK {
+			t.Fatalf("request of class read: status %d, want 200", r.status)
 		}
 	}
-	if len(a.Requests) != 0 || len(b.Requests) != 20 {
-		t.Errorf("%d sends to the draining server, %d to the other", len(a.Requests), len(b.Requests))
+	if len(drainingServer.Requests) != 0 || len(otherServer.Requests) != 20 {
+		t.Errorf("%d requests sent to the draining server and %d to the other one, want 0 and 20",
+			len(drainingServer.Requests), len(otherServer.Requests))
 	}
-	d.SetEndpointsAndWait(t, drains) // no server is left
+	registry.SetEndpointsAndWait(t, drainingEndpoint) // no other server is left
 	n.wantStatus("read", http.StatusServiceUnavailable)
 }
 
-// A server at a new address is another process: connections to the old one are closed.
+// A server at a new address is a new process, so the node closes its connections to the old address and opens new ones.
 func TestServerAtANewAddressGetsNewConnections(t *testing.T) {
-	a, b := testkit.NewBackend(t, testkit.OK), testkit.NewBackend(t, testkit.OK)
-	n, d := startReady(t, a)
-	n.do(n.request("read"))
-	d.SetEndpointsAndWait(t, b.Endpoint("s-0"))
-	n.do(n.request("read"))
-	if len(a.Requests) != 1 || len(b.Requests) != 1 {
-		t.Errorf("%d sends to the old address, %d to the new one", len(a.Requests), len(b.Requests))
+	oldServer, newServer := testkit.NewBackend(t, testkit.OK), testkit.NewBackend(t, testkit.OK)
+	n, registry := startReadyNode(t, oldServer)
+	n.do(n.newRequest("read"))
+	registry.SetEndpointsAndWait(t, newServer.Endpoint("s-0"))
+	n.do(n.newRequest("read"))
+	if len(oldServer.Requests) != 1 || len(newServer.Requests) != 1 {
+		t.Errorf("%d requests sent to the old address and %d to the new one, want 1 and 1",
+			len(oldServer.Requests), len(newServer.Requests))
 	}
 }
 
-// The node is notified that a server drains, was removed or has restarted while a connection to the server is being
-// opened: nothing is sent on that connection, and the request goes to another server.
+// The node is notified that a server drains, was removed or has restarted while an attempt waits for a connection to
+// that server. The attempt is revoked, so that nothing is sent on the connection, and the request goes to another
+// server.
 func TestEndpointChangeRevokesAttemptsThatAwaitAConnection(t *testing.T) {
 	t.Parallel()
 	for name, change := range map[string]func(server endpointjson.Endpoint) []endpointjson.Endpoint{
@@ -57,24 +61,24 @@
 			changed := change(stuck.Endpoint("s-0"))
 			other := testkit.NewBackend(t, testkit.OK)
 
-			l.notifyEndpoints(policy.UpdateSnapshot, append(changed, other.Endpoint("s-1"))...)
+			l.reportEndpoints(policy.UpdateSnapshot, append(changed, other.Endpoint("s-1"))...)
 			l.wantFirstAttemptsRevoked()
 			sent := stuck.Admit()
 
 			l.wantStatus(done, http.StatusOK)
 			if len(sent) > 0 {
-				t.Errorf("%q was sent", <-sent)
+				t.Errorf("the revoked attempt sent %q, want nothing", <-sent)
 			}
 		})
 	}
-	t.Run("restarted", func(t *testing.T) { // the server may be selected again
+	t.Run("restarted", func(t *testing.T) { // the server may be selected again and get a request
 		t.Parallel()
 		l, stuck, done := startWithStuckAttempt(t)
 		restarted := stuck.Endpoint("s-0")
 		restarted.StartedUnixMilli = float64(time.Now().UnixMilli())
 		other := testkit.NewBackend(t, testkit.OK)
 
-		l.notifyEndpoints(policy.UpdateSnapshot, restarted, other.Endpoint("s-1"))
+		l.reportEndpoints(policy.UpdateSnapshot, restarted, other.Endpoint("s-1"))
 		l.wantFirstAttemptsRevoked()
 		stuck.Admit()
 
@@ -82,7 +86,7 @@
 	})
 }
 
-// startWithStuckAttempt starts a loop with a request that awaits its connection.
+// startWithStuckAttempt starts a loop with one request, whose attempt waits for a connection to a stuck server.
 func startWithStuckAttempt(t *testing.T) (*testLoop, *testkit.StuckServer, <-chan response) {
 	t.Helper()
 	stuck := testkit.NewStuckServer(t)
@@ -92,41 +96,42 @@
 	return l, stuck, done
 }
 
-// wantFirstAttemptsRevoked fails the test if the first attempt of an active request may be sent.
+// wantFirstAttemptsRevoked fails the test unless the first attempt of each request has ended and has been revoked.
 func (l *testLoop) wantFirstAttemptsRevoked() {
 	l.t.Helper()
-	l.inLoop(func() {
+	l.runInLoop(func() {
 		for _, r := range l.requests.byID {
-			if a := r.attempts[0]; a.state == attemptInFlight || !a.call.Revoked() {
-				l.t.Error("the attempt may still be sent")
+			a := r.attempts[0]
+			if inFlight, revoked := a.state == attemptInFlight, a.call.Revoked(); inFlight || !revoked {
+				l.t.Errorf("first attempt of request %v: in flight %t, revoked %t; want false and true", r.id, inFlight, revoked)
 			}
 		}
 	})
 }
 
-// The node is notified that a server drains while a request waits for its next attempt: the attempt goes to another
-// server.
+// The node is notified that a server drains while a request waits for its retry. The retry goes to another server.
 func TestRetryAvoidsADrainingServer(t *testing.T) {
 	failing := testkit.NewBackend(t, testkit.ServerError)
-	drains, other := testkit.NewBackend(t, testkit.OK), testkit.NewBackend(t, testkit.OK)
+	drainingServer, other := testkit.NewBackend(t, testkit.OK), testkit.NewBackend(t, testkit.OK)
 	l := startLoop(t, failing.Endpoint("s-0"))
 	done := l.submitAsync(t.Context(), l.newRequest(classRead, staysConnected))
-	testkit.Wait(t, failing.Requests, "the first attempt")
+	testkit.Wait(t, failing.Requests, "the first attempt at the failing server")
 	l.awaitRequests(1, 0)
 
-	l.notifyEndpoints(policy.UpdateDelta, drains.Endpoint("s-1"))
-	l.notifyEndpoints(policy.UpdateDelta, draining(drains.Endpoint("s-1")), other.Endpoint("s-2"))
+	l.reportEndpoints(policy.UpdateDelta, drainingServer.Endpoint("s-1"))
+	l.reportEndpoints(policy.UpdateDelta, draining(drainingServer.Endpoint("s-1")), other.Endpoint("s-2"))
 
 	l.wantStatus(done, http.StatusOK)
-	if sends := len(drains.Requests); sends > 0 {
-		t.Errorf("%d sends to the server that drains", sends)
+	if sends := len(drainingServer.Requests); sends > 0 {
+		t.Errorf("%d requests sent to the draining server, want none", sends)
 	}
 }
 
-// Lists of discovery may be malformed; the node calls again and uses the valid endpoints.
+// Discovery may send malformed lists, and lists with malformed endpoints. The node calls again after a malformed
+// list, and uses the valid endpoints of a list that also has malformed ones.
 func TestMalformedEndpointListsAreSkipped(t *testing.T) {
 	valid := testkit.NewBackend(t, testkit.OK)
-	n, scripted := startScripted(t, "pushed", nil)
+	n, scripted := startWithScriptedDiscovery(t, "pushed", nil)
 	scripted.Responses <- "what?"
 	scripted.Responses <- `{"generation":"x"}`
 	scripted.Responses <- `{"generation":3,"instances":[{"instanceId":5}]}`
@@ -134,28 +139,30 @@
 		`{"instanceId":"s-2","hostPort":"nowhere","lifecycle":"Novel"},` +
 		`{"instanceId":"s-0","hostPort":"` + valid.Address() + `","zone":"far","cell":-1,"lifecycle":"Ready",` +
 		`"weight":-3,"startedAtMs":1.5e12,"novel":[]}]}`
-	n.waitReady(http.StatusOK)
+	n.awaitReadiness(http.StatusOK)
 	n.wantStatus("read", http.StatusOK)
 }
 
-// A server that started before this node may still be warming up. Its start on the clock must be after 0, as 0 means
-// long ago. It must not change from list to list, as a change means a restart.
+// A server that started shortly before the node may still be warming up. Its start on the node's clock must therefore
+// be after 0, since 0 means long ago. It must not differ from list to list, since a difference means that the server
+// has restarted.
 func TestServerStartTimesAreStableOnTheClock(t *testing.T) {
 	l := newTestLoop(t, testConfig(t, testkit.NewRegistry(t), nil), nil, noWatcher{})
-	start := func(startedAt time.Time) time.Duration {
+	clockStart := func(startedAt time.Time) time.Duration {
 		list := []endpoint.Endpoint{{ID: 1, State: policy.Ready, StartedAt: startedAt}}
 		now := processstart.Moment{Clock: l.clock.now(), Wall: time.Now()}
 		return l.endpoints.processStarts.Update(policy.UpdateSnapshot, list, now)[0]
 	}
 	startedAt := time.Now().Add(-3 * time.Second).Round(0)
-	first := start(startedAt)
+	first := clockStart(startedAt)
 	if age := l.clock.now() - first; age < 2900*time.Millisecond || age > 3*time.Second+testkit.WaitTimeout {
-		t.Errorf("a start 3 s ago is %v ago on the clock", age)
+		t.Errorf("a server that started 3 s ago has age %v on the node's clock, want from 2.9 s to %v",
+			age, 3*time.Second+testkit.WaitTimeout)
 	}
-	if again := start(startedAt); again != first {
-		t.Errorf("the start moved from %v to %v", first, again)
+	if second := clockStart(startedAt); second != first {
+		t.Errorf("start on the node's clock: %v in the first list, %v in the second; want the same", first, second)
 	}
-	if start(time.Time{}) != 0 {
-		t.Error("a start long ago is not 0")
+	if got := clockStart(time.Time{}); got != 0 {
+		t.Errorf("start on the node's clock of a server without a start time: %v, want 0", got)
 	}
 }
--- a/internal/node/harness_client_test.go
+++ b/internal/node/harness_client_test.go
@@ -15,114 +15,117 @@
 	"calicohinge/internal/testkit"
 )
 
-// slowReceiveBuffer is the size of the receive buffer of a client that reads slowly.
-const slowReceiveBuffer = 4096
+// smallReceiveBuffer is the size in bytes of the receive buffer of a client that reads slowly.
+const smallReceiveBuffer = 4096
 
-// partialRequest is the beginning of a request that is never completed.
+// partialRequest is the beginning of a request whose remainder is never sent.
 const partialRequest = "GET /read HTTP/1.1\r\nHost: x\r\nX-Req"
 
-// dial returns a connection to the node.
+// dial opens a connection to the node.
 func (n *testNode) dial() net.Conn {
 	n.t.Helper()
 	return n.dialWith(&net.Dialer{})
 }
 
-// slowDial returns a connection with a small receive buffer.
-func (n *testNode) slowDial() net.Conn {
+// dialWithSmallReceiveBuffer opens a connection whose client end has a receive buffer of smallReceiveBuffer bytes.
+func (n *testNode) dialWithSmallReceiveBuffer() net.Conn {
 	n.t.Helper()
 	return n.dialWith(&net.Dialer{Control: shrinkReceiveBuffer})
 }
 
+// dialWith opens a connection to the node with a dialer. The connection is closed at the end of the test.
 func (n *testNode) dialWith(dialer *net.Dialer) net.Conn {
 	n.t.Helper()
 	nc, err := dialer.Dial("tcp", n.addr)
 	if err != nil {
 		n.t.Fatal(err)
 	}
-	closeAtEnd(n.t, nc)
-	limitToTestTimeout(nc)
+	closeAtTestEnd(n.t, nc)
+	setTestDeadline(nc)
 	return nc
 }
 
-// shrinkReceiveBuffer is a net.Dialer.Control.
+// shrinkReceiveBuffer is a Control function for net.Dialer: it sets the receive buffer size before the socket connects.
 func shrinkReceiveBuffer(_, _ string, conn syscall.RawConn) error {
 	var setErr error
 	err := conn.Control(func(fd uintptr) {
-		setErr = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, slowReceiveBuffer)
+		setErr = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, smallReceiveBuffer)
 	})
 	return errors.Join(err, setErr)
 }
 
-// roundTrip makes a request on a connection and reads the response.
+// roundTrip sends a request of class read on a connection and reads the complete response.
 func (n *testNode) roundTrip(nc net.Conn) *http.Response {
 	n.t.Helper()
-	if err := n.request("read").Write(nc); err != nil {
-		n.t.Fatal(err)
+	if err := n.newRequest("read").Write(nc); err != nil {
+		n.t.Fatalf("sending a request of class read on the connection from %v: %v", nc.LocalAddr(), err)
 	}
 	resp := n.readResponse(nc)
 	discard(resp.Body)
 	return resp
 }
 
-// wantServed fails the test unless a request on the connection is served.
-func (n *testNode) wantServed(nc net.Conn) {
+// wantServedOn sends a request on a connection and fails the test unless the response has status 200.
+func (n *testNode) wantServedOn(nc net.Conn) {
 	n.t.Helper()
 	if resp := n.roundTrip(nc); resp.StatusCode != http.StatusOK {
-		n.t.Errorf("status %d, want 200", resp.StatusCode)
+		n.t.Errorf("request of class read on the connection from %v: status %d, want 200", nc.LocalAddr(), resp.StatusCode)
 	}
 }
 
-// readResponse reads the header of the only response on a connection.
+// readResponse reads the status line and header of a response. The connection must not carry another response yet: its
+// bytes could be lost in the read buffer.
 func (n *testNode) readResponse(nc net.Conn) *http.Response {
 	n.t.Helper()
 	resp, err := http.ReadResponse(bufio.NewReader(nc), nil)
 	if err != nil {
-		n.t.Fatalf("no response: %v", err)
+		n.t.Fatalf("reading a response on the connection from %v: %v", nc.LocalAddr(), err)
 	}
 	return resp
 }
 
-// rawStatuses sends a text and returns the statuses of the responses until the node
-// closes the connection; a node that doesn't close it fails the test.
-func (n *testNode) rawStatuses(text string) []int {
+// sendRaw sends a text on a new connection and returns the statuses of the responses until the node closes the
+// connection. It fails the test if the node leaves the connection open.
+func (n *testNode) sendRaw(text string) []int {
 	n.t.Helper()
 	nc := n.dial()
 	go send(nc, text)
-	in := bufio.NewReader(nc)
+	reader := bufio.NewReader(nc)
 	var statuses []int
 	for {
-		resp, err := http.ReadResponse(in, nil)
+		resp, err := http.ReadResponse(reader, nil)
 		if testkit.IsTimeout(err) {
-			n.t.Fatal("the node keeps the connection")
+			n.t.Fatalf("%.100q: the connection is still open after %d responses, want it closed", text, len(statuses))
 		}
 		if err != nil {
 			return statuses
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); testkit.IsTimeout(err) {
-			n.t.Fatal("the response doesn't end")
+			n.t.Fatalf("%.100q: response %d, with status %d, does not end", text, len(statuses)+1, resp.StatusCode)
 		}
 		statuses = append(statuses, resp.StatusCode)
 	}
 }
 
-// requestStatus makes a request as clients do: again on a new connection if the first is closed.
-func (n *testNode) requestStatus() (int, error) {
-	status, err := n.requestStatusOnce()
+// statusWithRedial sends a request on a new connection and returns the status of the response. Like most clients, it
+// sends the request again on another connection if the first one fails.
+func (n *testNode) statusWithRedial() (int, error) {
+	status, err := n.statusOnNewConn()
 	if err != nil {
-		return n.requestStatusOnce()
+		return n.statusOnNewConn()
 	}
 	return status, nil
 }
 
-// requestStatusOnce makes a request on a new connection.
-func (n *testNode) requestStatusOnce() (int, error) {
+// statusOnNewConn sends a request of class read on a new connection and returns the status of the response.
+func (n *testNode) statusOnNewConn() (int, error) {
 	nc, err := net.Dial("tcp", n.addr)
 	if err != nil {
 		return 0, err
 	}
-	defer closeConn(nc)
-	limitToTestTimeout(nc)
-	r := n.request("read")
+	defer closeQuietly(nc)
+	setTestDeadline(nc)
+	r := n.newRequest("read")
 	if err := r.Write(nc); err != nil {
 		return 0, err
 	}
@@ -134,35 +137,36 @@
 	return resp.StatusCode, err
 }
 
-// mustServe makes requests one after another and fails the test for each that is not served.
-func (n *testNode) mustServe(requests int, when string) {
+// wantRequestsServed sends requests one after another and fails the test for each that does not get status 200. The
+// failure message contains when, which says at which point of the test they are sent.
+func (n *testNode) wantRequestsServed(requests int, when string) {
 	n.t.Helper()
 	for range requests {
-		if status, err := n.requestStatus(); err != nil || status != http.StatusOK {
-			n.t.Errorf("%s: status %d, %v", when, status, err)
+		if status, err := n.statusWithRedial(); err != nil || status != http.StatusOK {
+			n.t.Errorf("request of class read %s: status %d, error %v; want status 200 without an error", when, status, err)
 		}
 	}
 }
 
-// openFlood opens connections that stay open: on each first of three nothing is sent, on each second half a
-// request, and each third one is idle after its response, unless it was evicted before.
+// openFlood opens connections and leaves them open. Of each three connections, the first sends nothing, the second
+// sends part of a request, and the third is idle after a response, unless the node evicts it before the response.
 func (n *testNode) openFlood(count int) []net.Conn {
 	var conns []net.Conn
 	for i := range count {
 		nc, err := net.Dial("tcp", n.addr)
 		if err != nil {
-			n.t.Error(err)
+			n.t.Errorf("opening connection %d of %d: %v", i+1, count, err)
 			return conns
 		}
-		closeAtEnd(n.t, nc)
+		closeAtTestEnd(n.t, nc)
 		conns = append(conns, nc)
 		switch i % 3 {
 		case 1:
 			send(nc, partialRequest)
 		case 2:
-			r := n.request("read")
+			r := n.newRequest("read")
 			sendRequest(nc, r)
-			if resp, err := http.ReadResponse(bufio.NewReader(nc), r); err == nil { // else it was evicted
+			if resp, err := http.ReadResponse(bufio.NewReader(nc), r); err == nil { // otherwise it was evicted
 				discard(resp.Body)
 			}
 		}
@@ -170,7 +174,7 @@
 	return conns
 }
 
-// sendByteByByte writes a byte at a time.
+// sendByteByByte writes a text one byte at a time and calls halfway before the byte in the middle.
 func sendByteByByte(nc net.Conn, text string, halfway func()) {
 	for i, c := range []byte(text) {
 		if i == len(text)/2 {
@@ -180,13 +184,14 @@
 	}
 }
 
-// awaitSocketState waits until a connection's socket has a state.
+// awaitSocketState waits until the socket of a connection is in the wanted state.
 func awaitSocketState(t *testing.T, nc net.Conn, want sockstate.State) {
 	t.Helper()
-	testkit.Until(t, fmt.Sprintf("a connection in state %v", want), func() bool { return sockstate.Peek(nc) == want })
+	description := fmt.Sprintf("the socket from %v to %v to be in state %q", nc.LocalAddr(), nc.RemoteAddr(), want)
+	testkit.Until(t, description, func() bool { return sockstate.Peek(nc) == want })
 }
 
-// countOpen counts the connections that the node has not closed.
+// countOpen returns how many of the connections the node has not closed.
 func countOpen(conns []net.Conn) int {
 	open := 0
 	for _, nc := range conns {
@@ -197,8 +202,8 @@
 	return open
 }
 
-// The functions below ignore errors: a client may send or close after the node has closed the connection, and
-// the tests see that when they read.
+// The functions below ignore errors: a client may send or close after the node has closed the connection. A test
+// detects that when it reads from the connection.
 
 func send(w io.Writer, text string) { _, _ = io.WriteString(w, text) }
 
@@ -206,24 +211,24 @@
 
 func discard(r io.Reader) { _, _ = io.Copy(io.Discard, r) }
 
-func closeConn(c io.Closer) { _ = c.Close() }
+func closeQuietly(c io.Closer) { _ = c.Close() }
 
-func closeAtEnd(t *testing.T, c io.Closer) {
+func closeAtTestEnd(t *testing.T, c io.Closer) {
 	t.Helper()
-	t.Cleanup(func() { closeConn(c) })
+	t.Cleanup(func() { closeQuietly(c) })
 }
 
-// closeTCP closes a connection with a FIN.
+// closeTCP closes a client's connection with a FIN.
 func closeTCP(conn *net.TCPConn) { _ = conn.Close() }
 
-// resetConn closes a connection with a TCP reset.
+// resetConn closes a client's connection with a TCP reset.
 func resetConn(conn *net.TCPConn) {
 	_ = conn.SetLinger(0)
 	_ = conn.Close()
 }
 
-// closeWrite ends the sending of a client that goes on reading.
+// closeWrite shuts down the sending side of a client's connection. The client can still receive.
 func closeWrite(conn *net.TCPConn) { _ = conn.CloseWrite() }
 
-// limitToTestTimeout limits the reads and writes of a test on a connection.
-func limitToTestTimeout(conn net.Conn) { _ = conn.SetDeadline(time.Now().Add(testkit.WaitTimeout)) }
+// setTestDeadline makes reads and writes on a connection fail after testkit.WaitTimeout, so that a test cannot hang.
+func setTestDeadline(conn net.Conn) { _ = conn.SetDeadline(time.Now().Add(testkit.WaitTimeout)) }
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -20,7 +20,9 @@
 	"calicohinge/internal/testkit"
 )
 
-const settingsText = `{
+// settingsJSON is the "settings" object of the configuration file in most tests. It contains an unknown setting, which
+// the node must ignore.
+const settingsJSON = `{
 	"Accounts": [{"Name": "acme", "QuotaPerS": 1000}],
 	"Classes": [
 		{"Name": "read", "Effect": "pure", "DeadlineMs": 8000, "PromiseMs": 6000, "Importance": 1},
@@ -30,30 +32,31 @@
 		"MaxRetryAfterMs": 600, "RetryAfter": true, "SecondCopies": true},
 	"RegistryMode": "pushed", "TickMs": 5, "Zones": ["a"], "Novel": {"x": 1}}`
 
-// The indexes of the classes of settingsText.
+// Indexes of the classes in settingsJSON.
 const (
 	classRead = iota // idempotent
 	classPush        // idempotent with a key
 	classPay         // not idempotent
 )
 
-// classNames returns the names of the classes by index.
+// classNames returns the names of the classes in the order of their indexes.
 func classNames() []string { return []string{classRead: "read", classPush: "push", classPay: "pay"} }
 
-// testConfig returns a configuration as read from a file, which change may alter.
-func testConfig(t *testing.T, d *testkit.Registry, change func(file map[string]any)) *config.Config {
+// testConfig writes a configuration file for a node that uses the given discovery service, and loads it. The function
+// change, unless it is nil, alters the content of the file first.
+func testConfig(t *testing.T, registry *testkit.Registry, change func(file map[string]any)) *config.Config {
 	t.Helper()
 	file := map[string]any{
-		"name": "n0", "listen": "127.0.0.1:0", "discovery": d.Listener.Addr().String(), "seed": "8c1f30d27a5be964",
+		"name": "n0", "listen": "127.0.0.1:0", "discovery": registry.Listener.Addr().String(), "seed": "8c1f30d27a5be964",
 		"limits":   map[string]any{"cores": 1, "memory_mb": 192, "sockets": 256},
-		"settings": json.RawMessage(settingsText), "novel": true,
+		"settings": json.RawMessage(settingsJSON), "novel": true,
 	}
 	if change != nil {
 		change(file)
 	}
 	text, err := json.Marshal(file)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("json.Marshal(%v): %v", file, err)
 	}
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, text, 0o600); err != nil {
@@ -63,116 +66,122 @@
 		return map[string]string{"BALANCER_CONFIG": path}[name]
 	})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("config.Load of %s: %v", text, err)
 	}
 	return cfg
 }
 
-// withDeadlines sets the deadline of all classes, and their objective to three quarters of it.
-func withDeadlines(ms int) func(file map[string]any) { return withTimes(ms, ms*3/4) }
+// withDeadlines returns a change to the configuration: all classes get a deadline, and three quarters of it as their
+// latency objective.
+func withDeadlines(ms int) func(file map[string]any) { return withDeadlinesAndObjectives(ms, ms*3/4) }
 
-// withTimes sets the deadline and the objective of all classes.
-func withTimes(deadlineMs, objectiveMs int) func(file map[string]any) {
+// withDeadlinesAndObjectives returns a change to the configuration: all classes get a deadline and a latency objective.
+func withDeadlinesAndObjectives(deadlineMs, objectiveMs int) func(file map[string]any) {
 	return func(file map[string]any) {
-		text := strings.ReplaceAll(settingsText, `"DeadlineMs": 8000, "PromiseMs": 6000`,
+		text := strings.ReplaceAll(settingsJSON, `"DeadlineMs": 8000, "PromiseMs": 6000`,
 			fmt.Sprintf(`"DeadlineMs": %d, "PromiseMs": %d`, deadlineMs, objectiveMs))
 		file["settings"] = json.RawMessage(text)
 	}
 }
 
-// testNode is a node that serves.
+// testNode is a node that serves clients at addr. In a testHandler, the fields node, stop and runResult are not set.
 type testNode struct {
-	t    *testing.T
-	node *Node
-	addr string
-	stop context.CancelFunc
-	done chan error // gets what Run returned
+	t         *testing.T
+	node      *Node
+	addr      string
+	stop      context.CancelFunc
+	runResult chan error // receives the result of Run
 
-	lastID atomic.Int64 // of the requests made
+	lastID atomic.Int64 // ID of the latest request that newRequest has made
 }
 
-// start starts a node. The node stops at the end of the test.
-func start(t *testing.T, cfg *config.Config) *testNode {
+// startNode starts a node and stops it at the end of the test.
+func startNode(t *testing.T, cfg *config.Config) *testNode {
 	t.Helper()
 	n, err := Listen(cfg)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Listen with address %q: %v", cfg.Listen, err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &testNode{t: t, node: n, addr: n.Addr().String(), stop: cancel, done: make(chan error, 1)}
+	running := &testNode{t: t, node: n, addr: n.Addr().String(), stop: cancel, runResult: make(chan error, 1)}
 	ended := make(chan struct{})
-	go func() { r.done <- n.Run(ctx); close(ended) }()
+	go func() { running.runResult <- n.Run(ctx); close(ended) }()
 	t.Cleanup(func() {
 		cancel()
 		select {
 		case <-ended:
 		case <-time.After(testkit.WaitTimeout):
-			t.Error("the node does not stop")
+			t.Errorf("Run has not returned %v after its context was cancelled", testkit.WaitTimeout)
 		}
 	})
-	return r
+	return running
 }
 
-// startReady starts a node before the given servers and waits until it is ready.
-func startReady(t *testing.T, backends ...*testkit.Backend) (*testNode, *testkit.Registry) {
+// startReadyNode starts a node whose endpoint list contains the given servers, and waits until the node is ready.
+func startReadyNode(t *testing.T, backends ...*testkit.Backend) (*testNode, *testkit.Registry) {
 	t.Helper()
 	var list []endpointjson.Endpoint
 	for i, b := range backends {
 		list = append(list, b.Endpoint(fmt.Sprintf("s-%d", i)))
 	}
-	d := testkit.NewRegistry(t, list...)
-	n := start(t, testConfig(t, d, nil))
-	n.waitReady(http.StatusOK)
-	return n, d
+	registry := testkit.NewRegistry(t, list...)
+	n := startNode(t, testConfig(t, registry, nil))
+	n.awaitReadiness(http.StatusOK)
+	return n, registry
 }
 
-// startReadyWith is startReady with one server and a changed configuration.
-func startReadyWith(t *testing.T, server endpointjson.Endpoint, change func(file map[string]any)) *testNode {
+// startReadyNodeWithConfig is startReadyNode with one server and a change to the configuration, which may be nil.
+func startReadyNodeWithConfig(t *testing.T, server endpointjson.Endpoint, change func(file map[string]any)) *testNode {
 	t.Helper()
-	n := start(t, testConfig(t, testkit.NewRegistry(t, server), change))
-	n.waitReady(http.StatusOK)
+	n := startNode(t, testConfig(t, testkit.NewRegistry(t, server), change))
+	n.awaitReadiness(http.StatusOK)
 	return n
 }
 
-// fewSockets is a number of sockets that permits 20 client connections and a reserve of 2.
+// fewSockets is the smallest number of sockets that a configuration may have. It permits 20 client connections and a
+// reserve of 2.
 const fewSockets = 64
 
-// startWithFewSockets starts a node that permits few client connections, none of which is in use.
-func startWithFewSockets(t *testing.T, server endpointjson.Endpoint) *testNode {
+// startNodeWithFewSockets starts a node with few sockets. It closes the connections that the readiness check has left
+// idle, so that the test can use all client connections.
+func startNodeWithFewSockets(t *testing.T, server endpointjson.Endpoint) *testNode {
 	t.Helper()
-	n := startReadyWith(t, server, func(file map[string]any) {
+	n := startReadyNodeWithConfig(t, server, func(file map[string]any) {
 		file["limits"] = map[string]any{"cores": 1, "memory_mb": 192, "sockets": fewSockets}
 	})
 	http.DefaultClient.CloseIdleConnections()
 	return n
 }
 
-// waitReady waits until the readiness check gets a status.
-func (n *testNode) waitReady(status int) {
+// awaitReadiness waits until the readiness check returns the given status.
+func (n *testNode) awaitReadiness(status int) {
 	n.t.Helper()
+	var last string
 	for end := time.Now().Add(testkit.WaitTimeout); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
 		resp, err := http.Get("http://" + n.addr + "/health/ready")
 		if err != nil {
+			last = err.Error()
 			continue
 		}
-		closeConn(resp.Body)
+		closeQuietly(resp.Body)
 		if resp.StatusCode == status {
 			return
 		}
+		last = resp.Status
 	}
-	n.t.Fatalf("readiness never became %d", status)
+	n.t.Fatalf("GET /health/ready: last result %q, want status %d within %v", last, status, testkit.WaitTimeout)
 }
 
-// awaitExit waits until Run returns, and fails the test if Run returns an error.
+// awaitExit waits until Run returns, and fails the test if it returns an error.
 func (n *testNode) awaitExit() {
 	n.t.Helper()
-	if err := testkit.Wait(n.t, n.done, "the node's exit"); err != nil {
-		n.t.Errorf("Run returned %v", err)
+	if err := testkit.Wait(n.t, n.runResult, "Run to return"); err != nil {
+		n.t.Errorf("Run returned error %v, want nil", err)
 	}
 }
 
-// request makes a valid request of a class.
-func (n *testNode) request(class string) *http.Request {
+// newRequest returns a new valid request of a class.
+func (n *testNode) newRequest(class string) *http.Request {
 	id := fmt.Sprintf("%016x", n.lastID.Add(1))
 	method, body := http.MethodPost, []byte(`{"x":1}`)
 	if class == "read" {
@@ -180,7 +189,7 @@
 	}
 	r, err := http.NewRequest(method, "http://"+n.addr+"/"+class+"?obj=7f3a%2F9c&z", bytes.NewReader(body))
 	if err != nil {
-		n.t.Fatal(err)
+		n.t.Fatalf("http.NewRequest for class %s: %v", class, err)
 	}
 	r.Header.Set("X-Request-ID", id)
 	r.Header.Set("X-Tenant-Id", "acme")
@@ -191,45 +200,46 @@
 	return r
 }
 
-// clientResponse is a response that was read to its end.
+// clientResponse is a response that has been read completely.
 type clientResponse struct {
 	status int
 	header http.Header
 	body   string
-	took   time.Duration
+	took   time.Duration // from the start of the request to the end of the response
 }
 
-// do makes a request and reads its response.
+// do sends a request with the default HTTP client and reads the complete response.
 func (n *testNode) do(r *http.Request) clientResponse {
 	n.t.Helper()
 	began := time.Now()
 	resp, err := http.DefaultClient.Do(r)
 	if err != nil {
-		n.t.Fatalf("no response: %v", err)
+		n.t.Fatalf("sending a request and reading the response header: %v", err)
 	}
-	defer closeConn(resp.Body)
+	defer closeQuietly(resp.Body)
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		n.t.Fatalf("response cut off: %v", err)
+		n.t.Fatalf("%s %s: reading the response body: %v after %d bytes", r.Method, r.URL, err, len(body))
 	}
 	return clientResponse{resp.StatusCode, resp.Header, string(body), time.Since(began)}
 }
 
-// wantStatus makes a request of a class and fails the test unless it gets this status.
+// wantStatus sends a request of a class and fails the test unless the response has the wanted status.
 func (n *testNode) wantStatus(class string, want int) {
 	n.t.Helper()
-	if got := n.do(n.request(class)).status; got != want {
-		n.t.Errorf("%s: status %d, want %d", class, got, want)
+	if got := n.do(n.newRequest(class)).status; got != want {
+		n.t.Errorf("request of class %s: status %d, want %d", class, got, want)
 	}
 }
 
-// gatedBackend is a server whose responses wait until it is opened.
-type gatedBackend struct {
+// blockedBackend is a server that does not respond until unblock is called.
+type blockedBackend struct {
 	*testkit.Backend
-	open func()
+	unblock func()
 }
 
-func newGatedBackend(t *testing.T) *gatedBackend {
+// newBlockedBackend starts a blockedBackend, which is unblocked at the end of the test at the latest.
+func newBlockedBackend(t *testing.T) *blockedBackend {
 	t.Helper()
 	gate := make(chan struct{})
 	backend := testkit.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
@@ -238,11 +248,12 @@
 	})
 	open := sync.OnceFunc(func() { close(gate) })
 	t.Cleanup(open)
-	return &gatedBackend{backend, open}
+	return &blockedBackend{backend, open}
 }
 
-// firstRequestFails returns two servers. The one that gets the first request responds with fail.
-func firstRequestFails(t *testing.T, fail http.HandlerFunc) []*testkit.Backend {
+// newBackendsFailingFirst starts two servers. The first request that reaches either of them is handled by fail, all
+// others get status 200.
+func newBackendsFailingFirst(t *testing.T, fail http.HandlerFunc) []*testkit.Backend {
 	t.Helper()
 	var failed atomic.Bool
 	handle := func(w http.ResponseWriter, r *http.Request) {
@@ -255,8 +266,8 @@
 	return []*testkit.Backend{testkit.NewBackend(t, handle), testkit.NewBackend(t, handle)}
 }
 
-// received removes and returns the requests that the servers have got.
-func received(servers ...*testkit.Backend) []*http.Request {
+// takeRequests removes and returns the requests that the servers have recorded.
+func takeRequests(servers ...*testkit.Backend) []*http.Request {
 	var requests []*http.Request
 	for _, server := range servers {
 		for len(server.Requests) > 0 {
@@ -266,12 +277,13 @@
 	return requests
 }
 
-// sameHeader fails the test if a field differs between a request sent and the one received.
-func sameHeader(t *testing.T, sent, got *http.Request, names ...string) {
+// wantSameHeaders fails the test if one of the named header fields differs between the request that the client sent and
+// the one that the server received.
+func wantSameHeaders(t *testing.T, sent, got *http.Request, names ...string) {
 	t.Helper()
 	for _, name := range names {
 		if got.Header.Get(name) != sent.Header.Get(name) {
-			t.Errorf("%s: %q became %q", name, sent.Header.Get(name), got.Header.Get(name))
+			t.Errorf("header %s: the server received %q, want %q as sent", name, got.Header.Get(name), sent.Header.Get(name))
 		}
 	}
 }
--- a/internal/node/key_retention_test.go
+++ b/internal/node/key_retention_test.go
@@ -1,6 +1,7 @@
 package node
 
 import (
+	"fmt"
 	"testing"
 	"time"
 
@@ -10,26 +11,27 @@
 	"calicohinge/policy"
 )
 
-// retentionCase is a request with two attempts, one of which gets its connection late.
+// retentionCase describes a request with two attempts. The connection of one of them opens late.
 type retentionCase struct {
-	class     int
-	first     policy.Status // of the first attempt, Cancelled for one that is still in flight
-	expires   bool          // the retention ends before the late connection is open
-	late      int           // the index of the attempt whose connection is open late
-	wantSends int           // of that attempt
+	class         int
+	firstStatus   policy.Status // outcome of the first attempt; Cancelled if it is still in flight
+	expiresFirst  bool          // the key's retention ends before the late connection opens
+	lateAttempt   int           // index of the attempt whose connection opens late
+	wantLateSends int           // how often that attempt is sent
 }
 
-// The connection of an attempt is open before or after the end of the key's retention. After the end, no attempt of
-// the request is written if another one may have been executed. This holds for the first attempt as well.
-func TestRepeatsStayWithinTheKeyRetention(t *testing.T) {
+// The connection for an attempt opens before or after the end of the idempotency key's retention. After the end,
+// servers may have discarded the key and would execute the request again. No attempt may therefore be sent then, not
+// even the first one, if another attempt may have been executed.
+func TestAttemptsRespectTheKeyRetention(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]retentionCase{
-		"a repeat in time":                    {classPush, policy.ServerError, false, 1, 1},
-		"a repeat too late":                   {classPush, policy.ServerError, true, 1, 0},
-		"a hedged request too late":           {classPush, policy.Cancelled, true, 1, 0},
-		"the first one, too late for a hedge": {classPush, policy.Cancelled, true, 0, 0},
-		"behind one that was not executed":    {classPush, policy.Rejected, true, 1, 1},
-		"of an idempotent class":              {classRead, policy.ServerError, true, 1, 1},
+		"retry before the end":                    {classPush, policy.ServerError, false, 1, 1},
+		"retry after the end":                     {classPush, policy.ServerError, true, 1, 0},
+		"hedged request after the end":            {classPush, policy.Cancelled, true, 1, 0},
+		"first attempt after the end, hedged":     {classPush, policy.Cancelled, true, 0, 0},
+		"retry after the end, first not executed": {classPush, policy.Rejected, true, 1, 1},
+		"retry after the end, idempotent class":   {classRead, policy.ServerError, true, 1, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -45,30 +47,31 @@
 		stuck.Endpoint("late"), unresponsive.Endpoint("unresponsive"))
 	retention := l.host.classes[classPush].KeyRetention
 	servers := []policy.ServerID{endpoint.IDOf("unresponsive"), endpoint.IDOf("unresponsive")}
-	servers[c.late] = endpoint.IDOf("late")
+	servers[c.lateAttempt] = endpoint.IDOf("late")
 	r := l.newRequest(c.class, staysConnected)
 	r.completion = make(chan completion, 1)
 	r.deadlineTimer = time.NewTimer(time.Hour)
 
-	l.inLoop(func() {
+	l.runInLoop(func() {
 		r.activate(1000)
 		l.requests.add(r)
 		l.host.Send(r.id, servers[0], 0)
-		if c.first != policy.Cancelled {
-			l.reportOutcome(l.clock.now(), r, 0, upstream.Result{Status: c.first})
+		if c.firstStatus != policy.Cancelled {
+			l.reportOutcome(l.clock.now(), r, 0, upstream.Result{Status: c.firstStatus})
 		}
-		if c.expires {
-			r.attempts[0].startedAt += 20*time.Millisecond - retention
+		if c.expiresFirst {
+			r.attempts[0].startedAt += 20*time.Millisecond - retention // the retention ends in 20 ms
 		}
 		l.host.Send(r.id, servers[1], 0)
 	})
-	testkit.Until(t, "the retention's end", func() bool { // which is under test
-		return !c.expires || l.clock.now() >= r.attempts[0].startedAt+retention
+	testkit.Until(t, "the end of the key's retention", func() bool { // the test is about attempts after it
+		return !c.expiresFirst || l.clock.now() >= r.attempts[0].startedAt+retention
 	})
 	sent := stuck.Admit()
 
-	l.untilInLoop("the outcome", func() bool { return r.attempts[c.late].state != attemptInFlight })
-	if len(sent) != c.wantSends {
-		t.Errorf("%d sends, want %d", len(sent), c.wantSends)
+	description := fmt.Sprintf("the outcome of attempt %d", c.lateAttempt)
+	l.awaitInLoop(description, func() bool { return r.attempts[c.lateAttempt].state != attemptInFlight })
+	if len(sent) != c.wantLateSends {
+		t.Errorf("attempt %d was sent %d times, want %d", c.lateAttempt, len(sent), c.wantLateSends)
 	}
 }
