--- a/internal/node/forwarding_test.go
+++ b/internal/node/forwarding_test.go
@@ -14,14 +14,14 @@
 	"calicohinge/internal/testkit"
 )
 
-// message is what a request or a response must keep from end to end.
-type message struct {
-	line, body string
-	fields     map[string]string // "" for one that must not be there
+// forwardedMessage is what a request or a response must keep from end to end.
+type forwardedMessage struct {
+	startLine, body string
+	header          map[string]string // "" for one that must not be there
 }
 
-// messageFields returns the fields of a header by name, "" for those that it does not have.
-func messageFields(header http.Header, names ...string) map[string]string {
+// headerValues returns the fields of a header by name, "" for those that it does not have.
+func headerValues(header http.Header, names ...string) map[string]string {
 	fields := map[string]string{}
 	for _, name := range names {
 		fields[name] = header.Get(name)
@@ -44,16 +44,20 @@
 	response := n.do(sent)
 	got := testkit.Wait(t, b.Requests, "the request")
 
-	wantResponse := message{"200", "rooms", map[string]string{"X-Kept": "yes", "Keep-Alive": ""}}
-	gotResponse := message{strconv.Itoa(response.status), response.body, messageFields(response.header, "X-Kept", "Keep-Alive")}
+	wantResponse := forwardedMessage{"200", "rooms", map[string]string{"X-Kept": "yes", "Keep-Alive": ""}}
+	gotResponse := forwardedMessage{
+		strconv.Itoa(response.status), response.body, headerValues(response.header, "X-Kept", "Keep-Alive"),
+	}
 	if !reflect.DeepEqual(gotResponse, wantResponse) {
 		t.Errorf("response %+v, want %+v", gotResponse, wantResponse)
 	}
-	kept := []string{"X-Request-ID", "Idempotency-Key", "X-Tenant-Id", "User-Agent"}
-	wantRequest := message{"POST /push?obj=7f3a%2F9c&z", `{"x":1}`, messageFields(sent.Header, kept...)}
-	wantRequest.fields["X-Hop"] = "" // from hop to hop
+	endToEnd := []string{"X-Request-ID", "Idempotency-Key", "X-Tenant-Id", "User-Agent"}
+	wantRequest := forwardedMessage{"POST /push?obj=7f3a%2F9c&z", `{"x":1}`, headerValues(sent.Header, endToEnd...)}
+	wantRequest.header["X-Hop"] = "" // from hop to hop
 	body, _ := io.ReadAll(got.Body)
-	gotRequest := message{got.Method + " " + got.RequestURI, string(body), messageFields(got.Header, append(kept, "X-Hop")...)}
+	gotRequest := forwardedMessage{
+		got.Method + " " + got.RequestURI, string(body), headerValues(got.Header, append(endToEnd, "X-Hop")...),
+	}
 	if !reflect.DeepEqual(gotRequest, wantRequest) {
 		t.Errorf("the server got %+v, want %+v", gotRequest, wantRequest)
 	}
@@ -77,8 +81,8 @@
 	})
 	n, _ := startReady(t, b)
 	for range 5 {
-		if a := n.do(n.request("pay")); a.status != http.StatusOK {
-			t.Fatalf("status %d", a.status)
+		if resp := n.do(n.request("pay")); resp.status != http.StatusOK {
+			t.Fatalf("status %d", resp.status)
 		}
 		testkit.Wait(t, closed, "the server's close")
 	}
@@ -89,7 +93,7 @@
 func TestResponseIsDeliveredBeforeTheConnectionCloses(t *testing.T) {
 	text := strings.Repeat("x", maxBodyBytes)
 	b := testkit.NewBackend(t, func(w http.ResponseWriter, _ *http.Request) { send(w, text) })
-	for name, c := range map[string]struct{ ahead, behind string }{
+	for name, c := range map[string]struct{ withRequest, afterResponseStart string }{
 		"nothing":     {"", ""},
 		"ahead of it": {"GET /", ""},
 		"behind it":   {"", "GET /"},
@@ -98,16 +102,16 @@
 			s := startHandlerLingering(t, time.Hour, b.Endpoint("s-0"))
 			s.handler.draining.Store(true)
 			nc := s.slowDial()
-			send(nc, wireText(s.request("read"))+c.ahead)
+			send(nc, wireText(s.request("read"))+c.withRequest)
 			in := bufio.NewReader(nc)
 			if _, err := in.Peek(1); err != nil {
 				t.Fatal(err)
 			}
-			node := s.nodeConn(nc)
+			conn := s.nodeConn(nc)
 			testkit.Until(t, "the response's end", func() bool {
-				return node.Lingering() || node.Closed()
+				return conn.Lingering() || conn.Closed()
 			})
-			send(nc, c.behind)
+			send(nc, c.afterResponseStart)
 			resp, err := http.ReadResponse(in, nil)
 			if err != nil || !resp.Close {
 				t.Fatalf("%+v, %v", resp, err)
@@ -115,7 +119,7 @@
 			if body, err := io.ReadAll(resp.Body); string(body) != text {
 				t.Errorf("%d bytes, %v", len(body), err)
 			}
-			if closeConn(nc); c.behind == "" {
+			if closeConn(nc); c.afterResponseStart == "" {
 				s.awaitNoConns()
 			}
 		})
@@ -151,14 +155,14 @@
 func TestPipelinedRequestsGetResponses(t *testing.T) {
 	n, _ := startReady(t, testkit.NewBackend(t, testkit.OK))
 	nc := n.dial()
-	const pipelined = 3
+	const requests = 3
 	var text strings.Builder
-	for range pipelined {
+	for range requests {
 		sendRequest(&text, n.request("read"))
 	}
 	send(nc, text.String())
 	in := bufio.NewReader(nc)
-	for range pipelined {
+	for range requests {
 		resp, err := http.ReadResponse(in, nil)
 		if err != nil || resp.StatusCode != http.StatusOK {
 			t.Fatalf("%v, %v", resp, err)
@@ -168,7 +172,7 @@
 }
 
 // The read timeout of a request must not end the wait for its response.
-func TestReadTimeoutEndsWithTheRequest(t *testing.T) {
+func TestReadTimeoutDoesNotLimitTheWaitForTheResponse(t *testing.T) {
 	b := testkit.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		time.Sleep(readTimeout + 200*time.Millisecond) // a timeout is under test
 		testkit.OK(w, r)
