--- a/internal/node/validation_test.go
+++ b/internal/node/validation_test.go
@@ -12,7 +12,7 @@
 	"calicohinge/internal/testkit"
 )
 
-func TestMalformedRequestsAreRejected(t *testing.T) {
+func TestInvalidRequestsAreRejected(t *testing.T) {
 	b := testkit.NewBackend(t, testkit.OK)
 	n, _ := startReady(t, b)
 	for name, c := range map[string]struct {
@@ -41,9 +41,9 @@
 		t.Run(name, func(t *testing.T) {
 			r := n.request(c.class)
 			c.change(r)
-			a := n.do(r)
-			if a.status != c.status || a.body == "" || len(a.body) > 100 {
-				t.Errorf("status %d, want %d; text %q", a.status, c.status, a.body)
+			resp := n.do(r)
+			if resp.status != c.status || resp.body == "" || len(resp.body) > 100 {
+				t.Errorf("status %d, want %d; text %q", resp.status, c.status, resp.body)
 			}
 		})
 	}
@@ -71,67 +71,93 @@
 	second := n.request("read")
 	second.Header.Set("X-Request-ID", first.Header.Get("X-Request-ID"))
 
-	if a := n.do(second); a.status != http.StatusConflict {
-		t.Errorf("status %d", a.status)
+	if resp := n.do(second); resp.status != http.StatusConflict {
+		t.Errorf("status %d", resp.status)
 	}
 	server.open()
-	if a := testkit.Wait(t, done, "the first response"); a.status != http.StatusOK {
-		t.Errorf("the first one got status %d", a.status)
+	if resp := testkit.Wait(t, done, "the first response"); resp.status != http.StatusOK {
+		t.Errorf("the first one got status %d", resp.status)
 	}
 	if len(server.Requests) != 0 {
 		t.Error("the second one reached a server")
 	}
-	if a := n.do(second); a.status != http.StatusOK {
-		t.Errorf("status %d once the ID is free", a.status)
+	if resp := n.do(second); resp.status != http.StatusOK {
+		t.Errorf("status %d once the ID is free", resp.status)
 	}
 }
 
 // A message that can be read in two ways may hide a request from another proxy on the request path. A message that
 // can't be read must not keep its connection open. Neither reaches a server, and the node still serves others.
-func TestMalformedMessagesAreRejected(t *testing.T) {
+func TestAmbiguousAndMalformedMessagesAreRejected(t *testing.T) {
 	t.Parallel()
 	b := testkit.NewBackend(t, testkit.OK)
 	n, _ := startReady(t, b)
-	head := func(class, more string) string {
+	postHeader := func(class, fields string) string {
 		return "POST /" + class + " HTTP/1.1\r\nHost: x\r\nX-Request-ID: a1\r\nX-Tenant-Id: acme\r\n" +
-			"X-Timeout-Ms: 5000\r\n" + more + "\r\n"
+			"X-Timeout-Ms: 5000\r\n" + fields + "\r\n"
 	}
-	hidden := "GET /read HTTP/1.1\r\nHost: x\r\nX-Request-ID: hidden\r\nX-Tenant-Id: acme\r\nX-Timeout-Ms: 5000\r\n\r\n"
-	chunks := fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(hidden), hidden)
+	smuggled := "GET /read HTTP/1.1\r\nHost: x\r\nX-Request-ID: hidden\r\nX-Tenant-Id: acme\r\nX-Timeout-Ms: 5000\r\n\r\n"
+	chunkedBody := fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(smuggled), smuggled)
 	for name, c := range map[string]struct {
 		text string
 		want []int // the statuses; the connection is closed then
 	}{
-		"both framing headers": {head("pay", "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n") + chunks + hidden, []int{411}},
-		"hidden by length 0":   {head("pay", "Transfer-Encoding: chunked\r\nContent-Length: 0\r\n") + chunks + hidden, []int{411}},
-		"both, before others":  {head("pay", "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n") + "0\r\n\r\n" + hidden, []int{411}},
-		"chunked":              {head("pay", "Transfer-Encoding: chunked\r\n") + chunks, []int{411}},
-		"coding in HTTP/1.0":   {strings.Replace(head("pay", "Transfer-Encoding: chunked\r\nContent-Length: 0\r\nConnection: keep-alive\r\n"), "1.1", "1.0", 1) + hidden, []int{505}},
-		"unknown coding":       {head("pay", "Transfer-Encoding: gzip, chunked\r\n") + chunks, []int{501}},
-		"two codings":          {head("pay", "Transfer-Encoding: chunked\r\nTransfer-Encoding: identity\r\n") + hidden, []int{501}},
-		"health, both":         {"GET /health/ready HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\n" + chunks, []int{411}},
-		"two lengths":          {head("pay", "Content-Length: 1\r\nContent-Length: 2\r\n") + "ab", []int{400}},
-		"length no number":     {head("pay", "Content-Length: two\r\n") + "ab", []int{400}},
-		"negative length":      {head("pay", "Content-Length: -2\r\n") + "ab", []int{400}},
-		"endless length":       {head("pay", "Content-Length: 99999999999999999999\r\n") + "ab", []int{400}},
-		"huge length":          {head("pay", "Content-Length: 3000000000\r\n") + "ab", []int{413}},
-		"length over the body": {head("pay", "Content-Length: 20\r\n") + "ab", []int{400}},
-		"body not wanted":      {strings.Replace(head("read", "Content-Length: 20\r\n"), "POST", "GET", 1) + "ab", []int{400}},
-		"noise":                {"\x00\x01\x02\xff\r\n\r\n", []int{400}},
-		"head without end":     {"GET /read HTTP/1.1\r\nHost: x\r\nX-Filler: 1\r\n", nil},
-		"endless line":         {"GET /read HTTP/1.1\r\nX: " + strings.Repeat("x", 1<<20), []int{431}},
-		"large body":           {head("pay", "Content-Length: 8000000\r\n") + strings.Repeat("x", 8000000), []int{413}},
-		"nothing":              {"", nil},
+		"both framing headers": {
+			postHeader("pay", "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n") + chunkedBody + smuggled,
+			[]int{411},
+		},
+		"hidden by length 0": {
+			postHeader("pay", "Transfer-Encoding: chunked\r\nContent-Length: 0\r\n") + chunkedBody + smuggled,
+			[]int{411},
+		},
+		"both, before others": {
+			postHeader("pay", "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n") + "0\r\n\r\n" + smuggled,
+			[]int{411},
+		},
+		"chunked": {postHeader("pay", "Transfer-Encoding: chunked\r\n") + chunkedBody, []int{411}},
+		"coding in HTTP/1.0": {
+			strings.Replace(postHeader("pay",
+				"Transfer-Encoding: chunked\r\nContent-Length: 0\r\nConnection: keep-alive\r\n"),
+				"1.1", "1.0", 1) + smuggled,
+			[]int{505},
+		},
+		"unknown coding": {postHeader("pay", "Transfer-Encoding: gzip, chunked\r\n") + chunkedBody, []int{501}},
+		"two codings": {
+			postHeader("pay", "Transfer-Encoding: chunked\r\nTransfer-Encoding: identity\r\n") + smuggled,
+			[]int{501},
+		},
+		"health, both": {
+			"GET /health/ready HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\n" + chunkedBody,
+			[]int{411},
+		},
+		"two lengths":          {postHeader("pay", "Content-Length: 1\r\nContent-Length: 2\r\n") + "ab", []int{400}},
+		"length no number":     {postHeader("pay", "Content-Length: two\r\n") + "ab", []int{400}},
+		"negative length":      {postHeader("pay", "Content-Length: -2\r\n") + "ab", []int{400}},
+		"endless length":       {postHeader("pay", "Content-Length: 99999999999999999999\r\n") + "ab", []int{400}},
+		"huge length":          {postHeader("pay", "Content-Length: 3000000000\r\n") + "ab", []int{413}},
+		"length over the body": {postHeader("pay", "Content-Length: 20\r\n") + "ab", []int{400}},
+		"body not wanted": {
+			strings.Replace(postHeader("read", "Content-Length: 20\r\n"), "POST", "GET", 1) + "ab",
+			[]int{400},
+		},
+		"noise":            {"\x00\x01\x02\xff\r\n\r\n", []int{400}},
+		"head without end": {"GET /read HTTP/1.1\r\nHost: x\r\nX-Filler: 1\r\n", nil},
+		"endless line":     {"GET /read HTTP/1.1\r\nX: " + strings.Repeat("x", 1<<20), []int{431}},
+		"large body": {
+			postHeader("pay", "Content-Length: 8000000\r\n") + strings.Repeat("x", 8000000),
+			[]int{413},
+		},
+		"nothing": {"", nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			n := &testNode{t: t, addr: n.addr}
-			began := time.Now()
+			startTime := time.Now()
 			got := n.rawStatuses(c.text)
 			if !slices.Equal(got, c.want) {
 				t.Errorf("statuses %v, want %v", got, c.want)
 			}
-			t.Logf("took %v", time.Since(began))
+			t.Logf("took %v", time.Since(startTime))
 		})
 	}
 	t.Cleanup(func() { n.wantNoneForwarded(b) })
