--- a/internal/node/retry_test.go
+++ b/internal/node/retry_test.go
@@ -18,8 +18,8 @@
 	for _, c := range []struct {
 		name, class string
 		fail        http.HandlerFunc
-		sends       int
-		status      int
+		wantSent    int
+		wantStatus  int
 	}{
 		{"idempotent after an error", "read", testkit.ServerError, 2, 200},
 		{"idempotent after a reset", "read", testkit.Reset, 2, 200},
@@ -32,14 +32,14 @@
 		t.Run(c.name, func(t *testing.T) {
 			servers := firstRequestFails(t, c.fail)
 			n, _ := startReady(t, servers...)
-			sent := n.request(c.class)
-			status := n.do(sent).status
-			sends := received(servers...)
-			for _, got := range sends {
-				sameHeader(t, sent, got, "X-Request-ID", "Idempotency-Key")
+			req := n.request(c.class)
+			status := n.do(req).status
+			attempts := received(servers...)
+			for _, got := range attempts {
+				sameHeader(t, req, got, "X-Request-ID", "Idempotency-Key")
 			}
-			if status != c.status || len(sends) != c.sends {
-				t.Fatalf("status %d after %d sends, want %d after %d", status, len(sends), c.status, c.sends)
+			if status != c.wantStatus || len(attempts) != c.wantSent {
+				t.Fatalf("status %d after %d sends, want %d after %d", status, len(attempts), c.wantStatus, c.wantSent)
 			}
 		})
 	}
@@ -53,9 +53,9 @@
 	n, _ := startReady(t, b)
 	r := n.request("pay")
 	r.Header.Set("X-Timeout-Ms", "300")
-	a := n.do(r)
-	if a.status != http.StatusBadGateway || a.took < 200*time.Millisecond {
-		t.Errorf("status %d after %v", a.status, a.took)
+	resp := n.do(r)
+	if resp.status != http.StatusBadGateway || resp.took < 200*time.Millisecond {
+		t.Errorf("status %d after %v", resp.status, resp.took)
 	}
 	testkit.Wait(t, cancelled, "the cancelled attempt")
 	if len(b.Requests) != 1 {
@@ -65,7 +65,7 @@
 
 // When a server becomes unresponsive a hedged request goes elsewhere; once that is served
 // the first attempt is cancelled, which closes its connection.
-func TestHedgedRequestSucceedsPastAnUnresponsiveServer(t *testing.T) {
+func TestHedgedRequestSucceedsIfTheFirstServerIsUnresponsive(t *testing.T) {
 	cancelled := make(chan struct{}, 1)
 	var ignoreNext atomic.Bool // the next request stays without a response
 	handle := func(w http.ResponseWriter, r *http.Request) {
@@ -75,25 +75,27 @@
 		}
 		testkit.OK(w, r)
 	}
-	a, b := testkit.NewBackend(t, handle), testkit.NewBackend(t, handle)
-	n, _ := startReady(t, a, b)
+	server1, server2 := testkit.NewBackend(t, handle), testkit.NewBackend(t, handle)
+	n, _ := startReady(t, server1, server2)
 	for range 50 { // the balancer learns the usual latency
 		n.do(n.request("push"))
 	}
 	ignoreNext.Store(true)
-	before := len(a.Requests) + len(b.Requests)
-	if r := n.do(n.request("push")); r.status != http.StatusOK {
-		t.Fatalf("status %d", r.status)
+	sentBefore := len(server1.Requests) + len(server2.Requests)
+	if resp := n.do(n.request("push")); resp.status != http.StatusOK {
+		t.Fatalf("status %d", resp.status)
 	}
 	testkit.Wait(t, cancelled, "the cancelled attempt")
-	if sends := len(a.Requests) + len(b.Requests) - before; sends != 2 {
-		t.Errorf("%d sends, want 2", sends)
+	if sent := len(server1.Requests) + len(server2.Requests) - sentBefore; sent != 2 {
+		t.Errorf("%d sends, want 2", sent)
 	}
 }
 
 // With every circuit breaker open the rejection comes at once, with Retry-After.
-func TestAllServersDownRejectsWithRetryAfter(t *testing.T) {
-	down := endpointjson.Endpoint{InstanceID: "s-0", Address: testkit.FreeAddr(t), Zone: "a", Lifecycle: "Ready", Weight: 1}
+func TestOpenCircuitBreakerRejectsWithRetryAfter(t *testing.T) {
+	down := endpointjson.Endpoint{
+		InstanceID: "s-0", Address: testkit.FreeAddr(t), Zone: "a", Lifecycle: "Ready", Weight: 1,
+	}
 	n := startReadyWith(t, down, nil)
 	for range 10 {
 		for range 5 { // opens the breaker: there is no time for a retry
@@ -123,22 +125,22 @@
 	return rejection
 }
 
-// endOfConnection ends a server's connection after a part of a response.
-type endOfConnection func(nc net.Conn)
+// closeFunc ends a server's connection after a part of a response.
+type closeFunc func(nc net.Conn)
 
-func endWithClose(nc net.Conn) { closeConn(nc) }
+func closeWithFIN(nc net.Conn) { closeConn(nc) }
 
-func endWithReset(nc net.Conn) { resetConn(nc.(*net.TCPConn)) }
+func closeWithReset(nc net.Conn) { resetConn(nc.(*net.TCPConn)) }
 
-// truncatedResponse writes a text and ends the connection.
-func truncatedResponse(text string, end endOfConnection) http.HandlerFunc {
+// writeAndClose writes a text and ends the connection.
+func writeAndClose(text string, closeNow closeFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		nc, _, err := w.(http.Hijacker).Hijack()
 		if err != nil {
 			return
 		}
 		send(nc, text)
-		end(nc)
+		closeNow(nc)
 	}
 }
 
@@ -158,16 +160,16 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			testTruncatedResponse(t, truncatedResponse(text, endWithClose))
+			testTruncatedResponse(t, writeAndClose(text, closeWithFIN))
 		})
 		t.Run(name+", reset", func(t *testing.T) {
 			t.Parallel()
-			testTruncatedResponse(t, truncatedResponse(text, endWithReset))
+			testTruncatedResponse(t, writeAndClose(text, closeWithReset))
 		})
 	}
-	t.Run("no length, reset", func(t *testing.T) { // closed it is complete, see TestResponseWithNoLengthIsForwarded
+	t.Run("no length, reset", func(t *testing.T) { // closed it is complete, see TestResponseWithoutLengthIsForwarded
 		t.Parallel()
-		testTruncatedResponse(t, truncatedResponse("HTTP/1.1 200 OK\r\n\r\ndone", endWithReset))
+		testTruncatedResponse(t, writeAndClose("HTTP/1.1 200 OK\r\n\r\ndone", closeWithReset))
 	})
 }
 
@@ -181,34 +183,37 @@
 		}
 		testkit.OK(w, r)
 	}
-	servers := []*testkit.Backend{testkit.NewBackend(t, handle), testkit.NewBackend(t, handle), testkit.NewBackend(t, handle)}
+	servers := []*testkit.Backend{
+		testkit.NewBackend(t, handle), testkit.NewBackend(t, handle), testkit.NewBackend(t, handle),
+	}
 	n, _ := startReady(t, servers...)
 	for _, c := range []struct {
-		class                      string
-		truncations, sends, status int
+		class                             string
+		truncations, wantSent, wantStatus int
 	}{{"read", 1, 2, 200}, {"read", 2, 3, 200}, {"push", 1, 2, 200}, {"push", 2, 3, 200}, {"pay", 1, 1, 502}} {
 		truncations.Store(int32(c.truncations))
-		a := n.do(n.request(c.class))
-		sends := len(received(servers...))
-		if a.status != c.status || sends != c.sends || (a.status == 200 && a.body != "done") {
-			t.Errorf("%s after %d truncations: status %d, body %q, %d sends", c.class, c.truncations, a.status, a.body, sends)
+		resp := n.do(n.request(c.class))
+		sent := len(received(servers...))
+		if resp.status != c.wantStatus || sent != c.wantSent || (resp.status == 200 && resp.body != "done") {
+			t.Errorf("%s after %d truncations: status %d, body %q, %d sends",
+				c.class, c.truncations, resp.status, resp.body, sent)
 		}
 	}
 }
 
 // A response without a length is complete when its server closes the connection: each client gets it, at the first
 // attempt. After a reset it would be incomplete.
-func TestResponseWithNoLengthIsForwarded(t *testing.T) {
-	server := testkit.NewBackend(t, truncatedResponse("HTTP/1.1 200 OK\r\n\r\nall of it", endWithClose))
+func TestResponseWithoutLengthIsForwarded(t *testing.T) {
+	server := testkit.NewBackend(t, writeAndClose("HTTP/1.1 200 OK\r\n\r\nall of it", closeWithFIN))
 	n, _ := startReady(t, server)
 	for _, class := range classNames() {
-		a := n.do(n.request(class))
-		if a.status != http.StatusOK || a.body != "all of it" {
-			t.Errorf("%s: status %d, body %q", class, a.status, a.body)
+		resp := n.do(n.request(class))
+		if resp.status != http.StatusOK || resp.body != "all of it" {
+			t.Errorf("%s: status %d, body %q", class, resp.status, resp.body)
 		}
 	}
-	if sends := len(server.Requests); sends != 3 {
-		t.Errorf("%d sends, want one a request", sends)
+	if sent := len(server.Requests); sent != 3 {
+		t.Errorf("%d sends, want one a request", sent)
 	}
 }
 
@@ -223,19 +228,19 @@
 		}
 		testkit.Reset(w, r)
 	}
-	a, b := testkit.NewBackend(t, handle), testkit.NewBackend(t, testkit.OK)
-	l := startLoopWith(t, func(pool *upstream.Config) { pool.SettleDelay = 0 }, a.Endpoint("s-0"))
-	if x, _ := l.submit(t.Context(), l.newRequest(classPay, staysConnected)); x.status != http.StatusOK {
-		t.Fatalf("status %d", x.status)
+	resetting, other := testkit.NewBackend(t, handle), testkit.NewBackend(t, testkit.OK)
+	l := startLoopWith(t, func(pool *upstream.Config) { pool.SettleDelay = 0 }, resetting.Endpoint("s-0"))
+	if first, _ := l.submit(t.Context(), l.newRequest(classPay, staysConnected)); first.status != http.StatusOK {
+		t.Fatalf("status %d", first.status)
 	}
 	testkit.Until(t, "the connection to be pooled", func() bool { return l.pool.Stats().Idle() == 1 })
 
 	done := l.submitAsync(t.Context(), l.newRequest(classPay, staysConnected))
-	l.notifyEndpoints(policy.UpdateDelta, b.Endpoint("s-1")) // another one could take it
+	l.notifyEndpoints(policy.UpdateDelta, other.Endpoint("s-1")) // another one could take it
 
 	l.wantStatus(done, http.StatusBadGateway)
 	l.awaitRequests(0, 0)
-	if len(a.Requests) != 2 || len(b.Requests) != 0 {
-		t.Errorf("%d and %d sends, want 2 and none", len(a.Requests), len(b.Requests))
+	if len(resetting.Requests) != 2 || len(other.Requests) != 0 {
+		t.Errorf("%d and %d sends, want 2 and none", len(resetting.Requests), len(other.Requests))
 	}
 }
