--- a/internal/node/connection_limits_test.go
+++ b/internal/node/connection_limits_test.go
@@ -43,13 +43,13 @@
 // another until all have disconnected.
 func TestIdleConnectionsAreEvictedAtOnce(t *testing.T) {
 	n := startWithFewSockets(t, testkit.NewBackend(t, testkit.OK).Endpoint("s-0"))
-	began := time.Now()
+	startTime := time.Now()
 	for range 200 {
 		if resp := n.roundTrip(n.dial()); resp.StatusCode != http.StatusOK {
 			t.Fatalf("status %d although others are idle", resp.StatusCode)
 		}
 	}
-	if took := time.Since(began); took > testkit.WaitTimeout/2 {
+	if took := time.Since(startTime); took > testkit.WaitTimeout/2 {
 		t.Errorf("served after %v: new clients wait for others to age", took)
 	}
 }
@@ -95,7 +95,7 @@
 
 // A client that sends requests but reads nothing must not keep its connection past its
 // deadline: the node closes it.
-func TestClientThatReadsNothingIsDisconnected(t *testing.T) {
+func TestConnectionOfAClientThatReadsNothingIsClosed(t *testing.T) {
 	text := strings.Repeat("x", maxBodyBytes)
 	n, _ := startReady(t, testkit.NewBackend(t, func(w http.ResponseWriter, _ *http.Request) { send(w, text) }))
 	nc := n.dial()
@@ -112,13 +112,13 @@
 
 // Many clients send noise, half a request or hundreds of requests at once, and disconnect or stay connected: other
 // clients are served meanwhile, and in the end no connection is open and no request active.
-func TestAbusiveClientsLeaveNoConnectionsBehind(t *testing.T) {
+func TestAbusiveClientsLeaveNoOpenConnections(t *testing.T) {
 	s := startHandler(t, testkit.NewBackend(t, testkit.OK).Endpoint("s-0"))
-	abuses := []func(nc net.Conn){
+	behaviors := []func(nc net.Conn){
 		func(nc net.Conn) { send(nc, "\x00\xff noise\r\n\r\n") },
 		func(nc net.Conn) { send(nc, wireText(s.request("read"))[:40]) },
-		s.sendHundreds,
-		func(nc net.Conn) { s.sendHundreds(nc); closeConn(nc) },
+		s.sendManyRequests,
+		func(nc net.Conn) { s.sendManyRequests(nc); closeConn(nc) },
 		func(nc net.Conn) { send(nc, strings.Repeat("x", 2*(maxHeaderBytes+maxBodyBytes))); closeConn(nc) },
 		func(nc net.Conn) { s.wantServed(nc) }, // no abuse
 	}
@@ -126,7 +126,7 @@
 	for i := range 60 {
 		nc := s.dial()
 		open = append(open, nc)
-		abuses[i%len(abuses)](nc)
+		behaviors[i%len(behaviors)](nc)
 	}
 	for _, nc := range open {
 		closeConn(nc)
@@ -134,8 +134,8 @@
 	s.awaitNoConns()
 }
 
-// sendHundreds sends hundreds of requests without reading the responses.
-func (s *handlerServer) sendHundreds(nc net.Conn) {
+// sendManyRequests sends hundreds of requests without reading the responses.
+func (s *handlerServer) sendManyRequests(nc net.Conn) {
 	for range 300 {
 		sendRequest(nc, s.request("read"))
 	}
@@ -148,7 +148,7 @@
 	for class, name := range classNames() {
 		t.Run(name+", freed", func(t *testing.T) {
 			t.Parallel()
-			l := startAtServerConnectionLimit(t)
+			l := startSaturatedLoop(t)
 			further := l.newFurtherRequest(class)
 			done := l.submitAsync(t.Context(), further)
 			l.untilInLoop("an attempt", func() bool { return len(further.attempts) > 0 })
@@ -158,7 +158,7 @@
 		})
 		t.Run(name+", not freed", func(t *testing.T) {
 			t.Parallel()
-			l := startAtServerConnectionLimit(t)
+			l := startSaturatedLoop(t)
 			l.wantStatus(l.submitAsync(t.Context(), l.newFurtherRequest(class)), http.StatusServiceUnavailable)
 			if len(l.server.Requests) > 0 {
 				t.Error("the further request was sent")
@@ -169,14 +169,14 @@
 	}
 }
 
-// limitedLoop is a loop whose requests in flight use all connections to servers.
-type limitedLoop struct {
+// saturatedLoop is a loop whose requests in flight use all connections to servers.
+type saturatedLoop struct {
 	*testLoop
 	server   *gatedBackend
 	inFlight []<-chan response
 }
 
-func startAtServerConnectionLimit(t *testing.T) *limitedLoop {
+func startSaturatedLoop(t *testing.T) *saturatedLoop {
 	t.Helper()
 	const connections, servers = 2, 40 // none of the servers is at its own limit
 	server := newGatedBackend(t)
@@ -184,7 +184,7 @@
 	for i := range servers {
 		list = append(list, server.Endpoint(fmt.Sprintf("s-%d", i)))
 	}
-	l := &limitedLoop{server: server}
+	l := &saturatedLoop{server: server}
 	l.testLoop = startLoopWith(t, func(pool *upstream.Config) { pool.MaxOpen = connections }, list...)
 	for range connections {
 		l.inFlight = append(l.inFlight, l.submitAsync(t.Context(), l.newRequest(classRead, staysConnected)))
@@ -194,14 +194,14 @@
 }
 
 // newFurtherRequest makes a request that may wait for a connection for 4 s.
-func (l *limitedLoop) newFurtherRequest(class int) *request {
+func (l *saturatedLoop) newFurtherRequest(class int) *request {
 	further := l.newRequest(class, staysConnected)
 	further.deadline = l.clock.now() + 4*time.Second
 	return further
 }
 
 // wantServedAfterwards fails the test unless the requests in flight are served, and a new one after them.
-func (l *limitedLoop) wantServedAfterwards(class int) {
+func (l *saturatedLoop) wantServedAfterwards(class int) {
 	l.t.Helper()
 	for _, done := range l.inFlight {
 		l.wantStatus(done, http.StatusOK)
