--- a/internal/node/disconnect_test.go
+++ b/internal/node/disconnect_test.go
@@ -54,7 +54,7 @@
 
 // A client disconnects while its request is queued, and the event waits behind others: the state of the socket
 // just before the write counts.
-func TestSocketStateStopsARequestBeforeTheDisconnectEvent(t *testing.T) {
+func TestQueuedRequestIsNotSentIfTheSocketShowsADisconnect(t *testing.T) {
 	l, server := startWithBusyServer(t)
 	client, c := acceptedConn(t, downstream.NewConns(downstreamConfig(5, 0)))
 	c.RequestComplete()
@@ -105,20 +105,20 @@
 	l := startLoop(t, servers[0].Endpoint("s-0"), servers[1].Endpoint("s-1"))
 	ctx, disconnect := context.WithCancel(t.Context())
 	l.submitAsync(ctx, l.newRequest(classRead, staysConnected))
-	sends := func() int { return len(servers[0].Requests) + len(servers[1].Requests) }
-	testkit.Until(t, "the first attempt", func() bool { return sends() > 0 })
+	sent := func() int { return len(servers[0].Requests) + len(servers[1].Requests) }
+	testkit.Until(t, "the first attempt", func() bool { return sent() > 0 })
 	l.awaitRequests(1, 0)
 
 	disconnect()
 	l.awaitRequests(0, 0)
 
-	if n := sends(); n != 1 {
+	if n := sent(); n != 1 {
 		t.Errorf("%d sends, want 1", n)
 	}
 }
 
 // A client sends more bytes after its request and disconnects: its attempt is cancelled as well.
-func TestDisconnectBehindReadAheadCancelsTheAttempt(t *testing.T) {
+func TestDisconnectAfterUnreadBytesCancelsTheAttempt(t *testing.T) {
 	cancelled := make(chan struct{}, 1)
 	b := testkit.NewBackend(t, testkit.Unresponsive(cancelled))
 	n := startReadyWith(t, b.Endpoint("s-0"), withDeadlines(600000))
@@ -141,7 +141,7 @@
 		stuck := testkit.NewStuckServer(t)
 		s := startHandler(t, stuck.Endpoint("s-0"))
 		client := s.sendOnNewConn("read", "")
-		s.wantNoAttemptAfterDisconnect(client, stuck, 0)
+		s.wantNotSentAfterDisconnect(client, stuck, 0)
 	})
 	t.Run("second attempt", func(t *testing.T) {
 		t.Parallel()
@@ -152,13 +152,13 @@
 		s.loop.awaitRequests(1, 0)
 		s.loop.notifyEndpoints(policy.UpdateDelta, stuck.Endpoint("s-0"))
 		s.loop.queue.post(eventFunc(s.loop.advanceClock))
-		s.wantNoAttemptAfterDisconnect(client, stuck, 1)
+		s.wantNotSentAfterDisconnect(client, stuck, 1)
 	})
 }
 
-// wantNoAttemptAfterDisconnect disconnects a client while the attempt with an index waits for its
+// wantNotSentAfterDisconnect disconnects a client while the attempt with an index waits for its
 // connection to a stuck server, and fails the test if the attempt is sent.
-func (s *handlerServer) wantNoAttemptAfterDisconnect(client *net.TCPConn, stuck *testkit.StuckServer, index int) {
+func (s *handlerServer) wantNotSentAfterDisconnect(client *net.TCPConn, stuck *testkit.StuckServer, wantSent int) {
 	s.t.Helper()
 	l := s.loop
 	l.awaitRequests(1, 1)
@@ -170,8 +170,9 @@
 	s.awaitIdleConns(1, stuck.Addr())
 	resume()
 	s.awaitNoRequests()
-	if n := startedAttempts(r); len(r.attempts) != index+1 || n != index || len(sent) > 0 {
-		s.t.Errorf("%d of %d attempts began, want %d", n, len(r.attempts), index)
+	attemptsSent := startedAttempts(r)
+	if len(r.attempts) != wantSent+1 || attemptsSent != wantSent || len(sent) > 0 {
+		s.t.Errorf("%d of %d attempts began, want %d", attemptsSent, len(r.attempts), wantSent)
 	}
 }
 
