--- a/internal/node/disconnect_concurrency_test.go
+++ b/internal/node/disconnect_concurrency_test.go
@@ -37,7 +37,7 @@
 
 // Hundreds of clients send requests to a node whose loop is paused, and disconnect. The event queue is full, and
 // further events wait to be posted: no request is forwarded, and all are released.
-func TestManyDisconnectsBehindAFullEventQueue(t *testing.T) {
+func TestManyDisconnectsWithAFullEventQueue(t *testing.T) {
 	b := testkit.NewBackend(t, testkit.OK)
 	s := startHandler(t, b.Endpoint("s-0"), b.Endpoint("s-1"), b.Endpoint("s-2"), b.Endpoint("s-3"))
 	l := s.loop
@@ -60,8 +60,8 @@
 	resume()
 
 	s.awaitNoRequests()
-	if n := startedAttempts(all...); len(all) != concurrentClients || n > 0 || len(b.Requests) > 0 {
-		t.Errorf("%d of %d attempts began, %d arrived", n, len(all), len(b.Requests))
+	if sent := startedAttempts(all...); len(all) != concurrentClients || sent > 0 || len(b.Requests) > 0 {
+		t.Errorf("%d of %d attempts began, %d arrived", sent, len(all), len(b.Requests))
 	}
 }
 
@@ -78,21 +78,21 @@
 	s := startHandler(t, servers.endpoints(90)...)
 	l := s.loop
 	clients := s.sendOnNewConns("read", "push")
-	paused := s.pauseAtRest(servers)
+	stable := s.pauseWhenStable(servers)
 	l.queue.post(eventFunc(l.advanceClock))
 
 	s.disconnectAll(clients, closeTCP)
-	startedBefore, attemptsBefore := startedAttempts(paused.requests...), countAttempts(paused.requests)
+	sentBefore, attemptsBefore := startedAttempts(stable.requests...), countAttempts(stable.requests)
 	servers.stuck.Admit()
-	s.awaitIdleConns(paused.states[stateConnecting], servers.stuck.Addr())
-	paused.resume()
+	s.awaitIdleConns(stable.states[stateConnecting], servers.stuck.Addr())
+	stable.resume()
 	s.awaitNoRequests()
 
 	l.inLoop(func() {
-		late := startedAttempts(paused.requests...) - startedBefore
+		sentLate := startedAttempts(stable.requests...) - sentBefore
 		t.Logf("%v; %d attempts started before the disconnects; then %d were decided, %d started",
-			paused.states, startedBefore, countAttempts(paused.requests)-attemptsBefore, late)
-		if late > 0 || len(paused.states) != 4 {
+			stable.states, sentBefore, countAttempts(stable.requests)-attemptsBefore, sentLate)
+		if sentLate > 0 || len(stable.states) != 4 {
 			t.Error("late attempts, or not all states were reached")
 		}
 	})
@@ -119,7 +119,7 @@
 	stateBackoff    = "backoff"    // the attempt has ended
 	stateConnecting = "connecting" // the connection of the attempt is being opened
 	stateInFlight   = "in flight"  // the attempt is at a server that does not respond
-	stateMoving     = "moving"     // the attempt is about to change its state
+	stateTransient  = "moving"     // the attempt is about to change its state
 )
 
 // state returns the state of a request.
@@ -134,36 +134,36 @@
 		case addr == m.unresponsive.Address() && a.call.Started():
 			state = stateInFlight
 		default:
-			state = stateMoving
+			state = stateTransient
 		}
 	}
 	return state
 }
 
-// requestsAtRest are the requests of a loop that is paused.
-type requestsAtRest struct {
+// stableRequests are the requests of a loop that is paused.
+type stableRequests struct {
 	requests []*request
 	states   map[string]int // how many requests are in a state
 	resume   func()         // of the loop
 }
 
-// pauseAtRest pauses the loop once all requests have arrived and none is moving.
-func (s *handlerServer) pauseAtRest(servers mixedServers) requestsAtRest {
+// pauseWhenStable pauses the loop once all requests have arrived and none is moving.
+func (s *handlerServer) pauseWhenStable(servers mixedServers) stableRequests {
 	s.t.Helper()
-	var paused requestsAtRest
+	var stable stableRequests
 	testkit.Until(s.t, "all requests at rest", func() bool {
-		paused = requestsAtRest{states: map[string]int{}, resume: s.loop.pause()}
+		stable = stableRequests{states: map[string]int{}, resume: s.loop.pause()}
 		for _, r := range s.loop.requests.byID {
-			paused.requests = append(paused.requests, r)
-			paused.states[servers.state(s.loop, r)]++
+			stable.requests = append(stable.requests, r)
+			stable.states[servers.state(s.loop, r)]++
 		}
-		if len(paused.requests) == concurrentClients && paused.states[stateMoving] == 0 {
+		if len(stable.requests) == concurrentClients && stable.states[stateTransient] == 0 {
 			return true
 		}
-		paused.resume()
+		stable.resume()
 		return false
 	})
-	return paused
+	return stable
 }
 
 func countAttempts(requests []*request) int {
