--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -19,9 +19,9 @@
 	for deadline, kill := range map[int]time.Duration{
 		160: 860 * time.Millisecond, 3000: 3700 * time.Millisecond, 60000: 3700 * time.Millisecond,
 	} {
-		span := shutdownGracePeriod(testConfig(t, testkit.NewRegistry(t), withDeadlines(deadline)))
-		if span >= kill || span <= kill-300*time.Millisecond {
-			t.Errorf("deadline %d ms: stops in %v, killed after %v", deadline, span, kill)
+		gracePeriod := shutdownGracePeriod(testConfig(t, testkit.NewRegistry(t), withDeadlines(deadline)))
+		if gracePeriod >= kill || gracePeriod <= kill-300*time.Millisecond {
+			t.Errorf("deadline %d ms: stops in %v, killed after %v", deadline, gracePeriod, kill)
 		}
 	}
 }
@@ -37,14 +37,14 @@
 
 	n.stop()
 	n.waitReady(http.StatusServiceUnavailable)
-	late := n.dial()
-	sendRequest(late, n.request("pay"))
+	newConn := n.dial()
+	sendRequest(newConn, n.request("pay"))
 	server.open()
 
 	if a := testkit.Wait(t, accepted, "a response"); a.status != http.StatusOK {
 		t.Errorf("status %d", a.status)
 	}
-	if resp := n.readResponse(late); resp.StatusCode != http.StatusOK {
+	if resp := n.readResponse(newConn); resp.StatusCode != http.StatusOK {
 		t.Errorf("status %d on a new connection", resp.StatusCode)
 	}
 	n.awaitExit()
@@ -52,7 +52,7 @@
 
 // The clients of a node that shuts down may have no other node: they are served on their connections until shortly
 // before the node has to exit, and a request that is active then gets a response.
-func TestShutdownServesItsClientsBeforeItTerminates(t *testing.T) {
+func TestShutdownServesClientsUntilTheDrainPeriod(t *testing.T) {
 	b := testkit.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/pay" {
 			<-r.Context().Done()
@@ -61,23 +61,23 @@
 		testkit.OK(w, r)
 	})
 	const (
-		drainsAt  = 3150 * time.Millisecond // the grace period of 3.45 s without its last 0.3 s
-		lateAt    = drainsAt - 400*time.Millisecond
-		checkedTo = drainsAt - 150*time.Millisecond
+		drainOffset       = 3150 * time.Millisecond // the grace period of 3.45 s without its last 0.3 s
+		lateRequestOffset = drainOffset - 400*time.Millisecond
+		servedUntilOffset = drainOffset - 150*time.Millisecond
 	)
 	n := startReadyWith(t, b.Endpoint("s-0"), withTimes(3000, 2700))
 	steady, late := n.dial(), n.dial()
 	n.roundTrip(steady)
 	n.roundTrip(late)
 
-	began := time.Now()
+	shutdownStart := time.Now()
 	n.stop()
 	n.waitReady(http.StatusServiceUnavailable)
-	n.wantServedUntil(steady, began.Add(lateAt), began.Add(drainsAt))
+	n.wantServedUntil(steady, shutdownStart.Add(lateRequestOffset), shutdownStart.Add(drainOffset))
 	if err := n.request("pay").Write(late); err != nil {
 		t.Fatal(err)
 	}
-	n.wantServedUntil(steady, began.Add(checkedTo), began.Add(drainsAt))
+	n.wantServedUntil(steady, shutdownStart.Add(servedUntilOffset), shutdownStart.Add(drainOffset))
 
 	if resp := n.readResponse(late); resp.StatusCode != http.StatusBadGateway {
 		t.Errorf("the last request got status %d", resp.StatusCode)
@@ -87,15 +87,15 @@
 
 // wantServedUntil sends one request after the other and fails the test unless each is served on a connection
 // that stays open. A paused test may see the end of the connection only after the drain has begun.
-func (n *testNode) wantServedUntil(nc net.Conn, end, drainsAt time.Time) {
+func (n *testNode) wantServedUntil(nc net.Conn, end, drainStart time.Time) {
 	n.t.Helper()
 	for time.Now().Before(end) {
 		err := n.keepAliveRoundTrip(nc)
 		if err == nil {
 			continue
 		}
-		if time.Now().Before(drainsAt) {
-			n.t.Fatalf("%v, %v before the drain", err, time.Until(drainsAt))
+		if time.Now().Before(drainStart) {
+			n.t.Fatalf("%v, %v before the drain", err, time.Until(drainStart))
 		}
 		return
 	}
@@ -125,13 +125,13 @@
 	client := n.sendLongRequest()
 	testkit.Wait(t, b.Requests, "the request")
 
-	began := time.Now()
+	shutdownStart := time.Now()
 	n.stop()
 
 	if resp := n.readResponse(client); resp.StatusCode != http.StatusBadGateway {
 		t.Fatalf("status %d", resp.StatusCode)
 	}
-	wantBeforeKill(t, began)
+	wantBeforeKill(t, shutdownStart)
 	n.awaitExit()
 }
 
@@ -142,8 +142,8 @@
 	stuck := testkit.NewStuckServer(t)
 	b := testkit.NewBackend(t, testkit.Unresponsive(make(chan struct{}, 10)))
 	for name, c := range map[string]struct {
-		server endpointjson.Endpoint
-		first  int // requests that are sent before
+		server          endpointjson.Endpoint
+		earlierRequests int // requests that are sent before
 	}{
 		"queued":                   {b.Endpoint("s-0"), 5},
 		"waiting for a connection": {stuck.Endpoint("s-0"), 0},
@@ -152,11 +152,11 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			n := startReadyWith(t, c.server, withDeadlines(60000))
-			clients := n.sendLongRequests(c.first + 1)
-			began := time.Now()
+			clients := n.sendLongRequests(c.earlierRequests + 1)
+			shutdownStart := time.Now()
 			n.stop()
 			n.wantServerErrors(clients)
-			wantBeforeKill(t, began)
+			wantBeforeKill(t, shutdownStart)
 		})
 	}
 }
@@ -172,9 +172,9 @@
 }
 
 // wantBeforeKill fails the test if a node whose shutdown began at the given time has been killed by now.
-func wantBeforeKill(t *testing.T, began time.Time) {
+func wantBeforeKill(t *testing.T, shutdownStart time.Time) {
 	t.Helper()
-	if took := time.Since(began); took >= killDeadlineCap+killDeadlineExtra {
+	if took := time.Since(shutdownStart); took >= killDeadlineCap+killDeadlineExtra {
 		t.Errorf("the last response came after %v: the node was killed before", took)
 	}
 }
@@ -219,7 +219,7 @@
 
 // The listener fails while a request is in flight: the request gets its response, others are served on connections
 // that are open, and Run returns the failure.
-func TestListenerFailureBeginsAGracefulShutdown(t *testing.T) {
+func TestListenerFailureStartsAGracefulShutdown(t *testing.T) {
 	t.Parallel()
 	server := newGatedBackend(t)
 	n, _ := startReady(t, server.Backend)
@@ -248,9 +248,9 @@
 	n := startReadyWith(t, b.Endpoint("s-0"), withDeadlines(300))
 	n.sendLongRequest() // keeps the shutdown waiting
 	testkit.Wait(t, b.Requests, "the request")
-	const unused = 10
+	const unusedConns = 10
 	var clients []net.Conn
-	for range unused {
+	for range unusedConns {
 		clients = append(clients, n.dial())
 	}
 
@@ -274,19 +274,19 @@
 
 // A shutdown begins while every connection is in use, those of the reserve included, and further clients wait for
 // admission with their requests: each request gets its response before the kill.
-func TestShutdownRespondsToAConnectionThatWaitsForAdmission(t *testing.T) {
+func TestShutdownRespondsToClientsWaitingForAdmission(t *testing.T) {
 	t.Parallel()
 	b := testkit.NewBackend(t, testkit.Unresponsive(make(chan struct{}, 100)))
 	n := startWithFewSockets(t, b.Endpoint("s-0"))
-	const connections = 40 // more than divideDescriptors grants to clients
-	clients := n.sendLongRequests(connections)
-	began := time.Now()
+	const requests = 40 // more than divideDescriptors grants to clients
+	clients := n.sendLongRequests(requests)
+	shutdownStart := time.Now()
 	n.stop()
 	for _, client := range clients {
 		n.wantServerErrors([]net.Conn{client})
 		closeConn(client) // makes room for the next
 	}
-	wantBeforeKill(t, began)
+	wantBeforeKill(t, shutdownStart)
 }
 
 // A request that arrives after termination is rejected at once: nothing would respond to it later.
