--- a/internal/node/forwarding_test.go
+++ b/internal/node/forwarding_test.go
@@ -14,13 +14,13 @@
 	"calicohinge/internal/testkit"
 )
 
-// forwardedMessage is what a request or a response must keep from end to end.
+// forwardedMessage holds what a test compares of a request or response before and after it is forwarded.
 type forwardedMessage struct {
-	startLine, body string
-	header          map[string]string // "" for one that must not be there
+	startLine, body string            // startLine: method and target of a request, status of a response
+	header          map[string]string // "": the field must be missing
 }
 
-// headerValues returns the fields of a header by name, "" for those that it does not have.
+// headerValues returns the values of the named header fields, with "" for each that is missing.
 func headerValues(header http.Header, names ...string) map[string]string {
 	fields := map[string]string{}
 	for _, name := range names {
@@ -29,45 +29,48 @@
 	return fields
 }
 
+// The body and the end-to-end header fields of a request and a response are forwarded unchanged. Hop-by-hop fields are
+// removed, and X-Timeout-Ms is reduced to the time that is left.
 func TestRequestAndResponseAreForwardedUnchanged(t *testing.T) {
 	b := testkit.NewBackend(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("X-Kept", "yes")
 		w.Header().Set("Keep-Alive", "timeout=5")
-		send(w, "rooms")
+		send(w, "response body")
 	})
 	n, _ := startReady(t, b)
 	sent := n.request("push")
 	sent.Header.Set("Connection", "X-Hop")
 	sent.Header.Set("X-Hop", "1")
-	sent.Header.Set("User-Agent", "") // none: the node must not put its own
+	sent.Header.Set("User-Agent", "") // net/http sends no User-Agent, and the node must not add its own
 
 	response := n.do(sent)
-	got := testkit.Wait(t, b.Requests, "the request")
+	got := testkit.Wait(t, b.Requests, "the server to receive the request")
 
-	wantResponse := forwardedMessage{"200", "rooms", map[string]string{"X-Kept": "yes", "Keep-Alive": ""}}
+	wantResponse := forwardedMessage{"200", "response body", map[string]string{"X-Kept": "yes", "Keep-Alive": ""}}
 	gotResponse := forwardedMessage{
 		strconv.Itoa(response.status), response.body, headerValues(response.header, "X-Kept", "Keep-Alive"),
 	}
 	if !reflect.DeepEqual(gotResponse, wantResponse) {
-		t.Errorf("response %+v, want %+v", gotResponse, wantResponse)
+		t.Errorf("the client received the response %+v, want %+v", gotResponse, wantResponse)
 	}
 	endToEnd := []string{"X-Request-ID", "Idempotency-Key", "X-Tenant-Id", "User-Agent"}
 	wantRequest := forwardedMessage{"POST /push?obj=7f3a%2F9c&z", `{"x":1}`, headerValues(sent.Header, endToEnd...)}
-	wantRequest.header["X-Hop"] = "" // from hop to hop
+	wantRequest.header["X-Hop"] = "" // hop-by-hop, since Connection names it
 	body, _ := io.ReadAll(got.Body)
 	gotRequest := forwardedMessage{
 		got.Method + " " + got.RequestURI, string(body), headerValues(got.Header, append(endToEnd, "X-Hop")...),
 	}
 	if !reflect.DeepEqual(gotRequest, wantRequest) {
-		t.Errorf("the server got %+v, want %+v", gotRequest, wantRequest)
+		t.Errorf("the server received the request %+v, want %+v", gotRequest, wantRequest)
 	}
 	if timeout, err := strconv.Atoi(got.Header.Get("X-Timeout-Ms")); err != nil || timeout <= 0 || timeout >= 8000 {
-		t.Errorf("X-Timeout-Ms %q", got.Header.Get("X-Timeout-Ms"))
+		t.Errorf("the server received X-Timeout-Ms %q, want more than 0 and less than the client's 8000",
+			got.Header.Get("X-Timeout-Ms"))
 	}
 }
 
-// The server closes a connection after its response without announcing it. A request written
-// to it would be lost for a class that is not idempotent.
+// The server closes each connection after a response that does not announce the close. A request that was written to
+// a closed connection would fail if its class is not idempotent, since it may not be retried.
 func TestClosedIdleConnectionIsNotReused(t *testing.T) {
 	closed := make(chan struct{}, 10)
 	b := testkit.NewBackend(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -80,23 +83,24 @@
 		closed <- struct{}{}
 	})
 	n, _ := startReady(t, b)
-	for range 5 {
+	for i := range 5 {
 		if resp := n.do(n.request("pay")); resp.status != http.StatusOK {
-			t.Fatalf("status %d", resp.status)
+			t.Fatalf("pay request %d: status %d, want 200", i, resp.status)
 		}
-		testkit.Wait(t, closed, "the server's close")
+		testkit.Wait(t, closed, "the server to close the connection")
 	}
 }
 
-// The node closes a connection after a response that its client has not read yet, and the client has sent more bytes
-// or sends them now: the response is delivered in full, and the connection ends when the client closes it.
+// The node closes a connection after a response that the client has not read yet. If the client has sent further bytes
+// or sends them now, an immediate close would reset the connection and the client would lose part of the response. So
+// the node ends only its sending direction, and closes the connection when the client has closed it.
 func TestResponseIsDeliveredBeforeTheConnectionCloses(t *testing.T) {
 	text := strings.Repeat("x", maxBodyBytes)
 	b := testkit.NewBackend(t, func(w http.ResponseWriter, _ *http.Request) { send(w, text) })
 	for name, c := range map[string]struct{ withRequest, afterResponseStart string }{
-		"nothing":     {"", ""},
-		"ahead of it": {"GET /", ""},
-		"behind it":   {"", "GET /"},
+		"no further bytes":                   {"", ""},
+		"further bytes with the request":     {"GET /", ""},
+		"further bytes after response start": {"", "GET /"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := startHandlerLingering(t, time.Hour, b.Endpoint("s-0"))
@@ -105,19 +109,20 @@
 			send(nc, wireText(s.request("read"))+c.withRequest)
 			in := bufio.NewReader(nc)
 			if _, err := in.Peek(1); err != nil {
-				t.Fatal(err)
+				t.Fatalf("reading the first byte of the response: %v", err)
 			}
 			conn := s.nodeConn(nc)
-			testkit.Until(t, "the response's end", func() bool {
+			testkit.Until(t, "the node to start closing the connection", func() bool {
 				return conn.Lingering() || conn.Closed()
 			})
 			send(nc, c.afterResponseStart)
 			resp, err := http.ReadResponse(in, nil)
 			if err != nil || !resp.Close {
-				t.Fatalf("%+v, %v", resp, err)
+				t.Fatalf("response %+v, error %v; want a response with Connection: close", resp, err)
 			}
 			if body, err := io.ReadAll(resp.Body); string(body) != text {
-				t.Errorf("%d bytes, %v", len(body), err)
+				t.Errorf("the client received %d bytes of the body, error %v; want the %d bytes that the server sent",
+					len(body), err, len(text))
 			}
 			if closeConn(nc); c.afterResponseStart == "" {
 				s.awaitNoConns()
@@ -126,8 +131,8 @@
 	}
 }
 
-// A client sends its request and reads its response a byte at a time: it is served, another client is served
-// meanwhile, and no connection stays open.
+// A client sends its request and reads its response one byte at a time. The node serves it in full, serves another
+// client in the meantime, and keeps neither connection open after the clients have closed theirs.
 func TestByteByByteClientIsServed(t *testing.T) {
 	text := strings.Repeat("x", maxBodyBytes)
 	b := testkit.NewBackend(t, func(w http.ResponseWriter, _ *http.Request) { send(w, text) })
@@ -136,22 +141,23 @@
 	sendByteByByte(slow, wireText(s.request("pay")), func() { s.roundTrip(other) })
 	in := iotest.OneByteReader(slow)
 	if _, err := io.ReadFull(in, make([]byte, 5)); err != nil {
-		t.Fatal(err)
+		t.Fatalf("reading the first 5 bytes of the response: %v", err)
 	}
 	s.wantServed(other)
 	resp, err := http.ReadResponse(bufio.NewReader(io.MultiReader(strings.NewReader("HTTP/"), in)), nil)
 	if err != nil || resp.StatusCode != http.StatusOK {
-		t.Fatalf("%+v, %v", resp, err)
+		t.Fatalf("slow client: response %+v, error %v; want status 200", resp, err)
 	}
 	if body, err := io.ReadAll(resp.Body); string(body) != text {
-		t.Errorf("%d bytes, %v", len(body), err)
+		t.Errorf("the slow client received %d bytes of the body, error %v; want the %d bytes that the server sent",
+			len(body), err, len(text))
 	}
 	closeConn(slow)
 	closeConn(other)
 	s.awaitNoConns()
 }
 
-// A pipelined request gets its response too, and its connection does not count as idle meanwhile.
+// Each pipelined request gets a response: the connection does not count as idle between them.
 func TestPipelinedRequestsGetResponses(t *testing.T) {
 	n, _ := startReady(t, testkit.NewBackend(t, testkit.OK))
 	nc := n.dial()
@@ -162,19 +168,20 @@
 	}
 	send(nc, text.String())
 	in := bufio.NewReader(nc)
-	for range requests {
+	for i := range requests {
 		resp, err := http.ReadResponse(in, nil)
 		if err != nil || resp.StatusCode != http.StatusOK {
-			t.Fatalf("%v, %v", resp, err)
+			t.Fatalf("pipelined request %d of %d: response %+v, error %v; want status 200", i+1, requests, resp, err)
 		}
 		discard(resp.Body)
 	}
 }
 
-// The read timeout of a request must not end the wait for its response.
+// The read timeout limits how long a client may take to send a request. It must not apply while the client waits for
+// the response of a server that takes longer.
 func TestReadTimeoutDoesNotLimitTheWaitForTheResponse(t *testing.T) {
 	b := testkit.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
-		time.Sleep(readTimeout + 200*time.Millisecond) // a timeout is under test
+		time.Sleep(readTimeout + 200*time.Millisecond) // must exceed the read timeout
 		testkit.OK(w, r)
 	})
 	n, _ := startReady(t, b)
