--- a/internal/node/retry_test.go
+++ b/internal/node/retry_test.go
@@ -14,6 +14,8 @@
 	"calicohinge/policy"
 )
 
+// After a failed attempt, a request is retried only if a second execution does no harm or the server has promised that
+// it has not executed the request. A retry keeps the request ID and the idempotency key.
 func TestOnlyRequestsThatMayBeExecutedAgainAreRetried(t *testing.T) {
 	for _, c := range []struct {
 		name, class string
@@ -21,13 +23,13 @@
 		wantSent    int
 		wantStatus  int
 	}{
-		{"idempotent after an error", "read", testkit.ServerError, 2, 200},
-		{"idempotent after a reset", "read", testkit.Reset, 2, 200},
-		{"with a key after an error", "push", testkit.ServerError, 2, 200},
-		{"with a key after a reset", "push", testkit.Reset, 2, 200},
-		{"not idempotent after an error", "pay", testkit.ServerError, 1, 502},
-		{"not idempotent after a reset", "pay", testkit.Reset, 1, 502},
-		{"not idempotent after a rejection", "pay", testkit.NotProcessed, 2, 200},
+		{"idempotent, server error", "read", testkit.ServerError, 2, 200},
+		{"idempotent, closed connection", "read", testkit.Reset, 2, 200},
+		{"idempotent with a key, server error", "push", testkit.ServerError, 2, 200},
+		{"idempotent with a key, closed connection", "push", testkit.Reset, 2, 200},
+		{"not idempotent, server error", "pay", testkit.ServerError, 1, 502},
+		{"not idempotent, closed connection", "pay", testkit.Reset, 1, 502},
+		{"not idempotent, not processed", "pay", testkit.NotProcessed, 2, 200},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			servers := firstRequestFails(t, c.fail)
@@ -39,14 +41,15 @@
 				sameHeader(t, req, got, "X-Request-ID", "Idempotency-Key")
 			}
 			if status != c.wantStatus || len(attempts) != c.wantSent {
-				t.Fatalf("status %d after %d sends, want %d after %d", status, len(attempts), c.wantStatus, c.wantSent)
+				t.Fatalf("%s request: status %d after %d attempts, want %d after %d",
+					c.class, status, len(attempts), c.wantStatus, c.wantSent)
 			}
 		})
 	}
 }
 
-// An unresponsive server must not keep the client past its deadline, and once the client has
-// its response nothing more is sent and the attempt is cancelled.
+// A request to an unresponsive server fails at the client's deadline. The attempt is cancelled then, and no other
+// attempt is sent.
 func TestUnresponsiveServerFailsTheRequestAtItsDeadline(t *testing.T) {
 	cancelled := make(chan struct{}, 1)
 	b := testkit.NewBackend(t, testkit.Unresponsive(cancelled))
@@ -55,19 +58,20 @@
 	r.Header.Set("X-Timeout-Ms", "300")
 	resp := n.do(r)
 	if resp.status != http.StatusBadGateway || resp.took < 200*time.Millisecond {
-		t.Errorf("status %d after %v", resp.status, resp.took)
+		t.Errorf("request with X-Timeout-Ms 300: status %d after %v, want 502 after at least 200ms",
+			resp.status, resp.took)
 	}
-	testkit.Wait(t, cancelled, "the cancelled attempt")
+	testkit.Wait(t, cancelled, "the attempt to be cancelled")
 	if len(b.Requests) != 1 {
-		t.Errorf("%d sends", len(b.Requests))
+		t.Errorf("the server received %d attempts, want 1", len(b.Requests))
 	}
 }
 
-// When a server becomes unresponsive a hedged request goes elsewhere; once that is served
-// the first attempt is cancelled, which closes its connection.
+// If a server becomes unresponsive, a hedged request is sent to the other one. Once that is served, the first attempt
+// is cancelled, which closes its connection.
 func TestHedgedRequestSucceedsIfTheFirstServerIsUnresponsive(t *testing.T) {
 	cancelled := make(chan struct{}, 1)
-	var ignoreNext atomic.Bool // the next request stays without a response
+	var ignoreNext atomic.Bool // the server that gets the next request does not respond to it
 	handle := func(w http.ResponseWriter, r *http.Request) {
 		if ignoreNext.CompareAndSwap(true, false) {
 			testkit.Unresponsive(cancelled)(w, r)
@@ -77,28 +81,29 @@
 	}
 	server1, server2 := testkit.NewBackend(t, handle), testkit.NewBackend(t, handle)
 	n, _ := startReady(t, server1, server2)
-	for range 50 { // the balancer learns the usual latency
+	for range 50 { // teaches the balancer the baseline latency
 		n.do(n.request("push"))
 	}
 	ignoreNext.Store(true)
 	sentBefore := len(server1.Requests) + len(server2.Requests)
 	if resp := n.do(n.request("push")); resp.status != http.StatusOK {
-		t.Fatalf("status %d", resp.status)
+		t.Fatalf("push request whose first attempt gets no response: status %d, want 200", resp.status)
 	}
-	testkit.Wait(t, cancelled, "the cancelled attempt")
+	testkit.Wait(t, cancelled, "the first attempt to be cancelled")
 	if sent := len(server1.Requests) + len(server2.Requests) - sentBefore; sent != 2 {
-		t.Errorf("%d sends, want 2", sent)
+		t.Errorf("the servers received %d attempts, want 2", sent)
 	}
 }
 
-// With every circuit breaker open the rejection comes at once, with Retry-After.
+// If the circuit breaker of the only server is open, a request is rejected with Retry-After at once, long before its
+// deadline.
 func TestOpenCircuitBreakerRejectsWithRetryAfter(t *testing.T) {
 	down := endpointjson.Endpoint{
 		InstanceID: "s-0", Address: testkit.FreeAddr(t), Zone: "a", Lifecycle: "Ready", Weight: 1,
 	}
 	n := startReadyWith(t, down, nil)
 	for range 10 {
-		for range 5 { // opens the breaker: there is no time for a retry
+		for range 5 { // opens the circuit breaker; the timeout leaves no time for a retry
 			r := n.request("push")
 			r.Header.Set("X-Timeout-Ms", "300")
 			n.wantRejectionWithRetryAfter(r)
@@ -107,32 +112,32 @@
 			return
 		}
 	}
-	t.Error("never rejected at once")
+	t.Error("none of 10 push requests with a timeout of 8s was rejected within 1s")
 }
 
-// wantRejectionWithRetryAfter makes a request and fails the test unless it is rejected, with a Retry-After
-// within the limit of the settings.
+// wantRejectionWithRetryAfter makes a request and fails the test unless it is rejected with a Retry-After of at most
+// MaxRetryAfterMs in settingsText.
 func (n *testNode) wantRejectionWithRetryAfter(r *http.Request) clientResponse {
 	n.t.Helper()
 	rejection := n.do(r)
 	if rejection.status != http.StatusServiceUnavailable {
-		n.t.Fatalf("status %d", rejection.status)
+		n.t.Fatalf("%s: status %d, want 503", r.URL.Path, rejection.status)
 	}
 	retryAfter := rejection.header.Get("Retry-After")
 	if seconds, err := strconv.ParseFloat(retryAfter, 64); err != nil || seconds <= 0 || seconds > 0.6 {
-		n.t.Errorf("Retry-After %q", retryAfter)
+		n.t.Errorf("%s: Retry-After %q, want more than 0 and at most 0.6", r.URL.Path, retryAfter)
 	}
 	return rejection
 }
 
-// closeFunc ends a server's connection after a part of a response.
+// closeFunc closes a server's connection after it has written a response or part of one.
 type closeFunc func(nc net.Conn)
 
 func closeWithFIN(nc net.Conn) { closeConn(nc) }
 
 func closeWithReset(nc net.Conn) { resetConn(nc.(*net.TCPConn)) }
 
-// writeAndClose writes a text and ends the connection.
+// writeAndClose returns a handler that writes text to the connection and then closes it.
 func writeAndClose(text string, closeNow closeFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		nc, _, err := w.(http.Hijacker).Hijack()
@@ -144,19 +149,19 @@
 	}
 }
 
-// The response to the first attempt, or also to the second, is truncated. A request that may be executed again is
-// retried at another server, any other request fails, and no client gets the truncated response.
+// The response to the first attempt, or to the first two, is truncated. A request that may be executed again is
+// retried, any other request fails, and no client gets a truncated response.
 func TestTruncatedResponsesAreRetriedIfPermitted(t *testing.T) {
 	t.Parallel()
 	const complete = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
 	for name, text := range map[string]string{
-		"half a line":                     "HTTP/1.",
-		"half a head":                     "HTTP/1.1 200 OK\r\nContent-Len",
-		"a head":                          "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n",
-		"half a body":                     "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndo",
-		"no last chunk":                   "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n",
-		"half a chunk":                    "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndo",
-		"half of another response's line": "HTTP/1.1 2" + complete,
+		"in the status line":                     "HTTP/1.",
+		"in the header":                          "HTTP/1.1 200 OK\r\nContent-Len",
+		"after the header":                       "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n",
+		"in the body":                            "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndo",
+		"before the last chunk":                  "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n",
+		"in a chunk":                             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndo",
+		"in a status line, then a full response": "HTTP/1.1 2" + complete,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -167,15 +172,17 @@
 			testTruncatedResponse(t, writeAndClose(text, closeWithReset))
 		})
 	}
-	t.Run("no length, reset", func(t *testing.T) { // closed it is complete, see TestResponseWithoutLengthIsForwarded
+	// Without a reset the response would be complete, see TestResponseWithoutLengthIsForwarded.
+	t.Run("no length, reset", func(t *testing.T) {
 		t.Parallel()
 		testTruncatedResponse(t, writeAndClose("HTTP/1.1 200 OK\r\n\r\ndone", closeWithReset))
 	})
 }
 
+// testTruncatedResponse sends requests of each class while truncate handles the next one or two attempts.
 func testTruncatedResponse(t *testing.T, truncate http.HandlerFunc) {
 	t.Helper()
-	var truncations atomic.Int32 // still to come
+	var truncations atomic.Int32 // number of the next attempts whose response is truncated
 	handle := func(w http.ResponseWriter, r *http.Request) {
 		if truncations.Add(-1) >= 0 {
 			truncate(w, r)
@@ -195,31 +202,32 @@
 		resp := n.do(n.request(c.class))
 		sent := len(received(servers...))
 		if resp.status != c.wantStatus || sent != c.wantSent || (resp.status == 200 && resp.body != "done") {
-			t.Errorf("%s after %d truncations: status %d, body %q, %d sends",
-				c.class, c.truncations, resp.status, resp.body, sent)
+			t.Errorf("%s request with %d truncated responses: status %d, body %q after %d attempts; "+
+				"want %d after %d, and body \"done\" with status 200",
+				c.class, c.truncations, resp.status, resp.body, sent, c.wantStatus, c.wantSent)
 		}
 	}
 }
 
-// A response without a length is complete when its server closes the connection: each client gets it, at the first
-// attempt. After a reset it would be incomplete.
+// A response without a length is complete once the server closes the connection. It is forwarded without a retry, for
+// every class. After a reset it would be incomplete.
 func TestResponseWithoutLengthIsForwarded(t *testing.T) {
 	server := testkit.NewBackend(t, writeAndClose("HTTP/1.1 200 OK\r\n\r\nall of it", closeWithFIN))
 	n, _ := startReady(t, server)
 	for _, class := range classNames() {
 		resp := n.do(n.request(class))
 		if resp.status != http.StatusOK || resp.body != "all of it" {
-			t.Errorf("%s: status %d, body %q", class, resp.status, resp.body)
+			t.Errorf("%s request: status %d, body %q; want 200 and \"all of it\"", class, resp.status, resp.body)
 		}
 	}
 	if sent := len(server.Requests); sent != 3 {
-		t.Errorf("%d sends, want one a request", sent)
+		t.Errorf("the server received %d attempts for 3 requests, want 3", sent)
 	}
 }
 
-// A pooled connection is reset after a request has been written to it: no part of the node sends a request again
-// that is not idempotent.
-func TestNonIdempotentRequestIsNotResentAfterAReset(t *testing.T) {
+// A server closes a pooled connection instead of responding to a request. No part of the node may resend a request that
+// is not idempotent, although another server could take it.
+func TestNonIdempotentRequestIsNotResentAfterAClose(t *testing.T) {
 	var served atomic.Bool
 	handle := func(w http.ResponseWriter, r *http.Request) {
 		if served.CompareAndSwap(false, true) {
@@ -231,16 +239,17 @@
 	resetting, other := testkit.NewBackend(t, handle), testkit.NewBackend(t, testkit.OK)
 	l := startLoopWith(t, func(pool *upstream.Config) { pool.SettleDelay = 0 }, resetting.Endpoint("s-0"))
 	if first, _ := l.submit(t.Context(), l.newRequest(classPay, staysConnected)); first.status != http.StatusOK {
-		t.Fatalf("status %d", first.status)
+		t.Fatalf("first request: status %d, want 200", first.status)
 	}
-	testkit.Until(t, "the connection to be pooled", func() bool { return l.pool.Stats().Idle() == 1 })
+	testkit.Until(t, "the connection to return to the pool", func() bool { return l.pool.Stats().Idle() == 1 })
 
 	done := l.submitAsync(t.Context(), l.newRequest(classPay, staysConnected))
-	l.notifyEndpoints(policy.UpdateDelta, other.Endpoint("s-1")) // another one could take it
+	l.notifyEndpoints(policy.UpdateDelta, other.Endpoint("s-1")) // could take a second attempt
 
 	l.wantStatus(done, http.StatusBadGateway)
 	l.awaitRequests(0, 0)
 	if len(resetting.Requests) != 2 || len(other.Requests) != 0 {
-		t.Errorf("%d and %d sends, want 2 and none", len(resetting.Requests), len(other.Requests))
+		t.Errorf("the first server received %d requests and the second %d, want 2 and 0",
+			len(resetting.Requests), len(other.Requests))
 	}
 }
