--- a/internal/node/retry_test.go
+++ b/internal/node/retry_test.go
@@ -236,8 +236,8 @@
 		}
 		testkit.Reset(w, r)
 	}
-	resetting, other := testkit.NewBackend(t, handle), testkit.NewBackend(t, testkit.OK)
-	l := startLoopWith(t, func(pool *upstream.Config) { pool.SettleDelay = 0 }, resetting.Endpoint("s-0"))
+	closing, other := testkit.NewBackend(t, handle), testkit.NewBackend(t, testkit.OK)
+	l := startLoopWith(t, func(pool *upstream.Config) { pool.SettleDelay = 0 }, closing.Endpoint("s-0"))
 	if first, _ := l.submit(t.Context(), l.newRequest(classPay, staysConnected)); first.status != http.StatusOK {
 		t.Fatalf("first request: status %d, want 200", first.status)
 	}
@@ -248,8 +248,8 @@
 
 	l.wantStatus(done, http.StatusBadGateway)
 	l.awaitRequests(0, 0)
-	if len(resetting.Requests) != 2 || len(other.Requests) != 0 {
+	if len(closing.Requests) != 2 || len(other.Requests) != 0 {
 		t.Errorf("the first server received %d requests and the second %d, want 2 and 0",
-			len(resetting.Requests), len(other.Requests))
+			len(closing.Requests), len(other.Requests))
 	}
 }
