--- a/internal/node/connection_limits_test.go
+++ b/internal/node/connection_limits_test.go
@@ -14,8 +14,8 @@
 	"calicohinge/internal/upstream"
 )
 
-// Clients open hundreds of connections and send nothing or part of a request: other clients are still served, and
-// the node closes these connections before long.
+// Clients open more connections than the limit and send nothing or an incomplete request. Other clients are still
+// served, and the node closes the connections without a request.
 func TestConnectionsWithoutARequestAreEvicted(t *testing.T) {
 	n := startWithFewSockets(t, testkit.NewBackend(t, testkit.OK).Endpoint("s-0"))
 	var flood []net.Conn
@@ -27,43 +27,44 @@
 		flood = append(flood, nc)
 		if i%15 == 0 {
 			if resp := n.roundTrip(n.dial()); resp.StatusCode != http.StatusOK {
-				t.Fatalf("a usual client got status %d", resp.StatusCode)
+				t.Fatalf("request after %d connections without a request: status %d, want 200", i+1, resp.StatusCode)
 			}
 		}
 	}
-	for _, nc := range flood {
+	for i, nc := range flood {
 		if _, err := io.Copy(io.Discard, nc); testkit.IsTimeout(err) {
-			t.Fatal("a connection without a request stays open")
+			t.Fatalf("connection %d has no request and is still open after %v, want it closed", i, testkit.WaitTimeout)
 		}
 	}
 }
 
-// Clients that make one request and keep their connection are evicted at once. If new clients
-// waited until a connection has been idle for seconds, many of them would wait behind one
-// another until all have disconnected.
+// Idle connections of clients that have made one request are evicted as soon as a new client needs one. If a
+// connection had to be idle for some seconds first, new clients would queue up behind each other until all of them
+// had disconnected.
 func TestIdleConnectionsAreEvictedAtOnce(t *testing.T) {
 	n := startWithFewSockets(t, testkit.NewBackend(t, testkit.OK).Endpoint("s-0"))
 	startTime := time.Now()
-	for range 200 {
+	for i := range 200 {
 		if resp := n.roundTrip(n.dial()); resp.StatusCode != http.StatusOK {
-			t.Fatalf("status %d although others are idle", resp.StatusCode)
+			t.Fatalf("request %d, with all other connections idle: status %d, want 200", i, resp.StatusCode)
 		}
 	}
 	if took := time.Since(startTime); took > testkit.WaitTimeout/2 {
-		t.Errorf("served after %v: new clients wait for others to age", took)
+		t.Errorf("200 requests on new connections took %v, want at most %v: idle connections are evicted too late",
+			took, testkit.WaitTimeout/2)
 	}
 }
 
-// Every connection has a request in flight: a further client is rejected with Retry-After. The node closes its
-// connection.
+// If every permitted connection has an active request, a further client is rejected with Retry-After and its connection
+// is closed. The active requests are still served.
 func TestClientsOverTheConnectionLimitAreRejected(t *testing.T) {
 	server := newGatedBackend(t)
 	n := startWithFewSockets(t, server.Endpoint("s-0"))
 	var busy []net.Conn
-	for range 20 { // some of the requests may be queued: their connections are in use as well
+	for i := range 20 { // some of these requests may be queued, but their connections are in use too
 		nc := n.dial()
 		if err := n.request("read").Write(nc); err != nil {
-			t.Fatal(err)
+			t.Fatalf("writing request %d: %v", i, err)
 		}
 		busy = append(busy, nc)
 	}
@@ -71,30 +72,30 @@
 	rejected := n.requestUntilRejected()
 
 	if !rejected.Close || rejected.Header.Get("Retry-After") == "" {
-		t.Errorf("close %v, headers %v", rejected.Close, rejected.Header)
+		t.Errorf("rejection of a further client: Connection: close %v, header %v; want true and a Retry-After",
+			rejected.Close, rejected.Header)
 	}
 	server.open()
-	for _, nc := range busy {
+	for i, nc := range busy {
 		if resp := n.readResponse(nc); resp.StatusCode != http.StatusOK {
-			t.Fatalf("a request in flight got status %d", resp.StatusCode)
+			t.Fatalf("active request %d: status %d, want 200", i, resp.StatusCode)
 		}
 	}
 }
 
-// requestUntilRejected makes requests on new connections until one is rejected, and returns that
-// response.
+// requestUntilRejected makes requests, each on a new connection, until one is rejected, and returns its response.
 func (n *testNode) requestUntilRejected() *http.Response {
 	n.t.Helper()
 	var last *http.Response
-	testkit.Until(n.t, "a rejection over the limit", func() bool {
+	testkit.Until(n.t, "a request over the connection limit to be rejected", func() bool {
 		last = n.roundTrip(n.dial())
 		return last.StatusCode == http.StatusServiceUnavailable
 	})
 	return last
 }
 
-// A client that sends requests but reads nothing must not keep its connection past its
-// deadline: the node closes it.
+// The node closes the connection of a client that keeps sending requests but reads no response. Such a client must not
+// hold its connection beyond the deadlines of its requests.
 func TestConnectionOfAClientThatReadsNothingIsClosed(t *testing.T) {
 	text := strings.Repeat("x", maxBodyBytes)
 	n, _ := startReady(t, testkit.NewBackend(t, func(w http.ResponseWriter, _ *http.Request) { send(w, text) }))
@@ -106,21 +107,21 @@
 		err = r.Write(nc)
 	}
 	if testkit.IsTimeout(err) {
-		t.Error("the node keeps the connection")
+		t.Errorf("writing requests without reading ended with %v, want an error since the node closed the connection", err)
 	}
 }
 
-// Many clients send noise, half a request or hundreds of requests at once, and disconnect or stay connected: other
-// clients are served meanwhile, and in the end no connection is open and no request active.
+// Many clients send invalid bytes, part of a request or hundreds of requests, and then disconnect or stay connected.
+// Other clients are still served. After all have disconnected, no connection is open and no request is active.
 func TestAbusiveClientsLeaveNoOpenConnections(t *testing.T) {
 	s := startHandler(t, testkit.NewBackend(t, testkit.OK).Endpoint("s-0"))
 	behaviors := []func(nc net.Conn){
-		func(nc net.Conn) { send(nc, "\x00\xff noise\r\n\r\n") },
+		func(nc net.Conn) { send(nc, "\x00\xff invalid\r\n\r\n") },
 		func(nc net.Conn) { send(nc, wireText(s.request("read"))[:40]) },
 		s.sendManyRequests,
 		func(nc net.Conn) { s.sendManyRequests(nc); closeConn(nc) },
 		func(nc net.Conn) { send(nc, strings.Repeat("x", 2*(maxHeaderBytes+maxBodyBytes))); closeConn(nc) },
-		func(nc net.Conn) { s.wantServed(nc) }, // no abuse
+		func(nc net.Conn) { s.wantServed(nc) }, // a normal client
 	}
 	var open []net.Conn
 	for i := range 60 {
@@ -134,34 +135,34 @@
 	s.awaitNoConns()
 }
 
-// sendManyRequests sends hundreds of requests without reading the responses.
+// sendManyRequests sends 300 requests without reading the responses.
 func (s *handlerServer) sendManyRequests(nc net.Conn) {
 	for range 300 {
 		sendRequest(nc, s.request("read"))
 	}
 }
 
-// Requests in flight use every connection to servers that a small node may have. A further request gets the
-// response of a server if a connection becomes free in time, and is rejected otherwise.
+// Requests in flight use all connections to servers that the node may open. A further request is served if a connection
+// becomes free before its deadline, and is rejected otherwise.
 func TestRequestsAtTheServerConnectionLimit(t *testing.T) {
 	t.Parallel()
 	for class, name := range classNames() {
-		t.Run(name+", freed", func(t *testing.T) {
+		t.Run(name+", connection becomes free", func(t *testing.T) {
 			t.Parallel()
 			l := startSaturatedLoop(t)
 			further := l.newFurtherRequest(class)
 			done := l.submitAsync(t.Context(), further)
-			l.untilInLoop("an attempt", func() bool { return len(further.attempts) > 0 })
+			l.untilInLoop("an attempt of the further request to start", func() bool { return len(further.attempts) > 0 })
 			l.server.open()
 			l.wantStatus(done, http.StatusOK)
 			l.wantServedAfterwards(class)
 		})
-		t.Run(name+", not freed", func(t *testing.T) {
+		t.Run(name+", no connection becomes free", func(t *testing.T) {
 			t.Parallel()
 			l := startSaturatedLoop(t)
 			l.wantStatus(l.submitAsync(t.Context(), l.newFurtherRequest(class)), http.StatusServiceUnavailable)
 			if len(l.server.Requests) > 0 {
-				t.Error("the further request was sent")
+				t.Errorf("a server received the further %s request, want it rejected without an attempt", name)
 			}
 			l.server.open()
 			l.wantServedAfterwards(class)
@@ -172,13 +173,14 @@
 // saturatedLoop is a loop whose requests in flight use all connections to servers.
 type saturatedLoop struct {
 	*testLoop
-	server   *gatedBackend
-	inFlight []<-chan response
+	server   *gatedBackend     // responds once it is opened
+	inFlight []<-chan response // of the requests in flight
 }
 
+// startSaturatedLoop starts a loop that may open 2 connections to servers, and sends a request on each.
 func startSaturatedLoop(t *testing.T) *saturatedLoop {
 	t.Helper()
-	const connections, servers = 2, 40 // none of the servers is at its own limit
+	const connections, servers = 2, 40 // enough servers that none is at its own limit
 	server := newGatedBackend(t)
 	var list []endpointjson.Endpoint
 	for i := range servers {
@@ -188,19 +190,19 @@
 	l.testLoop = startLoopWith(t, func(pool *upstream.Config) { pool.MaxOpen = connections }, list...)
 	for range connections {
 		l.inFlight = append(l.inFlight, l.submitAsync(t.Context(), l.newRequest(classRead, staysConnected)))
-		testkit.Wait(t, server.Requests, "a request in flight")
+		testkit.Wait(t, server.Requests, "the server to receive a request")
 	}
 	return l
 }
 
-// newFurtherRequest makes a request that may wait for a connection for 4 s.
+// newFurtherRequest returns a request with a deadline in 4 s, until which it can wait for a connection.
 func (l *saturatedLoop) newFurtherRequest(class int) *request {
 	further := l.newRequest(class, staysConnected)
 	further.deadline = l.clock.now() + 4*time.Second
 	return further
 }
 
-// wantServedAfterwards fails the test unless the requests in flight are served, and a new one after them.
+// wantServedAfterwards fails the test unless the requests in flight are served, and then a new one too.
 func (l *saturatedLoop) wantServedAfterwards(class int) {
 	l.t.Helper()
 	for _, done := range l.inFlight {
