--- a/internal/node/retry_test.go
+++ b/internal/node/retry_test.go
@@ -150,7 +150,7 @@
 }
 
 // The response to the first attempt, or to the first two, is truncated. A request that may be executed again is
-// retried, any other request fails, and no client gets a truncated response.
+// retried at another server, any other request fails, and no client gets a truncated response.
 func TestTruncatedResponsesAreRetriedIfPermitted(t *testing.T) {
 	t.Parallel()
 	const complete = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
