--- a/internal/node/disconnect_test.go
+++ b/internal/node/disconnect_test.go
@@ -12,30 +12,31 @@
 	"calicohinge/policy"
 )
 
+// The attempt of a request is cancelled when its client disconnects.
 func TestDisconnectCancelsTheAttempt(t *testing.T) {
 	cancelled := make(chan struct{}, 1)
 	b := testkit.NewBackend(t, testkit.Unresponsive(cancelled))
 	n, _ := startReady(t, b)
 	nc := n.dial()
 	if err := n.request("read").Write(nc); err != nil {
-		t.Fatal(err)
+		t.Fatalf("writing the request: %v", err)
 	}
-	testkit.Wait(t, b.Requests, "the request")
+	testkit.Wait(t, b.Requests, "the server to receive the request")
 	closeConn(nc)
-	testkit.Wait(t, cancelled, "the cancelled attempt")
+	testkit.Wait(t, cancelled, "the attempt to be cancelled after the client disconnected")
 }
 
-// startWithBusyServer starts a loop before a server whose capacity one request uses.
+// startWithBusyServer starts a loop with one server, and sends a request that uses all of the server's capacity.
 func startWithBusyServer(t *testing.T) (*testLoop, *gatedBackend) {
 	t.Helper()
 	server := newGatedBackend(t)
 	l := startLoop(t, server.Endpoint("s-0"))
 	l.submitAsync(t.Context(), l.newRequest(classPay, staysConnected))
-	testkit.Wait(t, server.Requests, "the first request")
+	testkit.Wait(t, server.Requests, "the server to receive the first request")
 	return l, server
 }
 
-// A client disconnects while its request is queued for want of capacity: it is never sent.
+// A client disconnects while its request is queued because the server has no free capacity. The request is never sent.
 func TestQueuedRequestIsNotSentAfterADisconnect(t *testing.T) {
 	l, server := startWithBusyServer(t)
 	ctx, disconnect := context.WithCancel(t.Context())
@@ -52,26 +53,27 @@
 	}
 }
 
-// A client disconnects while its request is queued, and the event waits behind others: the state of the socket
-// just before the write counts.
+// A client disconnects while its request is queued. The loop has no event for it yet when the server has capacity
+// again, but the state of the client's socket is checked just before the write, so the request is not sent.
 func TestQueuedRequestIsNotSentIfTheSocketShowsADisconnect(t *testing.T) {
 	l, server := startWithBusyServer(t)
 	client, c := acceptedConn(t, downstream.NewConns(downstreamConfig(5, 0)))
 	c.RequestComplete()
 	hasResponse := make(chan bool)
 	go func() {
-		_, err := l.submit(t.Context(), l.newRequest(classPay, c.ClientDisconnected)) // its context never ends
+		// The context does not end with the connection, so that the loop gets no event for the disconnect.
+		_, err := l.submit(t.Context(), l.newRequest(classPay, c.ClientDisconnected))
 		hasResponse <- err == nil
 	}()
 	l.awaitRequests(2, 1)
 
-	send(client, strings.Repeat("more ", 1000)) // bytes ahead hide the end
+	send(client, strings.Repeat("more ", 1000)) // unread bytes hide the close from a peek at the socket
 	closeConn(client)
 	awaitSocketState(t, c.Conn, sockstate.Readable)
 	server.open()
 
-	if testkit.Wait(t, hasResponse, "the end of the request") {
-		t.Error("a client that disconnected got a response")
+	if testkit.Wait(t, hasResponse, "the queued request to complete") {
+		t.Error("the request of a disconnected client completed with a response, want an error")
 	}
 	l.awaitRequests(0, 0)
 	if len(server.Requests) > 0 {
@@ -79,15 +81,14 @@
 	}
 }
 
-// A client disconnects while a connection for its request is being opened. The connection is open later: nothing
-// is sent on it.
+// A client disconnects while its attempt waits for a connection. When the connection is open, nothing is written to it.
 func TestAttemptWaitingForAConnectionIsNotSentAfterADisconnect(t *testing.T) {
 	t.Parallel()
 	stuck := testkit.NewStuckServer(t)
 	l := startLoop(t, stuck.Endpoint("s-0"))
 	ctx, disconnect := context.WithCancel(t.Context())
 	disconnected := func() bool { return ctx.Err() != nil }
-	l.submitAsync(context.Background(), l.newRequest(classPay, disconnected)) // net/http has not seen it
+	l.submitAsync(context.Background(), l.newRequest(classPay, disconnected)) // net/http has not detected it yet
 	l.awaitRequests(1, 1)
 
 	disconnect()
@@ -95,29 +96,30 @@
 	l.awaitRequests(0, 0)
 
 	if len(sent) > 0 {
-		t.Errorf("%q was sent", <-sent)
+		t.Errorf("the server received %q after the client disconnected, want nothing", <-sent)
 	}
 }
 
-// A client disconnects between two attempts: the second is not made.
+// A client disconnects while its request waits for a retry. No second attempt is sent.
 func TestNoRetryAfterADisconnect(t *testing.T) {
 	servers := firstRequestFails(t, testkit.ServerError)
 	l := startLoop(t, servers[0].Endpoint("s-0"), servers[1].Endpoint("s-1"))
 	ctx, disconnect := context.WithCancel(t.Context())
 	l.submitAsync(ctx, l.newRequest(classRead, staysConnected))
 	sent := func() int { return len(servers[0].Requests) + len(servers[1].Requests) }
-	testkit.Until(t, "the first attempt", func() bool { return sent() > 0 })
+	testkit.Until(t, "a server to receive the first attempt", func() bool { return sent() > 0 })
 	l.awaitRequests(1, 0)
 
 	disconnect()
 	l.awaitRequests(0, 0)
 
 	if n := sent(); n != 1 {
-		t.Errorf("%d sends, want 1", n)
+		t.Errorf("the servers received %d attempts, want 1 since the client disconnected after the first", n)
 	}
 }
 
-// A client sends more bytes after its request and disconnects: its attempt is cancelled as well.
+// A client sends further bytes after its request and then disconnects. net/http stops its background read at the first
+// byte and could not detect the disconnect: the node reads the bytes itself, and cancels the attempt.
 func TestDisconnectAfterUnreadBytesCancelsTheAttempt(t *testing.T) {
 	cancelled := make(chan struct{}, 1)
 	b := testkit.NewBackend(t, testkit.Unresponsive(cancelled))
@@ -126,14 +128,14 @@
 	r := n.request("pay")
 	r.Header.Set("X-Timeout-Ms", "600000")
 	sendRequest(nc, r)
-	testkit.Wait(t, b.Requests, "the request")
+	testkit.Wait(t, b.Requests, "the server to receive the request")
 	send(nc, strings.Repeat("x", 5000))
 	closeConn(nc)
-	testkit.Wait(t, cancelled, "the cancelled attempt")
+	testkit.Wait(t, cancelled, "the attempt to be cancelled after the client sent 5000 bytes and disconnected")
 }
 
-// A client disconnects while a connection for its first or its second attempt is being opened. The connection is
-// open before the loop handles the disconnect: nothing is written on it.
+// A client disconnects while its first or second attempt waits for a connection. The connection opens before the loop
+// handles the disconnect, but nothing is written to it.
 func TestLateConnectionIsNotUsedAfterADisconnect(t *testing.T) {
 	t.Parallel()
 	t.Run("first attempt", func(t *testing.T) {
@@ -148,7 +150,7 @@
 		stuck, failing := testkit.NewStuckServer(t), testkit.NewBackend(t, testkit.ServerError)
 		s := startHandler(t, failing.Endpoint("s-1"))
 		client := s.sendOnNewConn("read", "")
-		testkit.Wait(t, failing.Requests, "the first attempt")
+		testkit.Wait(t, failing.Requests, "the server to receive the first attempt")
 		s.loop.awaitRequests(1, 0)
 		s.loop.notifyEndpoints(policy.UpdateDelta, stuck.Endpoint("s-0"))
 		s.loop.queue.post(eventFunc(s.loop.advanceClock))
@@ -156,8 +158,8 @@
 	})
 }
 
-// wantNotSentAfterDisconnect disconnects a client while the attempt with an index waits for its
-// connection to a stuck server, and fails the test if the attempt is sent.
+// wantNotSentAfterDisconnect disconnects a client while an attempt waits for its connection to a stuck server, after
+// wantSent others were sent. It fails the test if the attempt is sent too.
 func (s *handlerServer) wantNotSentAfterDisconnect(client *net.TCPConn, stuck *testkit.StuckServer, wantSent int) {
 	s.t.Helper()
 	l := s.loop
@@ -172,33 +174,35 @@
 	s.awaitNoRequests()
 	attemptsSent := startedAttempts(r)
 	if len(r.attempts) != wantSent+1 || attemptsSent != wantSent || len(sent) > 0 {
-		s.t.Errorf("%d of %d attempts began, want %d", attemptsSent, len(r.attempts), wantSent)
+		s.t.Errorf("%d of %d attempts were sent and the stuck server received %d, want %d of %d and 0",
+			attemptsSent, len(r.attempts), len(sent), wantSent, wantSent+1)
 	}
 }
 
-// A client disconnects after it has sent part of a request: no request reaches the loop.
+// A client disconnects after it has sent part of a request. The request reaches neither the loop nor a server.
 func TestIncompleteRequestIsNeverForwarded(t *testing.T) {
 	b := testkit.NewBackend(t, testkit.OK)
 	s := startHandler(t, b.Endpoint("s-0"))
 	complete := s.requestText("pay")
 	for partName, part := range map[string]string{
-		"nothing":          "",
-		"half of the head": complete[:len(complete)/2],
-		"the head":         complete[:strings.Index(complete, "{")],
-		"half of the body": complete[:len(complete)-3],
+		"no bytes":           "",
+		"part of the header": complete[:len(complete)/2],
+		"the header":         complete[:strings.Index(complete, "{")],
+		"part of the body":   complete[:len(complete)-3],
 	} {
 		for disconnectName, disconnect := range map[string]func(*net.TCPConn){
-			"closes": closeTCP, "resets": resetConn, "ends its sending": closeWrite,
+			"closed": closeTCP, "reset": resetConn, "half-closed": closeWrite,
 		} {
 			client := s.dial().(*net.TCPConn)
 			send(client, part)
 			disconnect(client)
-			testkit.Until(t, "the end of the connection", func() bool {
+			testkit.Until(t, "the node to close the connection", func() bool {
 				c := s.nodeConn(client)
 				return c != nil && c.Closed()
 			})
 			if len(b.Requests) > 0 || s.loop.requests.lastID > 0 {
-				t.Errorf("%s, %s: treated as a request", partName, disconnectName)
+				t.Errorf("client sent %s, connection %s: the server received %d requests and the loop %d, want 0",
+					partName, disconnectName, len(b.Requests), s.loop.requests.lastID)
 			}
 		}
 	}
