--- a/internal/node/disconnect_race_test.go
+++ b/internal/node/disconnect_race_test.go
@@ -13,14 +13,14 @@
 	"calicohinge/policy"
 )
 
-// requestStage is a point of a request's lifecycle at which its client disconnects.
+// requestStage is a stage in the lifecycle of a request in which its client disconnects.
 type requestStage struct {
 	class          string
-	handle         http.HandlerFunc
-	otherRequests  int                                       // requests that use all capacity before
-	triggerAttempt func(s *handlerServer, now time.Duration) // makes the balancer decide the next attempt
-	sent           int                                       // attempts that started before the client disconnects
-	inFlight       int                                       // attempts that are in flight when it disconnects
+	handle         http.HandlerFunc                          // of both servers
+	otherRequests  int                                       // number of earlier requests, which use all capacity
+	triggerAttempt func(s *handlerServer, now time.Duration) // makes the balancer decide on the next attempt
+	sent           int                                       // number of attempts sent before the disconnect
+	inFlight       int                                       // number of attempts in flight at the disconnect
 }
 
 func requestStages() map[string]requestStage {
@@ -28,19 +28,19 @@
 		"queued": {
 			class: "pay", handle: testkit.Unresponsive(nil), otherRequests: 2, triggerAttempt: freeCapacity,
 		},
-		"waits for a retry": {
+		"waiting for a retry": {
 			class: "read", handle: testkit.ServerError, triggerAttempt: advanceClock, sent: 1,
 		},
-		"a hedged request": {
+		"in flight before a hedged request": {
 			class: "read", handle: testkit.Unresponsive(nil), triggerAttempt: advanceClock, sent: 1, inFlight: 1,
 		},
 	}
 }
 
-// advanceClock makes retries and hedged requests fall due.
+// advanceClock makes retries and hedged requests due.
 func advanceClock(s *handlerServer, now time.Duration) { s.loop.advanceClock(now) }
 
-// freeCapacity ends one of the attempts in flight, so that a queued request could be sent.
+// freeCapacity ends an attempt in flight, so that the balancer can send a queued request.
 func freeCapacity(s *handlerServer, now time.Duration) {
 	for _, r := range s.loop.requests.byID {
 		if r.inFlight > 0 {
@@ -50,9 +50,9 @@
 	}
 }
 
-// disconnectMode is how a client disconnects.
+// disconnectMode is a way in which a client disconnects.
 type disconnectMode struct {
-	extraBytes string // sent behind the request
+	extraBytes string // sent right after the request, in the same write
 	disconnect func(nc *net.TCPConn)
 }
 
@@ -60,32 +60,36 @@
 	const pipelined = "GET /read HTTP/1.1\r\nHost: x\r\nX-Request-ID: 2\r\nX-Tenant-Id: acme\r\nX-Timeout-Ms: 9\r\n\r\n"
 	unread := strings.Repeat("x", 9000)
 	return map[string]disconnectMode{
-		"closes":              {"", closeTCP},
-		"resets":              {"", resetConn},
-		"ends its sending":    {"", closeWrite},
-		"pipelines, closes":   {pipelined, closeTCP},
-		"sends much, closes":  {unread, closeTCP},
-		"sends on, closes":    {"", func(nc *net.TCPConn) { send(nc, "GET /read HTTP/1.1\r\nHost: x"); closeConn(nc) }},
-		"sends on and resets": {"", func(nc *net.TCPConn) { send(nc, unread); resetConn(nc) }},
+		"close":                         {"", closeTCP},
+		"reset":                         {"", resetConn},
+		"half-close":                    {"", closeWrite},
+		"pipelined request, then close": {pipelined, closeTCP},
+		"extra bytes, then close":       {unread, closeTCP},
+		"late partial request, then close": {"", func(nc *net.TCPConn) {
+			send(nc, "GET /read HTTP/1.1\r\nHost: x")
+			closeConn(nc)
+		}},
+		"late extra bytes, then reset": {"", func(nc *net.TCPConn) { send(nc, unread); resetConn(nc) }},
 	}
 }
 
-// A client disconnects at the moment at which the balancer decides the next attempt. The loop has the event, or
-// only the socket shows the disconnect: no attempt starts, and the request is released. A client that only ends
-// its sending looks like one that closes, until something is written to it. It counts as disconnected: its
-// connection ends without a response.
+// A client disconnects just as the balancer decides on the next attempt of its request. Either the loop has handled the
+// disconnect, or only the socket shows it. In both cases no further attempt is sent and the request is released.
+//
+// A client that closes only its sending direction cannot be told from one that has closed the connection until
+// something is written to it. It counts as disconnected, and its connection is closed without a response.
 func TestNoAttemptIsSentAfterADisconnect(t *testing.T) {
 	t.Parallel()
 	for stageName, stage := range requestStages() {
 		for modeName, mode := range disconnectModes() {
 			name := stageName + "/" + modeName
-			t.Run(name+"/before the decision", func(t *testing.T) {
+			t.Run(name+"/event handled before the decision", func(t *testing.T) {
 				t.Parallel()
 				s := startPausedAt(t, stage, mode)
 				s.disconnectBeforeDecision()
 				s.wantNoFurtherAttemptSent()
 			})
-			t.Run(name+"/behind the decision", func(t *testing.T) {
+			t.Run(name+"/event queued after the decision", func(t *testing.T) {
 				t.Parallel()
 				s := startPausedAt(t, stage, mode)
 				s.disconnectAfterDecisionIsQueued()
@@ -95,19 +99,19 @@
 	}
 }
 
-// pausedRequest is a request at a point of its lifecycle, in a loop that is paused there.
+// pausedRequest is a request in a given stage, with its loop paused.
 type pausedRequest struct {
 	*handlerServer
 	stage            requestStage
 	mode             disconnectMode
 	client           *net.TCPConn
 	request          *request
-	lastID           policy.RequestID
-	disconnectChecks chan bool // gets each result of the check before an attempt is written
-	resume           func()    // of the loop
+	lastID           policy.RequestID // of the loop's requests when it was paused
+	disconnectChecks chan bool        // receives the result of each check of the client before an attempt is written
+	resume           func()           // resumes the loop
 }
 
-// startPausedAt brings a request to a point, and pauses the loop.
+// startPausedAt sends a request to a new handlerServer and pauses the loop when the request has reached the stage.
 func startPausedAt(t *testing.T, stage requestStage, mode disconnectMode) *pausedRequest {
 	t.Helper()
 	server1, server2 := testkit.NewBackend(t, stage.handle), testkit.NewBackend(t, stage.handle)
@@ -118,7 +122,8 @@
 		disconnectChecks: make(chan bool, 10),
 	}
 	l := s.loop
-	l.inLoop(func() { // a request took half a minute here
+	// A reported latency of 30 s keeps attempts from counting as unresponsive before the test advances the clock.
+	l.inLoop(func() {
 		l.balancer.Request(l.clock.now(), policy.Request{ID: 1 << 31, Timeout: time.Hour})
 		l.balancer.Outcome(l.clock.now(), policy.Outcome{ID: 1 << 31, RequestCompleted: true, Latency: 30 * time.Second})
 	})
@@ -128,7 +133,7 @@
 	}
 	s.client = s.sendOnNewConn(stage.class, mode.extraBytes)
 	l.awaitRequests(stage.otherRequests+1, stage.otherRequests+stage.inFlight)
-	testkit.Until(t, "the attempts before", func() bool {
+	testkit.Until(t, "the servers to receive the attempts before the disconnect", func() bool {
 		return len(server1.Requests)+len(server2.Requests) == stage.otherRequests+stage.sent
 	})
 	s.resume = l.pause()
@@ -142,12 +147,13 @@
 	return s
 }
 
-// triggerAttempt makes the balancer decide the next attempt.
+// triggerAttempt makes the balancer decide on the next attempt.
 func (s *pausedRequest) triggerAttempt(now time.Duration) {
 	s.stage.triggerAttempt(s.handlerServer, now)
 }
 
-// disconnectBeforeDecision disconnects the client, so that the loop learns of it before the next decision.
+// disconnectBeforeDecision disconnects the client and triggers the next attempt after the loop has handled the
+// disconnect.
 func (s *pausedRequest) disconnectBeforeDecision() {
 	s.t.Helper()
 	s.resume()
@@ -156,8 +162,8 @@
 	s.loop.queue.post(eventFunc(s.triggerAttempt))
 }
 
-// disconnectAfterDecisionIsQueued disconnects the client while the decision waits in the loop's queue, so that only the
-// socket shows the disconnect.
+// disconnectAfterDecisionIsQueued disconnects the client after the event that triggers the next attempt was queued, so
+// that only the socket shows the disconnect when the loop handles that event.
 func (s *pausedRequest) disconnectAfterDecisionIsQueued() {
 	s.t.Helper()
 	s.loop.queue.post(eventFunc(s.triggerAttempt))
@@ -165,14 +171,15 @@
 	s.mode.disconnect(s.client)
 	s.awaitDisconnect(s.client)
 	s.resume()
-	if !testkit.Wait(s.t, s.disconnectChecks, "the check before the write") {
-		s.t.Error("the check before the write misses that the client disconnected")
+	if !testkit.Wait(s.t, s.disconnectChecks, "the check of the client before the attempt is written") {
+		s.t.Error("ClientDisconnected() = false just before the write, want true: the client has disconnected")
 	}
-	testkit.Wait(s.t, nextPause.reached, "the loop")
+	testkit.Wait(s.t, nextPause.reached, "the loop to reach the pause after the decision")
 	nextPause.resume()
 }
 
-// wantNoFurtherAttemptSent checks that the request has completed with no further attempt and no response.
+// wantNoFurtherAttemptSent fails the test unless the request is released without a response and without a further
+// attempt sent, and no other request has reached the loop.
 func (s *pausedRequest) wantNoFurtherAttemptSent() {
 	s.t.Helper()
 	l, otherRequests := s.loop, s.stage.otherRequests
@@ -183,11 +190,11 @@
 	}
 	l.inLoop(func() {
 		if sent := startedAttempts(s.request); sent != s.stage.sent || l.requests.lastID != s.lastID {
-			s.t.Errorf("%d attempts started, want %d; requests %d, want %d",
+			s.t.Errorf("%d attempts were sent, want %d; the last request ID is %d, want %d",
 				sent, s.stage.sent, l.requests.lastID, s.lastID)
 		}
 	})
 	if text, err := io.ReadAll(s.client); len(text) > 0 || testkit.IsTimeout(err) {
-		s.t.Errorf("the client received %q, %v", text, err)
+		s.t.Errorf("the client received %q, error %v; want nothing and the end of the connection", text, err)
 	}
 }
