--- a/internal/node/disconnect_concurrency_test.go
+++ b/internal/node/disconnect_concurrency_test.go
@@ -10,11 +10,11 @@
 	"calicohinge/internal/testkit"
 )
 
-// concurrentClients is how many clients disconnect together: more than the free capacity of the loop's
-// event queue in these tests.
+// concurrentClients is the number of clients that disconnect at the same time. It exceeds the free space that the tests
+// leave in the loop's event queue.
 const concurrentClients = 300
 
-// sendOnNewConns sends a request from each client on a connection of its own, of one class after another.
+// sendOnNewConns sends concurrentClients requests, each on a new connection. It uses the given classes in turn.
 func (s *handlerServer) sendOnNewConns(classes ...string) []*net.TCPConn {
 	s.t.Helper()
 	var clients []*net.TCPConn
@@ -24,7 +24,7 @@
 	return clients
 }
 
-// disconnectAll disconnects the clients, in one way after another, and waits until the node's sockets show it.
+// disconnectAll disconnects the clients with the given functions in turn, and waits until the node's sockets show it.
 func (s *handlerServer) disconnectAll(clients []*net.TCPConn, disconnects ...func(*net.TCPConn)) {
 	s.t.Helper()
 	for i, client := range clients {
@@ -35,16 +35,18 @@
 	}
 }
 
-// Hundreds of clients send requests to a node whose loop is paused, and disconnect. The event queue is full, and
-// further events wait to be posted: no request is forwarded, and all are released.
+// Hundreds of clients send requests while the loop is paused, and then disconnect. Their disconnect events fill the
+// event queue, so that further ones wait to be posted. No request is forwarded, and all are released.
 func TestManyDisconnectsWithAFullEventQueue(t *testing.T) {
 	b := testkit.NewBackend(t, testkit.OK)
 	s := startHandler(t, b.Endpoint("s-0"), b.Endpoint("s-1"), b.Endpoint("s-2"), b.Endpoint("s-3"))
 	l := s.loop
-	l.awaitRequests(0, 0) // the list is known
+	l.awaitRequests(0, 0) // the loop has handled the endpoint list
 	resume := l.pause()
 	clients := s.sendOnNewConns(classNames()...)
-	testkit.Until(t, "the requests", func() bool { return len(l.queue.posted) == concurrentClients })
+	testkit.Until(t, "all requests to be in the event queue", func() bool {
+		return len(l.queue.posted) == concurrentClients
+	})
 	var all []*request
 	l.queue.post(eventFunc(func(time.Duration) {
 		for _, r := range l.requests.byID {
@@ -56,18 +58,19 @@
 	}
 
 	s.disconnectAll(clients, closeTCP, resetConn)
-	testkit.Until(t, "a full queue", func() bool { return len(l.queue.posted) == cap(l.queue.posted) })
+	testkit.Until(t, "the event queue to be full", func() bool { return len(l.queue.posted) == cap(l.queue.posted) })
 	resume()
 
 	s.awaitNoRequests()
 	if sent := startedAttempts(all...); len(all) != concurrentClients || sent > 0 || len(b.Requests) > 0 {
-		t.Errorf("%d of %d attempts began, %d arrived", sent, len(all), len(b.Requests))
+		t.Errorf("%d requests reached the loop, want %d; %d attempts were sent and the servers received %d, want 0",
+			len(all), concurrentClients, sent, len(b.Requests))
 	}
 }
 
-// Hundreds of clients disconnect at once. Their requests are queued, in flight, or wait for a retry or for a
-// connection. Before the loop learns of the first disconnect, the connections are opened, all retries fall due and
-// capacity becomes free: none of their attempts starts.
+// Hundreds of clients disconnect at once, while their requests are queued, in flight, in backoff or waiting for a
+// connection. Before the loop handles the first disconnect, the connections open, all retries become due and server
+// capacity becomes free. No further attempt is sent.
 func TestManyDisconnectsInMixedRequestStates(t *testing.T) {
 	t.Parallel()
 	servers := mixedServers{
@@ -90,20 +93,23 @@
 
 	l.inLoop(func() {
 		sentLate := startedAttempts(stable.requests...) - sentBefore
-		t.Logf("%v; %d attempts started before the disconnects; then %d were decided, %d started",
+		t.Logf("requests by state: %v; attempts sent before the disconnects: %d; after them: %d started, %d sent",
 			stable.states, sentBefore, countAttempts(stable.requests)-attemptsBefore, sentLate)
 		if sentLate > 0 || len(stable.states) != 4 {
-			t.Error("late attempts, or not all states were reached")
+			t.Errorf("%d attempts were sent after the disconnects, want 0; requests by state %v, want 4 states",
+				sentLate, stable.states)
 		}
 	})
 }
 
-// mixedServers accept no connection, respond with errors, and do not respond.
+// mixedServers are servers that fail in different ways.
 type mixedServers struct {
-	stuck                 *testkit.StuckServer
-	failing, unresponsive *testkit.Backend
+	stuck        *testkit.StuckServer // accepts no connection
+	failing      *testkit.Backend     // responds with errors
+	unresponsive *testkit.Backend     // does not respond
 }
 
+// endpoints returns an endpoint list with count entries, which name the three servers in turn.
 func (m mixedServers) endpoints(count int) []endpointjson.Endpoint {
 	kinds := []func(string) endpointjson.Endpoint{m.stuck.Endpoint, m.failing.Endpoint, m.unresponsive.Endpoint}
 	var list []endpointjson.Endpoint
@@ -113,16 +119,16 @@
 	return list
 }
 
-// The states of a request, by its last attempt.
+// The states of a request, which its last attempt determines.
 const (
 	stateQueued     = "queued"     // there is no attempt yet
 	stateBackoff    = "backoff"    // the attempt has ended
-	stateConnecting = "connecting" // the connection of the attempt is being opened
-	stateInFlight   = "in flight"  // the attempt is at a server that does not respond
-	stateTransient  = "moving"     // the attempt is about to change its state
+	stateConnecting = "connecting" // the attempt waits for its connection to the stuck server
+	stateInFlight   = "in flight"  // the attempt was sent to the unresponsive server
+	stateTransient  = "transient"  // any other: the attempt is about to change its state
 )
 
-// state returns the state of a request.
+// state returns the state of a request. The loop is paused.
 func (m mixedServers) state(l *testLoop, r *request) string {
 	state := stateQueued
 	for _, a := range r.attempts {
@@ -140,18 +146,18 @@
 	return state
 }
 
-// stableRequests are the requests of a loop that is paused.
+// stableRequests are the requests of a paused loop, none of which is in stateTransient.
 type stableRequests struct {
 	requests []*request
-	states   map[string]int // how many requests are in a state
-	resume   func()         // of the loop
+	states   map[string]int // number of requests by state
+	resume   func()         // resumes the loop
 }
 
-// pauseWhenStable pauses the loop once all requests have arrived and none is moving.
+// pauseWhenStable pauses the loop once all requests have arrived and none is in stateTransient.
 func (s *handlerServer) pauseWhenStable(servers mixedServers) stableRequests {
 	s.t.Helper()
 	var stable stableRequests
-	testkit.Until(s.t, "all requests at rest", func() bool {
+	testkit.Until(s.t, "all requests to be in a stable state", func() bool {
 		stable = stableRequests{states: map[string]int{}, resume: s.loop.pause()}
 		for _, r := range s.loop.requests.byID {
 			stable.requests = append(stable.requests, r)
@@ -166,6 +172,7 @@
 	return stable
 }
 
+// countAttempts returns the number of attempts of all given requests, sent or not.
 func countAttempts(requests []*request) int {
 	count := 0
 	for _, r := range requests {
