--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -14,26 +14,28 @@
 	"calicohinge/internal/testkit"
 )
 
-// SIGKILL comes 0.7 s after the longest deadline, counted as 3 s at most.
+// The platform sends SIGKILL 0.7 s after the longest deadline of any class, of which it counts at most 3 s. The grace
+// period must end less than 0.3 s before that.
 func TestShutdownGracePeriodEndsBeforeTheKill(t *testing.T) {
 	for deadline, kill := range map[int]time.Duration{
 		160: 860 * time.Millisecond, 3000: 3700 * time.Millisecond, 60000: 3700 * time.Millisecond,
 	} {
 		gracePeriod := shutdownGracePeriod(testConfig(t, testkit.NewRegistry(t), withDeadlines(deadline)))
 		if gracePeriod >= kill || gracePeriod <= kill-300*time.Millisecond {
-			t.Errorf("deadline %d ms: stops in %v, killed after %v", deadline, gracePeriod, kill)
+			t.Errorf("longest deadline %d ms: grace period %v, want less than 300ms before the kill after %v",
+				deadline, gracePeriod, kill)
 		}
 	}
 }
 
-// Requests that were accepted before a shutdown are served, and new connections are still
-// accepted while clients are assigned to the node.
+// Requests that were accepted before a shutdown are served. New connections are still accepted after health checks
+// fail, since the platform may assign clients to the node for a short time.
 func TestShutdownCompletesAcceptedRequests(t *testing.T) {
 	server := newGatedBackend(t)
 	n, _ := startReady(t, server.Backend)
 	accepted := make(chan clientResponse, 1)
 	go func() { accepted <- n.do(n.request("pay")) }()
-	testkit.Wait(t, server.Requests, "the request")
+	testkit.Wait(t, server.Requests, "the server to receive the request")
 
 	n.stop()
 	n.waitReady(http.StatusServiceUnavailable)
@@ -41,17 +43,17 @@
 	sendRequest(newConn, n.request("pay"))
 	server.open()
 
-	if a := testkit.Wait(t, accepted, "a response"); a.status != http.StatusOK {
-		t.Errorf("status %d", a.status)
+	if a := testkit.Wait(t, accepted, "the response to the accepted request"); a.status != http.StatusOK {
+		t.Errorf("request accepted before the shutdown: status %d, want 200", a.status)
 	}
 	if resp := n.readResponse(newConn); resp.StatusCode != http.StatusOK {
-		t.Errorf("status %d on a new connection", resp.StatusCode)
+		t.Errorf("request on a connection opened after the health check failed: status %d, want 200", resp.StatusCode)
 	}
 	n.awaitExit()
 }
 
-// The clients of a node that shuts down may have no other node: they are served on their connections until shortly
-// before the node has to exit, and a request that is active then gets a response.
+// The clients of a node that shuts down may have no other node. They are served on their connections until the drain
+// period starts, shortly before the node has to exit. A request that is active then still gets a response.
 func TestShutdownServesClientsUntilTheDrainPeriod(t *testing.T) {
 	b := testkit.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/pay" {
@@ -75,18 +77,19 @@
 	n.waitReady(http.StatusServiceUnavailable)
 	n.wantServedUntil(steady, shutdownStart.Add(lateRequestOffset), shutdownStart.Add(drainOffset))
 	if err := n.request("pay").Write(late); err != nil {
-		t.Fatal(err)
+		t.Fatalf("writing the late request: %v", err)
 	}
 	n.wantServedUntil(steady, shutdownStart.Add(servedUntilOffset), shutdownStart.Add(drainOffset))
 
 	if resp := n.readResponse(late); resp.StatusCode != http.StatusBadGateway {
-		t.Errorf("the last request got status %d", resp.StatusCode)
+		t.Errorf("late request to an unresponsive server: status %d, want 502", resp.StatusCode)
 	}
 	n.awaitExit()
 }
 
-// wantServedUntil sends one request after the other and fails the test unless each is served on a connection
-// that stays open. A paused test may see the end of the connection only after the drain has begun.
+// wantServedUntil sends one request after another on a connection until end. It fails the test unless each is served
+// and the connection stays open, but ignores a failure after drainStart: if the test process was paused, the drain
+// period may have started before end was checked.
 func (n *testNode) wantServedUntil(nc net.Conn, end, drainStart time.Time) {
 	n.t.Helper()
 	for time.Now().Before(end) {
@@ -95,13 +98,15 @@
 			continue
 		}
 		if time.Now().Before(drainStart) {
-			n.t.Fatalf("%v, %v before the drain", err, time.Until(drainStart))
+			n.t.Fatalf("request %v before the drain period: %v, want status 200 and the connection kept open",
+				time.Until(drainStart), err)
 		}
 		return
 	}
 }
 
-// keepAliveRoundTrip sends a request. It returns an error unless it is served and the connection stays open.
+// keepAliveRoundTrip makes a request and reads the response. It returns an error unless the request is served and the
+// connection stays open.
 func (n *testNode) keepAliveRoundTrip(nc net.Conn) error {
 	if err := n.request("read").Write(nc); err != nil {
 		return err
@@ -112,30 +117,30 @@
 	}
 	discard(resp.Body)
 	if resp.StatusCode != http.StatusOK || resp.Close {
-		return fmt.Errorf("status %d, close %v", resp.StatusCode, resp.Close)
+		return fmt.Errorf("status %d, Connection: close %v", resp.StatusCode, resp.Close)
 	}
 	return nil
 }
 
-// A request whose deadline is long after the kill still gets its response before the kill.
+// A request whose deadline is long after the kill fails before the kill, so that its client gets a response.
 func TestShutdownFailsLongRequestsBeforeTheKill(t *testing.T) {
 	t.Parallel()
 	b := testkit.NewBackend(t, testkit.Unresponsive(make(chan struct{}, 1)))
 	n := startReadyWith(t, b.Endpoint("s-0"), withDeadlines(60000))
 	client := n.sendLongRequest()
-	testkit.Wait(t, b.Requests, "the request")
+	testkit.Wait(t, b.Requests, "the server to receive the request")
 
 	shutdownStart := time.Now()
 	n.stop()
 
 	if resp := n.readResponse(client); resp.StatusCode != http.StatusBadGateway {
-		t.Fatalf("status %d", resp.StatusCode)
+		t.Fatalf("request with a timeout of a minute, during a shutdown: status %d, want 502", resp.StatusCode)
 	}
 	wantBeforeKill(t, shutdownStart)
 	n.awaitExit()
 }
 
-// A shutdown begins while requests are queued, wait for a connection or are in flight: each gets its final response
+// A shutdown starts while requests are queued, waiting for a connection or in flight. Each gets its final response
 // before the kill.
 func TestShutdownCompletesRequestsInEveryState(t *testing.T) {
 	t.Parallel()
@@ -143,7 +148,7 @@
 	b := testkit.NewBackend(t, testkit.Unresponsive(make(chan struct{}, 10)))
 	for name, c := range map[string]struct {
 		server          endpointjson.Endpoint
-		earlierRequests int // requests that are sent before
+		earlierRequests int // number of requests that use the server's capacity
 	}{
 		"queued":                   {b.Endpoint("s-0"), 5},
 		"waiting for a connection": {stuck.Endpoint("s-0"), 0},
@@ -161,37 +166,39 @@
 	}
 }
 
-// wantServerErrors fails the test unless each client gets a response that is a server error.
+// wantServerErrors fails the test unless each client gets a response with a status of 500 or above.
 func (n *testNode) wantServerErrors(clients []net.Conn) {
 	n.t.Helper()
 	for i, client := range clients {
 		if resp := n.readResponse(client); resp.StatusCode < http.StatusInternalServerError {
-			n.t.Fatalf("request %d got status %d", i, resp.StatusCode)
+			n.t.Fatalf("request %d of %d: status %d, want 500 or above", i+1, len(clients), resp.StatusCode)
 		}
 	}
 }
 
-// wantBeforeKill fails the test if a node whose shutdown began at the given time has been killed by now.
+// wantBeforeKill fails the test if the platform would have killed a node by now whose shutdown started at the given
+// time.
 func wantBeforeKill(t *testing.T, shutdownStart time.Time) {
 	t.Helper()
 	if took := time.Since(shutdownStart); took >= killDeadlineCap+killDeadlineExtra {
-		t.Errorf("the last response came after %v: the node was killed before", took)
+		t.Errorf("the last response came %v after the start of the shutdown, want less than %v, when the node is killed",
+			took, killDeadlineCap+killDeadlineExtra)
 	}
 }
 
-// sendLongRequest sends a request that must not be repeated, with a timeout of a minute.
+// sendLongRequest sends a request that is not idempotent, with a timeout of a minute, and returns its connection.
 func (n *testNode) sendLongRequest() net.Conn {
 	n.t.Helper()
 	nc := n.dial()
 	r := n.request("pay")
 	r.Header.Set("X-Timeout-Ms", "60000")
 	if err := r.Write(nc); err != nil {
-		n.t.Fatal(err)
+		n.t.Fatalf("writing a request with a timeout of a minute: %v", err)
 	}
 	return nc
 }
 
-// sendLongRequests sends a number of long requests, each on a connection of its own.
+// sendLongRequests calls sendLongRequest count times and returns the connections.
 func (n *testNode) sendLongRequests(count int) []net.Conn {
 	n.t.Helper()
 	var clients []net.Conn
@@ -201,7 +208,7 @@
 	return clients
 }
 
-// A shutdown begins while a request is half read: it is served once it is complete.
+// A shutdown starts while a node has read only part of a request. The request is served once the rest has arrived.
 func TestShutdownServesARequestThatIsBeingRead(t *testing.T) {
 	t.Parallel()
 	n, _ := startReady(t, testkit.NewBackend(t, testkit.OK))
@@ -213,41 +220,41 @@
 	n.waitReady(http.StatusServiceUnavailable)
 	send(nc, text[half:])
 	if resp := n.readResponse(nc); resp.StatusCode != http.StatusOK {
-		t.Fatalf("status %d", resp.StatusCode)
+		t.Fatalf("request that was incomplete at the start of the shutdown: status %d, want 200", resp.StatusCode)
 	}
 }
 
-// The listener fails while a request is in flight: the request gets its response, others are served on connections
-// that are open, and Run returns the failure.
+// The listener fails while a request is in flight. The request gets its response, further requests are served on open
+// connections, and Run returns the listener's error.
 func TestListenerFailureStartsAGracefulShutdown(t *testing.T) {
 	t.Parallel()
 	server := newGatedBackend(t)
 	n, _ := startReady(t, server.Backend)
 	client, other := n.sendLongRequest(), n.dial()
-	testkit.Wait(t, server.Requests, "the request")
+	testkit.Wait(t, server.Requests, "the server to receive the request")
 
 	if err := n.node.listener.Close(); err != nil {
-		t.Fatal(err)
+		t.Fatalf("closing the listener: %v", err)
 	}
 	server.open()
 
 	n.wantServed(other)
 	if resp := n.readResponse(client); resp.StatusCode != http.StatusOK {
-		t.Errorf("the request in flight got status %d", resp.StatusCode)
+		t.Errorf("request in flight when the listener failed: status %d, want 200", resp.StatusCode)
 	}
-	if err := testkit.Wait(t, n.done, "the node's exit"); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("Run returned %v", err)
+	if err := testkit.Wait(t, n.done, "Run to return"); !errors.Is(err, net.ErrClosed) {
+		t.Errorf("Run() = %v after the listener was closed, want net.ErrClosed", err)
 	}
 }
 
-// Clients with open, unused connections send requests when the shutdown has terminated the others: the requests are
-// rejected and not dropped.
+// Clients send their first requests on open connections after the shutdown has terminated all other requests. The new
+// requests are rejected with a response and not dropped.
 func TestTerminationRejectsRequestsOnUnusedConnections(t *testing.T) {
 	t.Parallel()
 	b := testkit.NewBackend(t, testkit.Unresponsive(make(chan struct{}, 1)))
 	n := startReadyWith(t, b.Endpoint("s-0"), withDeadlines(300))
 	n.sendLongRequest() // keeps the shutdown waiting
-	testkit.Wait(t, b.Requests, "the request")
+	testkit.Wait(t, b.Requests, "the server to receive the request")
 	const unusedConns = 10
 	var clients []net.Conn
 	for range unusedConns {
@@ -255,9 +262,10 @@
 	}
 
 	n.stop()
-	// A dial that meets the close of the listener may lose its first packet: it must not wait for the second.
+	// A dial during the close of the listener may lose its first packet. The timeout ends it before the system sends
+	// the packet again.
 	const probeTimeout = 10 * time.Millisecond
-	testkit.Until(t, "the end of the listening", func() bool {
+	testkit.Until(t, "the listener to be closed", func() bool {
 		conn, err := net.DialTimeout("tcp", n.addr, probeTimeout)
 		if err == nil {
 			closeConn(conn)
@@ -265,37 +273,39 @@
 		return errors.Is(err, syscall.ECONNREFUSED)
 	})
 
-	for _, client := range clients {
+	for i, client := range clients {
 		if resp := n.roundTrip(client); resp.StatusCode != http.StatusServiceUnavailable || !resp.Close {
-			t.Errorf("status %d, close %v", resp.StatusCode, resp.Close)
+			t.Errorf("request on unused connection %d: status %d, Connection: close %v; want 503 and true",
+				i, resp.StatusCode, resp.Close)
 		}
 	}
 }
 
-// A shutdown begins while every connection is in use, those of the reserve included, and further clients wait for
-// admission with their requests: each request gets its response before the kill.
+// A shutdown starts while all connections, including the reserve, are in use and further clients wait for admission
+// with their requests. Each request gets a response before the kill.
 func TestShutdownRespondsToClientsWaitingForAdmission(t *testing.T) {
 	t.Parallel()
 	b := testkit.NewBackend(t, testkit.Unresponsive(make(chan struct{}, 100)))
 	n := startWithFewSockets(t, b.Endpoint("s-0"))
-	const requests = 40 // more than divideDescriptors grants to clients
+	const requests = 40 // one per connection: more connections than divideDescriptors grants to clients
 	clients := n.sendLongRequests(requests)
 	shutdownStart := time.Now()
 	n.stop()
 	for _, client := range clients {
 		n.wantServerErrors([]net.Conn{client})
-		closeConn(client) // makes room for the next
+		closeConn(client) // lets the next client be admitted
 	}
 	wantBeforeKill(t, shutdownStart)
 }
 
-// A request that arrives after termination is rejected at once: nothing would respond to it later.
+// A request that arrives after termination is rejected at once, since nothing would complete it later.
 func TestRequestAfterTerminationIsRejected(t *testing.T) {
 	b := testkit.NewBackend(t, testkit.OK)
 	l := startLoop(t, b.Endpoint("s-0"))
 	l.terminateAll()
 	final, err := l.submit(t.Context(), l.newRequest(classPay, staysConnected))
 	if err != nil || final.status != http.StatusServiceUnavailable || len(b.Requests) > 0 {
-		t.Errorf("response %+v, %v; %d sends", final, err, len(b.Requests))
+		t.Errorf("submit() after termination = %+v, %v with %d attempts sent; want status 503, no error and no attempt",
+			final, err, len(b.Requests))
 	}
 }
