--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -43,8 +43,8 @@
 	sendRequest(newConn, n.request("pay"))
 	server.open()
 
-	if a := testkit.Wait(t, accepted, "the response to the accepted request"); a.status != http.StatusOK {
-		t.Errorf("request accepted before the shutdown: status %d, want 200", a.status)
+	if resp := testkit.Wait(t, accepted, "the response to the accepted request"); resp.status != http.StatusOK {
+		t.Errorf("request accepted before the shutdown: status %d, want 200", resp.status)
 	}
 	if resp := n.readResponse(newConn); resp.StatusCode != http.StatusOK {
 		t.Errorf("request on a connection opened after the health check failed: status %d, want 200", resp.StatusCode)
