--- a/internal/node/connection_limits_test.go
+++ b/internal/node/connection_limits_test.go
@@ -107,7 +107,8 @@
 		err = r.Write(nc)
 	}
 	if testkit.IsTimeout(err) {
-		t.Errorf("writing requests without reading ended with %v, want an error since the node closed the connection", err)
+		t.Errorf("writing requests without reading the responses timed out: %v; want the node to close the connection",
+			err)
 	}
 }
 
@@ -162,7 +163,7 @@
 			l := startSaturatedLoop(t)
 			l.wantStatus(l.submitAsync(t.Context(), l.newFurtherRequest(class)), http.StatusServiceUnavailable)
 			if len(l.server.Requests) > 0 {
-				t.Errorf("a server received the further %s request, want it rejected without an attempt", name)
+				t.Errorf("a server received the further %s request, want it not sent", name)
 			}
 			l.server.open()
 			l.wantServedAfterwards(class)
