--- a/internal/node/disconnect_concurrency_test.go
+++ b/internal/node/disconnect_concurrency_test.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// Hundreds of clients send requests while the loop is paused, and then disconnect. Their disconnect events fill the
-// event queue, so that further ones wait to be posted. No request is forwarded, and all are released.
+// Hundreds of clients send requests while the loop is paused, and then disconnect. Some of the disconnect events fill
+// the event queue, and the others wait to be posted. No request is forwarded, and all are released.
 func TestManyDisconnectsWithAFullEventQueue(t *testing.T) {
 	b := testkit.NewBackend(t, testkit.OK)
 	s := startHandler(t, b.Endpoint("s-0"), b.Endpoint("s-1"), b.Endpoint("s-2"), b.Endpoint("s-3"))
