--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -88,8 +88,8 @@
 }
 
 // wantServedUntil sends one request after another on a connection until end. It fails the test unless each is served
-// and the connection stays open, but ignores a failure after drainStart: if the test process was paused, the drain
-// period may have started before end was checked.
+// and the connection stays open. It ignores a failure after drainStart: if the test process is paused, a request that
+// it sends before end may arrive in the drain period.
 func (n *testNode) wantServedUntil(nc net.Conn, end, drainStart time.Time) {
 	n.t.Helper()
 	for time.Now().Before(end) {
@@ -148,7 +148,7 @@
 	b := testkit.NewBackend(t, testkit.Unresponsive(make(chan struct{}, 10)))
 	for name, c := range map[string]struct {
 		server          endpointjson.Endpoint
-		earlierRequests int // number of requests that use the server's capacity
+		earlierRequests int // number of requests sent before, which use the server's capacity
 	}{
 		"queued":                   {b.Endpoint("s-0"), 5},
 		"waiting for a connection": {stuck.Endpoint("s-0"), 0},
@@ -176,8 +176,8 @@
 	}
 }
 
-// wantBeforeKill fails the test if the platform would have killed a node by now whose shutdown started at the given
-// time.
+// wantBeforeKill fails the test if the platform would by now have killed a node whose shutdown started at
+// shutdownStart.
 func wantBeforeKill(t *testing.T, shutdownStart time.Time) {
 	t.Helper()
 	if took := time.Since(shutdownStart); took >= killDeadlineCap+killDeadlineExtra {
