--- a/internal/discovery/follower.go
+++ b/internal/discovery/follower.go
@@ -117,7 +117,7 @@
 		case <-f.client.watchRequests:
 			return stateCalling
 		case done := <-f.calls.done:
-			if f.finishEarlier(done) {
+			if f.finishCall(done) {
 				return stateCalling
 			}
 		case <-ctx.Done():
@@ -150,7 +150,7 @@
 		case <-timer.C:
 			return stateCalling
 		case done := <-f.calls.done:
-			if f.finishEarlier(done) {
+			if f.finishCall(done) {
 				return stateCalling
 			}
 		case <-ctx.Done():
@@ -159,9 +159,9 @@
 	}
 }
 
-// finishEarlier finishes a call that returns while the follower has no current call, and applies its list. It
+// finishCall finishes a call that returns while the follower has no current call, and applies its list. It
 // returns true if the list is from the current address, in which case the next call is due immediately.
-func (f *follower) finishEarlier(finished *call) bool {
+func (f *follower) finishCall(finished *call) bool {
 	if !f.calls.finish(finished) {
 		return false
 	}
