--- a/internal/downstream/accept_error.go
+++ b/internal/downstream/accept_error.go
@@ -21,10 +21,10 @@
 // Unwrap returns the reason why the socket is not accessible.
 func (e *connError) Unwrap() error { return e.err }
 
-// temporaryAcceptError reports whether a later accept may succeed. Most errors that accept(2)
+// isTemporaryAcceptError reports whether a later accept may succeed. Most errors that accept(2)
 // documents are shortages of system resources or failures of the connection to be accepted; only a
 // few mean that the listening descriptor is unusable.
-func temporaryAcceptError(err error) bool {
+func isTemporaryAcceptError(err error) bool {
 	if _, ok := errors.AsType[*connError](err); ok {
 		return true
 	}
--- a/internal/downstream/conn.go
+++ b/internal/downstream/conn.go
@@ -40,7 +40,7 @@
 func (c *Conn) RequestComplete() {
 	c.conns.mu.Lock()
 	defer c.conns.mu.Unlock()
-	c.conns.completeRequest(c)
+	c.conns.markRequestRead(c)
 }
 
 // OverLimit reports whether the connection was accepted from the reserve, see Config.Reserve. Its
--- a/internal/downstream/conn_state.go
+++ b/internal/downstream/conn_state.go
@@ -8,8 +8,8 @@
 //	transition        from                  to           made when
 //	addConn           accepted              noData       Listener.Accept admits the connection
 //	beginRequest      noData, idle          readingHead  bytes of a request have arrived
-//	completeHead      readingHead           readingBody  net/http has read the head (Conns.ConnState, StateActive)
-//	completeRequest   any but closed        active       the request has been read (Conn.RequestComplete)
+//	markHeadRead      readingHead           readingBody  net/http has read the head (Conns.ConnState, StateActive)
+//	markRequestRead   any but closed        active       the request has been read (Conn.RequestComplete)
 //	completeResponse  any but closed        idle         the response is complete (Conns.ConnState, StateIdle)
 //	                                        readingHead  the same, and bytes of the next request have arrived
 //	                                        closed       the same, in stageDraining or later
@@ -75,16 +75,16 @@
 	cs.setState(c, stateReadingHead)
 }
 
-// completeHead records that net/http has read the head of a request. c keeps its position in the
+// markHeadRead records that net/http has read the head of a request. c keeps its position in the
 // queue, so the grace period of the incomplete request does not restart. The caller holds cs.mu.
-func (cs *Conns) completeHead(c *Conn) {
+func (cs *Conns) markHeadRead(c *Conn) {
 	if c.state == stateReadingHead {
 		c.state = stateReadingBody
 	}
 }
 
-// completeRequest records that the last byte of a request has been read. The caller holds cs.mu.
-func (cs *Conns) completeRequest(c *Conn) {
+// markRequestRead records that the last byte of a request has been read. The caller holds cs.mu.
+func (cs *Conns) markRequestRead(c *Conn) {
 	if c.state != stateClosed {
 		cs.setState(c, stateActive)
 	}
--- a/internal/downstream/conns.go
+++ b/internal/downstream/conns.go
@@ -78,7 +78,7 @@
 	switch state {
 	case http.StateActive:
 		cs.mu.Lock()
-		cs.completeHead(c)
+		cs.markHeadRead(c)
 		cs.mu.Unlock()
 	case http.StateIdle:
 		cs.mu.Lock()
--- a/internal/downstream/drain.go
+++ b/internal/downstream/drain.go
@@ -34,7 +34,7 @@
 func (cs *Conns) Shutdown(ctx context.Context) {
 	cs.advanceTo(stageClosing)
 	for {
-		cs.closeEach(cs.takeWithoutRequest)
+		cs.closeEach(cs.takeWithoutCompleteRequest)
 		done, changed := cs.checkCondition(cs.allResponsesComplete)
 		if done || !awaitChange(ctx, changed) {
 			return
@@ -70,14 +70,14 @@
 	return nil
 }
 
-// takeWithoutRequest marks a connection closed on which no complete request has arrived and returns
+// takeWithoutCompleteRequest marks a connection closed on which no complete request has arrived and returns
 // it, or returns nil if there is none.
-func (cs *Conns) takeWithoutRequest() *Conn {
+func (cs *Conns) takeWithoutCompleteRequest() *Conn {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	for _, queue := range []*connQueue{&cs.noData, &cs.idle, &cs.partial} {
 		for c := range queue.all() {
-			if !c.hasNoRequest() {
+			if !c.hasNoCompleteRequest() {
 				continue
 			}
 			if queue == &cs.partial {
@@ -99,10 +99,10 @@
 	return cs.active+cs.noData.len()+cs.idle.len()+cs.partial.len() == 0
 }
 
-// hasNoRequest reports whether no complete request has arrived on a connection that is not active.
+// hasNoCompleteRequest reports whether no complete request has arrived on a connection that is not active.
 // net/http may have read a part of a request; a blocked Read shows that the rest is missing. The
 // caller holds conns.mu.
-func (c *Conn) hasNoRequest() bool {
+func (c *Conn) hasNoCompleteRequest() bool {
 	incomplete := c.state.awaitsRequest() || c.readBlocked
 	return incomplete && len(c.readAhead) == 0 && !c.hasUnreadBytes()
 }
--- a/internal/downstream/drain_test.go
+++ b/internal/downstream/drain_test.go
@@ -66,8 +66,8 @@
 	forEachConnAwaitingRequest(t, func(t *testing.T, conns *Conns, client net.Conn, c *Conn) {
 		t.Helper()
 		conns.advanceTo(stageClosing)
-		if closing := conns.takeWithoutRequest(); closing != c {
-			t.Fatalf("takeWithoutRequest returned %p, want %p", closing, c)
+		if closing := conns.takeWithoutCompleteRequest(); closing != c {
+			t.Fatalf("takeWithoutCompleteRequest returned %p, want %p", closing, c)
 		}
 		sendUnread(t, client, c, "GET")
 		conns.ConnState(c, http.StateIdle)
--- a/internal/downstream/listener.go
+++ b/internal/downstream/listener.go
@@ -47,11 +47,11 @@
 func (l *Listener) Accept() (net.Conn, error) {
 	backoff := minAcceptBackoff
 	for {
-		c, err := l.acceptOne()
+		c, err := l.acceptAndAdmit()
 		switch {
 		case err == nil:
 			return c, nil
-		case !temporaryAcceptError(err):
+		case !isTemporaryAcceptError(err):
 			return nil, err
 		}
 		l.logAcceptFailure(err)
@@ -63,9 +63,9 @@
 	}
 }
 
-// acceptOne accepts a connection and admits it. After StopAccepting has been called, it returns
+// acceptAndAdmit accepts a connection and admits it. After StopAccepting has been called, it returns
 // the connections that were in the accept queue, then net.ErrClosed.
-func (l *Listener) acceptOne() (*Conn, error) {
+func (l *Listener) acceptAndAdmit() (*Conn, error) {
 	netConn, err := l.acceptInner()
 	if err != nil && l.stopping.Load() {
 		queued, ok := <-l.queued
--- a/internal/downstream/stop_accepting.go
+++ b/internal/downstream/stop_accepting.go
@@ -27,18 +27,18 @@
 	for {
 		descriptors, err := acceptAllQueued(raw)
 		for _, descriptor := range descriptors {
-			l.enqueue(ctx, descriptor)
+			l.passToAccept(ctx, descriptor)
 		}
-		if err == nil || !temporaryAcceptError(err) || ctx.Err() != nil {
+		if err == nil || !isTemporaryAcceptError(err) || ctx.Err() != nil {
 			return
 		}
 		l.waitBackoff(minAcceptBackoff)
 	}
 }
 
-// enqueue passes the connection of a descriptor to Accept. If Accept has not received it when ctx is
-// done, enqueue closes the connection.
-func (l *Listener) enqueue(ctx context.Context, descriptor int) {
+// passToAccept passes the connection of a descriptor to Accept. If Accept has not received it when ctx is
+// done, passToAccept closes the connection.
+func (l *Listener) passToAccept(ctx context.Context, descriptor int) {
 	file := os.NewFile(uintptr(descriptor), "accepted connection")
 	defer func() { _ = file.Close() }() // net.FileConn duplicates the descriptor
 	netConn, err := net.FileConn(file)
