--- a/internal/upstream/call.go
+++ b/internal/upstream/call.go
@@ -58,14 +58,14 @@
 	return time.Time{}
 }
 
-// permitSend marks the attempt as sent, right before its first byte is written. It returns an error
+// checkAndMarkSent marks the attempt as sent, right before its first byte is written. It returns an error
 // if the attempt must not be sent.
 //
 // It checks the write deadline and the client itself, because the owner of the attempt may react too
 // late: its revocation may come after the deadline, and the disconnect of the client may still be in
 // its event queue. An attempt must not be sent 0.1 s after its client has disconnected. The process may
 // be paused for longer than that after it has read the clock, so it checks the client after the clock.
-func (c *Call) permitSend() error {
+func (c *Call) checkAndMarkSent() error {
 	if deadline := c.writeDeadlineOrZero(); !deadline.IsZero() && !time.Now().Before(deadline) {
 		return errWriteDeadline
 	}
--- a/internal/upstream/dial_test.go
+++ b/internal/upstream/dial_test.go
@@ -76,7 +76,7 @@
 		return false
 	})
 	call.SetWriteDeadline(time.Now())
-	if err := call.permitSend(); !errors.Is(err, errWriteDeadline) {
-		t.Errorf("permitSend returned %v, want %v", err, errWriteDeadline)
+	if err := call.checkAndMarkSent(); !errors.Is(err, errWriteDeadline) {
+		t.Errorf("checkAndMarkSent returned %v, want %v", err, errWriteDeadline)
 	}
 }
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -27,7 +27,7 @@
 	if _, err := c.Write(request.message); err != nil {
 		return Result{Status: policy.ConnectFailed} // the last byte was not written
 	}
-	c.responseBytesLeft = maxResponse
+	c.responseBytesLeft = maxResponseBytes
 	response, err := c.readFinalHeader(request)
 	if err != nil {
 		return Result{Status: c.failureStatus(err)}
@@ -56,7 +56,7 @@
 			return response, nil
 		}
 	}
-	return nil, errInterimResponses
+	return nil, errTooManyInterimResponses
 }
 
 // readHeader reads the header of one response, interim or final. It sets no time limit for the
@@ -83,14 +83,14 @@
 // response.Body: Close would read the body to its end, whatever its length. A connection whose
 // response was not read to the end is closed instead.
 func readBody(response *http.Response) ([]byte, error) {
-	if response.ContentLength > maxBody {
+	if response.ContentLength > maxBodyBytes {
 		return nil, errBodyTooLarge
 	}
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxBody+1))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxBodyBytes+1))
 	switch {
 	case err != nil:
 		return nil, err
-	case len(body) > maxBody:
+	case len(body) > maxBodyBytes:
 		return nil, errBodyTooLarge
 	}
 	return body, nil
@@ -115,7 +115,7 @@
 func (c *connection) failureStatus(err error) policy.Status {
 	switch {
 	case errors.Is(err, errBodyTooLarge),
-		errors.Is(err, errInterimResponses),
+		errors.Is(err, errTooManyInterimResponses),
 		errors.Is(err, errSwitchingProtocols):
 		return policy.ServerError
 	case c.readErr == nil, errors.Is(c.readErr, os.ErrDeadlineExceeded):
--- a/internal/upstream/exchange_test.go
+++ b/internal/upstream/exchange_test.go
@@ -80,8 +80,8 @@
 
 func TestInvalidResponseIsServerErrorAndClosesItsConnection(t *testing.T) {
 	bodyTooLarge := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s",
-		maxBody+1, strings.Repeat("x", maxBody+1))
-	headerTooLarge := "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", maxResponse+1)
+		maxBodyBytes+1, strings.Repeat("x", maxBodyBytes+1))
+	headerTooLarge := "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", maxResponseBytes+1)
 	cases := map[string]responseCase{}
 	for name, response := range map[string]string{
 		"not HTTP":                       "\x00\x01\x02 text\r\n\r\n",
--- a/internal/upstream/send.go
+++ b/internal/upstream/send.go
@@ -53,7 +53,7 @@
 	// deadline interrupts the write.
 	writeDeadline := call.writeDeadlineOrZero()
 	conn.setWriteDeadline(writeDeadline)
-	if err := call.permitSend(); err != nil {
+	if err := call.checkAndMarkSent(); err != nil {
 		conn.reusable = stopAbort() // false if the call was cancelled, which closes the connection
 		p.release(conn)
 		return Result{Status: policy.NotSent, ClientDisconnected: errors.Is(err, errClientDisconnected)}
--- a/internal/upstream/send_test.go
+++ b/internal/upstream/send_test.go
@@ -90,7 +90,7 @@
 	listener := listenWithSmallBuffers(t)
 	pool, id := newPoolWithServer(testPoolConfig(), listener.Addr().String())
 	request := newTestRequest()
-	request.Body = make([]byte, maxBody)
+	request.Body = make([]byte, maxBodyBytes)
 	call := NewCall(t.Context(), neverDisconnected)
 	defer call.Cancel()
 	call.SetWriteDeadline(time.Now().Add(200 * time.Millisecond))
