--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -1,11 +1,15 @@
-// Package discovery keeps a node's endpoint list up to date. It calls the discovery service over HTTP,
-// retries failed calls with backoff, and switches to another address of the service on request. It owns
-// the connections to the service and tracks the generation of the list. It reports lists and failures to
-// a Handler, which internal/node implements, and neither interprets endpoints nor selects servers.
+// Package discovery keeps a node's endpoint list up to date. It calls the discovery service over HTTP, and
+// switches to another address of the service on request. It owns the connections to the service and tracks
+// the generation of the list. It reports lists and failures to a Handler, which internal/node implements. It
+// neither interprets endpoints nor selects servers.
+//
+// The package has two modes. In push mode, it starts to call on its own and retries failed calls with backoff.
+// In polling mode, the first call after the start and each call after a failure wait for Client.RequestWatch;
+// package policy decides when they are due.
 //
 // A failed call is never fatal: it is logged as "endpoint watch failed", the node keeps its list, and
-// another call follows. The doc comment of follower describes the state machine that makes the calls, that
-// of inFlightCalls how each call ends.
+// another call follows. The type follower documents the state machine that makes the calls, and the type
+// inFlightCalls documents how each call ends.
 package discovery
 
 import (
@@ -20,34 +24,34 @@
 	"calicohinge/policy"
 )
 
-// Handler receives the lists and failures of a Client. Its methods are called by the goroutine of Client.Run
-// or by one that it starts, never concurrently.
+// Handler receives the lists and failures of a Client. Its methods are called from the goroutine of Client.Run
+// or from a goroutine that Run starts, but never concurrently.
 type Handler interface {
 	// UpdateEndpoints receives a snapshot, a delta, or the cached list.
 	UpdateEndpoints(kind policy.UpdateKind, endpoints []endpoint.Endpoint)
-	// Synced is called after each list, even if it has no endpoints or changes.
+	// Synced is called after each list, even if the list has no endpoints or no changes.
 	Synced()
-	// WatchFailed is called in polling mode after a failed call. notifiedAt is when the node counts as
-	// notified of the changes that the call has missed. The next call waits for RequestWatch.
+	// WatchFailed is called in polling mode after a failed call. notifiedAt is the time at which the node counts
+	// as notified of the changes that the call has missed. The next call waits for RequestWatch.
 	WatchFailed(notifiedAt time.Time)
 }
 
 // Config holds the parameters of a Client.
 type Config struct {
 	Address    string        // host and port of the discovery service
-	Cached     endpoint.List // the list to start with; may be empty
-	Poll       bool          // polling mode, in which a call after a failure waits for RequestWatch; else push mode
-	DrainGrace time.Duration // how long a draining server still serves after the node has been notified
+	Cached     endpoint.List // endpoint list to start with; may be empty
+	Poll       bool          // whether the client is in polling mode; if not, it is in push mode
+	DrainGrace time.Duration // how long a server still serves requests after the node was notified of its drain
 }
 
 // Client follows the endpoint list. RequestWatch and SetAddress may be called while Run is active.
 type Client struct {
-	address        string // the initial address; the follower has the current one
+	address        string // initial address of the service; follower.address is the current address
 	cached         endpoint.List
 	polling        bool
 	maxBackoff     time.Duration
-	watchRequests  chan struct{} // holds at most one request
-	addressChanges chan string   // holds only the latest address
+	watchRequests  chan struct{} // holds at most one request for a watch
+	addressChanges chan string   // holds the latest address until Run receives it
 	httpClient     *http.Client
 }
 
@@ -65,8 +69,8 @@
 	}
 }
 
-// RequestWatch requests a watch in polling mode. It has no effect if one is active or requested already. It never
-// blocks.
+// RequestWatch requests a watch in polling mode. It has no effect while a watch is active or already requested. It
+// never blocks.
 func (c *Client) RequestWatch() {
 	select {
 	case c.watchRequests <- struct{}{}:
@@ -78,15 +82,15 @@
 // never blocks.
 func (c *Client) SetAddress(addr string) {
 	select {
-	case <-c.addressChanges: // replaced by addr
+	case <-c.addressChanges: // discard an address that Run has not received yet
 	default:
 	}
 	c.addressChanges <- addr
 }
 
 // Run reports the cached list and then follows the endpoint list until ctx is done. After a change of address
-// it requests a snapshot from the new address. Until that arrives, the node keeps its list and applies lists
-// returned by calls still in flight to previous addresses.
+// it requests a snapshot from the new address. Until the snapshot arrives, the node keeps its list and applies
+// lists returned by calls still in flight to previous addresses.
 func (c *Client) Run(ctx context.Context, handler Handler) {
 	c.reportCached(handler)
 	calls := newInFlightCalls(c.send)
@@ -105,13 +109,13 @@
 	}
 }
 
-// reportCached reports the cached list. In polling mode it reports even an empty one.
+// reportCached reports the cached list. In push mode it skips an empty list.
 func (c *Client) reportCached(handler Handler) {
 	if len(c.cached.Endpoints) > 0 {
 		handler.UpdateEndpoints(policy.UpdateCached, c.cached.Endpoints)
 		handler.Synced()
 	} else if c.polling {
-		handler.UpdateEndpoints(policy.UpdateCached, nil) // makes package policy request a watch
+		handler.UpdateEndpoints(policy.UpdateCached, nil) // an empty list makes package policy request a watch
 	}
 }
 
