--- a/internal/discovery/connect.go
+++ b/internal/discovery/connect.go
@@ -11,18 +11,20 @@
 
 const (
 	// connectInterval is the delay between the starts of two attempts to open a connection. The last call
-	// before a notification deadline has an eighth of that deadline left, enough for two attempts to start.
+	// before a notification deadline starts when an eighth of that deadline is left. This is one and a half
+	// intervals, enough for two attempts to start.
 	connectInterval = policy.NotificationDeadline / 12
-	// connectTimeout bounds an attempt to open a connection. One that takes longer is of no use to a watch.
+	// connectTimeout is the maximum duration of an attempt to open a connection. A connection that takes longer
+	// to open is of no use for a watch.
 	connectTimeout = 3 * connectInterval
-	// maxConnectionsPerHost bounds the connections to the service: those of the calls in flight, and those of
-	// cancelled calls, which may still be closing.
+	// maxConnectionsPerHost is the maximum number of connections to the service: one for each call in flight, and
+	// two for cancelled calls, whose connections may still be closing.
 	maxConnectionsPerHost = maxInFlightCalls + 2
 )
 
-// newTransport returns a transport that cancels a connection attempt when its call ends. By default, net/http
-// lets the attempt continue. An attempt to reach an unresponsive host would then last about two minutes, while the
-// operating system retransmits SYNs, and would count against maxConnectionsPerHost during that time.
+// newTransport returns a transport that cancels an attempt to open a connection when its call ends. By default,
+// net/http lets the attempt continue. An attempt to reach an unresponsive host would then last about two minutes,
+// while the operating system retransmits SYNs, and would count against maxConnectionsPerHost during that time.
 func newTransport(dial netdial.Func) *http.Transport {
 	dial = netdial.Stagger(netdial.Repeat(dial), connectInterval, connectTimeout)
 	return &http.Transport{
