--- a/internal/discovery/query.go
+++ b/internal/discovery/query.go
@@ -15,14 +15,14 @@
 // listPath is the URL path of the endpoint list.
 const listPath = "/registry/instances"
 
-// maxListBytes bounds the part of a response body that is read.
+// maxListBytes is the maximum number of bytes that are read from a response body. The rest is ignored.
 const maxListBytes = 8 << 20
 
 // query requests a snapshot, or the changes after a generation.
 type query struct {
 	url      string
 	snapshot bool   // whether a snapshot is requested
-	after    uint64 // the generation; unused if a snapshot is requested
+	after    uint64 // generation after which changes are requested; unused if a snapshot is requested
 }
 
 // snapshotQuery returns a query for a snapshot.
