--- a/internal/discovery/fetch.go
+++ b/internal/discovery/fetch.go
@@ -8,19 +8,19 @@
 )
 
 // A watch is a long poll and may become unresponsive as soon as it starts. The node counts as notified of the
-// changes that such a watch misses policy.NotificationDeadline after its start. Within that time the client has
-// to detect the failure and to make another call. Half of the time is for the watch to wait, a quarter for its
-// response to be late, and a quarter remains for the other call.
+// changes that such a watch misses when policy.NotificationDeadline has passed since the start of the watch.
+// Within that time the client has to detect the failure and to make another call. Half of the time is for the
+// watch to wait, a quarter for its response to be late, and a quarter remains for the other call.
 const (
 	// watchWait is how long a watch asks the discovery service to wait for a change.
 	watchWait = policy.NotificationDeadline / 2
 	// watchResponseMargin is how late the response to a watch may arrive.
 	watchResponseMargin = policy.NotificationDeadline / 4
-	// responseTimeout is the response timeout of a watch, and also of a call for a snapshot: a slow service would
-	// never catch up with a fleet of nodes that retry sooner.
+	// responseTimeout is the response timeout of a watch: how long the client waits before it makes another call.
+	// It also applies to a call for a snapshot: if the nodes retried sooner, a slow service would never catch up.
 	responseTimeout = watchWait + watchResponseMargin
-	// initialListResponseTimeout is the response timeout after a change of address. It leaves time for a second
-	// call before the deadline.
+	// initialListResponseTimeout is the response timeout of a call for the initial list at a new address. It leaves
+	// time for a second call before the deadline of that list.
 	initialListResponseTimeout = addressChangeDeadline / 2
 )
 
@@ -47,7 +47,7 @@
 			switch {
 			case done == current:
 				return done, done.err
-			case !usable: // another call failed; keep waiting
+			case !usable: // another call has failed or was superseded; keep waiting
 			case done.address == f.address:
 				f.calls.detach(current)
 				return done, nil
@@ -64,7 +64,7 @@
 	}
 }
 
-// nextResponseTimeout returns the response timeout of the next call: how long to wait before another call is made.
+// nextResponseTimeout returns the response timeout of the next call.
 func (f *follower) nextResponseTimeout() time.Duration {
 	if f.initialListPending(time.Now()) {
 		return initialListResponseTimeout
