--- a/internal/discovery/follower.go
+++ b/internal/discovery/follower.go
@@ -23,12 +23,12 @@
 
 // follower follows the endpoint list at one address. It is a state machine with one method per state, which
 // waits for the events of that state in the table below and returns the next state. The current call is the
-// latest one. An earlier call is another call to the current address that is still in flight after its response
-// timeout.
+// call that was made last. An earlier call is a call to the current address that is still in flight although its
+// response timeout has passed.
 //
 //	state    event                                  action                            next state
 //	-----    -----                                  ------                            ----------
-//	idle     RequestWatch                           -                                 calling
+//	idle     RequestWatch                           none                              calling
 //	idle     an earlier call returns a list         apply the list                    calling
 //	calling  the current or an earlier call         apply the list                    calling, or pausing
 //	         returns a list                                                           after a short call
@@ -36,11 +36,11 @@
 //	         its response timeout                   failure to the handler
 //	                                                push mode: choose the             pausing
 //	                                                retry delay
-//	calling  RequestWatch                           -; a failure of the current       unchanged
-//	                                                call drops the request
-//	pausing  the delay has passed                   -                                 calling
+//	calling  RequestWatch                           keep the request; drop it if      unchanged
+//	                                                the current call fails
+//	pausing  the delay has passed                   none                              calling
 //	pausing  an earlier call returns a list         apply the list                    calling
-//	any      an earlier call fails                  -                                 unchanged
+//	any      an earlier call fails                  none                              unchanged
 //	any      a call to a previous address           apply the list, unless the        unchanged
 //	         returns a list                         current address has returned one
 //	any      the address changes, or the client     detach the current call           run returns
@@ -62,13 +62,13 @@
 	delay   time.Duration // how long to stay in statePausing
 	backoff backoff
 
-	haveList   bool                 // whether a list from the current address was cached or applied
-	generation uint64               // generation of that list; may be 0
+	haveList   bool                 // whether a cached list or a list from the current address was applied
+	generation uint64               // generation of that list if haveList is true; may be 0
 	deadlines  initialListDeadlines // set after a change of address
 	outage     outage
 }
 
-// newFollower returns a follower that has no list.
+// newFollower returns a follower without a list.
 func newFollower(client *Client, handler Handler, calls *inFlightCalls, address string) *follower {
 	f := &follower{
 		client:  client,
@@ -85,7 +85,7 @@
 }
 
 // moveTo returns the follower that continues at another address. f must have stopped. If the initial list of f
-// is still pending, its deadline stays in force.
+// is still pending, the deadline of that list stays in force.
 func (f *follower) moveTo(address string, now time.Time) *follower {
 	next := newFollower(f.client, f.handler, f.calls, address)
 	next.state = stateCalling
