--- a/internal/discovery/apply.go
+++ b/internal/discovery/apply.go
@@ -8,7 +8,8 @@
 )
 
 // applyList applies the list that a finished call returned: it delivers the list to the handler. If the list is
-// from the current address, the next call asks for changes after its generation. No other method applies lists.
+// from the current address, the next call requests the changes after the generation of the list. No other method
+// applies lists.
 func (f *follower) applyList(finished *call) {
 	if finished.address != f.address {
 		f.applyPreviousList(finished)
@@ -41,7 +42,7 @@
 	return appliedMeanwhile && finished.list.Generation < f.generation
 }
 
-// deliver passes a list to the handler. A delta without changes only confirms that the node is synced.
+// deliver passes a list to the handler. For a delta without changes, it only calls Handler.Synced.
 func (f *follower) deliver(list endpoint.List) {
 	switch {
 	case list.Complete:
