--- a/internal/discovery/failure.go
+++ b/internal/discovery/failure.go
@@ -10,7 +10,7 @@
 
 // handleFailure handles a call that failed, or that ended because the follower stops, and returns the next state.
 func (f *follower) handleFailure(ctx context.Context, failed *call, err error) state {
-	// An idle connection may have become unresponsive by the time of the next call.
+	// The next call opens a new connection, because an idle connection may have become unresponsive by then.
 	f.client.httpClient.CloseIdleConnections()
 	switch {
 	case ctx.Err() != nil:
@@ -32,8 +32,9 @@
 	f.handler.WatchFailed(f.notifiedAt(failed.startedAt, time.Now()))
 }
 
-// notifiedAt returns when the node counts as notified of the changes that a failed call has missed: at the
-// notification deadline, or earlier if the initial list at a new address is pending and due before.
+// notifiedAt returns the time at which the node counts as notified of the changes that a failed call has missed:
+// the notification deadline, or the deadline of the initial list at a new address if that list is pending and its
+// deadline is earlier.
 func (f *follower) notifiedAt(startedAt, now time.Time) time.Time {
 	callDeadline := startedAt.Add(policy.NotificationDeadline)
 	listDeadline := f.deadlines.nextAfter(now)
@@ -43,8 +44,8 @@
 	return callDeadline
 }
 
-// dropStaleWatchRequest discards a watch request that was made before the failure. If it stayed, the next call
-// would be made immediately, and all nodes would call at the same time.
+// dropStaleWatchRequest discards a watch request that was made before the failure. Otherwise the next call would be
+// made immediately, and all nodes would call at the same time.
 func (f *follower) dropStaleWatchRequest() {
 	select {
 	case <-f.client.watchRequests:
