--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -12,19 +12,20 @@
 type ErrorKind int
 
 const (
-	// Unknown is an error that this package has not classified.
+	// Unknown means that this package has not classified the error.
 	Unknown ErrorKind = iota
-	// Unreachable is a call that got no connection, for example because the connection was refused.
+	// Unreachable means that the call had no connection, for example because the connection was refused.
 	Unreachable
-	// Reset is a call whose connection was closed before the response was complete.
+	// Reset means that the connection was closed before the response was complete.
 	Reset
-	// Timeout is a call for a snapshot that got no complete response in time.
+	// Timeout means that the response to a call for a snapshot was not complete in time.
 	Timeout
-	// Unresponsive is a watch that got no complete response although its wait was over.
+	// Unresponsive means that the response to a watch was not complete within its response timeout, which is longer
+	// than the time for which the watch asked the discovery service to wait.
 	Unresponsive
-	// BadStatus is a response with a status other than 200.
+	// BadStatus means that the status of the response was not 200.
 	BadStatus
-	// Malformed is a response that is not valid HTTP, or whose body is not an endpoint list.
+	// Malformed means that the response was not valid HTTP, or that its body was not an endpoint list.
 	Malformed
 )
 
@@ -53,7 +54,7 @@
 type Error struct {
 	Kind   ErrorKind
 	Status int   // HTTP status if Kind is BadStatus, else 0
-	Err    error // cause; nil if Kind is BadStatus
+	Err    error // cause of the failure; nil if Kind is BadStatus
 }
 
 // Error returns the kind and the cause, or the status of a BadStatus error.
@@ -74,7 +75,7 @@
 func transportErrorKind(err error) ErrorKind {
 	operation, isOperation := errors.AsType[*net.OpError](err)
 	switch {
-	case errors.Is(err, context.DeadlineExceeded): // first, because a deadline may interrupt any operation
+	case errors.Is(err, context.DeadlineExceeded): // checked first, because a deadline may interrupt any operation
 		return Timeout
 	case isOperation && operation.Op == "dial":
 		return Unreachable
