--- a/internal/discovery/inflight.go
+++ b/internal/discovery/inflight.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	// maxInFlightCalls bounds the calls in flight: the current one, those whose response timeout has passed,
-	// and those to previous addresses. It allows for a watch, a call to each of four new addresses in a row,
-	// and one more call.
+	// maxInFlightCalls is the maximum number of calls in flight: the current call, calls whose response timeout has
+	// passed, and calls to previous addresses. It allows for a watch, a call to each of four new addresses in a
+	// row, and one more call.
 	maxInFlightCalls = 6
-	// maxCallDuration bounds a call that no later call has superseded. By then the node has made several other
-	// calls.
+	// maxCallDuration is the maximum duration of a call that no later call has superseded. When it has passed, the
+	// node has made several other calls.
 	maxCallDuration = 30 * time.Second
 )
 
@@ -27,8 +27,9 @@
 	progress  *callProgress
 	cancel    context.CancelFunc
 
-	list endpoint.List // the result, valid after the call has been received from inFlightCalls.done
-	err  error
+	// The result. It is valid after the call has been received from inFlightCalls.done.
+	list endpoint.List
+	err  error // nil if the call has returned a list
 }
 
 // sendFunc sends a query and returns the list from the response.
@@ -37,8 +38,9 @@
 // inFlightCalls holds the calls whose responses may still be used, in the order in which they started. The node
 // counts as notified of a list as soon as the service has written it. Such a response may be in transit when the
 // response timeout passes or the address changes. A call that has a connection is therefore not cancelled then: it
-// stays in flight until a later call returns a list, or until it reaches one of the limits above. All methods
-// except close are called only by the goroutine of the current follower.
+// stays in flight until a later call returns a list, until maxCallDuration has passed, or until it is the oldest of
+// more than maxInFlightCalls calls. All methods except close are called only by the goroutine of the current
+// follower.
 //
 //	event                                   method     effect
 //	-----                                   ------     ------
