--- a/internal/discovery/follower.go
+++ b/internal/discovery/follower.go
@@ -63,7 +63,7 @@
 	backoff backoff
 
 	haveList   bool                 // whether a cached list or a list from the current address was applied
-	generation uint64               // generation of that list if haveList is true; may be 0
+	generation uint64               // generation of the list if haveList is true; may be 0
 	deadlines  initialListDeadlines // set after a change of address
 	outage     outage
 }
