--- a/internal/downstream/conns.go
+++ b/internal/downstream/conns.go
@@ -51,9 +51,9 @@
 	idle      connQueue // connections in stateIdle
 	lingering connQueue // connections in stateLingering
 	stage     shutdownStage
-	changed   chan struct{} // closed at the next change of a connection; nil if there is no waiter
+	changed   chan struct{} // closed at the next change of a connection; nil if no goroutine waits for it
 
-	evicted, incomplete int // see Stats
+	evicted, incomplete int // counts for Stats
 }
 
 // NewConns returns an empty set of connections.
