--- a/internal/downstream/listener.go
+++ b/internal/downstream/listener.go
@@ -9,28 +9,28 @@
 )
 
 const (
-	// minAcceptBackoff and maxAcceptBackoff bound the backoff after a failed accept, which
+	// minAcceptBackoff and maxAcceptBackoff limit the backoff after a failed accept, which
 	// doubles with each consecutive failure. Clients wait for their responses in the meantime, so
-	// the maximum must be short compared with any deadline.
+	// the maximum must be short compared with the deadline of any request.
 	minAcceptBackoff = time.Millisecond
 	maxAcceptBackoff = 20 * time.Millisecond
 	// acceptLogInterval is the minimum time between two log lines about failed accepts.
 	acceptLogInterval = time.Second
 )
 
-// Listener admits the connections that it accepts to a Conns. Accept returns them as *Conn.
+// Listener accepts connections and admits them to a Conns. Accept returns them as *Conn.
 type Listener struct {
 	inner     net.Listener
 	conns     *Conns
-	closeOnce sync.Once // guards closing conns.listenerClosed
+	closeOnce sync.Once // ensures that conns.listenerClosed is closed only once
 
-	stopping atomic.Bool   // StopAccepting was called
+	stopping atomic.Bool   // whether StopAccepting was called
 	queued   chan net.Conn // connections that StopAccepting took from the accept queue; closed after the last one
 
 	// The fields below are used by Accept only, which net/http calls from a single goroutine.
-	unloggedFailures int       // failed accepts since the last log line about them
-	lastLogged       time.Time // time of that log line
-	pause            acceptPause
+	unloggedFailures int         // failed accepts since the last log line about them
+	lastLogged       time.Time   // time of the last log line about failed accepts; zero if there was none
+	pause            acceptPause // the latest pause, for QueueTime
 }
 
 // Listener returns a listener that admits its connections to the set. A set has one listener;
@@ -43,7 +43,7 @@
 func (l *Listener) Addr() net.Addr { return l.inner.Addr() }
 
 // Accept implements net.Listener. It retries after temporary errors, so that a shortage of system
-// resources does not terminate the node.
+// resources does not stop the node.
 func (l *Listener) Accept() (net.Conn, error) {
 	backoff := minAcceptBackoff
 	for {
@@ -63,8 +63,8 @@
 	}
 }
 
-// acceptAndAdmit accepts a connection and admits it. After StopAccepting has been called, it returns
-// the connections that were in the accept queue, then net.ErrClosed.
+// acceptAndAdmit accepts a connection and admits it. After StopAccepting has been called, it takes a
+// connection that was in the accept queue, and returns net.ErrClosed if none is left.
 func (l *Listener) acceptAndAdmit() (*Conn, error) {
 	netConn, err := l.acceptInner()
 	if err != nil && l.stopping.Load() {
@@ -89,8 +89,9 @@
 	return c, nil
 }
 
-// acceptInner accepts a connection from the inner listener. If the accept blocked, the accept queue
-// was empty, so no connection that a pause has delayed is left in it.
+// acceptInner accepts a connection from the inner listener. An accept that blocks has found the
+// accept queue empty. No connection that the latest pause delayed is left then, so acceptInner resets
+// the pause.
 func (l *Listener) acceptInner() (net.Conn, error) {
 	calledAt := time.Now()
 	netConn, err := l.inner.Accept()
