--- a/internal/downstream/accept_queue.go
+++ b/internal/downstream/accept_queue.go
@@ -42,7 +42,7 @@
 				descriptors = append(descriptors, descriptor)
 			case unix.EAGAIN:
 				return nil
-			case unix.EINTR, unix.ECONNABORTED:
+			case unix.EINTR, unix.ECONNABORTED: // accept the next connection
 			default:
 				return errno
 			}
