--- a/internal/downstream/accept_error.go
+++ b/internal/downstream/accept_error.go
@@ -11,7 +11,7 @@
 // The listener itself still works.
 type connError struct {
 	conn net.Conn
-	err  error // the reason why the socket is not accessible
+	err  error // reason why the socket is not accessible
 }
 
 func (e *connError) Error() string {
