--- a/internal/downstream/admission.go
+++ b/internal/downstream/admission.go
@@ -28,7 +28,8 @@
 // without holding cs.mu.
 type admissionStep struct {
 	decision decision
-	victim   *Conn // for decisionEvict: marked closed, but its socket is still open
+	// For decisionEvict: the connection to evict. It is marked closed, but its socket is still open.
+	victim *Conn
 	// For decisionWait: the time until a connection may be evicted (0 if all are active) and a
 	// channel that is closed at the next change of a connection.
 	wait    time.Duration
@@ -37,8 +38,9 @@
 
 // admit adds c to the set and returns true, or returns false if the listener was closed. It blocks
 // while all candidates for eviction are in their grace periods, and while all connections including
-// the reserve are active. It does not close c instead, because its client may already have sent a
-// request. Requests on connections of the reserve are answered immediately, so the wait is short.
+// the reserve are active. It never closes c to avoid the wait, because the client may already have
+// sent a request. Requests on connections of the reserve are answered immediately, so the wait is
+// short.
 func (cs *Conns) admit(c *Conn) bool {
 	for {
 		step := cs.tryAdmit(c)
