--- a/internal/downstream/conn.go
+++ b/internal/downstream/conn.go
@@ -12,18 +12,18 @@
 // Conn is a client connection that belongs to a Conns. It implements net.Conn.
 type Conn struct {
 	net.Conn
-	raw       syscall.RawConn // of the embedded connection
+	raw       syscall.RawConn // gives access to the descriptor of the embedded connection
 	conns     *Conns
-	overLimit bool // see OverLimit; set on admission
+	overLimit bool // result of OverLimit; set on admission
 
 	// The fields below are guarded by conns.mu.
 	state        connState
-	graceStart   time.Time     // start of the grace period: when c was added to the queue of its state
-	queueElement *list.Element // position in the queue of its state; nil if the state has no queue
-	readAhead    []byte        // received while a request was active, not yet returned by Read
-	readErr      error         // the error after which nothing more is read
-	queueTime    time.Duration // see QueueTime
-	readBlocked  bool          // Read has returned all received bytes of a request and waits for more
+	graceStart   time.Time     // start of the grace period: when the connection was added to its queue
+	queueElement *list.Element // position in the queue for the state; nil if the state has no queue
+	readAhead    []byte        // bytes received while a request was active and not yet returned by Read
+	readErr      error         // read error or errReadAheadFull; nothing is read from the socket after it
+	queueTime    time.Duration // result of QueueTime
+	readBlocked  bool          // whether Read has returned all received bytes of a request and waits for more
 }
 
 // newConn returns a connection that is not admitted yet. Its error is a *connError.
