--- a/internal/downstream/conn_read.go
+++ b/internal/downstream/conn_read.go
@@ -14,11 +14,11 @@
 // any other type, net/http would send a response with status 400.
 var errClosed = &net.OpError{Op: "read", Net: "tcp", Err: net.ErrClosed}
 
-// Read implements net.Conn. It reads from the socket with the lock held that also guards the closing
-// of connections: a connection that is marked closed is not read any more, and a connection from
-// which a byte has been read is not closed as idle.
+// Read implements net.Conn. It holds conns.mu while it reads from the socket. Therefore nothing is
+// read from a connection that is marked closed, and a connection from which a byte has been read is
+// not closed as idle.
 //
-// While a request is active, Read returns no bytes; it buffers them for the next request. net/http
+// While a request is active, Read returns no bytes but buffers them for the next request. net/http
 // reads in the background during that time to detect a disconnect, and would stop at the first byte.
 func (c *Conn) Read(p []byte) (int, error) {
 	var n int
@@ -76,9 +76,9 @@
 	return n, err
 }
 
-// isBackgroundRead reports whether net/http reads into p only to detect a disconnect. It starts this
-// read of a single byte after the last byte of a request, possibly before RequestComplete is called;
-// it reads bodies in larger pieces. The caller holds conns.mu.
+// isBackgroundRead reports whether net/http reads into p only to detect a disconnect. net/http starts
+// this read of a single byte after the last byte of a request, possibly before RequestComplete is
+// called. It reads bodies in larger pieces. The caller holds conns.mu.
 func (c *Conn) isBackgroundRead(p []byte) bool {
 	if c.state == stateActive || c.state == stateLingering {
 		return true
