--- a/internal/downstream/disconnect.go
+++ b/internal/downstream/disconnect.go
@@ -4,7 +4,9 @@
 
 // ClientDisconnected reports whether the client of the active request has disconnected. It checks
 // the socket itself, because net/http may not have detected the disconnect yet, and reads received
-// bytes into the read-ahead buffer. A client that exceeds the buffer is treated as disconnected.
+// bytes into the read-ahead buffer. A client that sends more than Config.MaxReadAhead bytes is
+// treated as disconnected.
+//
 // Between two requests and in stageClosing it reads nothing: bytes that arrive then belong to a
 // request that the client may retry at another node.
 func (c *Conn) ClientDisconnected() bool {
