--- a/internal/downstream/conn_close.go
+++ b/internal/downstream/conn_close.go
@@ -18,8 +18,8 @@
 	return c.Conn.Close()
 }
 
-// CloseWrite shuts down the sending direction, so that a client that is still sending sees the end
-// of its response.
+// CloseWrite shuts down the sending direction, so that a client that is still sending can read its
+// response to the end.
 func (c *Conn) CloseWrite() error {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		return tcp.CloseWrite()
@@ -34,7 +34,7 @@
 	c.conns.mu.Lock()
 	c.conns.beginLingering(c)
 	c.conns.mu.Unlock()
-	_ = c.CloseWrite() // fails if the client has reset the connection; ctx is canceled then
+	_ = c.CloseWrite() // fails if the client has reset the connection; ctx is done then
 	select {
 	case <-ctx.Done():
 	case <-time.After(c.conns.config.LingerTimeout):
