--- a/internal/downstream/drain.go
+++ b/internal/downstream/drain.go
@@ -6,11 +6,16 @@
 // Conns.mu.
 type shutdownStage int
 
-// The stages, and which connections are closed in each of them.
+// The stages, in order.
 const (
-	stageServing  shutdownStage = iota // until Conns.Drain: evicted connections
-	stageDraining                      // from Conns.Drain on: also connections that are or become idle
-	stageClosing                       // from Conns.Shutdown on: also connections without a complete request
+	// stageServing lasts until Drain is called. Only evicted connections are closed.
+	stageServing shutdownStage = iota
+	// stageDraining begins when Drain is called. Connections that are idle or become idle are also
+	// closed.
+	stageDraining
+	// stageClosing begins when Shutdown is called. Connections without a complete request are also
+	// closed.
+	stageClosing
 )
 
 // Drain closes all idle connections, and the remaining ones as soon as they become idle. It returns
@@ -70,8 +75,8 @@
 	return nil
 }
 
-// takeWithoutCompleteRequest marks a connection closed on which no complete request has arrived and returns
-// it, or returns nil if there is none.
+// takeWithoutCompleteRequest marks a connection closed on which no complete request has arrived, and
+// returns it. It returns nil if there is none.
 func (cs *Conns) takeWithoutCompleteRequest() *Conn {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
@@ -99,9 +104,9 @@
 	return cs.active+cs.noData.len()+cs.idle.len()+cs.partial.len() == 0
 }
 
-// hasNoCompleteRequest reports whether no complete request has arrived on a connection that is not active.
-// net/http may have read a part of a request; a blocked Read shows that the rest is missing. The
-// caller holds conns.mu.
+// hasNoCompleteRequest reports whether no complete request has arrived on a connection that is not
+// active. net/http may have read a part of a request; a blocked Read means that the rest is missing.
+// The caller holds conns.mu.
 func (c *Conn) hasNoCompleteRequest() bool {
 	incomplete := c.state.awaitsRequest() || c.readBlocked
 	return incomplete && len(c.readAhead) == 0 && !c.hasUnreadBytes()
