--- a/internal/downstream/eviction.go
+++ b/internal/downstream/eviction.go
@@ -6,8 +6,9 @@
 	"calicohinge/internal/sockstate"
 )
 
-// A connection without a complete request may be evicted only after a grace period. It starts when
-// the connection enters its state; between stateReadingHead and stateReadingBody it does not restart.
+// A connection without a complete request may be evicted only after a grace period, which starts when
+// the connection enters its state. The transition from stateReadingHead to stateReadingBody does not
+// restart the grace period.
 const (
 	// noDataGracePeriod applies to new connections. A client connects because it has a request
 	// to send, so its first bytes follow immediately.
@@ -23,12 +24,12 @@
 )
 
 // evictionCandidate returns the connection to evict for a new one and the remaining time of its grace
-// period (at most 0 if that has ended), or nil if all connections are active. The order of preference
-// is: new connections without data, idle connections, connections with a partial request, lingering
-// connections; within each kind the oldest comes first. Thus many connections that never complete a
-// request cannot deny capacity to other clients. If all candidates are in their grace periods, it
-// returns the one whose grace period ends first. The caller holds cs.mu and has called
-// beginUnreadRequests.
+// period (0 or negative if the period has ended). It returns nil if all connections are active. The
+// order of preference is: new connections without data, idle connections, connections with a partial
+// request, lingering connections; within each kind the oldest comes first. Thus many connections that
+// never send a whole request cannot deny capacity to other clients. If all candidates are in their
+// grace periods, evictionCandidate returns the connection whose grace period ends first. The caller
+// holds cs.mu and has called beginUnreadRequests.
 func (cs *Conns) evictionCandidate(now time.Time) (*Conn, time.Duration) {
 	var candidate *Conn
 	var wait time.Duration
@@ -50,7 +51,7 @@
 			candidate, wait = oldest, remaining
 		}
 		if wait <= 0 {
-			break // the remaining kinds are less preferred
+			break // an evictable connection is found; the remaining kinds are less preferred
 		}
 	}
 	return candidate, wait
