--- a/internal/downstream/stop_accepting.go
+++ b/internal/downstream/stop_accepting.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// passToAccept passes the connection of a descriptor to Accept. If Accept has not received it when ctx is
-// done, passToAccept closes the connection.
+// passToAccept passes the connection of a descriptor to Accept. If Accept has not received the
+// connection when ctx is done, passToAccept closes it.
 func (l *Listener) passToAccept(ctx context.Context, descriptor int) {
 	file := os.NewFile(uintptr(descriptor), "accepted connection")
 	defer func() { _ = file.Close() }() // net.FileConn duplicates the descriptor
