--- a/internal/downstream/drain.go
+++ b/internal/downstream/drain.go
@@ -6,16 +6,11 @@
 // Conns.mu.
 type shutdownStage int
 
-// The stages, in order.
+// The stages in order, and which connections are closed in each of them.
 const (
-	// stageServing lasts until Drain is called. Only evicted connections are closed.
-	stageServing shutdownStage = iota
-	// stageDraining begins when Drain is called. Connections that are idle or become idle are also
-	// closed.
-	stageDraining
-	// stageClosing begins when Shutdown is called. Connections without a complete request are also
-	// closed.
-	stageClosing
+	stageServing  shutdownStage = iota // until Drain is called; only evicted connections are closed
+	stageDraining                      // Drain was called; connections that are or become idle are closed too
+	stageClosing                       // Shutdown was called; connections without a complete request are closed too
 )
 
 // Drain closes all idle connections, and the remaining ones as soon as they become idle. It returns
