--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -3,9 +3,9 @@
 // attempt starts and on which server.
 //
 // Each call of Pool.Send writes a request at most once; the caller decides on retries. The package
-// does not touch the state of requests or of package policy: the caller controls an attempt through
-// its Call and learns from its Result how it ended. A Call can be revoked while Send waits for a
-// connection (see callState) and cancelled at any time.
+// does not access the state of requests or of package policy. The caller controls an attempt through
+// its Call, and the Result of the attempt tells how it ended. An attempt can be revoked while Send
+// waits for a connection (see callState), and can be cancelled at any time.
 //
 // An idle connection can be closed at any time: by its server, by RetireIdle, or to make room for a
 // connection to another server.
@@ -31,9 +31,9 @@
 )
 
 // DefaultSettleDelay is the minimum time between a response and the next request on the same
-// connection. A server may close the connection after a response or send surplus bytes, and it
-// takes a moment until this is visible here. A longer delay leaves more connections idle, and
-// servers then reset more of them.
+// connection. A server may close the connection after a response or send surplus bytes, and a moment
+// passes before this node can detect that. A longer delay leaves more connections idle, and servers
+// then reset more of them.
 const DefaultSettleDelay = time.Millisecond
 
 var (
@@ -65,15 +65,17 @@
 // server is one incarnation of a server, identified by its address and the start time of its process.
 type server struct {
 	address   string
-	startedAt time.Time     // of the process, by the wall clock of its machine
-	idle      []*connection // ordered by release, oldest first
-	removed   bool          // no longer listed, or replaced by another incarnation: its connections are not kept
+	startedAt time.Time     // start time of the server's process, by the wall clock of its machine
+	idle      []*connection // idle connections in the order of their release, oldest first
+	// removed is true if the server is no longer listed or was replaced by another incarnation. Its
+	// connections are then closed when they are released.
+	removed bool
 }
 
 // reservation permits its holder to use one connection to a server.
 type reservation struct {
 	server *server
-	idle   *connection // nil for a new connection, which Pool.open already counts
+	idle   *connection // nil if a new connection is to be opened, which Pool.open already counts
 }
 
 // NewPool returns a pool without servers. UpdateEndpoints adds them.
@@ -116,8 +118,8 @@
 
 // takeIdleLocked removes an idle connection from the pool and returns it, or nil if there is none.
 // It takes the connection that was released last, among those idle for at least the settle delay.
-// On a connection used earlier than that, a request may be lost or be answered with bytes that
-// belong to the previous response, because a response does not identify its request.
+// On a connection that is reused before that delay has passed, a request may be lost or be answered
+// with bytes that belong to the previous response, because a response does not identify its request.
 func (p *Pool) takeIdleLocked(target *server) *connection {
 	for i, conn := range slices.Backward(target.idle) {
 		idleFor := time.Since(conn.idleSince)
