--- a/internal/upstream/endpoints.go
+++ b/internal/upstream/endpoints.go
@@ -5,8 +5,8 @@
 	"calicohinge/policy"
 )
 
-// RevokedServers is the set of servers for which an endpoint list update revokes attempts. An
-// attempt on such a server that was decided on before the update must not be sent after it.
+// RevokedServers is the set of servers for which an update of the endpoint list revokes attempts. An
+// attempt on such a server that started before the update must not be sent after the update.
 type RevokedServers map[policy.ServerID]struct{}
 
 // Contains reports whether id is in the set.
