--- a/internal/upstream/limits.go
+++ b/internal/upstream/limits.go
@@ -1,12 +1,15 @@
 package upstream
 
-import "errors"
+import (
+	"errors"
+	"fmt"
+)
 
 const (
 	// maxBodyBytes is the maximum size of a response body, in bytes.
 	maxBodyBytes = 64 << 10
-	// maxResponseBytes is the maximum size of a response, in bytes. It includes the header, the
-	// framing of the body and all interim responses.
+	// maxResponseBytes is the maximum size of a response, in bytes. Besides a body of maximum size, it
+	// leaves 64 KiB for the header, the framing of the body and all interim responses.
 	maxResponseBytes = maxBodyBytes + 64<<10
 	// maxInterimResponses is the maximum number of 1xx responses before the final response.
 	maxInterimResponses = 8
@@ -14,9 +17,9 @@
 
 // Errors for responses that exceed a limit or violate the protocol.
 var (
-	errResponseTooLarge        = errors.New("response is too large")
-	errBodyTooLarge            = errors.New("response body is too large")
-	errTooManyInterimResponses = errors.New("too many interim responses")
+	errResponseTooLarge        = fmt.Errorf("response is larger than %d bytes", maxResponseBytes)
+	errBodyTooLarge            = fmt.Errorf("response body is larger than %d bytes", maxBodyBytes)
+	errTooManyInterimResponses = fmt.Errorf("more than %d interim responses", maxInterimResponses)
 	errSwitchingProtocols      = errors.New("server switched protocols without an upgrade request")
-	errNotHTTP                 = errors.New("response is not HTTP/1.x")
+	errNotHTTP                 = fmt.Errorf("response does not start with %q", responsePrefix)
 )
