--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -19,9 +19,9 @@
 	notProcessedHeader = "X-Not-Processed"
 )
 
-// exchange writes a request and reads its response. A server cannot execute the request before its
-// last byte is written, but may have executed it at any time after that. The connection is
-// reusable afterwards only if the response is complete and no further bytes were read.
+// exchange writes a request and reads its response. A server cannot execute the request before the
+// last byte of the request is written, but may have executed it at any time after that. The
+// connection is reusable afterwards only if the response is complete and no further bytes were read.
 func (c *connection) exchange(request *encodedRequest) Result {
 	c.reusable = false
 	if _, err := c.Write(request.message); err != nil {
@@ -59,8 +59,8 @@
 	return nil, errTooManyInterimResponses
 }
 
-// readHeader reads the header of one response, interim or final. It sets no time limit for the
-// first byte. The rest of the response must arrive within responseReadTimeout after the first byte:
+// readHeader reads the header of an interim or final response. It sets no time limit for the first
+// byte. The rest of the response must arrive within responseReadTimeout after the first byte:
 // otherwise a server that stops in the middle of a response would use up the time for a retry.
 func (c *connection) readHeader(request *encodedRequest) (*http.Response, error) {
 	c.setReadDeadline(time.Time{})
