--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// timeoutHeader tells a server how many milliseconds the client will still wait.
+// timeoutHeader holds the time for which the client will still wait, in milliseconds.
 const timeoutHeader = "X-Timeout-Ms"
 
 // Request is the part of a client's request that is forwarded to a server.
@@ -25,8 +25,8 @@
 
 // encodedRequest is a serialized request.
 type encodedRequest struct {
-	http                *http.Request // needed to parse the response
-	message             []byte
+	http                *http.Request // the request, which the response parser needs
+	message             []byte        // the bytes to write
 	responseReadTimeout time.Duration
 }
 
