--- a/internal/upstream/send.go
+++ b/internal/upstream/send.go
@@ -19,8 +19,8 @@
 
 // Send makes one attempt on a server and returns its outcome. The deadline is the time at which the
 // client stops waiting. The request tells the server how much time is left until then, and is not
-// sent if none is left. The deadline does not end Send. Cancelling the call does, and then the
-// result has no meaning.
+// sent if no time is left. The deadline does not end Send; Call.Cancel does, and the result then has
+// no meaning.
 func (p *Pool) Send(call *Call, id policy.ServerID, request *Request, deadline time.Time) Result {
 	for {
 		conn, err := p.acquire(call.ctx, id)
@@ -38,8 +38,8 @@
 		}
 		conn.reusable = false
 		p.release(conn)
-		// A server may close a connection that was idle: then another connection is tried. A new
-		// connection that is already closed counts as a failure.
+		// The server has closed the connection, or has sent bytes without a request. This may happen to
+		// an idle connection, so another connection is tried. On a new connection it is a failure.
 		if !conn.reused {
 			return Result{Status: policy.ConnectFailed}
 		}
@@ -49,7 +49,7 @@
 // sendOn makes an attempt on an acquired connection and releases the connection.
 func (p *Pool) sendOn(conn *connection, call *Call, request *encodedRequest) Result {
 	stopAbort := context.AfterFunc(call.ctx, conn.abort)
-	// A server does not execute a request before it has the last byte, so it suffices that the
+	// A server does not execute a request before the last byte has arrived, so it suffices that the
 	// deadline interrupts the write.
 	writeDeadline := call.writeDeadlineOrZero()
 	conn.setWriteDeadline(writeDeadline)
@@ -59,7 +59,7 @@
 		return Result{Status: policy.NotSent, ClientDisconnected: errors.Is(err, errClientDisconnected)}
 	}
 	if latest := call.writeDeadlineOrZero(); !latest.Equal(writeDeadline) {
-		conn.setWriteDeadline(latest) // the owner has changed the deadline in the meantime
+		conn.setWriteDeadline(latest) // the owner of the attempt has changed the deadline in the meantime
 	}
 	result := conn.exchange(request)
 	if aborted := !stopAbort(); aborted {
