--- a/internal/upstream/call.go
+++ b/internal/upstream/call.go
@@ -14,14 +14,15 @@
 	errRevoked            = errors.New("attempt was revoked")
 )
 
-// Call controls one attempt while Pool.Send carries it out, usually in another goroutine. It holds
-// the context of the attempt, as http.Request does. Its methods are safe for concurrent use.
+// Call is the handle by which the owner of an attempt, the event loop of package node, controls the
+// attempt while Pool.Send makes it, usually in another goroutine. A Call holds the context of the
+// attempt, as http.Request does. Its methods are safe for concurrent use.
 type Call struct {
 	ctx                context.Context
 	cancel             context.CancelFunc
 	clientDisconnected func() bool
 	state              atomicCallState
-	writeDeadline      atomic.Pointer[time.Time] // nil if there is none
+	writeDeadline      atomic.Pointer[time.Time] // nil if SetWriteDeadline was not called
 }
 
 // NewCall returns the Call of a new attempt, which ends when ctx is done or Cancel is called.
@@ -58,13 +59,14 @@
 	return time.Time{}
 }
 
-// checkAndMarkSent marks the attempt as sent, right before its first byte is written. It returns an error
-// if the attempt must not be sent.
+// checkAndMarkSent marks the attempt as sent, right before its first byte is written. If the attempt
+// must not be sent, it returns an error instead.
 //
-// It checks the write deadline and the client itself, because the owner of the attempt may react too
-// late: its revocation may come after the deadline, and the disconnect of the client may still be in
-// its event queue. An attempt must not be sent 0.1 s after its client has disconnected. The process may
-// be paused for longer than that after it has read the clock, so it checks the client after the clock.
+// It checks the write deadline and the client, because the owner of the attempt may be too late to
+// revoke it: the owner may run only after the deadline, or the disconnect of the client may still be in
+// the event queue of the owner. An attempt must not be sent once its client has been disconnected for
+// 0.1 s. The process may be paused for longer than that after it has read the clock, so the client is
+// checked after the clock has been read.
 func (c *Call) checkAndMarkSent() error {
 	if deadline := c.writeDeadlineOrZero(); !deadline.IsZero() && !time.Now().Before(deadline) {
 		return errWriteDeadline
