--- a/internal/upstream/call_state.go
+++ b/internal/upstream/call_state.go
@@ -2,21 +2,21 @@
 
 import "sync/atomic"
 
-// callState tells whether an attempt was sent or revoked.
+// callState is the state of a Call: whether its attempt was sent or revoked.
 //
 //	transition   from     to       made by
 //	markSent     waiting  sent     Pool.Send, right before it writes the first byte
 //	markRevoked  waiting  revoked  Call.Revoke, called by the owner of the attempt
 //
-// The state changes at most once. If both transitions are tried, the first one wins: a revoked
-// attempt is never sent, and a sent attempt cannot be revoked.
+// The state changes at most once. If both transitions are tried, only the first has an effect: a
+// revoked attempt is never sent, and a sent attempt cannot be revoked.
 type callState int32
 
 // The states of a call.
 const (
-	callWaiting callState = iota // waits for a connection; nothing has been written
+	callWaiting callState = iota // waiting for a connection; nothing has been written
 	callSent                     // the first byte may have been written
-	callRevoked                  // nothing is ever written
+	callRevoked                  // nothing has been or will be written
 )
 
 // atomicCallState is a callState that is safe for concurrent use. Its zero value is callWaiting.
