--- a/internal/discovery/follower.go
+++ b/internal/discovery/follower.go
@@ -62,8 +62,8 @@
 	delay   time.Duration // how long to stay in statePausing
 	backoff backoff
 
-	haveList   bool                 // whether a cached list or a list from the current address was applied
-	generation uint64               // generation of the list if haveList is true; may be 0
+	haveList   bool                 // whether a list from the current address was cached or applied
+	generation uint64               // generation of the list, possibly 0; always 0 if haveList is false
 	deadlines  initialListDeadlines // set after a change of address
 	outage     outage
 }
