--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// In push mode, the nominal delay after a failed call grows from initialBackoff to maxBackoff.
+// In push mode, the nominal delay after a failed call starts at initialBackoff and doubles up to at most maxBackoff.
 const (
 	initialBackoff = 100 * time.Millisecond
 	maxBackoff     = time.Second
