--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -3,7 +3,7 @@
 // the generation of the list. It reports lists and failures to a Handler, which internal/node implements. It
 // neither interprets endpoints nor selects servers.
 //
-// The package has two modes. In push mode, it starts to call on its own and retries failed calls with backoff.
+// A Client has two modes. In push mode, it makes the first call on its own and retries failed calls with backoff.
 // In polling mode, the first call after the start and each call after a failure wait for Client.RequestWatch;
 // package policy decides when they are due.
 //
