--- a/internal/downstream/conns.go
+++ b/internal/downstream/conns.go
@@ -51,9 +51,9 @@
 	idle      connQueue // connections in stateIdle
 	lingering connQueue // connections in stateLingering
 	stage     shutdownStage
-	changed   chan struct{} // closed at the next change of a connection; nil if there is no waiter
+	changed   chan struct{} // closed at the next change of a connection; nil if no goroutine waits for it
 
-	evicted, incomplete int // see Stats
+	evicted, incomplete int // counts for Stats
 }
 
 // NewConns returns an empty set of connections.
@@ -78,7 +78,7 @@
 	switch state {
 	case http.StateActive:
 		cs.mu.Lock()
-		cs.completeHead(c)
+		cs.markHeadRead(c)
 		cs.mu.Unlock()
 	case http.StateIdle:
 		cs.mu.Lock()
--- a/internal/downstream/drain.go
+++ b/internal/downstream/drain.go
@@ -6,11 +6,11 @@
 // Conns.mu.
 type shutdownStage int
 
-// The stages, and which connections are closed in each of them.
+// The stages in order, and which connections are closed in each of them.
 const (
-	stageServing  shutdownStage = iota // until Conns.Drain: evicted connections
-	stageDraining                      // from Conns.Drain on: also connections that are or become idle
-	stageClosing                       // from Conns.Shutdown on: also connections without a complete request
+	stageServing  shutdownStage = iota // until Drain is called; only evicted connections are closed
+	stageDraining                      // Drain was called; connections that are or become idle are closed too
+	stageClosing                       // Shutdown was called; connections without a complete request are closed too
 )
 
 // Drain closes all idle connections, and the remaining ones as soon as they become idle. It returns
@@ -34,7 +34,7 @@
 func (cs *Conns) Shutdown(ctx context.Context) {
 	cs.advanceTo(stageClosing)
 	for {
-		cs.closeEach(cs.takeWithoutRequest)
+		cs.closeEach(cs.takeWithoutCompleteRequest)
 		done, changed := cs.checkCondition(cs.allResponsesComplete)
 		if done || !awaitChange(ctx, changed) {
 			return
@@ -70,14 +70,14 @@
 	return nil
 }
 
-// takeWithoutRequest marks a connection closed on which no complete request has arrived and returns
-// it, or returns nil if there is none.
-func (cs *Conns) takeWithoutRequest() *Conn {
+// takeWithoutCompleteRequest marks a connection closed on which no complete request has arrived, and
+// returns it. It returns nil if there is none.
+func (cs *Conns) takeWithoutCompleteRequest() *Conn {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	for _, queue := range []*connQueue{&cs.noData, &cs.idle, &cs.partial} {
 		for c := range queue.all() {
-			if !c.hasNoRequest() {
+			if !c.hasNoCompleteRequest() {
 				continue
 			}
 			if queue == &cs.partial {
@@ -99,10 +99,10 @@
 	return cs.active+cs.noData.len()+cs.idle.len()+cs.partial.len() == 0
 }
 
-// hasNoRequest reports whether no complete request has arrived on a connection that is not active.
-// net/http may have read a part of a request; a blocked Read shows that the rest is missing. The
-// caller holds conns.mu.
-func (c *Conn) hasNoRequest() bool {
+// hasNoCompleteRequest reports whether no complete request has arrived on a connection that is not
+// active. net/http may have read a part of a request; a blocked Read means that the rest is missing.
+// The caller holds conns.mu.
+func (c *Conn) hasNoCompleteRequest() bool {
 	incomplete := c.state.awaitsRequest() || c.readBlocked
 	return incomplete && len(c.readAhead) == 0 && !c.hasUnreadBytes()
 }
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -19,15 +19,15 @@
 	notProcessedHeader = "X-Not-Processed"
 )
 
-// exchange writes a request and reads its response. A server cannot execute the request before its
-// last byte is written, but may have executed it at any time after that. The connection is
-// reusable afterwards only if the response is complete and no further bytes were read.
+// exchange writes a request and reads its response. A server cannot execute the request before the
+// last byte of the request is written, but may have executed it at any time after that. The
+// connection is reusable afterwards only if the response is complete and no further bytes were read.
 func (c *connection) exchange(request *encodedRequest) Result {
 	c.reusable = false
 	if _, err := c.Write(request.message); err != nil {
 		return Result{Status: policy.ConnectFailed} // the last byte was not written
 	}
-	c.responseBytesLeft = maxResponse
+	c.responseBytesLeft = maxResponseBytes
 	response, err := c.readFinalHeader(request)
 	if err != nil {
 		return Result{Status: c.failureStatus(err)}
@@ -56,11 +56,11 @@
 			return response, nil
 		}
 	}
-	return nil, errInterimResponses
+	return nil, errTooManyInterimResponses
 }
 
-// readHeader reads the header of one response, interim or final. It sets no time limit for the
-// first byte. The rest of the response must arrive within responseReadTimeout after the first byte:
+// readHeader reads the header of an interim or final response. It sets no time limit for the first
+// byte. The rest of the response must arrive within responseReadTimeout after the first byte:
 // otherwise a server that stops in the middle of a response would use up the time for a retry.
 func (c *connection) readHeader(request *encodedRequest) (*http.Response, error) {
 	c.setReadDeadline(time.Time{})
@@ -83,14 +83,14 @@
 // response.Body: Close would read the body to its end, whatever its length. A connection whose
 // response was not read to the end is closed instead.
 func readBody(response *http.Response) ([]byte, error) {
-	if response.ContentLength > maxBody {
+	if response.ContentLength > maxBodyBytes {
 		return nil, errBodyTooLarge
 	}
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxBody+1))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxBodyBytes+1))
 	switch {
 	case err != nil:
 		return nil, err
-	case len(body) > maxBody:
+	case len(body) > maxBodyBytes:
 		return nil, errBodyTooLarge
 	}
 	return body, nil
@@ -115,7 +115,7 @@
 func (c *connection) failureStatus(err error) policy.Status {
 	switch {
 	case errors.Is(err, errBodyTooLarge),
-		errors.Is(err, errInterimResponses),
+		errors.Is(err, errTooManyInterimResponses),
 		errors.Is(err, errSwitchingProtocols):
 		return policy.ServerError
 	case c.readErr == nil, errors.Is(c.readErr, os.ErrDeadlineExceeded):
