--- a/cmd/balancer/benchmark_test.go
+++ b/cmd/balancer/benchmark_test.go
@@ -28,13 +28,13 @@
 	// baselineFlag names the flag with the binary to compare with.
 	baselineFlag = "baseline"
 	rounds       = 5 // every binary is measured once in each
-	// ticksPerSecond is the unit of processor time under /proc, the same on all Linux machines.
-	ticksPerSecond = 100
-	benchClients   = 16
-	largeFleet     = 7800
-	smallFleet     = 10
-	manyTenants    = 20000
-	completeLists  = 4 // that a node applies before its memory is read
+	// clockTicksPerSecond is the unit of processor time under /proc, the same on all Linux machines.
+	clockTicksPerSecond = 100
+	benchClients        = 16
+	largeFleet          = 7800
+	smallFleet          = 10
+	manyTenants         = 20000
+	appliedSnapshots    = 4 // that a node applies before its memory is read
 )
 
 // version is a binary that is measured.
@@ -50,8 +50,8 @@
 	return all
 }
 
-// measureInTurns runs a benchmark for every version in each round.
-func measureInTurns(b *testing.B, measure func(b *testing.B, path string)) {
+// measureInterleaved runs a benchmark for every version in each round.
+func measureInterleaved(b *testing.B, measure func(b *testing.B, path string)) {
 	b.Helper()
 	all := versions(b)
 	for round := range rounds {
@@ -64,21 +64,21 @@
 // BenchmarkRequest makes requests over keep-alive connections and reports the processor time
 // that the node spends on each.
 func BenchmarkRequest(b *testing.B) {
-	measureInTurns(b, func(b *testing.B, path string) {
+	measureInterleaved(b, func(b *testing.B, path string) {
 		b.Helper()
-		server := newServer(b, testkit.OK)
+		server := startServer(b, testkit.OK)
 		process := balancertest.Start(b, map[string]any{
-			"discovery": noDiscovery, "known": listOf(1, server, server, server, server),
+			"discovery": refusingAddr, "known": snapshotOf(1, server, server, server, server),
 			"limits":   map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024},
-			"settings": moreSettings(`"Limits": {"MaxAttempts": 3}`),
+			"settings": settingsWith(`"Limits": {"MaxAttempts": 3}`),
 		}, path)
 		addr := testkit.Wait(b, process.Addr, "the process to serve")
 		balancertest.AwaitReady(b, addr)
-		before := processorTime(b, process.PID)
+		before := cpuTime(b, process.PID)
 		b.ResetTimer()
 		served := makeRequests(b, addr)
 		b.StopTimer()
-		spent := processorTime(b, process.PID) - before
+		spent := cpuTime(b, process.PID) - before
 		b.ReportMetric(float64(spent.Microseconds())/float64(b.N), "cpu-µs/op")
 		b.ReportMetric(float64(served)/float64(b.N), "served/op")
 	})
@@ -99,7 +99,7 @@
 			defer func() { _ = conn.Close() }() // its responses have been read
 			reader := bufio.NewReader(conn)
 			for id := next.Add(1); id <= int64(b.N); id = next.Add(1) {
-				status, err := exchange(conn, reader, id)
+				status, err := sendRequest(conn, reader, id)
 				if err != nil {
 					b.Error(err)
 					return
@@ -114,8 +114,8 @@
 	return served.Load()
 }
 
-// exchange makes one request and reads its response to the end. It returns the status.
-func exchange(conn net.Conn, reader *bufio.Reader, id int64) (int, error) {
+// sendRequest makes one request and reads its response to the end. It returns the status.
+func sendRequest(conn net.Conn, reader *bufio.Reader, id int64) (int, error) {
 	if err := writeRequest(conn, fmt.Sprintf("a%d", id), classDeadline); err != nil {
 		return 0, err
 	}
@@ -127,8 +127,8 @@
 	return response.StatusCode, err
 }
 
-// processorTime returns the user and system time of a process.
-func processorTime(b *testing.B, pid int) time.Duration {
+// cpuTime returns the user and system time of a process.
+func cpuTime(b *testing.B, pid int) time.Duration {
 	b.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -144,13 +144,13 @@
 		}
 		ticks += value
 	}
-	return time.Duration(ticks) * time.Second / ticksPerSecond
+	return time.Duration(ticks) * time.Second / clockTicksPerSecond
 }
 
 // BenchmarkPeakMemory reports the peak resident memory of a node with a small fleet and with a
 // large one, and the difference, each after some complete lists and with many tenants.
 func BenchmarkPeakMemory(b *testing.B) {
-	measureInTurns(b, func(b *testing.B, path string) {
+	measureInterleaved(b, func(b *testing.B, path string) {
 		b.Helper()
 		// Once, whatever b.N is: a peak has no mean.
 		small := peakMemory(b, path, smallFleet)
@@ -166,45 +166,45 @@
 	b.Helper()
 	applied := make(chan struct{}) // closed once the node has applied all lists
 	process := balancertest.Start(b, map[string]any{
-		"discovery": serveLists(b, servers, applied),
+		"discovery": serveSnapshots(b, servers, applied),
 		"limits":    map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024},
-		"settings":  moreSettings(`"Balancers": 650, "Accounts": ` + tenants(manyTenants)),
+		"settings":  settingsWith(`"Balancers": 650, "Accounts": ` + tenantSettings(manyTenants)),
 	}, path)
 	select {
 	case <-applied:
 	case <-time.After(testkit.WaitTimeout):
 		b.Fatal("the lists are not applied")
 	}
-	return peakResident(b, process.PID)
+	return peakResidentMemory(b, process.PID)
 }
 
-// serveLists starts a discovery service and returns its address. It serves complete lists, one for each call,
+// serveSnapshots starts a discovery service and returns its address. It serves complete lists, one for each call,
 // and then closes applied and leaves further calls without a response.
-func serveLists(b *testing.B, servers int, applied chan<- struct{}) string {
+func serveSnapshots(b *testing.B, servers int, applied chan<- struct{}) string {
 	b.Helper()
 	addresses := make([]string, servers)
 	for i := range addresses {
 		addresses[i] = fmt.Sprintf("127.0.%d.%d:8000", 1+i/250, 1+i%250)
 	}
 	var calls atomic.Int64
-	return newServer(b, func(w http.ResponseWriter, r *http.Request) {
+	return startServer(b, func(w http.ResponseWriter, r *http.Request) {
 		call := calls.Add(1)
-		if call <= completeLists {
-			list := listOf(1, addresses...) // the same servers each time
+		if call <= appliedSnapshots {
+			list := snapshotOf(1, addresses...) // the same servers each time
 			list.Generation = uint64(call)
 			if err := json.NewEncoder(w).Encode(list); err != nil {
 				b.Error(err)
 			}
 			return
 		}
-		if call == completeLists+1 {
+		if call == appliedSnapshots+1 {
 			close(applied)
 		}
 		<-r.Context().Done()
 	})
 }
 
-func tenants(count int) string {
+func tenantSettings(count int) string {
 	names := make([]string, count)
 	for i := range names {
 		names[i] = fmt.Sprintf(`{"Name": "tenant-%d", "QuotaPerS": 10}`, i)
@@ -212,8 +212,8 @@
 	return "[" + strings.Join(names, ",") + "]"
 }
 
-// peakResident reads the peak resident memory of a process, in kB.
-func peakResident(b *testing.B, pid int) int {
+// peakResidentMemory reads the peak resident memory of a process, in kB.
+func peakResidentMemory(b *testing.B, pid int) int {
 	b.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
--- a/cmd/balancer/client_test.go
+++ b/cmd/balancer/client_test.go
@@ -57,9 +57,9 @@
 }
 
 const (
-	// unusedClosedFrom is the time after SIGTERM from which on a process closes connections on which no
+	// unusedConnsClosedFrom is the time after SIGTERM from which on a process closes connections on which no
 	// request was sent: the end of its grace period.
-	unusedClosedFrom = shutdownDeadline + 450*time.Millisecond
+	unusedConnsClosedFrom = shutdownClassDeadline + 450*time.Millisecond
 	// newConnGrace is the shortest time for which the process then leaves a new connection open.
 	newConnGrace = 50 * time.Millisecond
 )
@@ -76,11 +76,11 @@
 	timeout   time.Duration // of each request
 	keepAlive bool          // the client reuses its connection for as long as it stays open
 
-	conn      net.Conn
-	reader    *bufio.Reader
-	sent      int
-	connected time.Time     // when the connection was established
-	unused    time.Duration // from connected until the last request on the connection was written
+	conn        net.Conn
+	reader      *bufio.Reader
+	sent        int
+	connectedAt time.Time     // when the connection was established
+	unusedFor   time.Duration // from connected until the last request on the connection was written
 }
 
 // loadResult is how the requests of clients ended.
@@ -90,23 +90,23 @@
 	// resetInQueue counts the requests whose connections were established between the process's last accept
 	// and its close of the listener. They got a reset, and their clients were refused next.
 	resetInQueue int
-	// unusedClosed counts the first requests on a connection that crossed its close.
-	unusedClosed int
+	// unusedConnsClosed counts the first requests on a connection that crossed its close.
+	unusedConnsClosed int
 }
 
 // lostRequestError is a request without a complete response.
 type lostRequestError struct {
-	client string
-	number int           // among the client's requests
-	sentAt time.Duration // after SIGTERM
-	reused bool          // its connection carried a request before
-	began  bool          // a part of a response came
-	err    error
+	client          string
+	number          int           // among the client's requests
+	sentAfterSignal time.Duration // after SIGTERM
+	connReused      bool          // its connection carried a request before
+	responseBegan   bool          // a part of a response came
+	err             error
 }
 
 func (e *lostRequestError) Error() string {
 	return fmt.Sprintf("%s, request %d, sent %v after SIGTERM, reused %v: %v",
-		e.client, e.number, e.sentAt.Round(time.Millisecond), e.reused, e.err)
+		e.client, e.number, e.sentAfterSignal.Round(time.Millisecond), e.connReused, e.err)
 }
 
 func (e *lostRequestError) Unwrap() error { return e.err }
@@ -115,36 +115,37 @@
 func (c *loadClient) sendUntilRefused(sinceSignal func() time.Duration) loadResult {
 	var result loadResult
 	for {
-		reused := c.conn != nil
+		connReused := c.conn != nil
 		if err := c.connect(); err != nil {
-			result.separateQueued()
+			result.classifyLastReset()
 			return result
 		}
 		c.sent++
-		sentAt := sinceSignal()
-		began, err := c.exchange()
+		sentAfterSignal := sinceSignal()
+		responseBegan, err := c.exchange()
 		if err == nil {
 			result.responses++
 			continue
 		}
-		crossedIdleClose := reused && !began
-		crossedUnusedClose := !began && c.unused > newConnGrace && sinceSignal() >= unusedClosedFrom
+		idleConnClosed := connReused && !responseBegan
+		unusedConnClosed := !responseBegan && c.unusedFor > newConnGrace && sinceSignal() >= unusedConnsClosedFrom
 		switch {
-		case crossedIdleClose: // the next request uses a new connection
-		case crossedUnusedClose:
-			result.unusedClosed++
+		case idleConnClosed: // the next request uses a new connection
+		case unusedConnClosed:
+			result.unusedConnsClosed++
 		default:
 			result.lost = append(result.lost, &lostRequestError{
-				client: c.name, number: c.sent, sentAt: sentAt, reused: reused, began: began, err: err,
+				client: c.name, number: c.sent, sentAfterSignal: sentAfterSignal, connReused: connReused,
+				responseBegan: responseBegan, err: err,
 			})
 		}
 	}
 }
 
-// sendUntil sends requests until ended is set. Each has to get a response.
-func (c *loadClient) sendUntil(t *testing.T, ended *atomic.Bool) {
+// sendUntilStopped sends requests until ended is set. Each has to get a response.
+func (c *loadClient) sendUntilStopped(t *testing.T, stopped *atomic.Bool) {
 	t.Helper()
-	for !ended.Load() {
+	for !stopped.Load() {
 		if err := c.connect(); err != nil {
 			t.Error(err)
 			return
@@ -166,7 +167,7 @@
 	if err != nil {
 		return err
 	}
-	c.conn, c.reader, c.connected = conn, bufio.NewReader(conn), time.Now()
+	c.conn, c.reader, c.connectedAt = conn, bufio.NewReader(conn), time.Now()
 	return c.conn.SetDeadline(time.Now().Add(testkit.WaitTimeout))
 }
 
@@ -181,7 +182,7 @@
 		}
 	}()
 	err := writeRequest(c.conn, fmt.Sprintf("%s-%d", c.name, c.sent), c.timeout)
-	c.unused = time.Since(c.connected)
+	c.unusedFor = time.Since(c.connectedAt)
 	if err != nil {
 		return false, fmt.Errorf("write: %w", err)
 	}
@@ -199,14 +200,14 @@
 	return true, nil
 }
 
-// separateQueued moves the last lost request to resetInQueue if its connection was reset in the accept queue.
+// classifyLastReset moves the last lost request to resetInQueue if its connection was reset in the accept queue.
 // The client was refused next.
-func (r *loadResult) separateQueued() {
+func (r *loadResult) classifyLastReset() {
 	if len(r.lost) == 0 {
 		return
 	}
 	last := r.lost[len(r.lost)-1]
-	if !last.reused && !last.began && errors.Is(last, syscall.ECONNRESET) {
+	if !last.connReused && !last.responseBegan && errors.Is(last, syscall.ECONNRESET) {
 		r.lost = r.lost[:len(r.lost)-1]
 		r.resetInQueue++
 	}
@@ -217,5 +218,5 @@
 	r.responses += other.responses
 	r.lost = append(r.lost, other.lost...)
 	r.resetInQueue += other.resetInQueue
-	r.unusedClosed += other.unusedClosed
+	r.unusedConnsClosed += other.unusedConnsClosed
 }
--- a/cmd/balancer/unresponsive_discovery_test.go
+++ b/cmd/balancer/discovery_partition_test.go
@@ -29,12 +29,12 @@
 // testPartition partitions the discovery service for a time and measures how soon the node follows it again.
 func testPartition(t *testing.T, program, mode string, duration time.Duration) {
 	t.Helper()
-	first, second := testkit.NewBackend(t, testkit.OK), testkit.NewBackend(t, testkit.OK)
-	list := newWatchedList(first.Endpoint("s-0"))
+	firstServer, secondServer := testkit.NewBackend(t, testkit.OK), testkit.NewBackend(t, testkit.OK)
+	list := newWatchedList(firstServer.Endpoint("s-0"))
 	machine := testkit.NewMachine(t, list.respond)
 	process := balancertest.Start(t, map[string]any{
 		"discovery": machine.Address,
-		"settings":  moreSettings(fmt.Sprintf(`"RegistryMode": %q, "Contract": {"DrainGraceMs": 1000}`, mode)),
+		"settings":  settingsWith(fmt.Sprintf(`"RegistryMode": %q, "Contract": {"DrainGraceMs": 1000}`, mode)),
 	}, program)
 	addr := testkit.Wait(t, process.Addr, "the process to serve")
 	balancertest.AwaitReady(t, addr)
@@ -44,9 +44,9 @@
 
 	machine.Partition(t)
 	time.Sleep(duration) // what is under test
-	draining := first.Endpoint("s-0")
+	draining := firstServer.Endpoint("s-0")
 	draining.Lifecycle = "Terminating"
-	list.set(endpointjson.List{Generation: 2, Reset: true, Endpoints: []endpointjson.Endpoint{draining, second.Endpoint("s-1")}})
+	list.set(endpointjson.List{Generation: 2, Reset: true, Endpoints: []endpointjson.Endpoint{draining, secondServer.Endpoint("s-1")}})
 	machine.Heal(t)
 	healed := time.Now()
 
--- a/cmd/balancer/discovery_stub_test.go
+++ b/cmd/balancer/discovery_stub_test.go
@@ -13,8 +13,8 @@
 	"calicohinge/internal/testkit"
 )
 
-// queueLength is how many calls may wait at an overloaded discovery service.
-const queueLength = 1 << 16
+// maxQueuedCalls is how many calls may wait at an overloaded discovery service.
+const maxQueuedCalls = 1 << 16
 
 // outage says how a discovery service cannot be used until the outage has ended.
 type outage struct {
@@ -43,9 +43,9 @@
 	return outage
 }
 
-// overloadedDiscovery is a discovery service that serves a list after its outage. It handles calls for the
+// discoveryStub is a discovery service that serves a list after its outage. It handles calls for the
 // complete list one after the other. Each takes timePerCall, even if its client has abandoned it.
-type overloadedDiscovery struct {
+type discoveryStub struct {
 	t           *testing.T
 	list        endpointjson.List
 	outage      outage
@@ -54,21 +54,21 @@
 	watches     chan string        // the addresses at which a node with the list watches for changes
 }
 
-// newDiscovery returns a service that has no address yet.
-func newDiscovery(t *testing.T, list endpointjson.List, outage outage, timePerCall time.Duration) *overloadedDiscovery {
+// newDiscoveryStub returns a service that has no address yet.
+func newDiscoveryStub(t *testing.T, list endpointjson.List, outage outage, timePerCall time.Duration) *discoveryStub {
 	t.Helper()
-	stub := &overloadedDiscovery{
+	stub := &discoveryStub{
 		t: t, list: list, outage: outage, timePerCall: timePerCall,
-		queue: make(chan chan struct{}, queueLength), watches: make(chan string, queueLength),
+		queue: make(chan chan struct{}, maxQueuedCalls), watches: make(chan string, maxQueuedCalls),
 	}
-	go stub.work()
+	go stub.handleQueue()
 	return stub
 }
 
-// startDiscovery starts a service and returns its address.
-func startDiscovery(t *testing.T, list endpointjson.List, outage outage, timePerCall time.Duration) string {
+// startDiscoveryStub starts a service and returns its address.
+func startDiscoveryStub(t *testing.T, list endpointjson.List, outage outage, timePerCall time.Duration) string {
 	t.Helper()
-	stub := newDiscovery(t, list, outage, timePerCall)
+	stub := newDiscoveryStub(t, list, outage, timePerCall)
 	reserved := testkit.ReserveAddr(t)
 	if outage.kind == outageRefused {
 		go stub.serveAfterOutage(reserved)
@@ -78,8 +78,8 @@
 	return reserved.Address
 }
 
-// newAddress makes the service available at a further address and returns that.
-func (d *overloadedDiscovery) newAddress() string {
+// addAddress makes the service available at a further address and returns that.
+func (d *discoveryStub) addAddress() string {
 	d.t.Helper()
 	reserved := testkit.ReserveAddr(d.t)
 	d.serve(reserved)
@@ -87,7 +87,7 @@
 }
 
 // serve accepts calls at an address until the end of the test.
-func (d *overloadedDiscovery) serve(reserved *testkit.ReservedAddr) {
+func (d *discoveryStub) serve(reserved *testkit.ReservedAddr) {
 	listener, err := reserved.Listen()
 	if err != nil {
 		d.t.Error(err)
@@ -99,7 +99,7 @@
 }
 
 // serveAfterOutage serves once the outage is over.
-func (d *overloadedDiscovery) serveAfterOutage(reserved *testkit.ReservedAddr) {
+func (d *discoveryStub) serveAfterOutage(reserved *testkit.ReservedAddr) {
 	select {
 	case <-d.outage.ended:
 		d.serve(reserved)
@@ -107,8 +107,8 @@
 	}
 }
 
-// work handles the calls for the complete list in turn.
-func (d *overloadedDiscovery) work() {
+// handleQueue handles the calls for the complete list in turn.
+func (d *discoveryStub) handleQueue() {
 	for {
 		select {
 		case done := <-d.queue:
@@ -121,7 +121,7 @@
 }
 
 // ServeHTTP implements http.Handler.
-func (d *overloadedDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (d *discoveryStub) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	select {
 	case <-d.outage.ended:
 	default:
@@ -130,7 +130,7 @@
 	}
 	if r.URL.Query().Get("after") == fmt.Sprint(d.list.Generation) {
 		d.watches <- r.Host
-		d.serveNoChange(w, r)
+		d.holdWatch(w, r)
 		return
 	}
 	done := make(chan struct{})
@@ -142,8 +142,8 @@
 	}
 }
 
-// serveNoChange holds a watch for as long as it requests and reports no change.
-func (d *overloadedDiscovery) serveNoChange(w http.ResponseWriter, r *http.Request) {
+// holdWatch holds a watch for as long as it requests and reports no change.
+func (d *discoveryStub) holdWatch(w http.ResponseWriter, r *http.Request) {
 	wait, err := time.ParseDuration(r.URL.Query().Get("wait_ms") + "ms")
 	if err != nil {
 		d.t.Error(err)
--- a/cmd/balancer/harness_test.go
+++ b/cmd/balancer/harness_test.go
@@ -31,16 +31,16 @@
 	return flag.Lookup(name).Value.(flag.Getter).Get().(T)
 }
 
-// settings has one class; a test adds keys ahead of it with moreSettings.
-const settings = `{"Classes": [{"Name": "pay", "Effect": "side_effect", "DeadlineMs": 8000}], "Zones": ["a"]}`
+// baseSettings has one class; a test adds keys ahead of it with moreSettings.
+const baseSettings = `{"Classes": [{"Name": "pay", "Effect": "side_effect", "DeadlineMs": 8000}], "Zones": ["a"]}`
 
-// moreSettings returns settings with further keys.
-func moreSettings(keys string) json.RawMessage {
-	return json.RawMessage("{" + keys + ", " + strings.TrimPrefix(settings, "{"))
+// settingsWith returns settings with further keys.
+func settingsWith(keys string) json.RawMessage {
+	return json.RawMessage("{" + keys + ", " + strings.TrimPrefix(baseSettings, "{"))
 }
 
-// noDiscovery is an address at which no discovery service listens.
-const noDiscovery = "127.0.0.1:1"
+// refusingAddr is an address at which no discovery service listens.
+const refusingAddr = "127.0.0.1:1"
 
 // discoveryModes returns the modes in which a node follows its discovery service.
 func discoveryModes() []string { return []string{"pushed", "on_request"} }
@@ -50,8 +50,8 @@
 func newConfigFile(tb testing.TB, listen, server string) balancertest.ConfigFile {
 	tb.Helper()
 	text, err := json.Marshal(map[string]any{
-		"listen": listen, "discovery": noDiscovery, "settings": json.RawMessage(settings),
-		"known": listOf(1, server),
+		"listen": listen, "discovery": refusingAddr, "settings": json.RawMessage(baseSettings),
+		"known": snapshotOf(1, server),
 	})
 	if err != nil {
 		tb.Fatal(err)
@@ -59,14 +59,14 @@
 	return balancertest.NewConfigFile(tb, text)
 }
 
-// newServer starts a server and returns its address.
-func newServer(tb testing.TB, handle http.HandlerFunc) string {
+// startServer starts a server and returns its address.
+func startServer(tb testing.TB, handle http.HandlerFunc) string {
 	tb.Helper()
 	return testkit.NewServer(tb, handle).Listener.Addr().String()
 }
 
-// listOf makes a complete list of ready servers.
-func listOf(generation uint64, addresses ...string) endpointjson.List {
+// snapshotOf makes a complete list of ready servers.
+func snapshotOf(generation uint64, addresses ...string) endpointjson.List {
 	list := endpointjson.List{Generation: generation, Reset: true}
 	for i, address := range addresses {
 		list.Endpoints = append(list.Endpoints, endpointjson.Endpoint{
--- a/cmd/balancer/logging_test.go
+++ b/cmd/balancer/logging_test.go
@@ -11,7 +11,7 @@
 )
 
 // The reader of the log has exited, or reads no more. The process serves requests and exits without an error.
-func TestProcessServesWithoutAReaderOfItsLog(t *testing.T) {
+func TestNodeServesWhenItsLogPipeIsClosedOrFull(t *testing.T) {
 	program := balancertest.Build(t)
 	for name, breakPipe := range map[string]func(t *testing.T, reader, writer *os.File){
 		"closed": func(t *testing.T, reader, _ *os.File) { t.Helper(); closeFile(t, reader) },
@@ -25,13 +25,13 @@
 			}
 			defer func() { _ = reader.Close() }() // unless the case has closed it
 			breakPipe(t, reader, writer)
-			testServingWithLog(t, program, writer)
+			testServingWithLogPipe(t, program, writer)
 		})
 	}
 }
 
-// testServingWithLog starts a process that logs to a pipe, makes a request and shuts the process down.
-func testServingWithLog(t *testing.T, program string, log *os.File) {
+// testServingWithLogPipe starts a process that logs to a pipe, makes a request and shuts the process down.
+func testServingWithLogPipe(t *testing.T, program string, log *os.File) {
 	t.Helper()
 	server := testkit.NewBackend(t, testkit.OK)
 	addr := testkit.FreeAddr(t)
--- a/cmd/balancer/readiness_test.go
+++ b/cmd/balancer/readiness_test.go
@@ -11,24 +11,24 @@
 )
 
 const (
-	// readinessTerm is the operators' term: nine in ten restarted processes are ready by then.
-	readinessTerm = 10 * time.Second
-	// readinessLimit ends the wait for a process. It is logged as the time of one that was not ready by then.
-	readinessLimit = 14 * time.Second
+	// readinessDeadline is the operators' term: nine in ten restarted processes are ready by then.
+	readinessDeadline = 10 * time.Second
+	// readinessTimeout ends the wait for a process. It is logged as the time of one that was not ready by then.
+	readinessTimeout = 14 * time.Second
 )
 
 // restartCase is the state in which processes are restarted together.
 type restartCase struct {
-	name        string
-	known       endpointjson.List // in their configuration, if it has endpoints
-	down        time.Duration     // of discovery, from the start
-	outage      outageKind
-	timePerCall time.Duration
+	name           string
+	known          endpointjson.List // in their configuration, if it has endpoints
+	outageDuration time.Duration     // of discovery, from the start
+	outage         outageKind
+	timePerCall    time.Duration
 }
 
 func TestRestartedProcessesAreReadyInTime(t *testing.T) {
 	program, processes := balancertest.Build(t), flagValue[int](processesFlag)
-	list, empty := listOf(2, slices.Repeat([]string{noDiscovery}, 200)...), endpointjson.List{}
+	list, empty := snapshotOf(2, slices.Repeat([]string{refusingAddr}, 200)...), endpointjson.List{}
 	overloaded := 4 * time.Second / time.Duration(processes) // all complete lists take 4 s
 	for _, c := range []restartCase{
 		{"known list", list, 0, outageUnavailable, 0},
@@ -43,38 +43,38 @@
 		for _, mode := range discoveryModes() {
 			t.Run(mode+", "+c.name, func(t *testing.T) {
 				t.Parallel()
-				times := restartTogether(t, program, processes, mode, c)
-				readyAfter := nineInTen(times)
+				times := measureRestarts(t, program, processes, mode, c)
+				readyAfter := percentile90(times)
 				t.Logf("%d processes: median %v, nine in ten %v, worst %v (%v is never)", len(times),
 					times[len(times)/2].Round(time.Millisecond), readyAfter.Round(time.Millisecond),
-					times[len(times)-1].Round(time.Millisecond), readinessLimit)
-				if readyAfter > readinessTerm {
-					t.Errorf("nine in ten are ready after %v, want %v", readyAfter, readinessTerm)
+					times[len(times)-1].Round(time.Millisecond), readinessTimeout)
+				if readyAfter > readinessDeadline {
+					t.Errorf("nine in ten are ready after %v, want %v", readyAfter, readinessDeadline)
 				}
 			})
 		}
 	}
 }
 
-// nineInTen returns the least of sorted times that nine in ten of them do not exceed.
-func nineInTen(times []time.Duration) time.Duration {
+// percentile90 returns the least of sorted times that nine in ten of them do not exceed.
+func percentile90(times []time.Duration) time.Duration {
 	count := (9*len(times) + 9) / 10 // nine tenths, rounded up
 	return times[count-1]
 }
 
-// restartTogether starts processes at once and returns their times to readiness, sorted.
-func restartTogether(t *testing.T, program string, processes int, mode string, c restartCase) []time.Duration {
+// measureRestarts starts processes at once and returns their times to readiness, sorted.
+func measureRestarts(t *testing.T, program string, processes int, mode string, c restartCase) []time.Duration {
 	t.Helper()
-	list := listOf(2, slices.Repeat([]string{noDiscovery}, 200)...)
+	list := snapshotOf(2, slices.Repeat([]string{refusingAddr}, 200)...)
 	outage, endOutage := newOutage(c.outage)
-	discovery := startDiscovery(t, list, outage, c.timePerCall)
-	defer time.AfterFunc(c.down, endOutage).Stop()
+	discovery := startDiscoveryStub(t, list, outage, c.timePerCall)
+	defer time.AfterFunc(c.outageDuration, endOutage).Stop()
 	took := make(chan time.Duration, processes)
 	for i := range processes {
 		config := map[string]any{
 			"discovery": discovery, "seed": fmt.Sprintf("%016x", i+1),
 			"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 256},
-			"settings": moreSettings(fmt.Sprintf(
+			"settings": settingsWith(fmt.Sprintf(
 				`"Balancers": 300, "Me": %d, "RegistryMode": %q, "Contract": {"DrainGraceMs": 1000}`, i, mode)),
 		}
 		if len(c.known.Endpoints) > 0 {
@@ -82,7 +82,7 @@
 		}
 		began := time.Now()
 		process := balancertest.Start(t, config, program)
-		go func() { took <- balancertest.TimeToReady(<-process.Addr, began, readinessLimit) }()
+		go func() { took <- balancertest.TimeToReady(<-process.Addr, began, readinessTimeout) }()
 	}
 	var times []time.Duration
 	for range processes {
--- a/cmd/balancer/shutdown_test.go
+++ b/cmd/balancer/shutdown_test.go
@@ -19,13 +19,13 @@
 )
 
 const (
-	// shutdownDeadline is the longest request deadline of the processes under test. It keeps a shutdown
+	// shutdownClassDeadline is the longest request deadline of the processes under test. It keeps a shutdown
 	// short: the process exits within half a second more.
-	shutdownDeadline = 200 * time.Millisecond
+	shutdownClassDeadline = 200 * time.Millisecond
 	// earliestExit is how long after SIGTERM a process exits at the earliest under load: requests are served
 	// until 0.3 s before the end of the grace period, which is the longest deadline and 0.45 s more. From
 	// then on the process exits as soon as no connection is open.
-	earliestExit = shutdownDeadline + 150*time.Millisecond
+	earliestExit = shutdownClassDeadline + 150*time.Millisecond
 	// shutdownClients is how many clients send at the same time.
 	shutdownClients = 24
 )
@@ -45,7 +45,7 @@
 // shutDownUnderLoad starts a process and clients that send to it, and sends it SIGTERM. Then it calls disturb,
 // which may pause the process or take its descriptors. It returns when the process has exited and accepts no
 // connection any more.
-func shutDownUnderLoad(t *testing.T, program string, disturb func(pid int)) shutdownResult {
+func shutDownUnderLoad(t *testing.T, program string, injectFault func(pid int)) shutdownResult {
 	t.Helper()
 	process, addr := startShutdownProcess(t, program)
 	var signaledAt atomic.Pointer[time.Time]
@@ -56,7 +56,7 @@
 		return -1
 	}
 	results := startShutdownClients(addr, sinceSignal)
-	time.Sleep(shutdownDeadline) // until the clients send at their full rate
+	time.Sleep(shutdownClassDeadline) // until the clients send at their full rate
 	now := time.Now()
 	signaledAt.Store(&now)
 	balancertest.Signal(t, process.PID, syscall.SIGTERM)
@@ -65,7 +65,7 @@
 		err := <-process.Exited
 		exits <- processExit{err, sinceSignal()}
 	}()
-	disturb(process.PID)
+	injectFault(process.PID)
 	return shutdownResult{results(), testkit.Wait(t, exits, "the exit of the process")}
 }
 
@@ -74,12 +74,12 @@
 func startShutdownProcess(t *testing.T, program string) (balancertest.Process, string) {
 	t.Helper()
 	server := testkit.NewBackend(t, testkit.OK)
-	hanging := testkit.NewBackend(t, testkit.Unresponsive(make(chan struct{}, 1)))
+	unresponsive := testkit.NewBackend(t, testkit.Unresponsive(make(chan struct{}, 1)))
 	process := balancertest.Start(t, map[string]any{
-		"discovery": noDiscovery,
-		"settings": testkit.JSON(strings.ReplaceAll(settings, "8000",
-			fmt.Sprint(shutdownDeadline.Milliseconds()))),
-		"known": listOf(1, server.Address(), server.Address(), server.Address(), hanging.Address()),
+		"discovery": refusingAddr,
+		"settings": testkit.JSON(strings.ReplaceAll(baseSettings, "8000",
+			fmt.Sprint(shutdownClassDeadline.Milliseconds()))),
+		"known": snapshotOf(1, server.Address(), server.Address(), server.Address(), unresponsive.Address()),
 	}, program)
 	addr := testkit.Wait(t, process.Addr, "the process to serve")
 	balancertest.AwaitReady(t, addr)
@@ -93,7 +93,7 @@
 	var clients sync.WaitGroup
 	for i := range shutdownClients {
 		client := loadClient{
-			addr: addr, name: fmt.Sprintf("c%d", i), timeout: shutdownDeadline, keepAlive: i%2 == 0,
+			addr: addr, name: fmt.Sprintf("c%d", i), timeout: shutdownClassDeadline, keepAlive: i%2 == 0,
 		}
 		clients.Go(func() { results <- client.sendUntilRefused(sinceSignal) })
 	}
@@ -113,7 +113,7 @@
 func (r shutdownResult) check(t *testing.T) {
 	t.Helper()
 	t.Logf("%d responses, %d requests lost, %d reset in the accept queue, %d closed unused",
-		r.responses, len(r.lost), r.resetInQueue, r.unusedClosed)
+		r.responses, len(r.lost), r.resetInQueue, r.unusedConnsClosed)
 	if limit := maxResetInQueue(t); r.resetInQueue > limit {
 		t.Errorf("%d connections were reset in the accept queue, want %d at most", r.resetInQueue, limit)
 	}
@@ -180,8 +180,8 @@
 
 // The process gets no descriptor for a while, at several times of its shutdown: one of them is the time at
 // which it accepts the last connections.
-func TestEveryRequestGetsAResponseFromAProcessShortOfDescriptors(t *testing.T) {
-	const short = 100 * time.Millisecond
+func TestEveryRequestGetsAResponseDuringADescriptorShortage(t *testing.T) {
+	const shortage = 100 * time.Millisecond
 	program := balancertest.Build(t)
 	for _, afterMs := range []int{100, 300, 450, 520, 560, 590} {
 		after := time.Duration(afterMs) * time.Millisecond
@@ -189,17 +189,17 @@
 			t.Parallel()
 			shutDownUnderLoad(t, program, func(pid int) {
 				time.Sleep(after)
-				takeDescriptors(t, pid, short)
+				exhaustDescriptors(t, pid, shortage)
 			}).check(t)
 		})
 	}
 }
 
-// takeDescriptors prevents a process from opening descriptors for a time. The process may exit before the end
+// exhaustDescriptors prevents a process from opening descriptors for a time. The process may exit before the end
 // of that time: shutdownResult.check finds out whether it exited too early.
-func takeDescriptors(t *testing.T, pid int, duration time.Duration) {
+func exhaustDescriptors(t *testing.T, pid int, duration time.Duration) {
 	t.Helper()
-	previous, err := setDescriptorLimit(pid, scarceDescriptors)
+	previous, err := setDescriptorLimit(pid, exhaustedDescriptorLimit)
 	if err == nil {
 		time.Sleep(duration)
 		_, err = setDescriptorLimit(pid, previous)
--- a/cmd/balancer/signals_test.go
+++ b/cmd/balancer/signals_test.go
@@ -23,9 +23,9 @@
 
 // After SIGTERM the program completes the requests that it has and exits without an error.
 func TestActiveRequestsGetAResponseAfterSIGTERM(t *testing.T) {
-	release := make(chan struct{})
+	respond := make(chan struct{})
 	server := testkit.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
-		<-release
+		<-respond
 		testkit.OK(w, r)
 	})
 	addr := testkit.FreeAddr(t)
@@ -37,7 +37,7 @@
 	go func() { responses <- post(addr) }()
 	testkit.Wait(t, server.Requests, "the request")
 	signalSelf(t, syscall.SIGTERM)
-	close(release)
+	close(respond)
 	if body := testkit.Wait(t, responses, "a response"); body != "done" {
 		t.Errorf("response %q", body)
 	}
@@ -46,13 +46,13 @@
 
 // configText returns a configuration with an address of the discovery service.
 func configText(discovery string) []byte {
-	return []byte(`{"listen": "127.0.0.1:0", "discovery": "` + discovery + `", "settings": ` + settings + `}`)
+	return []byte(`{"listen": "127.0.0.1:0", "discovery": "` + discovery + `", "settings": ` + baseSettings + `}`)
 }
 
-// namedDiscovery serves an empty list and sends its name for each call that gets it. It returns its address.
-func namedDiscovery(t *testing.T, name string, calls chan<- string) string {
+// startNamedDiscovery serves an empty list and sends its name for each call that gets it. It returns its address.
+func startNamedDiscovery(t *testing.T, name string, calls chan<- string) string {
 	t.Helper()
-	return newServer(t, func(w http.ResponseWriter, r *http.Request) {
+	return startServer(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Has("after") {
 			<-r.Context().Done() // nothing new
 			return
@@ -73,7 +73,7 @@
 			t.Fatalf("%s is called, want %s", got, name)
 		}
 	}
-	first := namedDiscovery(t, "first", calls)
+	first := startNamedDiscovery(t, "first", calls)
 	file := balancertest.NewConfigFile(t, configText(first))
 	t.Setenv("BALANCER_CONFIG", file.Path)
 	t.Setenv("BALANCER_DISCOVERY", first)
@@ -81,7 +81,7 @@
 	go func() { exited <- run() }()
 	expectCall("first")
 	for _, name := range []string{"second", "third"} {
-		file.Replace(t, configText(namedDiscovery(t, name, calls)))
+		file.Replace(t, configText(startNamedDiscovery(t, name, calls)))
 		signalSelf(t, syscall.SIGHUP)
 		expectCall(name)
 	}
@@ -97,7 +97,7 @@
 			t.Errorf("logged %q", line)
 		}
 	}
-	file.Replace(t, configText(namedDiscovery(t, "fourth", calls)))
+	file.Replace(t, configText(startNamedDiscovery(t, "fourth", calls)))
 	signalSelf(t, syscall.SIGHUP)
 	expectCall("fourth")
 	signalSelf(t, syscall.SIGTERM)
@@ -115,8 +115,8 @@
 // captureLog returns the lines that are logged from now on, to the end of the test.
 func captureLog(t *testing.T) <-chan string {
 	t.Helper()
-	logged, before := make(chan string, 100), slog.Default()
+	logged, previous := make(chan string, 100), slog.Default()
 	slog.SetDefault(slog.New(slog.NewTextHandler(lineWriter(logged), nil)))
-	t.Cleanup(func() { slog.SetDefault(before) })
+	t.Cleanup(func() { slog.SetDefault(previous) })
 	return logged
 }
--- a/cmd/balancer/wall_clock_test.go
+++ b/cmd/balancer/wall_clock_test.go
@@ -14,29 +14,29 @@
 )
 
 const (
-	warmServers      = 7
-	slowStartShare   = 0.1
-	slowStartTime    = 9 * time.Second
-	firstMoments     = 800 * time.Millisecond // in which the requests to the new server are counted
-	warmUpClients    = 4
-	warmUpClientTime = 500 * time.Millisecond // of sending before the new server starts
-	warmUpTimeout    = 200 * time.Millisecond // of each request
+	warmServers             = 7
+	slowStartShare          = 0.1
+	slowStartTime           = 9 * time.Second
+	measurementTime         = 800 * time.Millisecond // in which the requests to the new server are counted
+	slowStartClients        = 4
+	loadTimeBeforeStart     = 500 * time.Millisecond // of sending before the new server starts
+	slowStartRequestTimeout = 200 * time.Millisecond // of each request
 )
 
 // A process starts on a machine whose wall clock is wrong, and a server starts later. The server gets at most
 // what slow start allows, whatever that clock shows.
-func TestNewServerWarmsUpWhateverTheWallClockShows(t *testing.T) {
+func TestSlowStartIsIndependentOfTheWallClock(t *testing.T) {
 	program := balancertest.BuildInstrumented(t)
 	for _, ahead := range []time.Duration{0, 5 * time.Second, 30 * time.Second, time.Hour, -30 * time.Second, -time.Hour} {
 		t.Run(fmt.Sprintf("ahead by %v", ahead), func(t *testing.T) {
 			t.Parallel()
-			testNewServerWarmsUp(t, program, ahead)
+			testSlowStart(t, program, ahead)
 		})
 	}
 }
 
-// testNewServerWarmsUp checks the share of a new server's requests in its first moments.
-func testNewServerWarmsUp(t *testing.T, program string, ahead time.Duration) {
+// testSlowStart checks the share of a new server's requests in its first moments.
+func testSlowStart(t *testing.T, program string, ahead time.Duration) {
 	t.Helper()
 	servers := newCountingServers(t, warmServers+1)
 	list := newWatchedList(servers.endpoints[:warmServers]...)
@@ -44,42 +44,42 @@
 	options := balancertest.Options{Environment: []string{balancertest.NewWallClock(t, ahead).Environment()}}
 	process := balancertest.StartWith(t, options, map[string]any{
 		"discovery": machine.Address,
-		"settings": moreSettings(fmt.Sprintf(`"RegistryMode": "pushed", "Contract": {"ColdFrom": %v, "ColdMs": %d}`,
+		"settings": settingsWith(fmt.Sprintf(`"RegistryMode": "pushed", "Contract": {"ColdFrom": %v, "ColdMs": %d}`,
 			slowStartShare, slowStartTime.Milliseconds())),
 	}, program)
 	addr := testkit.Wait(t, process.Addr, "the process to serve")
 	balancertest.AwaitReady(t, addr)
-	stopClients := startWarmUpClients(t, addr)
-	time.Sleep(warmUpClientTime)
+	stopClients := startSlowStartClients(t, addr)
+	time.Sleep(loadTimeBeforeStart)
 
 	newServer := servers.endpoints[warmServers]
 	newServer.StartedUnixMilli = float64(time.Now().UnixMilli())
 	before := servers.total()
 	list.set(endpointjson.List{Generation: 2, Endpoints: []endpointjson.Endpoint{newServer}})
-	time.Sleep(firstMoments)
-	got, all := servers.counts[warmServers].Load(), servers.total()-before
+	time.Sleep(measurementTime)
+	received, total := servers.counts[warmServers].Load(), servers.total()-before
 	stopClients()
 
-	share := float64(got) / float64(all)
-	capacityShare := slowStartShare + (1-slowStartShare)*firstMoments.Seconds()/slowStartTime.Seconds()
-	most := capacityShare / (warmServers + 1)
-	t.Logf("%d of %d requests, a share of %.4f, at most %.4f are allowed", got, all, share, most)
-	if share > most {
-		t.Errorf("the new server gets a share of %.4f in its first %v, want %.4f at most", share, firstMoments, most)
+	share := float64(received) / float64(total)
+	capacityShare := slowStartShare + (1-slowStartShare)*measurementTime.Seconds()/slowStartTime.Seconds()
+	maxShare := capacityShare / (warmServers + 1)
+	t.Logf("%d of %d requests, a share of %.4f, at most %.4f are allowed", received, total, share, maxShare)
+	if share > maxShare {
+		t.Errorf("the new server gets a share of %.4f in its first %v, want %.4f at most", share, measurementTime, maxShare)
 	}
 }
 
-// startWarmUpClients starts clients that send until the returned function is called, which waits for them.
-func startWarmUpClients(t *testing.T, addr string) func() {
+// startSlowStartClients starts clients that send until the returned function is called, which waits for them.
+func startSlowStartClients(t *testing.T, addr string) func() {
 	t.Helper()
 	var clients sync.WaitGroup
-	var ended atomic.Bool
-	for i := range warmUpClients {
-		client := loadClient{addr: addr, name: fmt.Sprintf("c%d", i), timeout: warmUpTimeout, keepAlive: true}
-		clients.Go(func() { client.sendUntil(t, &ended) })
+	var stopped atomic.Bool
+	for i := range slowStartClients {
+		client := loadClient{addr: addr, name: fmt.Sprintf("c%d", i), timeout: slowStartRequestTimeout, keepAlive: true}
+		clients.Go(func() { client.sendUntilStopped(t, &stopped) })
 	}
 	return func() {
-		ended.Store(true)
+		stopped.Store(true)
 		clients.Wait()
 	}
 }
@@ -90,9 +90,9 @@
 	endpoints []endpointjson.Endpoint
 }
 
-func newCountingServers(t *testing.T, number int) *countingServers {
+func newCountingServers(t *testing.T, count int) *countingServers {
 	t.Helper()
-	servers := &countingServers{counts: make([]atomic.Int64, number)}
+	servers := &countingServers{counts: make([]atomic.Int64, count)}
 	for i := range servers.counts {
 		backend := testkit.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
 			servers.counts[i].Add(1)
--- a/cmd/balancer/watched_list_test.go
+++ b/cmd/balancer/watched_list_test.go
@@ -13,16 +13,16 @@
 
 // watchedList is the endpoint list of a discovery service on a testkit.Machine.
 type watchedList struct {
-	mu      sync.Mutex
-	list    endpointjson.List
-	changed chan struct{} // closed at the next change
-	watched chan string   // for each call, the generation of the list that its caller has
+	mu              sync.Mutex
+	list            endpointjson.List
+	changed         chan struct{} // closed at the next change
+	callGenerations chan string   // for each call, the generation of the list that its caller has
 }
 
 func newWatchedList(endpoints ...endpointjson.Endpoint) *watchedList {
 	return &watchedList{
 		list:    endpointjson.List{Generation: 1, Reset: true, Endpoints: endpoints},
-		changed: make(chan struct{}), watched: make(chan string, 1000),
+		changed: make(chan struct{}), callGenerations: make(chan string, 1000),
 	}
 }
 
@@ -38,7 +38,7 @@
 // respond responds to a call with the list; a watch waits for one that is newer.
 func (w *watchedList) respond(r *http.Request) testkit.Response {
 	after := r.URL.Query().Get("after")
-	w.watched <- after
+	w.callGenerations <- after
 	w.mu.Lock()
 	changed, current := w.changed, after == strconv.FormatUint(w.list.Generation, 10)
 	w.mu.Unlock()
@@ -57,8 +57,8 @@
 // awaitWatch waits until a node has the list of a generation and watches for a newer one.
 func (w *watchedList) awaitWatch(t *testing.T, generation uint64) {
 	t.Helper()
-	wanted := strconv.FormatUint(generation, 10)
-	testkit.Until(t, "the watch after generation "+wanted, func() bool {
-		return testkit.Wait(t, w.watched, "a call") == wanted
+	want := strconv.FormatUint(generation, 10)
+	testkit.Until(t, "the watch after generation "+want, func() bool {
+		return testkit.Wait(t, w.callGenerations, "a call") == want
 	})
 }
--- a/docs/pages_test.go
+++ b/docs/pages_test.go
@@ -16,14 +16,14 @@
 	"testing"
 )
 
-const root = ".."
+const repositoryRoot = ".."
 
 // pages returns the path and the text of each page of the repository.
 func pages(t *testing.T) map[string]string {
 	t.Helper()
 	found := map[string]string{}
 	for _, pattern := range []string{"*.md", "docs/*.md", "docs/incidents/*.md"} {
-		paths, err := filepath.Glob(filepath.Join(root, pattern))
+		paths, err := filepath.Glob(filepath.Join(repositoryRoot, pattern))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -48,7 +48,7 @@
 func parseSources(t *testing.T) *sources {
 	t.Helper()
 	found := &sources{declared: map[string]bool{}, tests: map[string]bool{}}
-	err := filepath.WalkDir(root, func(path string, _ fs.DirEntry, err error) error {
+	err := filepath.WalkDir(repositoryRoot, func(path string, _ fs.DirEntry, err error) error {
 		if err != nil || !strings.HasSuffix(path, ".go") {
 			return err
 		}
@@ -162,7 +162,7 @@
 			expectFile(t, path, filepath.Join(filepath.Dir(path), match[1]))
 		}
 		for _, match := range quoted.FindAllStringSubmatch(text, -1) {
-			expectFile(t, path, filepath.Join(root, match[1]))
+			expectFile(t, path, filepath.Join(repositoryRoot, match[1]))
 		}
 	}
 }
@@ -184,20 +184,20 @@
 			t.Fatal(err)
 		}
 		for _, match := range quoted.FindAllStringSubmatch(string(text), -1) {
-			if name := lastTwo(match[1]); !code.declared[name] && !isFile(match[1]) {
+			if name := lastTwoParts(match[1]); !code.declared[name] && !isFileName(match[1]) {
 				t.Errorf("%s: nothing is named %s", page, match[1])
 			}
 		}
 	}
 }
 
-// lastTwo returns the last two parts of a dotted name.
-func lastTwo(name string) string {
+// lastTwoParts returns the last two parts of a dotted name.
+func lastTwoParts(name string) string {
 	parts := strings.Split(name, ".")
 	return strings.Join(parts[max(0, len(parts)-2):], ".")
 }
 
-func isFile(name string) bool {
+func isFileName(name string) bool {
 	extension := filepath.Ext(name)
 	return extension == ".md" || extension == ".go" || extension == ".toml" || extension == ".txt"
 }
