--- a/cmd/balancer/harness_test.go
+++ b/cmd/balancer/harness_test.go
@@ -14,39 +14,40 @@
 	"calicohinge/internal/testkit"
 )
 
-// processesFlag names the flag that says how many processes are started at once.
+// processesFlag is the flag with the number of processes that TestRestartedProcessesAreReadyInTime starts at once.
 const processesFlag = "processes"
 
 func TestMain(m *testing.M) {
 	flag.Int(processesFlag, 10, "how many processes TestRestartedProcessesAreReadyInTime starts at once")
-	flag.Int(soakRunsFlag, 4, "how many seeds TestSoak runs")
-	flag.Int(soakSeedFlag, 1, "the first seed that TestSoak runs")
-	flag.String(baselineFlag, "", "another version's binary, which the benchmarks measure as well")
+	flag.Int(soakRunsFlag, 4, "how many seeds TestSoak runs, each in a subtest")
+	flag.Int(soakSeedFlag, 1, "the first seed that TestSoak runs; the others follow it")
+	flag.String(baselineFlag, "", "path of another version's binary, which the benchmarks measure as well")
 	flag.Parse()
 	os.Exit(m.Run())
 }
 
-// flagValue returns the value of a flag of this package's tests.
+// flagValue returns the value of a flag that TestMain defines.
 func flagValue[T any](name string) T {
 	return flag.Lookup(name).Value.(flag.Getter).Get().(T)
 }
 
-// baseSettings has one class; a test adds keys ahead of it with moreSettings.
+// baseSettings are the settings of most tests: one class and one zone. settingsWith adds keys to them.
 const baseSettings = `{"Classes": [{"Name": "pay", "Effect": "side_effect", "DeadlineMs": 8000}], "Zones": ["a"]}`
 
-// settingsWith returns settings with further keys.
+// settingsWith returns baseSettings with further keys ahead of its own. They are JSON members without the braces.
 func settingsWith(keys string) json.RawMessage {
 	return json.RawMessage("{" + keys + ", " + strings.TrimPrefix(baseSettings, "{"))
 }
 
-// refusingAddr is an address at which no discovery service listens.
+// refusingAddr is an address at which nothing listens, so that connections to it are refused.
 const refusingAddr = "127.0.0.1:1"
 
-// discoveryModes returns the modes in which a node follows its discovery service.
+// discoveryModes returns the values of the setting RegistryMode: a node watches its discovery service ("pushed") or
+// polls it ("on_request").
 func discoveryModes() []string { return []string{"pushed", "on_request"} }
 
-// newConfigFile writes the configuration of a node that listens at an address and knows a server, without a
-// discovery service.
+// newConfigFile writes the configuration of a node that listens at an address. The node has no discovery service;
+// its cached endpoint list contains one server.
 func newConfigFile(tb testing.TB, listen, server string) balancertest.ConfigFile {
 	tb.Helper()
 	text, err := json.Marshal(map[string]any{
@@ -59,13 +60,14 @@
 	return balancertest.NewConfigFile(tb, text)
 }
 
-// startServer starts a server and returns its address.
+// startServer starts an HTTP server and returns its address. The server stops at the end of the test.
 func startServer(tb testing.TB, handle http.HandlerFunc) string {
 	tb.Helper()
 	return testkit.NewServer(tb, handle).Listener.Addr().String()
 }
 
-// snapshotOf makes a complete list of ready servers.
+// snapshotOf returns a snapshot of the endpoint list with a ready server at each address. An address may occur
+// several times; each entry has an instance ID of its own.
 func snapshotOf(generation uint64, addresses ...string) endpointjson.List {
 	list := endpointjson.List{Generation: generation, Reset: true}
 	for i, address := range addresses {
@@ -77,10 +79,10 @@
 	return list
 }
 
-// awaitExit waits until the program has exited, which has to be without an error.
+// awaitExit waits until run has returned, and fails the test if it returned an error.
 func awaitExit(t *testing.T, exited <-chan error) {
 	t.Helper()
-	if err := testkit.Wait(t, exited, "the exit of the program"); err != nil {
-		t.Errorf("exited with %v", err)
+	if err := testkit.Wait(t, exited, "run to return"); err != nil {
+		t.Errorf("run() = %v, want nil", err)
 	}
 }
