--- a/cmd/balancer/client_test.go
+++ b/cmd/balancer/client_test.go
@@ -15,17 +15,17 @@
 	"calicohinge/internal/testkit"
 )
 
-// classDeadline is the deadline of the class in settings.
+// classDeadline is the deadline of the class in baseSettings.
 const classDeadline = 8 * time.Second
 
-// writeRequest writes a request of the class in settings.
+// writeRequest writes a request of the class in baseSettings with the given X-Request-ID and X-Timeout-Ms.
 func writeRequest(w io.Writer, id string, timeout time.Duration) error {
 	_, err := fmt.Fprintf(w, "POST /pay HTTP/1.1\r\nHost: x\r\nX-Request-ID: %s\r\nX-Timeout-Ms: %d\r\n"+
 		"Content-Length: 0\r\n\r\n", id, timeout.Milliseconds())
 	return err
 }
 
-// post makes a request and returns the body of its response, or the error.
+// post sends a request on a new connection and returns the body of its response, or the text of the error.
 func post(addr string) string {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -39,9 +39,9 @@
 	return body
 }
 
-// postOn makes a request on a connection and returns the body of its response.
+// postOn sends a request on a connection and returns the body of its response.
 func postOn(conn net.Conn, id string) (string, error) {
-	const margin = 2 * time.Second // of the response after the deadline
+	const margin = 2 * time.Second // how long after the request's deadline the response may arrive
 	if err := conn.SetDeadline(time.Now().Add(classDeadline + margin)); err != nil {
 		return "", err
 	}
@@ -57,61 +57,62 @@
 }
 
 const (
-	// unusedConnsClosedFrom is the time after SIGTERM from which on a process closes connections on which no
-	// request was sent: the end of its grace period.
+	// unusedConnsClosedFrom is how long after SIGTERM a process starts to close connections that have not carried
+	// a request. It is the end of the grace period.
 	unusedConnsClosedFrom = shutdownClassDeadline + 450*time.Millisecond
-	// newConnGrace is the shortest time for which the process then leaves a new connection open.
+	// newConnGrace is how long a process keeps a new connection open at least, even after the grace period.
 	newConnGrace = 50 * time.Millisecond
 )
 
-// loadClient sends requests one after another. A request whose connection was established has to get a
-// complete response, unless it crossed the close of its connection. It can do so in two cases, and gets no
-// byte of a response then:
-//   - the connection had carried a request before;
-//   - the process closes unused connections by then, and the connection had been unused for more than
-//     newConnGrace, as the client itself was paused.
+// loadClient sends requests one after another. Once its connection is established, a request must get a complete
+// response. The exception is a request that is sent while the process closes the connection. It may get no response
+// at all, but never a part of one, in two cases:
+//   - The connection has carried an earlier request, so that the process may close it as idle.
+//   - The process is closing unused connections, and the client was paused, so that it sent its first request
+//     more than newConnGrace after it connected.
 type loadClient struct {
 	addr      string
 	name      string
-	timeout   time.Duration // of each request
-	keepAlive bool          // the client reuses its connection for as long as it stays open
+	timeout   time.Duration // X-Timeout-Ms of each request
+	keepAlive bool          // reuse the connection for as long as it stays open
 
-	conn        net.Conn
+	conn        net.Conn // nil: the next request needs a new connection
 	reader      *bufio.Reader
-	sent        int
-	connectedAt time.Time     // when the connection was established
-	unusedFor   time.Duration // from connected until the last request on the connection was written
+	sent        int           // number of requests sent
+	connectedAt time.Time     // when conn was established
+	unusedFor   time.Duration // from connectedAt until the latest request was written
 }
 
-// loadResult is how the requests of clients ended.
+// loadResult counts the requests of clients by how they ended.
 type loadResult struct {
 	responses int
 	lost      []*lostRequestError
-	// resetInQueue counts the requests whose connections were established between the process's last accept
-	// and its close of the listener. They got a reset, and their clients were refused next.
+	// resetInQueue counts the connections that were established after the process's last accept and before it
+	// closed the listener. The system resets them, and the next connection of each of these clients is refused.
 	resetInQueue int
-	// unusedConnsClosed counts the first requests on a connection that crossed its close.
+	// unusedConnsClosed counts the connections that the process closed while the client sent the first request.
 	unusedConnsClosed int
 }
 
-// lostRequestError is a request without a complete response.
+// lostRequestError is the error of a request that got no complete response although it had to get one.
 type lostRequestError struct {
 	client          string
-	number          int           // among the client's requests
-	sentAfterSignal time.Duration // after SIGTERM
-	connReused      bool          // its connection carried a request before
-	responseBegan   bool          // a part of a response came
+	number          int           // 1 is the client's first request
+	sentAfterSignal time.Duration // from SIGTERM until it was sent; negative: sent before SIGTERM
+	connReused      bool          // the connection had carried an earlier request
+	responseBegan   bool          // at least one byte of the response arrived
 	err             error
 }
 
 func (e *lostRequestError) Error() string {
-	return fmt.Sprintf("%s, request %d, sent %v after SIGTERM, reused %v: %v",
-		e.client, e.number, e.sentAfterSignal.Round(time.Millisecond), e.connReused, e.err)
+	return fmt.Sprintf("request %d of client %s, sent %v after SIGTERM, on a reused connection %v: %v, want a response",
+		e.number, e.client, e.sentAfterSignal.Round(time.Millisecond), e.connReused, e.err)
 }
 
 func (e *lostRequestError) Unwrap() error { return e.err }
 
-// sendUntilRefused sends requests until the process accepts no more connections.
+// sendUntilRefused sends requests until the process refuses connections. sinceSignal returns the time since SIGTERM,
+// negative before.
 func (c *loadClient) sendUntilRefused(sinceSignal func() time.Duration) loadResult {
 	var result loadResult
 	for {
@@ -130,7 +131,7 @@
 		idleConnClosed := connReused && !responseBegan
 		unusedConnClosed := !responseBegan && c.unusedFor > newConnGrace && sinceSignal() >= unusedConnsClosedFrom
 		switch {
-		case idleConnClosed: // the next request uses a new connection
+		case idleConnClosed: // not counted; the next request uses a new connection
 		case unusedConnClosed:
 			result.unusedConnsClosed++
 		default:
@@ -142,23 +143,22 @@
 	}
 }
 
-// sendUntilStopped sends requests until ended is set. Each has to get a response.
+// sendUntilStopped sends requests until stopped is set. It fails the test for each one without a response.
 func (c *loadClient) sendUntilStopped(t *testing.T, stopped *atomic.Bool) {
 	t.Helper()
 	for !stopped.Load() {
 		if err := c.connect(); err != nil {
-			t.Error(err)
+			t.Errorf("client %s cannot connect: %v", c.name, err)
 			return
 		}
 		c.sent++
 		if _, err := c.exchange(); err != nil {
-			t.Error(err)
+			t.Errorf("request %d of client %s: %v, want a response", c.sent, c.name, err)
 		}
 	}
 }
 
-// connect opens a connection unless the client has one. An error means that the process does not listen
-// any more.
+// connect opens a connection unless the client has one. It returns an error if the process no longer listens.
 func (c *loadClient) connect() error {
 	if c.conn != nil {
 		return nil
@@ -171,37 +171,37 @@
 	return c.conn.SetDeadline(time.Now().Add(testkit.WaitTimeout))
 }
 
-// exchange sends a request and reads its response. It returns whether a byte of the response came. It closes
-// the connection unless that is kept for another request.
+// exchange sends a request and reads its response. It reports whether a byte of the response arrived. Unless the
+// connection can be reused, it is closed.
 func (c *loadClient) exchange() (bool, error) {
 	keep := false
 	defer func() {
 		if !keep {
-			_ = c.conn.Close() // nothing more is read from it
+			_ = c.conn.Close() // no more data is expected
 			c.conn = nil
 		}
 	}()
 	err := writeRequest(c.conn, fmt.Sprintf("%s-%d", c.name, c.sent), c.timeout)
 	c.unusedFor = time.Since(c.connectedAt)
 	if err != nil {
-		return false, fmt.Errorf("write: %w", err)
+		return false, fmt.Errorf("write the request: %w", err)
 	}
 	if _, err := c.reader.Peek(1); err != nil {
-		return false, fmt.Errorf("no response: %w", err)
+		return false, fmt.Errorf("wait for a response: %w", err)
 	}
 	response, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
-		return true, fmt.Errorf("response: %w", err)
+		return true, fmt.Errorf("read the response: %w", err)
 	}
 	if _, err = io.Copy(io.Discard, response.Body); err != nil {
-		return true, fmt.Errorf("response body: %w", err)
+		return true, fmt.Errorf("read the response body: %w", err)
 	}
 	keep = c.keepAlive && !response.Close
 	return true, nil
 }
 
-// classifyLastReset moves the last lost request to resetInQueue if its connection was reset in the accept queue.
-// The client was refused next.
+// classifyLastReset counts the client's last lost request as resetInQueue if its connection was reset in the accept
+// queue. It is called once the client's next connection has been refused.
 func (r *loadResult) classifyLastReset() {
 	if len(r.lost) == 0 {
 		return
@@ -213,7 +213,7 @@
 	}
 }
 
-// add adds the result of another client.
+// add adds another client's result.
 func (r *loadResult) add(other loadResult) {
 	r.responses += other.responses
 	r.lost = append(r.lost, other.lost...)
