--- a/cmd/balancer/signals_test.go
+++ b/cmd/balancer/signals_test.go
@@ -13,7 +13,7 @@
 	"calicohinge/internal/testkit"
 )
 
-// signalSelf sends this process a signal, as the program runs inside of it.
+// signalSelf sends a signal to the test process, in which run is called.
 func signalSelf(t *testing.T, signal syscall.Signal) {
 	t.Helper()
 	if err := syscall.Kill(os.Getpid(), signal); err != nil {
@@ -21,7 +21,7 @@
 	}
 }
 
-// After SIGTERM the program completes the requests that it has and exits without an error.
+// A request is at a server when SIGTERM arrives. It must still get its response, and run must return without an error.
 func TestActiveRequestsGetAResponseAfterSIGTERM(t *testing.T) {
 	respond := make(chan struct{})
 	server := testkit.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
@@ -35,42 +35,44 @@
 	balancertest.AwaitReady(t, addr)
 	responses := make(chan string, 1)
 	go func() { responses <- post(addr) }()
-	testkit.Wait(t, server.Requests, "the request")
+	testkit.Wait(t, server.Requests, "the request at the server")
 	signalSelf(t, syscall.SIGTERM)
 	close(respond)
-	if body := testkit.Wait(t, responses, "a response"); body != "done" {
-		t.Errorf("response %q", body)
+	if body := testkit.Wait(t, responses, "the response"); body != "done" {
+		t.Errorf("response to the request that was active at SIGTERM is %q, want %q", body, "done")
 	}
 	awaitExit(t, exited)
 }
 
-// configText returns a configuration with an address of the discovery service.
+// configText returns a configuration with the given address of the discovery service.
 func configText(discovery string) []byte {
 	return []byte(`{"listen": "127.0.0.1:0", "discovery": "` + discovery + `", "settings": ` + baseSettings + `}`)
 }
 
-// startNamedDiscovery serves an empty list and sends its name for each call that gets it. It returns its address.
+// startNamedDiscovery starts a discovery service with an empty endpoint list and returns its address. For each call
+// that gets the list, the service sends its name to the channel.
 func startNamedDiscovery(t *testing.T, name string, calls chan<- string) string {
 	t.Helper()
 	return startServer(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Has("after") {
-			<-r.Context().Done() // nothing new
+			<-r.Context().Done() // a watch: the list never changes
 			return
 		}
 		calls <- name
-		_, _ = io.WriteString(w, `{"generation": 1, "reset": true, "instances": []}`) // the node may have abandoned the call
+		// The error is ignored: the node may have abandoned the call.
+		_, _ = io.WriteString(w, `{"generation": 1, "reset": true, "instances": []}`)
 	})
 }
 
-// SIGHUP changes the address of the discovery service to the one in the file, each time. A file
-// that cannot be used changes nothing. The file takes precedence over the environment, which
-// cannot change while the program runs.
+// Each SIGHUP must make the node use the discovery address in the configuration file. If the file is invalid, the
+// node must log it and keep the old address. On SIGHUP the file takes precedence over BALANCER_DISCOVERY, since the
+// environment cannot change while the program runs.
 func TestSIGHUPChangesDiscoveryAddressAndSurvivesBadFiles(t *testing.T) {
 	calls := make(chan string, 1000)
 	expectCall := func(name string) {
 		t.Helper()
 		if got := testkit.Wait(t, calls, "a call to "+name); got != name {
-			t.Fatalf("%s is called, want %s", got, name)
+			t.Fatalf("the node called the discovery service %q, want %q", got, name)
 		}
 	}
 	first := startNamedDiscovery(t, "first", calls)
@@ -90,11 +92,11 @@
 		file.Replace(t, text)
 		signalSelf(t, syscall.SIGHUP)
 		line := testkit.Wait(t, logged, "a log line")
-		for strings.Contains(line, "endpoint list updated") { // that of the third address
+		for strings.Contains(line, "endpoint list updated") { // logged for the list of the third discovery service
 			line = testkit.Wait(t, logged, "a log line")
 		}
 		if !strings.Contains(line, "keeping the old one") {
-			t.Errorf("logged %q", line)
+			t.Errorf("SIGHUP with the configuration %q logged %q, want %q in it", text, line, "keeping the old one")
 		}
 	}
 	file.Replace(t, configText(startNamedDiscovery(t, "fourth", calls)))
@@ -104,7 +106,7 @@
 	awaitExit(t, exited)
 }
 
-// lineWriter sends each line that is written to a channel.
+// lineWriter is an io.Writer that sends each log line to a channel.
 type lineWriter chan<- string
 
 func (w lineWriter) Write(line []byte) (int, error) {
@@ -112,7 +114,7 @@
 	return len(line), nil
 }
 
-// captureLog returns the lines that are logged from now on, to the end of the test.
+// captureLog redirects the default logger until the end of the test and returns the lines that are logged.
 func captureLog(t *testing.T) <-chan string {
 	t.Helper()
 	logged, previous := make(chan string, 100), slog.Default()
