--- a/cmd/balancer/logging_test.go
+++ b/cmd/balancer/logging_test.go
@@ -10,7 +10,8 @@
 	"calicohinge/internal/testkit"
 )
 
-// The reader of the log has exited, or reads no more. The process serves requests and exits without an error.
+// The log is a pipe whose reader has exited (writes fail) or has stopped reading (writes block). The process must
+// still serve requests, and exit without an error after SIGTERM.
 func TestNodeServesWhenItsLogPipeIsClosedOrFull(t *testing.T) {
 	program := balancertest.Build(t)
 	for name, breakPipe := range map[string]func(t *testing.T, reader, writer *os.File){
@@ -23,14 +24,14 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer func() { _ = reader.Close() }() // unless the case has closed it
+			defer func() { _ = reader.Close() }() // fails if breakPipe has closed it
 			breakPipe(t, reader, writer)
 			testServingWithLogPipe(t, program, writer)
 		})
 	}
 }
 
-// testServingWithLogPipe starts a process that logs to a pipe, makes a request and shuts the process down.
+// testServingWithLogPipe starts a process that logs to a pipe, sends it a request and shuts it down.
 func testServingWithLogPipe(t *testing.T, program string, log *os.File) {
 	t.Helper()
 	server := testkit.NewBackend(t, testkit.OK)
@@ -44,11 +45,11 @@
 	closeFile(t, log)
 	balancertest.AwaitReady(t, addr)
 	if body := post(addr); body != "done" {
-		t.Errorf("response %q", body)
+		t.Errorf("response with a broken log pipe is %q, want %q", body, "done")
 	}
 	balancertest.Signal(t, command.Process.Pid, syscall.SIGTERM)
 	if err := command.Wait(); err != nil {
-		t.Errorf("exited with %v", err)
+		t.Errorf("the process exited after SIGTERM with %v, want status 0", err)
 	}
 }
 
@@ -59,7 +60,8 @@
 	}
 }
 
-// fillPipe writes to a pipe until it holds no more. The descriptor is left in blocking mode.
+// fillPipe writes to a pipe until it is full. Afterwards the descriptor is in blocking mode, so that further writes
+// to the pipe block.
 func fillPipe(t *testing.T, writer *os.File) {
 	t.Helper()
 	fd := int(writer.Fd())
