--- a/cmd/balancer/discovery_stub_test.go
+++ b/cmd/balancer/discovery_stub_test.go
@@ -13,48 +13,49 @@
 	"calicohinge/internal/testkit"
 )
 
-// maxQueuedCalls is how many calls may wait at an overloaded discovery service.
+// maxQueuedCalls is how many calls may wait at a discoveryStub. No test reaches it.
 const maxQueuedCalls = 1 << 16
 
-// outage says how a discovery service cannot be used until the outage has ended.
+// outage is a period during which a discovery service is unavailable.
 type outage struct {
 	kind  outageKind
-	ended <-chan struct{} // closed at the end
+	ended <-chan struct{} // closed when the outage ends
 }
 
-// outageKind is what a client of the service sees of an outage.
+// outageKind is how a discovery service fails calls during an outage.
 type outageKind int
 
 const (
-	outageUnavailable outageKind = iota // status 503
-	outageRefused                       // refused connections
+	outageUnavailable outageKind = iota // calls get status 503
+	outageRefused                       // connections are refused
 )
 
-// newOutage begins an outage and returns a function that ends it, which may be called again.
+// newOutage returns an outage and a function that ends it. The function may be called several times.
 func newOutage(kind outageKind) (outage, func()) {
 	ended := make(chan struct{})
 	return outage{kind, ended}, sync.OnceFunc(func() { close(ended) })
 }
 
-// noOutage is an outage that has ended.
+// noOutage returns an outage that has ended.
 func noOutage() outage {
 	outage, end := newOutage(outageUnavailable)
 	end()
 	return outage
 }
 
-// discoveryStub is a discovery service that serves a list after its outage. It handles calls for the
-// complete list one after the other. Each takes timePerCall, even if its client has abandoned it.
+// discoveryStub is a discovery service whose endpoint list never changes and which may be overloaded. After its outage
+// it handles the calls for the snapshot one at a time. Each call takes timePerCall, even if its client has abandoned
+// it.
 type discoveryStub struct {
 	t           *testing.T
 	list        endpointjson.List
 	outage      outage
 	timePerCall time.Duration
-	queue       chan chan struct{} // one channel for each call, closed when its turn is over
-	watches     chan string        // the addresses at which a node with the list watches for changes
+	queue       chan chan struct{} // has a channel for each waiting call, which is closed when the call is handled
+	watches     chan string        // receives the stub's address for each watch from a node that has the list
 }
 
-// newDiscoveryStub returns a service that has no address yet.
+// newDiscoveryStub returns a discovery service that has no address yet. It handles calls until the end of the test.
 func newDiscoveryStub(t *testing.T, list endpointjson.List, outage outage, timePerCall time.Duration) *discoveryStub {
 	t.Helper()
 	stub := &discoveryStub{
@@ -65,7 +66,7 @@
 	return stub
 }
 
-// startDiscoveryStub starts a service and returns its address.
+// startDiscoveryStub starts a discovery service at one address and returns that address.
 func startDiscoveryStub(t *testing.T, list endpointjson.List, outage outage, timePerCall time.Duration) string {
 	t.Helper()
 	stub := newDiscoveryStub(t, list, outage, timePerCall)
@@ -78,7 +79,7 @@
 	return reserved.Address
 }
 
-// addAddress makes the service available at a further address and returns that.
+// addAddress makes the service available at an additional address, which it returns.
 func (d *discoveryStub) addAddress() string {
 	d.t.Helper()
 	reserved := testkit.ReserveAddr(d.t)
@@ -86,7 +87,7 @@
 	return reserved.Address
 }
 
-// serve accepts calls at an address until the end of the test.
+// serve accepts calls at a reserved address until the end of the test.
 func (d *discoveryStub) serve(reserved *testkit.ReservedAddr) {
 	listener, err := reserved.Listen()
 	if err != nil {
@@ -98,7 +99,7 @@
 	go func() { _ = server.Serve(listener) }()                      // ends with the server's Close
 }
 
-// serveAfterOutage serves once the outage is over.
+// serveAfterOutage accepts calls once the outage has ended. Until then the reserved address refuses connections.
 func (d *discoveryStub) serveAfterOutage(reserved *testkit.ReservedAddr) {
 	select {
 	case <-d.outage.ended:
@@ -107,12 +108,12 @@
 	}
 }
 
-// handleQueue handles the calls for the complete list in turn.
+// handleQueue handles the calls for the snapshot one at a time.
 func (d *discoveryStub) handleQueue() {
 	for {
 		select {
 		case done := <-d.queue:
-			time.Sleep(d.timePerCall) // what is under test
+			time.Sleep(d.timePerCall) // simulates the overload under test
 			close(done)
 		case <-d.t.Context().Done():
 			return
@@ -120,7 +121,8 @@
 	}
 }
 
-// ServeHTTP implements http.Handler.
+// ServeHTTP implements http.Handler. A call that names the list's generation is a watch; any other call gets the
+// snapshot once its turn in the queue has come.
 func (d *discoveryStub) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	select {
 	case <-d.outage.ended:
@@ -142,15 +144,15 @@
 	}
 }
 
-// holdWatch holds a watch for as long as it requests and reports no change.
+// holdWatch keeps a watch open for the time that it requests, and then responds that nothing has changed.
 func (d *discoveryStub) holdWatch(w http.ResponseWriter, r *http.Request) {
 	wait, err := time.ParseDuration(r.URL.Query().Get("wait_ms") + "ms")
 	if err != nil {
-		d.t.Error(err)
+		d.t.Errorf("watch with the query %q: %v", r.URL.RawQuery, err)
 	}
 	select {
 	case <-time.After(wait):
 	case <-r.Context().Done():
 	}
-	_, _ = fmt.Fprintf(w, `{"generation": %d, "instances": []}`, d.list.Generation) // the node may have exited
+	_, _ = fmt.Fprintf(w, `{"generation": %d, "instances": []}`, d.list.Generation) // the node may have disconnected
 }
