--- a/cmd/balancer/configuration_test.go
+++ b/cmd/balancer/configuration_test.go
@@ -11,15 +11,15 @@
 // For each invalid configuration run must return an error that fits in one log line.
 func TestBadConfigurationIsReportedInOneLine(t *testing.T) {
 	for name, text := range map[string]string{
-		"empty file":          ``,
-		"not an object":       `[1]`,
-		"truncated file":      `{"listen": "127.0.0.1:0"`,
-		"no settings":         `{"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1"}`,
-		"no class":            `{"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": {}}`,
-		"no addresses":        `{"settings": ` + baseSettings + `}`,
-		"malformed listen":    `{"listen": "nowhere", "discovery": "127.0.0.1:1", "settings": ` + baseSettings + `}`,
-		"malformed discovery": `{"listen": "127.0.0.1:0", "discovery": "nowhere", "settings": ` + baseSettings + `}`,
-		"port out of range":   `{"listen": "127.0.0.1:0", "discovery": "127.0.0.1:700000", "settings": ` + baseSettings + `}`,
+		"empty file":               ``,
+		"not an object":            `[1]`,
+		"truncated file":           `{"listen": "127.0.0.1:0"`,
+		"no settings":              `{"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1"}`,
+		"no class":                 `{"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": {}}`,
+		"no addresses":             `{"settings": ` + baseSettings + `}`,
+		"malformed listen address": `{"listen": "nowhere", "discovery": "127.0.0.1:1", "settings": ` + baseSettings + `}`,
+		"malformed discovery":      `{"listen": "127.0.0.1:0", "discovery": "nowhere", "settings": ` + baseSettings + `}`,
+		"port out of range":        `{"listen": "127.0.0.1:0", "discovery": "127.0.0.1:700000", "settings": ` + baseSettings + `}`,
 		"class without a name": `{"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", ` +
 			`"settings": {"Classes": [{"DeadlineMs": 8000}]}}`,
 		"duplicate class name": `{"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", ` +
--- a/cmd/balancer/discovery_stub_test.go
+++ b/cmd/balancer/discovery_stub_test.go
@@ -13,7 +13,7 @@
 	"calicohinge/internal/testkit"
 )
 
-// maxQueuedCalls is how many calls may wait at a discoveryStub. No test reaches it.
+// maxQueuedCalls is how many calls may wait at a discoveryStub, and how many watches it can report unread.
 const maxQueuedCalls = 1 << 16
 
 // outage is a period during which a discovery service is unavailable.
