--- a/cmd/balancer/address_change_test.go
+++ b/cmd/balancer/address_change_test.go
@@ -11,11 +11,12 @@
 	"calicohinge/internal/testkit"
 )
 
-// hangupInterval separates the SIGHUPs of a series.
+// hangupInterval is the time between two SIGHUPs.
 const hangupInterval = 300 * time.Millisecond
 
-// A node gets a new address of the discovery service, or several in a row. The service takes long for each
-// call, even for an abandoned one. The node has the list within the address change deadline.
+// SIGHUP gives a node a new address of the discovery service, once or several times in a row. The service handles one
+// call at a time and takes long for each, so that calls which the node abandons delay the next ones. The node must
+// still have the list from the last address within testkit.AddressChangeDeadline of the first SIGHUP.
 func TestNewDiscoveryAddressIsFollowedInTimeDespiteSlowCalls(t *testing.T) {
 	program := balancertest.Build(t)
 	for _, mode := range discoveryModes() {
@@ -23,7 +24,7 @@
 			{program, mode, 1, 2500 * time.Millisecond},
 			{program, mode, 4, 800 * time.Millisecond},
 		} {
-			name := fmt.Sprintf("%s, %d SIGHUP, %v for a call", mode, c.hangups, c.timePerCall)
+			name := fmt.Sprintf("%s, %d SIGHUP, %v per call", mode, c.hangups, c.timePerCall)
 			t.Run(name, func(t *testing.T) {
 				t.Parallel()
 				c.run(t)
@@ -32,15 +33,16 @@
 	}
 }
 
-// addressChangeCase is a series of changes of the discovery service's address.
+// addressChangeCase is a series of SIGHUPs, each of which gives a node a new address of its discovery service.
 type addressChangeCase struct {
 	program     string
 	mode        string
 	hangups     int
-	timePerCall time.Duration // at the new addresses
+	timePerCall time.Duration // of the discovery service at the new addresses
 }
 
-// run changes the address and measures how soon the node has the list from the last one.
+// run sends the SIGHUPs and measures the time until the node watches for changes at the last address, which shows that
+// it has the list.
 func (c addressChangeCase) run(t *testing.T) {
 	t.Helper()
 	service := newDiscoveryStub(t, snapshotOf(2, refusingAddr), noOutage(), c.timePerCall)
@@ -55,7 +57,7 @@
 	firstHangup := time.Now()
 	var address string
 	for hangup := range time.Duration(c.hangups) {
-		time.Sleep(time.Until(firstHangup.Add(hangup * hangupInterval))) // what is under test
+		time.Sleep(time.Until(firstHangup.Add(hangup * hangupInterval))) // part of the scenario under test
 		address = service.addAddress()
 		config["discovery"] = address
 		text, err := json.Marshal(config)
@@ -66,12 +68,13 @@
 		balancertest.Signal(t, process.PID, syscall.SIGHUP)
 	}
 
-	testkit.Until(t, "a watch at the last address", func() bool {
-		return testkit.Wait(t, service.watches, "a watch") == address
+	testkit.Until(t, "a watch at the last discovery address", func() bool {
+		return testkit.Wait(t, service.watches, "a watch at a new discovery address") == address
 	})
 	took := time.Since(firstHangup)
-	t.Logf("the list came %v after the first SIGHUP", took.Round(time.Millisecond))
+	t.Logf("the node had the list %v after the first SIGHUP", took.Round(time.Millisecond))
 	if took > testkit.AddressChangeDeadline {
-		t.Errorf("the list came %v after the first SIGHUP, want %v at most", took, testkit.AddressChangeDeadline)
+		t.Errorf("the node had the list from the last of %d new discovery addresses %v after the first SIGHUP, "+
+			"want %v at most", c.hangups, took, testkit.AddressChangeDeadline)
 	}
 }
