--- a/cmd/balancer/idle_clients_test.go
+++ b/cmd/balancer/idle_clients_test.go
@@ -16,39 +16,38 @@
 	"calicohinge/policy"
 )
 
-// nodeProcess is a process with few descriptors, and the connections of its clients.
+// nodeProcess is a node that runs as a process, seen by its clients. It tracks how many descriptors the process opens.
 type nodeProcess struct {
 	t               *testing.T
 	pid             int
 	addr            string
-	descriptorLimit int // descriptors that the system grants
-	peakDescriptors int // highest number of open descriptors
-	requests        int // made so far
+	descriptorLimit int // the process's RLIMIT_NOFILE, if the test counts descriptors
+	peakDescriptors int // highest number of open descriptors seen so far
+	requests        int // number of requests sent
 }
 
-// dial opens a client connection that lasts to the end of the test.
+// dial opens a client connection, which stays open until the end of the test unless the caller closes it.
 func (n *nodeProcess) dial() net.Conn {
 	n.t.Helper()
 	conn, err := net.Dial("tcp", n.addr)
 	if err != nil {
 		n.t.Fatal(err)
 	}
-	n.t.Cleanup(func() { _ = conn.Close() }) // nobody uses it any more
+	n.t.Cleanup(func() { _ = conn.Close() }) // fails if the caller has closed it
 	return conn
 }
 
-// request makes a request on a connection and returns the body of its response.
+// request sends a request on a connection and returns the body of its response.
 func (n *nodeProcess) request(conn net.Conn) (string, error) {
 	n.requests++
 	return postOn(conn, fmt.Sprintf("a%d", n.requests))
 }
 
-// requestOnce makes a request on a connection of its own and returns the body of its response, or the
-// error.
+// requestOnce sends a request on a new connection and returns the body of its response, or the text of the error.
 func (n *nodeProcess) requestOnce() string {
 	n.t.Helper()
 	conn := n.dial()
-	defer func() { _ = conn.Close() }() // its response has been read
+	defer func() { _ = conn.Close() }() // the response has been read
 	body, err := n.request(conn)
 	n.countDescriptors()
 	if err != nil {
@@ -57,7 +56,7 @@
 	return body
 }
 
-// countDescriptors counts the open descriptors and updates the peak.
+// countDescriptors updates peakDescriptors with the number of descriptors that the process has open now.
 func (n *nodeProcess) countDescriptors() {
 	n.t.Helper()
 	open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", n.pid))
@@ -67,46 +66,47 @@
 	n.peakDescriptors = max(n.peakDescriptors, len(slices.DeleteFunc(open, n.isInherited)))
 }
 
-// isInherited reports whether the process has a descriptor from the one that runs the tests.
+// isInherited reports whether the process has inherited a descriptor from the test process. The process itself opens
+// none from descriptorLimit on.
 func (n *nodeProcess) isInherited(entry os.DirEntry) bool {
 	fd, err := strconv.Atoi(entry.Name())
 	return err != nil || fd >= n.descriptorLimit
 }
 
-// openIdleConnections opens connections that stay idle; every other one makes a request first, which may
-// fail.
+// openIdleConnections opens connections that stay idle. Every second one first carries a request, which may fail.
 func (n *nodeProcess) openIdleConnections(connections int) {
 	n.t.Helper()
 	for i := range connections {
 		conn := n.dial()
 		if i%2 == 0 {
-			_, _ = n.request(conn) // the connection stays open even if the request fails
+			_, _ = n.request(conn) // during the outage a request may fail; the connection stays open
 		}
 		n.countDescriptors()
 	}
 }
 
-// awaitNewList makes requests until the node uses the list that discovery serves after its outage. That has
-// to be within the notification deadline. Some further requests have to be served by that list too.
+// awaitNewList sends requests until a server of the list that discovery serves after its outage responds. This must
+// happen within the notification deadline. After that, only servers of this list may respond.
 func (n *nodeProcess) awaitNewList() {
 	n.t.Helper()
 	const furtherRequests = 20
 	outageEnded := time.Now()
 	for body := n.requestOnce(); body != "new"; body = n.requestOnce() {
 		if time.Since(outageEnded) > policy.NotificationDeadline {
-			n.t.Fatalf("discovery is not followed: %q", body)
+			n.t.Fatalf("response %v after the outage is %q, want %q from a server of the new list",
+				time.Since(outageEnded), body, "new")
 		}
 	}
 	for range furtherRequests {
 		if body := n.requestOnce(); body != "new" {
-			n.t.Fatalf("response %q", body)
+			n.t.Fatalf("response with the new list in use is %q, want %q", body, "new")
 		}
 	}
 }
 
-// During an outage of discovery idle clients open more connections than a process may have. The process keeps
-// descriptors free, within its configuration and the system's limit. After the outage it follows discovery
-// and serves requests.
+// During an outage of discovery, idle clients open more connections than the process may have. The process must keep
+// descriptors free within both the configured limit and that of the system. Without a free descriptor it could call
+// neither discovery nor its servers; after the outage it must use the new list and serve requests.
 func TestIdleClientsDoNotExhaustDescriptors(t *testing.T) {
 	program := balancertest.Build(t)
 	for _, c := range []struct {
@@ -114,10 +114,10 @@
 		sockets, descriptorLimit int
 		outage                   outageKind
 	}{
-		{"the smallest limits, 503", 64, 64, outageUnavailable},
-		{"the smallest limits, refused", 64, 64, outageRefused},
-		{"256, refused", 256, 256, outageRefused},
-		{"fewer granted than configured", 256, 64, outageRefused},
+		{"smallest limits, discovery unavailable", 64, 64, outageUnavailable},
+		{"smallest limits, discovery refuses", 64, 64, outageRefused},
+		{"larger limits, discovery refuses", 256, 256, outageRefused},
+		{"system limit below the configured one, discovery refuses", 256, 64, outageRefused},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -126,22 +126,24 @@
 			node.openIdleConnections(2 * c.sockets)
 			endOutage()
 			node.awaitNewList()
-			t.Logf("%d descriptors at the peak", node.peakDescriptors)
+			t.Logf("at most %d descriptors were open", node.peakDescriptors)
 			if node.peakDescriptors >= c.descriptorLimit {
-				t.Errorf("%d descriptors at the peak: none is left", node.peakDescriptors)
+				t.Errorf("%d descriptors were open at the peak, want fewer than the limit of %d",
+					node.peakDescriptors, c.descriptorLimit)
 			}
 		})
 	}
 }
 
-// startLimitedNode starts a process that knows old servers; discovery lists new ones after its outage.
-// There are more servers than the process has connections for.
+// startLimitedNode starts a process with a configured limit of sockets and a system limit of descriptors. Its cached
+// endpoint list has only the server "old"; after its outage, discovery serves a list with only the server "new". Each
+// list has 40 entries, more than the connections to servers that a process with the smallest limits may open.
 func startLimitedNode(t *testing.T, program string, outage outage, sockets, descriptorLimit int) *nodeProcess {
 	t.Helper()
 	const servers = 40
 	startNamedServers := func(name string) []string {
 		addr := startServer(t, func(w http.ResponseWriter, _ *http.Request) {
-			_, _ = io.WriteString(w, name) // the node may have given up
+			_, _ = io.WriteString(w, name) // the node may have disconnected
 		})
 		return slices.Repeat([]string{addr}, servers)
 	}
