--- a/cmd/balancer/descriptor_shortage_test.go
+++ b/cmd/balancer/descriptor_shortage_test.go
@@ -13,14 +13,16 @@
 )
 
 const (
-	// shortageDuration is how long a process gets no descriptor. It is shorter than the requests' deadline.
+	// shortageDuration is how long a process cannot open descriptors. It is shorter than classDeadline, so that the
+	// requests can be served afterwards.
 	shortageDuration = 300 * time.Millisecond
-	// exhaustedDescriptorLimit is fewer than any process has open.
+	// exhaustedDescriptorLimit is a limit below the number of descriptors that any process has open, so that it can
+	// open no more.
 	exhaustedDescriptorLimit = 3
 )
 
-// setDescriptorLimit sets how many descriptors a process may open and returns the previous limit. The error
-// is ESRCH if the process has exited.
+// setDescriptorLimit sets the soft limit of descriptors (RLIMIT_NOFILE) of a process and returns the previous one. The
+// error is ESRCH if the process has exited.
 func setDescriptorLimit(pid int, descriptors uint64) (uint64, error) {
 	var limit unix.Rlimit
 	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, nil, &limit); err != nil {
@@ -31,18 +33,18 @@
 	return previous, unix.Prlimit(pid, unix.RLIMIT_NOFILE, &limit, nil)
 }
 
-// mustSetDescriptorLimit is setDescriptorLimit for a process that must not have exited.
+// mustSetDescriptorLimit is like setDescriptorLimit, but fails the test on an error.
 func mustSetDescriptorLimit(t *testing.T, pid int, descriptors uint64) uint64 {
 	t.Helper()
 	previous, err := setDescriptorLimit(pid, descriptors)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("set the descriptor limit to %d: %v", descriptors, err)
 	}
 	return previous
 }
 
-// For a while a process gets no descriptors, so that accept and socket fail. Requests on new and on old
-// connections are served all the same, also if the process gets SIGTERM during the shortage.
+// For a while a process can open no descriptors, so that accept and socket fail. Requests on new and on existing
+// connections must still be served, even if SIGTERM arrives during the shortage.
 func TestRequestsSurviveADescriptorShortage(t *testing.T) {
 	program := balancertest.Build(t)
 	for name, signal := range map[string]unix.Signal{"serving": 0, "shutting down": unix.SIGTERM} {
@@ -53,8 +55,9 @@
 	}
 }
 
-// testDescriptorShortage takes the descriptors of a process, sends it a signal (0 for none) and makes requests
-// on a new connection and on an old one.
+// testDescriptorShortage sets the descriptor limit of a process below what it has open, sends the process a signal (0
+// for none), and sends requests on a new connection and on an existing one. The limit is raised again after
+// shortageDuration.
 func testDescriptorShortage(t *testing.T, program string, signal unix.Signal) {
 	t.Helper()
 	server := testkit.NewBackend(t, testkit.OK)
@@ -65,53 +68,55 @@
 	balancertest.AwaitReady(t, node.addr)
 	oldConn := node.dial()
 	expectServed(t, node, oldConn)
-	testkit.Wait(t, server.Requests, "the request before")
+	testkit.Wait(t, server.Requests, "the first request")
 
 	previous := mustSetDescriptorLimit(t, process.PID, exhaustedDescriptorLimit)
 	balancertest.Signal(t, process.PID, signal)
 	began := time.Now()
 	timer := time.AfterFunc(shortageDuration, func() {
 		if _, err := setDescriptorLimit(process.PID, previous); err != nil {
-			t.Error(err)
+			t.Errorf("restore the descriptor limit of %d: %v", previous, err)
 		}
 	})
 	defer timer.Stop()
 
 	expectServed(t, node, node.dial())
-	timeoutMs, err := strconv.Atoi(testkit.Wait(t, server.Requests, "the request").Header.Get("X-Timeout-Ms"))
+	timeoutMs, err := strconv.Atoi(testkit.Wait(t, server.Requests, "the next request").Header.Get("X-Timeout-Ms"))
 	if limit := (classDeadline - shortageDuration).Milliseconds(); err != nil || int64(timeoutMs) > limit {
-		t.Errorf("the server was given %d ms, %v; want %d at most", timeoutMs, err, limit)
+		t.Errorf("the server received X-Timeout-Ms %d (%v), want %d at most", timeoutMs, err, limit)
 	}
 	if took := time.Since(began); took < shortageDuration {
-		t.Errorf("a connection was accepted after %v: there was no shortage", took)
+		t.Errorf("a new connection got its response after %v, want %v at least: there was no shortage",
+			took, shortageDuration)
 	}
 	expectServed(t, node, oldConn)
 }
 
-// expectServed makes a request on a connection, which has to be served.
+// expectServed sends a request on a connection and fails the test unless it is served.
 func expectServed(t *testing.T, node *nodeProcess, conn net.Conn) {
 	t.Helper()
 	if body, err := node.request(conn); body != "done" {
-		t.Errorf("response %q, %v", body, err)
+		t.Errorf("request %d got the response %q, %v; want %q", node.requests, body, err, "done")
 	}
 }
 
-// A new configuration takes effect although its file cannot be opened for a moment.
+// SIGHUP arrives while the process can open no descriptors, and so cannot open its configuration file. The new
+// configuration must take effect once it can.
 func TestSIGHUPSurvivesADescriptorShortage(t *testing.T) {
 	t.Parallel()
 	calls := make(chan string, 1000)
 	process := balancertest.Start(t, map[string]any{
 		"discovery": startNamedDiscovery(t, "first", calls), "settings": testkit.JSON(baseSettings),
 	}, balancertest.Build(t))
-	if name := testkit.Wait(t, calls, "a call"); name != "first" {
-		t.Fatalf("%s is called", name)
+	if name := testkit.Wait(t, calls, "a call to a discovery service"); name != "first" {
+		t.Fatalf("the node called the discovery service %q, want %q", name, "first")
 	}
 	process.ConfigFile.Replace(t, configText(startNamedDiscovery(t, "second", calls)))
 	previous := mustSetDescriptorLimit(t, process.PID, exhaustedDescriptorLimit)
 	balancertest.Signal(t, process.PID, unix.SIGHUP)
-	time.Sleep(shortageDuration / 3) // the node tries to open the file for longer
+	time.Sleep(shortageDuration / 3) // shorter than the time for which the node retries to open the file
 	mustSetDescriptorLimit(t, process.PID, previous)
 	for name := ""; name != "second"; {
-		name = testkit.Wait(t, calls, "a call to the second one")
+		name = testkit.Wait(t, calls, "a call to the second discovery service")
 	}
 }
