--- a/cmd/balancer/readiness_test.go
+++ b/cmd/balancer/readiness_test.go
@@ -11,58 +11,62 @@
 )
 
 const (
-	// readinessDeadline is the operators' term: nine in ten restarted processes are ready by then.
+	// readinessDeadline is the operators' requirement: 90 % of restarted processes are ready within it.
 	readinessDeadline = 10 * time.Second
-	// readinessTimeout ends the wait for a process. It is logged as the time of one that was not ready by then.
+	// readinessTimeout limits the wait for a process. It is also the recorded time of a process that was not ready
+	// by then.
 	readinessTimeout = 14 * time.Second
 )
 
-// restartCase is the state in which processes are restarted together.
+// restartCase describes the conditions under which processes are restarted at once.
 type restartCase struct {
 	name           string
-	known          endpointjson.List // in their configuration, if it has endpoints
-	outageDuration time.Duration     // of discovery, from the start
+	known          endpointjson.List // the cached endpoint list; without endpoints the processes have none
+	outageDuration time.Duration     // how long discovery is unavailable, from the restart on
 	outage         outageKind
-	timePerCall    time.Duration
+	timePerCall    time.Duration // of the discovery service, which handles one call at a time
 }
 
+// Many processes are restarted at once while discovery is down or overloaded. 90 % of them must be ready within
+// readinessDeadline, with a cached endpoint list and without one.
 func TestRestartedProcessesAreReadyInTime(t *testing.T) {
 	program, processes := balancertest.Build(t), flagValue[int](processesFlag)
 	list, empty := snapshotOf(2, slices.Repeat([]string{refusingAddr}, 200)...), endpointjson.List{}
-	overloaded := 4 * time.Second / time.Duration(processes) // all complete lists take 4 s
+	overloaded := 4 * time.Second / time.Duration(processes) // the calls of all processes for a snapshot take 4 s
 	for _, c := range []restartCase{
-		{"known list", list, 0, outageUnavailable, 0},
-		{"known list, discovery down", list, time.Hour, outageRefused, 0},
-		{"empty list", empty, 0, outageUnavailable, 0},
-		{"empty list, discovery refuses for 3 s", empty, 3 * time.Second, outageRefused, 0},
-		{"empty list, discovery unavailable for 3 s", empty, 3 * time.Second, outageUnavailable, 0},
-		{"empty list, discovery unavailable for 5 s", empty, 5 * time.Second, outageUnavailable, 0},
-		{"empty list, discovery overloaded", empty, 0, outageUnavailable, overloaded},
-		{"empty list, discovery overloaded after 3 s", empty, 3 * time.Second, outageUnavailable, overloaded},
+		{"cached list", list, 0, outageUnavailable, 0},
+		{"cached list, discovery refuses throughout", list, time.Hour, outageRefused, 0},
+		{"no cached list", empty, 0, outageUnavailable, 0},
+		{"no cached list, discovery refuses for 3 s", empty, 3 * time.Second, outageRefused, 0},
+		{"no cached list, discovery unavailable for 3 s", empty, 3 * time.Second, outageUnavailable, 0},
+		{"no cached list, discovery unavailable for 5 s", empty, 5 * time.Second, outageUnavailable, 0},
+		{"no cached list, discovery overloaded", empty, 0, outageUnavailable, overloaded},
+		{"no cached list, overloaded discovery unavailable for 3 s", empty, 3 * time.Second, outageUnavailable, overloaded},
 	} {
 		for _, mode := range discoveryModes() {
 			t.Run(mode+", "+c.name, func(t *testing.T) {
 				t.Parallel()
 				times := measureRestarts(t, program, processes, mode, c)
 				readyAfter := percentile90(times)
-				t.Logf("%d processes: median %v, nine in ten %v, worst %v (%v is never)", len(times),
-					times[len(times)/2].Round(time.Millisecond), readyAfter.Round(time.Millisecond),
+				t.Logf("time to readiness of %d processes: median %v, 90th percentile %v, maximum %v (%v: not ready)",
+					len(times), times[len(times)/2].Round(time.Millisecond), readyAfter.Round(time.Millisecond),
 					times[len(times)-1].Round(time.Millisecond), readinessTimeout)
 				if readyAfter > readinessDeadline {
-					t.Errorf("nine in ten are ready after %v, want %v", readyAfter, readinessDeadline)
+					t.Errorf("90 %% of %d restarted processes are ready after %v, want %v at most",
+						len(times), readyAfter, readinessDeadline)
 				}
 			})
 		}
 	}
 }
 
-// percentile90 returns the least of sorted times that nine in ten of them do not exceed.
+// percentile90 returns the 90th percentile of sorted times: the smallest that at least 90 % of them do not exceed.
 func percentile90(times []time.Duration) time.Duration {
-	count := (9*len(times) + 9) / 10 // nine tenths, rounded up
+	count := (9*len(times) + 9) / 10 // 90 % of the times, rounded up
 	return times[count-1]
 }
 
-// measureRestarts starts processes at once and returns their times to readiness, sorted.
+// measureRestarts starts processes at once and returns the times after which they were ready, sorted.
 func measureRestarts(t *testing.T, program string, processes int, mode string, c restartCase) []time.Duration {
 	t.Helper()
 	list := snapshotOf(2, slices.Repeat([]string{refusingAddr}, 200)...)
