--- a/cmd/balancer/watched_list_test.go
+++ b/cmd/balancer/watched_list_test.go
@@ -11,14 +11,15 @@
 	"calicohinge/internal/testkit"
 )
 
-// watchedList is the endpoint list of a discovery service on a testkit.Machine.
+// watchedList is an endpoint list that a discovery service on a testkit.Machine serves and that nodes watch.
 type watchedList struct {
 	mu              sync.Mutex
 	list            endpointjson.List
-	changed         chan struct{} // closed at the next change
-	callGenerations chan string   // for each call, the generation of the list that its caller has
+	changed         chan struct{} // closed at the next change of the list
+	callGenerations chan string   // receives, for each call, the generation that it names; empty: none
 }
 
+// newWatchedList returns a snapshot of generation 1.
 func newWatchedList(endpoints ...endpointjson.Endpoint) *watchedList {
 	return &watchedList{
 		list:    endpointjson.List{Generation: 1, Reset: true, Endpoints: endpoints},
@@ -26,7 +27,7 @@
 	}
 }
 
-// set replaces the list.
+// set replaces the list and completes the pending watches. The list may be a snapshot or a delta.
 func (w *watchedList) set(list endpointjson.List) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -35,7 +36,8 @@
 	w.changed = make(chan struct{})
 }
 
-// respond responds to a call with the list; a watch waits for one that is newer.
+// respond returns the response to a call: the list. A call that names the list's generation is a watch. It waits for a
+// newer list, but no longer than it requests.
 func (w *watchedList) respond(r *http.Request) testkit.Response {
 	after := r.URL.Query().Get("after")
 	w.callGenerations <- after
@@ -54,11 +56,11 @@
 	return testkit.Response{Status: http.StatusOK, Body: string(text)}
 }
 
-// awaitWatch waits until a node has the list of a generation and watches for a newer one.
+// awaitWatch waits for a watch after a generation, which shows that the node has the list of that generation.
 func (w *watchedList) awaitWatch(t *testing.T, generation uint64) {
 	t.Helper()
 	want := strconv.FormatUint(generation, 10)
 	testkit.Until(t, "the watch after generation "+want, func() bool {
-		return testkit.Wait(t, w.callGenerations, "a call") == want
+		return testkit.Wait(t, w.callGenerations, "a call after generation "+want) == want
 	})
 }
