--- a/cmd/balancer/discovery_partition_test.go
+++ b/cmd/balancer/discovery_partition_test.go
@@ -11,9 +11,9 @@
 	"calicohinge/policy"
 )
 
-// The machine of the discovery service is partitioned for a while, and a server begins to drain meanwhile.
-// After the partition the node gets the new list within the notification deadline, however long the partition
-// lasted.
+// A network partition cuts off the machine of the discovery service, and a server starts to drain meanwhile. The node's
+// watch is unresponsive and its connection attempts time out. Once the partition ends, the node must be notified of the
+// new list within the notification deadline, however long the partition lasted.
 func TestDiscoveryIsFollowedAfterANetworkPartition(t *testing.T) {
 	program := balancertest.Build(t)
 	for _, mode := range discoveryModes() {
@@ -26,7 +26,7 @@
 	}
 }
 
-// testPartition partitions the discovery service for a time and measures how soon the node follows it again.
+// testPartition cuts off the discovery service for a time and measures how long after that the node has the new list.
 func testPartition(t *testing.T, program, mode string, duration time.Duration) {
 	t.Helper()
 	firstServer, secondServer := testkit.NewBackend(t, testkit.OK), testkit.NewBackend(t, testkit.OK)
@@ -39,21 +39,24 @@
 	addr := testkit.Wait(t, process.Addr, "the process to serve")
 	balancertest.AwaitReady(t, addr)
 	if body := post(addr); body != "done" {
-		t.Fatalf("response %q", body)
+		t.Fatalf("response before the partition is %q, want %q", body, "done")
 	}
 
 	machine.Partition(t)
-	time.Sleep(duration) // what is under test
+	time.Sleep(duration) // the duration of the partition under test
 	draining := firstServer.Endpoint("s-0")
 	draining.Lifecycle = "Terminating"
-	list.set(endpointjson.List{Generation: 2, Reset: true, Endpoints: []endpointjson.Endpoint{draining, secondServer.Endpoint("s-1")}})
+	list.set(endpointjson.List{
+		Generation: 2, Reset: true, Endpoints: []endpointjson.Endpoint{draining, secondServer.Endpoint("s-1")},
+	})
 	machine.Heal(t)
 	healed := time.Now()
 
 	list.awaitWatch(t, 2)
 	took := time.Since(healed)
-	t.Logf("followed %v after the partition", took.Round(time.Millisecond))
+	t.Logf("the node had the new list %v after the partition", took.Round(time.Millisecond))
 	if took > policy.NotificationDeadline {
-		t.Errorf("followed %v after the partition, want %v at most", took, policy.NotificationDeadline)
+		t.Errorf("the node had the new list %v after a partition of %v, want %v at most",
+			took, duration, policy.NotificationDeadline)
 	}
 }
