--- a/cmd/balancer/shutdown_test.go
+++ b/cmd/balancer/shutdown_test.go
@@ -19,27 +19,27 @@
 )
 
 const (
-	// shutdownClassDeadline is the longest request deadline of the processes under test. It keeps a shutdown
-	// short: the process exits within half a second more.
+	// shutdownClassDeadline is the longest class deadline of the processes under test. It is short so that a shutdown
+	// is: the grace period is only 450 ms longer.
 	shutdownClassDeadline = 200 * time.Millisecond
-	// earliestExit is how long after SIGTERM a process exits at the earliest under load: requests are served
-	// until 0.3 s before the end of the grace period, which is the longest deadline and 0.45 s more. From
-	// then on the process exits as soon as no connection is open.
+	// earliestExit is the minimum time between SIGTERM and the exit of a process under load. The grace period is
+	// shutdownClassDeadline plus 450 ms. The process serves as usual until 300 ms before its end, and from then on
+	// exits as soon as no connection is open.
 	earliestExit = shutdownClassDeadline + 150*time.Millisecond
-	// shutdownClients is how many clients send at the same time.
+	// shutdownClients is the number of clients that send requests concurrently.
 	shutdownClients = 24
 )
 
-// shutdownResult is one shutdown of a process under load.
+// shutdownResult is the result of the shutdown of a process under load.
 type shutdownResult struct {
 	loadResult
 	exit processExit
 }
 
-// processExit is how a process exited.
+// processExit is how and when a process exited.
 type processExit struct {
 	err   error
-	after time.Duration // since SIGTERM
+	after time.Duration // time since SIGTERM
 }
 
 // shutDownUnderLoad starts a process and clients that send to it, and sends it SIGTERM. Then it calls disturb,
@@ -56,7 +56,7 @@
 		return -1
 	}
 	results := startShutdownClients(addr, sinceSignal)
-	time.Sleep(shutdownClassDeadline) // until the clients send at their full rate
+	time.Sleep(shutdownClassDeadline) // by then the clients send at their full rate
 	now := time.Now()
 	signaledAt.Store(&now)
 	balancertest.Signal(t, process.PID, syscall.SIGTERM)
@@ -69,8 +69,8 @@
 	return shutdownResult{results(), testkit.Wait(t, exits, "the exit of the process")}
 }
 
-// startShutdownProcess starts a process and returns the address at which it serves. Its endpoint list has three
-// entries for a server that responds and one for a server that hangs.
+// startShutdownProcess starts a process and returns it with the address at which it serves. Its endpoint list has three
+// entries for a server that responds and one for an unresponsive server.
 func startShutdownProcess(t *testing.T, program string) (balancertest.Process, string) {
 	t.Helper()
 	server := testkit.NewBackend(t, testkit.OK)
@@ -86,8 +86,8 @@
 	return process, addr
 }
 
-// startShutdownClients starts clients that send until their connections are refused. The returned function
-// waits for the clients and returns their result.
+// startShutdownClients starts clients that send requests until their connections are refused. Half of them reuse their
+// connections. The returned function waits for the clients and returns the sum of their results.
 func startShutdownClients(addr string, sinceSignal func() time.Duration) func() loadResult {
 	results := make(chan loadResult, shutdownClients)
 	var clients sync.WaitGroup
@@ -108,11 +108,11 @@
 	}
 }
 
-// check fails the test for each request that got no response, up to a few, and for a process that exited
-// early or with an error.
+// check fails the test if a request was lost, too many connections were reset in the accept queue, no request got a
+// response, or the process exited too early or with an error. It shows only the first few lost requests.
 func (r shutdownResult) check(t *testing.T) {
 	t.Helper()
-	t.Logf("%d responses, %d requests lost, %d reset in the accept queue, %d closed unused",
+	t.Logf("%d responses, %d requests lost, %d connections reset in the accept queue, %d unused connections closed",
 		r.responses, len(r.lost), r.resetInQueue, r.unusedConnsClosed)
 	if limit := maxResetInQueue(t); r.resetInQueue > limit {
 		t.Errorf("%d connections were reset in the accept queue, want %d at most", r.resetInQueue, limit)
@@ -122,17 +122,18 @@
 		t.Error(err)
 	}
 	if r.exit.err != nil || r.exit.after < earliestExit {
-		t.Errorf("the process exited %v after SIGTERM with %v, want no error and %v at least", r.exit.after, r.exit.err, earliestExit)
+		t.Errorf("the process exited %v after SIGTERM with the error %v, want %v at least and no error",
+			r.exit.after, r.exit.err, earliestExit)
 	}
 	if r.responses == 0 {
-		t.Error("no request got a response")
+		t.Error("the clients got 0 responses, want some")
 	}
 }
 
-// maxResetInQueue returns how many connections may be reset in the accept queue: none where the
-// system has socket filters, with which the process stops handshakes before its last accept.
-// Without them no order of system calls excludes a connection between that accept and the close,
-// and on a busy machine each client may meet that moment, once.
+// maxResetInQueue returns how many connections may be reset in the accept queue. If the system supports socket filters,
+// it is 0: the process uses a filter to refuse handshakes before its last accept. Without a filter, a connection can be
+// established between the last accept and the close of the listener, whatever the order of system calls. On a busy
+// machine this may happen to each client once.
 func maxResetInQueue(t *testing.T) int {
 	t.Helper()
 	raw, err := testkit.Listen(t).(*net.TCPListener).SyscallConn()
@@ -150,17 +151,17 @@
 	if filterErr == nil {
 		return 0
 	}
-	t.Logf("no socket filters: %v", filterErr)
+	t.Logf("the system does not support socket filters: %v", filterErr)
 	return shutdownClients
 }
 
-// Clients send on old and new connections until the process accepts none. Each request whose connection
-// was established gets a complete response.
+// Clients send requests on new and reused connections until their connections are refused. Each request on an
+// established connection must get a complete response; loadClient lists the exceptions.
 func TestEveryRequestGetsAResponseUntilTheProcessExits(t *testing.T) {
 	shutDownUnderLoad(t, balancertest.Build(t), func(int) {}).check(t)
 }
 
-// The process is paused around each step of its shutdown, for as long as the operators' terms allow.
+// The process is paused for 150 ms around each step of its shutdown. The operators' requirements allow no longer pause.
 func TestEveryRequestGetsAResponseFromAPausedProcess(t *testing.T) {
 	const pause = 150 * time.Millisecond
 	program := balancertest.Build(t)
@@ -178,8 +179,8 @@
 	}
 }
 
-// The process gets no descriptor for a while, at several times of its shutdown: one of them is the time at
-// which it accepts the last connections.
+// The process can open no descriptors for a while, at several points of its shutdown. At one of them it accepts the
+// last connections.
 func TestEveryRequestGetsAResponseDuringADescriptorShortage(t *testing.T) {
 	const shortage = 100 * time.Millisecond
 	program := balancertest.Build(t)
@@ -195,8 +196,8 @@
 	}
 }
 
-// exhaustDescriptors prevents a process from opening descriptors for a time. The process may exit before the end
-// of that time: shutdownResult.check finds out whether it exited too early.
+// exhaustDescriptors prevents a process from opening descriptors for a time. The process may exit in that time;
+// shutdownResult.check reports an exit that is too early.
 func exhaustDescriptors(t *testing.T, pid int, duration time.Duration) {
 	t.Helper()
 	previous, err := setDescriptorLimit(pid, exhaustedDescriptorLimit)
@@ -206,8 +207,8 @@
 	}
 	switch {
 	case errors.Is(err, unix.ESRCH):
-		t.Log("the process exited before it was short of descriptors, or meanwhile")
+		t.Log("the process exited before or during the descriptor shortage")
 	case err != nil:
-		t.Error(err)
+		t.Errorf("set or restore the descriptor limit: %v", err)
 	}
 }
