--- a/cmd/balancer/soak_test.go
+++ b/cmd/balancer/soak_test.go
@@ -8,16 +8,16 @@
 	"calicohinge/internal/soak"
 )
 
-// The flags of the soak.
+// The flags that choose the seeds of TestSoak.
 const (
 	soakRunsFlag = "soak-runs"
 	soakSeedFlag = "soak-seed"
 )
 
-// Every rule holds on real processes under the faults that a seed gives. Wall clocks are wrong and stepped.
-// The discovery service is unresponsive, failing or slow, and its address changes. Servers drain, are
-// removed, start again and hang. Nodes are paused and restarted, while clients go on sending on open
-// connections. A seed that fails is run again with -soak-seed.
+// Every rule must hold on real processes while faults occur as each seed determines. Wall clocks are wrong and stepped.
+// Discovery is unresponsive, failing or slow, and its address changes. Servers drain, are removed, restart, and become
+// unresponsive. Nodes are paused and restarted while clients keep sending on open connections. To run a failed seed
+// again, use -soak-seed with -soak-runs=1.
 func TestSoak(t *testing.T) {
 	program := balancertest.BuildInstrumented(t)
 	first := flagValue[int](soakSeedFlag)
