--- a/cmd/balancer/shutdown_test.go
+++ b/cmd/balancer/shutdown_test.go
@@ -42,9 +42,9 @@
 	after time.Duration // time since SIGTERM
 }
 
-// shutDownUnderLoad starts a process and clients that send to it, and sends it SIGTERM. Then it calls disturb,
-// which may pause the process or take its descriptors. It returns when the process has exited and accepts no
-// connection any more.
+// shutDownUnderLoad starts a process and clients that send requests to it, and sends SIGTERM to the process. Then it
+// calls injectFault, which may pause the process or exhaust its descriptors. It returns when the process has exited and
+// the connections of all clients are refused.
 func shutDownUnderLoad(t *testing.T, program string, injectFault func(pid int)) shutdownResult {
 	t.Helper()
 	process, addr := startShutdownProcess(t, program)
