--- a/cmd/balancer/wall_clock_test.go
+++ b/cmd/balancer/wall_clock_test.go
@@ -14,28 +14,32 @@
 )
 
 const (
-	warmServers             = 7
-	slowStartShare          = 0.1
-	slowStartTime           = 9 * time.Second
-	measurementTime         = 800 * time.Millisecond // in which the requests to the new server are counted
+	warmServers             = 7                      // servers in the list before the new one
+	slowStartShare          = 0.1                    // fraction of an equal share at the start of slow start
+	slowStartTime           = 9 * time.Second        // until the new server is warm
+	measurementTime         = 800 * time.Millisecond // from the start of the new server; its requests are counted
 	slowStartClients        = 4
-	loadTimeBeforeStart     = 500 * time.Millisecond // of sending before the new server starts
+	loadTimeBeforeStart     = 500 * time.Millisecond // how long the clients send before the new server starts
 	slowStartRequestTimeout = 200 * time.Millisecond // of each request
 )
 
-// A process starts on a machine whose wall clock is wrong, and a server starts later. The server gets at most
-// what slow start allows, whatever that clock shows.
+// The wall clock of a node's machine is wrong, and a server starts after the node. A server's start time is given in
+// wall-clock time, so the node might take a new server for a warm one. The server must get no more requests than slow
+// start allows, whatever the error of the clock.
 func TestSlowStartIsIndependentOfTheWallClock(t *testing.T) {
 	program := balancertest.BuildInstrumented(t)
-	for _, ahead := range []time.Duration{0, 5 * time.Second, 30 * time.Second, time.Hour, -30 * time.Second, -time.Hour} {
-		t.Run(fmt.Sprintf("ahead by %v", ahead), func(t *testing.T) {
+	for _, ahead := range []time.Duration{
+		0, 5 * time.Second, 30 * time.Second, time.Hour, -30 * time.Second, -time.Hour,
+	} {
+		t.Run(fmt.Sprintf("clock ahead by %v", ahead), func(t *testing.T) {
 			t.Parallel()
 			testSlowStart(t, program, ahead)
 		})
 	}
 }
 
-// testSlowStart checks the share of a new server's requests in its first moments.
+// testSlowStart starts a node whose wall clock is ahead by some time, and checks which share of the requests a new
+// server gets within measurementTime.
 func testSlowStart(t *testing.T, program string, ahead time.Duration) {
 	t.Helper()
 	servers := newCountingServers(t, warmServers+1)
@@ -60,16 +64,19 @@
 	received, total := servers.counts[warmServers].Load(), servers.total()-before
 	stopClients()
 
+	// An equal share is one in warmServers+1. Of it, the new server may get the fraction that slow start has reached
+	// at the end of the measurement.
 	share := float64(received) / float64(total)
 	capacityShare := slowStartShare + (1-slowStartShare)*measurementTime.Seconds()/slowStartTime.Seconds()
 	maxShare := capacityShare / (warmServers + 1)
-	t.Logf("%d of %d requests, a share of %.4f, at most %.4f are allowed", received, total, share, maxShare)
+	t.Logf("the new server got %d of %d requests, a share of %.4f; want %.4f at most", received, total, share, maxShare)
 	if share > maxShare {
-		t.Errorf("the new server gets a share of %.4f in its first %v, want %.4f at most", share, measurementTime, maxShare)
+		t.Errorf("with a clock ahead by %v the new server got %.4f of the requests in its first %v, want %.4f at most",
+			ahead, share, measurementTime, maxShare)
 	}
 }
 
-// startSlowStartClients starts clients that send until the returned function is called, which waits for them.
+// startSlowStartClients starts clients that send requests. The returned function stops the clients and waits for them.
 func startSlowStartClients(t *testing.T, addr string) func() {
 	t.Helper()
 	var clients sync.WaitGroup
@@ -84,9 +91,9 @@
 	}
 }
 
-// countingServers are servers that count their requests.
+// countingServers are servers that count the requests they receive.
 type countingServers struct {
-	counts    []atomic.Int64
+	counts    []atomic.Int64 // one for each endpoint
 	endpoints []endpointjson.Endpoint
 }
 
@@ -103,7 +110,7 @@
 	return servers
 }
 
-// total returns how many requests all servers got.
+// total returns how many requests all servers have received.
 func (s *countingServers) total() int64 {
 	sum := int64(0)
 	for i := range s.counts {
