--- a/cmd/balancer/benchmark_test.go
+++ b/cmd/balancer/benchmark_test.go
@@ -1,7 +1,7 @@
 package main
 
-// The benchmarks measure a node as a process: its processor time for each request, and its memory
-// with a large fleet. With -baseline BINARY they measure another version in the same run, in turns:
+// The benchmarks measure a node that runs as a process: its processor time per request, and its memory with a large
+// fleet of servers. With -baseline BINARY they alternate between this version and another one in the same run:
 //
 //	go test -run '^$' -bench . -benchtime 20000x ./cmd/balancer -baseline /path/to/balancer
 
@@ -25,22 +25,23 @@
 )
 
 const (
-	// baselineFlag names the flag with the binary to compare with.
+	// baselineFlag is the flag with the path of the binary to compare with.
 	baselineFlag = "baseline"
-	rounds       = 5 // every binary is measured once in each
-	// clockTicksPerSecond is the unit of processor time under /proc, the same on all Linux machines.
+	rounds       = 5 // each version is measured once per round
+	// clockTicksPerSecond converts the processor times in /proc, which are in clock ticks. It is the same on all
+	// Linux machines.
 	clockTicksPerSecond = 100
 	benchClients        = 16
-	largeFleet          = 7800
-	smallFleet          = 10
+	largeFleet          = 7800 // number of servers
+	smallFleet          = 10   // number of servers
 	manyTenants         = 20000
-	appliedSnapshots    = 4 // that a node applies before its memory is read
+	appliedSnapshots    = 4 // how many snapshots a node applies before its memory is read
 )
 
-// version is a binary that is measured.
+// version is a binary to measure, with its name in the benchmark results.
 type version struct{ name, path string }
 
-// versions returns this tree's binary and the baseline, if there is one.
+// versions returns the binary of this source tree and the baseline, if one is given.
 func versions(b *testing.B) []version {
 	b.Helper()
 	all := []version{{"this", balancertest.Build(b)}}
@@ -50,7 +51,8 @@
 	return all
 }
 
-// measureInterleaved runs a benchmark for every version in each round.
+// measureInterleaved runs a benchmark once per round for every version. Thus a change in the machine's load affects all
+// versions alike.
 func measureInterleaved(b *testing.B, measure func(b *testing.B, path string)) {
 	b.Helper()
 	all := versions(b)
@@ -61,8 +63,8 @@
 	}
 }
 
-// BenchmarkRequest makes requests over keep-alive connections and reports the processor time
-// that the node spends on each.
+// BenchmarkRequest sends requests over keep-alive connections. It reports the processor time that the node spends per
+// request and the fraction of requests that are served.
 func BenchmarkRequest(b *testing.B) {
 	measureInterleaved(b, func(b *testing.B, path string) {
 		b.Helper()
@@ -84,7 +86,7 @@
 	})
 }
 
-// makeRequests makes b.N requests from a few clients and counts those that were served.
+// makeRequests sends b.N requests from concurrent clients and returns how many were served.
 func makeRequests(b *testing.B, addr string) int64 {
 	b.Helper()
 	var next, served atomic.Int64
@@ -93,15 +95,15 @@
 		clients.Go(func() {
 			conn, err := net.Dial("tcp", addr)
 			if err != nil {
-				b.Error(err)
+				b.Errorf("connect to the node: %v", err)
 				return
 			}
-			defer func() { _ = conn.Close() }() // its responses have been read
+			defer func() { _ = conn.Close() }() // all responses have been read
 			reader := bufio.NewReader(conn)
 			for id := next.Add(1); id <= int64(b.N); id = next.Add(1) {
 				status, err := sendRequest(conn, reader, id)
 				if err != nil {
-					b.Error(err)
+					b.Errorf("request %d: %v", id, err)
 					return
 				}
 				if status == http.StatusOK {
@@ -114,7 +116,7 @@
 	return served.Load()
 }
 
-// sendRequest makes one request and reads its response to the end. It returns the status.
+// sendRequest sends a request and reads the whole response. It returns the status.
 func sendRequest(conn net.Conn, reader *bufio.Reader, id int64) (int, error) {
 	if err := writeRequest(conn, fmt.Sprintf("a%d", id), classDeadline); err != nil {
 		return 0, err
@@ -127,14 +129,14 @@
 	return response.StatusCode, err
 }
 
-// cpuTime returns the user and system time of a process.
+// cpuTime returns the user and system time that a process has used.
 func cpuTime(b *testing.B, pid int) time.Duration {
 	b.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		b.Fatal(err)
 	}
-	const userField, systemField = 11, 12 // behind the program's name in parentheses
+	const userField, systemField = 11, 12 // utime and stime, counted after the program's name in parentheses
 	fields := strings.Fields(string(text[strings.LastIndexByte(string(text), ')')+1:]))
 	ticks := 0
 	for _, field := range []int{userField, systemField} {
@@ -147,12 +149,12 @@
 	return time.Duration(ticks) * time.Second / clockTicksPerSecond
 }
 
-// BenchmarkPeakMemory reports the peak resident memory of a node with a small fleet and with a
-// large one, and the difference, each after some complete lists and with many tenants.
+// BenchmarkPeakMemory reports the peak resident memory of a node with a small fleet of servers and with a large one,
+// and the difference. The nodes have many tenants and have applied several snapshots.
 func BenchmarkPeakMemory(b *testing.B) {
 	measureInterleaved(b, func(b *testing.B, path string) {
 		b.Helper()
-		// Once, whatever b.N is: a peak has no mean.
+		// The measurement runs once, whatever b.N is, since a peak is not averaged over iterations.
 		small := peakMemory(b, path, smallFleet)
 		large := peakMemory(b, path, largeFleet)
 		b.ReportMetric(float64(small)/1024, "small-MB")
@@ -161,10 +163,10 @@
 	})
 }
 
-// peakMemory returns the peak resident memory of a node, in kB.
+// peakMemory starts a node with a number of servers and returns its peak resident memory in kB.
 func peakMemory(b *testing.B, path string, servers int) int {
 	b.Helper()
-	applied := make(chan struct{}) // closed once the node has applied all lists
+	applied := make(chan struct{}) // closed once the node has applied all snapshots
 	process := balancertest.Start(b, map[string]any{
 		"discovery": serveSnapshots(b, servers, applied),
 		"limits":    map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024},
@@ -173,13 +175,15 @@
 	select {
 	case <-applied:
 	case <-time.After(testkit.WaitTimeout):
-		b.Fatal("the lists are not applied")
+		b.Fatalf("the node has not applied %d snapshots of %d servers within %v",
+			appliedSnapshots, servers, testkit.WaitTimeout)
 	}
 	return peakResidentMemory(b, process.PID)
 }
 
-// serveSnapshots starts a discovery service and returns its address. It serves complete lists, one for each call,
-// and then closes applied and leaves further calls without a response.
+// serveSnapshots starts a discovery service and returns its address. Each of the first calls gets a snapshot with a new
+// generation. The next call shows that the node has applied them all: the service closes applied, and this and further
+// calls get no response.
 func serveSnapshots(b *testing.B, servers int, applied chan<- struct{}) string {
 	b.Helper()
 	addresses := make([]string, servers)
@@ -193,7 +197,7 @@
 			list := snapshotOf(1, addresses...) // the same servers each time
 			list.Generation = uint64(call)
 			if err := json.NewEncoder(w).Encode(list); err != nil {
-				b.Error(err)
+				b.Errorf("send snapshot %d: %v", call, err)
 			}
 			return
 		}
@@ -204,6 +208,7 @@
 	})
 }
 
+// tenantSettings returns the setting Accounts with a number of tenants.
 func tenantSettings(count int) string {
 	names := make([]string, count)
 	for i := range names {
@@ -212,7 +217,7 @@
 	return "[" + strings.Join(names, ",") + "]"
 }
 
-// peakResidentMemory reads the peak resident memory of a process, in kB.
+// peakResidentMemory returns the peak resident memory of a process in kB, as the system reports it.
 func peakResidentMemory(b *testing.B, pid int) int {
 	b.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
