--- a/docs/pages_test.go
+++ b/docs/pages_test.go
@@ -1,5 +1,5 @@
-// Package docs holds the pages for readers. Its tests hold the pages to the code: every test, log line, file and
-// identifier that a page names exists.
+// Package docs contains the documentation pages. Its tests check that every test, log line, file and identifier that a
+// page names exists.
 package docs
 
 import (
@@ -18,7 +18,7 @@
 
 const repositoryRoot = ".."
 
-// pages returns the path and the text of each page of the repository.
+// pages returns the text of each page of the repository by its path.
 func pages(t *testing.T) map[string]string {
 	t.Helper()
 	found := map[string]string{}
@@ -38,13 +38,14 @@
 	return found
 }
 
-// sources is what the Go files of the repository declare.
+// sources is the content of the repository's Go files that pages may name.
 type sources struct {
-	declared map[string]bool // "Name", "package.Name" and "Type.member"
-	tests    map[string]bool // names of tests, benchmarks and examples
-	literals []string        // string literals of the programs
+	declared map[string]bool // names outside of tests: "package", "Name", "package.Name" and "Type.member"
+	tests    map[string]bool // the functions of test files, with tests and benchmarks among them
+	literals []string        // the string literals outside of tests
 }
 
+// parseSources parses all Go files of the repository.
 func parseSources(t *testing.T) *sources {
 	t.Helper()
 	found := &sources{declared: map[string]bool{}, tests: map[string]bool{}}
@@ -73,12 +74,14 @@
 	return found
 }
 
+// declare adds declared names.
 func (s *sources) declare(names ...string) {
 	for _, name := range names {
 		s.declared[name] = true
 	}
 }
 
+// addTests adds the functions of a test file.
 func (s *sources) addTests(file *ast.File) {
 	for _, declaration := range file.Decls {
 		if function, ok := declaration.(*ast.FuncDecl); ok && function.Recv == nil {
@@ -87,6 +90,7 @@
 	}
 }
 
+// addNode adds the names that a syntax node of a package declares, or the string literal that it is.
 func (s *sources) addNode(pkg string, node ast.Node) {
 	switch n := node.(type) {
 	case *ast.FuncDecl:
@@ -105,7 +109,7 @@
 	}
 }
 
-// qualifier returns what precedes a function's name in a page: the receiver's type, or the package.
+// qualifier returns what qualifies a function's name on a page: the type of the receiver, or the package.
 func qualifier(pkg string, function *ast.FuncDecl) string {
 	if function.Recv == nil {
 		return pkg
@@ -138,6 +142,7 @@
 	}
 }
 
+// hasLiteral reports whether a string literal contains the text.
 func (s *sources) hasLiteral(text string) bool {
 	return slices.ContainsFunc(s.literals, func(literal string) bool { return strings.Contains(literal, text) })
 }
@@ -148,12 +153,13 @@
 	for path, text := range pages(t) {
 		for _, test := range name.FindAllString(text, -1) {
 			if !code.tests[test] {
-				t.Errorf("%s: no test %s", path, test)
+				t.Errorf("%s names the test %s, which does not exist", path, test)
 			}
 		}
 	}
 }
 
+// The targets of links are relative to the page, paths in backquotes to the root of the repository.
 func TestPagesNameFilesThatExist(t *testing.T) {
 	link := regexp.MustCompile(`\]\(([^)#:]+)(?:#[^)]*)?\)`)
 	quoted := regexp.MustCompile("`((?:cmd|internal|policy|deploy|docs)/[\\w./-]*)`")
@@ -170,11 +176,12 @@
 func expectFile(t *testing.T, page, path string) {
 	t.Helper()
 	if _, err := os.Stat(path); err != nil {
-		t.Errorf("%s: %v", page, err)
+		t.Errorf("%s names a file that cannot be found: %v", page, err)
 	}
 }
 
-// The pages about the present code name its identifiers; those of incidents and measurements tell of earlier versions.
+// Only the pages that describe the current code are checked. Pages about incidents and measurements may name
+// identifiers of earlier versions.
 func TestPagesNameIdentifiersThatExist(t *testing.T) {
 	code := parseSources(t)
 	quoted := regexp.MustCompile("`((?:[A-Za-z]\\w*\\.)+[A-Za-z]\\w*|[a-z]+[A-Z]\\w*)`")
@@ -185,24 +192,26 @@
 		}
 		for _, match := range quoted.FindAllStringSubmatch(string(text), -1) {
 			if name := lastTwoParts(match[1]); !code.declared[name] && !isFileName(match[1]) {
-				t.Errorf("%s: nothing is named %s", page, match[1])
+				t.Errorf("%s names the identifier %s, which no package declares", page, match[1])
 			}
 		}
 	}
 }
 
-// lastTwoParts returns the last two parts of a dotted name.
+// lastTwoParts returns the last two parts of a dotted name, or the name itself if it has fewer.
 func lastTwoParts(name string) string {
 	parts := strings.Split(name, ".")
 	return strings.Join(parts[max(0, len(parts)-2):], ".")
 }
 
+// isFileName reports whether a dotted name is the name of a file rather than an identifier.
 func isFileName(name string) bool {
 	extension := filepath.Ext(name)
 	return extension == ".md" || extension == ".go" || extension == ".toml" || extension == ".txt"
 }
 
-// Each row of the table of log lines starts with messages and keys in quotes.
+// The first cell of each row in the table of log lines has a log message, and possibly its keys, in backquotes. Each
+// must occur in a string literal of the code. Rows whose third cell names net/http are lines of the standard library.
 func TestLogLinesExist(t *testing.T) {
 	code := parseSources(t)
 	text, err := os.ReadFile("OPERATIONS.md")
@@ -222,12 +231,12 @@
 			message := strings.TrimPrefix(strings.TrimSuffix(quoted[1], " ..."), "balancer: ")
 			for part := range strings.SplitSeq(message, " N:") {
 				if !code.hasLiteral(strings.Trim(part, ": ")) {
-					t.Errorf("no log line has %q", part)
+					t.Errorf("the log line %q has %q, which no string literal of the code contains", quoted[1], part)
 				}
 			}
 		}
 	}
 	if rows == 0 {
-		t.Error("the table of log lines has no row")
+		t.Error("OPERATIONS.md: the table of log lines has 0 rows with a message, want at least 1")
 	}
 }
