--- a/cmd/balancer/benchmark_test.go
+++ b/cmd/balancer/benchmark_test.go
@@ -208,7 +208,7 @@
 	})
 }
 
-// tenantSettings returns the setting Accounts with a number of tenants.
+// tenantSettings returns a value of the setting Accounts with the given number of tenants.
 func tenantSettings(count int) string {
 	names := make([]string, count)
 	for i := range names {
