--- a/cmd/balancer/address_change_test.go
+++ b/cmd/balancer/address_change_test.go
@@ -15,8 +15,8 @@
 const hangupInterval = 300 * time.Millisecond
 
 // SIGHUP gives a node a new address of the discovery service, once or several times in a row. The service handles one
-// call at a time and takes long for each, so that calls which the node abandons delay the next ones. The node must
-// still have the list from the last address within testkit.AddressChangeDeadline of the first SIGHUP.
+// call at a time and takes a long time for each, so that a call which the node abandons delays the next one. The node
+// must still have the list from the last address within testkit.AddressChangeDeadline of the first SIGHUP.
 func TestNewDiscoveryAddressIsFollowedInTimeDespiteSlowCalls(t *testing.T) {
 	program := balancertest.Build(t)
 	for _, mode := range discoveryModes() {
