--- a/cmd/balancer/client_test.go
+++ b/cmd/balancer/client_test.go
@@ -171,8 +171,8 @@
 	return c.conn.SetDeadline(time.Now().Add(testkit.WaitTimeout))
 }
 
-// exchange sends a request and reads its response. It reports whether a byte of the response arrived. Unless the
-// connection can be reused, it is closed.
+// exchange sends a request and reads its response. It reports whether a byte of the response arrived. It closes the
+// connection unless the next request can reuse it.
 func (c *loadClient) exchange() (bool, error) {
 	keep := false
 	defer func() {
