--- a/cmd/balancer/configuration_test.go
+++ b/cmd/balancer/configuration_test.go
@@ -19,7 +19,8 @@
 		"no addresses":             `{"settings": ` + baseSettings + `}`,
 		"malformed listen address": `{"listen": "nowhere", "discovery": "127.0.0.1:1", "settings": ` + baseSettings + `}`,
 		"malformed discovery":      `{"listen": "127.0.0.1:0", "discovery": "nowhere", "settings": ` + baseSettings + `}`,
-		"port out of range":        `{"listen": "127.0.0.1:0", "discovery": "127.0.0.1:700000", "settings": ` + baseSettings + `}`,
+		"port out of range": `{"listen": "127.0.0.1:0", "discovery": "127.0.0.1:700000", ` +
+			`"settings": ` + baseSettings + `}`,
 		"class without a name": `{"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", ` +
 			`"settings": {"Classes": [{"DeadlineMs": 8000}]}}`,
 		"duplicate class name": `{"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", ` +
