--- a/cmd/balancer/descriptor_shortage_test.go
+++ b/cmd/balancer/descriptor_shortage_test.go
@@ -75,7 +75,7 @@
 	began := time.Now()
 	timer := time.AfterFunc(shortageDuration, func() {
 		if _, err := setDescriptorLimit(process.PID, previous); err != nil {
-			t.Errorf("restore the descriptor limit of %d: %v", previous, err)
+			t.Errorf("set the descriptor limit back to %d: %v", previous, err)
 		}
 	})
 	defer timer.Stop()
