--- a/cmd/balancer/discovery_partition_test.go
+++ b/cmd/balancer/discovery_partition_test.go
@@ -43,7 +43,7 @@
 	}
 
 	machine.Partition(t)
-	time.Sleep(duration) // the duration of the partition under test
+	time.Sleep(duration) // the partition lasts this long
 	draining := firstServer.Endpoint("s-0")
 	draining.Lifecycle = "Terminating"
 	list.set(endpointjson.List{
