--- a/cmd/balancer/discovery_stub_test.go
+++ b/cmd/balancer/discovery_stub_test.go
@@ -52,7 +52,7 @@
 	outage      outage
 	timePerCall time.Duration
 	queue       chan chan struct{} // has a channel for each waiting call, which is closed when the call is handled
-	watches     chan string        // receives the stub's address for each watch from a node that has the list
+	watches     chan string        // receives the address at which each watch arrives; its node has the list
 }
 
 // newDiscoveryStub returns a discovery service that has no address yet. It handles calls until the end of the test.
