--- a/cmd/balancer/harness_test.go
+++ b/cmd/balancer/harness_test.go
@@ -31,7 +31,7 @@
 	return flag.Lookup(name).Value.(flag.Getter).Get().(T)
 }
 
-// baseSettings are the settings of most tests: one class and one zone. settingsWith adds keys to them.
+// baseSettings are the settings that the tests start from: one class and one zone. settingsWith adds keys to them.
 const baseSettings = `{"Classes": [{"Name": "pay", "Effect": "side_effect", "DeadlineMs": 8000}], "Zones": ["a"]}`
 
 // settingsWith returns baseSettings with further keys ahead of its own. They are JSON members without the braces.
