--- a/cmd/balancer/idle_clients_test.go
+++ b/cmd/balancer/idle_clients_test.go
@@ -16,7 +16,8 @@
 	"calicohinge/policy"
 )
 
-// nodeProcess is a node that runs as a process, seen by its clients. It tracks how many descriptors the process opens.
+// nodeProcess is a node that runs as a process. Its methods connect to the node, send requests to it, and count the
+// descriptors that the process has open.
 type nodeProcess struct {
 	t               *testing.T
 	pid             int
@@ -66,8 +67,8 @@
 	n.peakDescriptors = max(n.peakDescriptors, len(slices.DeleteFunc(open, n.isInherited)))
 }
 
-// isInherited reports whether the process has inherited a descriptor from the test process. The process itself opens
-// none from descriptorLimit on.
+// isInherited reports whether the process has inherited a descriptor from the test process. The numbers from
+// descriptorLimit on are inherited ones, since the process itself cannot open them.
 func (n *nodeProcess) isInherited(entry os.DirEntry) bool {
 	fd, err := strconv.Atoi(entry.Name())
 	return err != nil || fd >= n.descriptorLimit
