--- a/cmd/balancer/readiness_test.go
+++ b/cmd/balancer/readiness_test.go
@@ -21,7 +21,7 @@
 // restartCase describes the conditions under which processes are restarted at once.
 type restartCase struct {
 	name           string
-	known          endpointjson.List // the cached endpoint list; without endpoints the processes have none
+	known          endpointjson.List // the cached endpoint list in the configuration; if empty, there is none
 	outageDuration time.Duration     // how long discovery is unavailable, from the restart on
 	outage         outageKind
 	timePerCall    time.Duration // of the discovery service, which handles one call at a time
