--- a/cmd/balancer/shutdown_test.go
+++ b/cmd/balancer/shutdown_test.go
@@ -19,8 +19,8 @@
 )
 
 const (
-	// shutdownClassDeadline is the longest class deadline of the processes under test. It is short so that a shutdown
-	// is: the grace period is only 450 ms longer.
+	// shutdownClassDeadline is the longest class deadline of the processes under test. It is short to keep their
+	// shutdown short: the grace period is only 450 ms longer.
 	shutdownClassDeadline = 200 * time.Millisecond
 	// earliestExit is the minimum time between SIGTERM and the exit of a process under load. The grace period is
 	// shutdownClassDeadline plus 450 ms. The process serves as usual until 300 ms before its end, and from then on
@@ -126,7 +126,7 @@
 			r.exit.after, r.exit.err, earliestExit)
 	}
 	if r.responses == 0 {
-		t.Error("the clients got 0 responses, want some")
+		t.Error("the clients got 0 responses, want at least 1")
 	}
 }
 
@@ -161,7 +161,8 @@
 	shutDownUnderLoad(t, balancertest.Build(t), func(int) {}).check(t)
 }
 
-// The process is paused for 150 ms around each step of its shutdown. The operators' requirements allow no longer pause.
+// The process is paused around each step of its shutdown for 150 ms, the longest pause that the operators' requirements
+// allow.
 func TestEveryRequestGetsAResponseFromAPausedProcess(t *testing.T) {
 	const pause = 150 * time.Millisecond
 	program := balancertest.Build(t)
