--- a/cmd/balancer/signals_test.go
+++ b/cmd/balancer/signals_test.go
@@ -91,9 +91,9 @@
 	for _, text := range [][]byte{[]byte(`{"listen"`), configText("nowhere"), nil} {
 		file.Replace(t, text)
 		signalSelf(t, syscall.SIGHUP)
-		line := testkit.Wait(t, logged, "a log line")
+		line := testkit.Wait(t, logged, "a log line after SIGHUP with an invalid file")
 		for strings.Contains(line, "endpoint list updated") { // logged for the list of the third discovery service
-			line = testkit.Wait(t, logged, "a log line")
+			line = testkit.Wait(t, logged, "a log line after SIGHUP with an invalid file")
 		}
 		if !strings.Contains(line, "keeping the old one") {
 			t.Errorf("SIGHUP with the configuration %q logged %q, want %q in it", text, line, "keeping the old one")
