--- a/cmd/balancer/wall_clock_test.go
+++ b/cmd/balancer/wall_clock_test.go
@@ -97,6 +97,7 @@
 	endpoints []endpointjson.Endpoint
 }
 
+// newCountingServers starts a number of servers, which stop at the end of the test.
 func newCountingServers(t *testing.T, count int) *countingServers {
 	t.Helper()
 	servers := &countingServers{counts: make([]atomic.Int64, count)}
