--- a/cmd/balancer/watched_list_test.go
+++ b/cmd/balancer/watched_list_test.go
@@ -16,10 +16,10 @@
 	mu              sync.Mutex
 	list            endpointjson.List
 	changed         chan struct{} // closed at the next change of the list
-	callGenerations chan string   // receives, for each call, the generation that it names; empty: none
+	callGenerations chan string   // receives the generation that each call names, or "" if it names none
 }
 
-// newWatchedList returns a snapshot of generation 1.
+// newWatchedList returns a list that starts as a snapshot with generation 1.
 func newWatchedList(endpoints ...endpointjson.Endpoint) *watchedList {
 	return &watchedList{
 		list:    endpointjson.List{Generation: 1, Reset: true, Endpoints: endpoints},
