--- a/docs/pages_test.go
+++ b/docs/pages_test.go
@@ -173,6 +173,7 @@
 	}
 }
 
+// expectFile fails the test unless the file that a page names exists.
 func expectFile(t *testing.T, page, path string) {
 	t.Helper()
 	if _, err := os.Stat(path); err != nil {
@@ -211,7 +212,8 @@
 }
 
 // The first cell of each row in the table of log lines has a log message, and possibly its keys, in backquotes. Each
-// must occur in a string literal of the code. Rows whose third cell names net/http are lines of the standard library.
+// must occur in a string literal of the code. Rows whose third cell names net/http are skipped, since the standard
+// library logs these lines.
 func TestLogLinesExist(t *testing.T) {
 	code := parseSources(t)
 	text, err := os.ReadFile("OPERATIONS.md")
