--- a/cmd/balancer/descriptor_shortage_test.go
+++ b/cmd/balancer/descriptor_shortage_test.go
@@ -13,14 +13,16 @@
 )
 
 const (
-	// shortage is how long a process gets no descriptor. It is shorter than the requests' deadline.
-	shortage = 300 * time.Millisecond
-	// scarceDescriptors is fewer than any process has open.
-	scarceDescriptors = 3
+	// shortageDuration is how long a process cannot open descriptors. It is shorter than classDeadline, so that the
+	// requests can be served afterwards.
+	shortageDuration = 300 * time.Millisecond
+	// exhaustedDescriptorLimit is a limit below the number of descriptors that any process has open, so that it can
+	// open no more.
+	exhaustedDescriptorLimit = 3
 )
 
-// setDescriptorLimit sets how many descriptors a process may open and returns the previous limit. The error
-// is ESRCH if the process has exited.
+// setDescriptorLimit sets the soft limit of descriptors (RLIMIT_NOFILE) of a process and returns the previous one. The
+// error is ESRCH if the process has exited.
 func setDescriptorLimit(pid int, descriptors uint64) (uint64, error) {
 	var limit unix.Rlimit
 	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, nil, &limit); err != nil {
@@ -31,19 +33,19 @@
 	return previous, unix.Prlimit(pid, unix.RLIMIT_NOFILE, &limit, nil)
 }
 
-// limitDescriptors is setDescriptorLimit for a process that must not have exited.
-func limitDescriptors(t *testing.T, pid int, descriptors uint64) uint64 {
+// mustSetDescriptorLimit is like setDescriptorLimit, but fails the test on an error.
+func mustSetDescriptorLimit(t *testing.T, pid int, descriptors uint64) uint64 {
 	t.Helper()
 	previous, err := setDescriptorLimit(pid, descriptors)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("set the descriptor limit to %d: %v", descriptors, err)
 	}
 	return previous
 }
 
-// For a while a process gets no descriptors, so that accept and socket fail. Requests on new and on old
-// connections are served all the same, also if the process gets SIGTERM during the shortage.
-func TestRequestsOutlastAShortageOfDescriptors(t *testing.T) {
+// For a while a process can open no descriptors, so that accept and socket fail. Requests on new and on existing
+// connections must still be served, even if SIGTERM arrives during the shortage.
+func TestRequestsSurviveADescriptorShortage(t *testing.T) {
 	program := balancertest.Build(t)
 	for name, signal := range map[string]unix.Signal{"serving": 0, "shutting down": unix.SIGTERM} {
 		t.Run(name, func(t *testing.T) {
@@ -53,65 +55,68 @@
 	}
 }
 
-// testDescriptorShortage takes the descriptors of a process, sends it a signal (0 for none) and makes requests
-// on a new connection and on an old one.
+// testDescriptorShortage sets the descriptor limit of a process below what it has open, sends the process a signal (0
+// for none), and sends requests on a new connection and on an existing one. The limit is raised again after
+// shortageDuration.
 func testDescriptorShortage(t *testing.T, program string, signal unix.Signal) {
 	t.Helper()
 	server := testkit.NewBackend(t, testkit.OK)
 	process := balancertest.Start(t, map[string]any{
-		"discovery": noDiscovery, "settings": testkit.JSON(settings), "known": listOf(1, server.Address()),
+		"discovery": refusingAddr, "settings": testkit.JSON(baseSettings), "known": snapshotOf(1, server.Address()),
 	}, program)
-	node := &connectedNode{t: t, pid: process.PID, addr: testkit.Wait(t, process.Addr, "the process to serve")}
+	node := &nodeProcess{t: t, pid: process.PID, addr: testkit.Wait(t, process.Addr, "the process to serve")}
 	balancertest.AwaitReady(t, node.addr)
-	old := node.dial()
-	expectDone(t, node, old)
-	testkit.Wait(t, server.Requests, "the request before")
+	oldConn := node.dial()
+	expectServed(t, node, oldConn)
+	testkit.Wait(t, server.Requests, "the first request")
 
-	previous := limitDescriptors(t, process.PID, scarceDescriptors)
+	previous := mustSetDescriptorLimit(t, process.PID, exhaustedDescriptorLimit)
 	balancertest.Signal(t, process.PID, signal)
 	began := time.Now()
-	timer := time.AfterFunc(shortage, func() {
+	timer := time.AfterFunc(shortageDuration, func() {
 		if _, err := setDescriptorLimit(process.PID, previous); err != nil {
-			t.Error(err)
+			t.Errorf("set the descriptor limit back to %d: %v", previous, err)
 		}
 	})
 	defer timer.Stop()
 
-	expectDone(t, node, node.dial())
-	timeoutMs, err := strconv.Atoi(testkit.Wait(t, server.Requests, "the request").Header.Get("X-Timeout-Ms"))
-	if limit := (classDeadline - shortage).Milliseconds(); err != nil || int64(timeoutMs) > limit {
-		t.Errorf("the server was given %d ms, %v; want %d at most", timeoutMs, err, limit)
+	expectServed(t, node, node.dial())
+	timeoutMs, err := strconv.Atoi(testkit.Wait(t, server.Requests, "the next request").Header.Get("X-Timeout-Ms"))
+	if limit := (classDeadline - shortageDuration).Milliseconds(); err != nil || int64(timeoutMs) > limit {
+		t.Errorf("the server received X-Timeout-Ms %d (%v), want %d at most", timeoutMs, err, limit)
 	}
-	if took := time.Since(began); took < shortage {
-		t.Errorf("a connection was accepted after %v: there was no shortage", took)
+	if took := time.Since(began); took < shortageDuration {
+		t.Errorf("a new connection got its response after %v, want %v at least: there was no shortage",
+			took, shortageDuration)
 	}
-	expectDone(t, node, old)
+	expectServed(t, node, oldConn)
 }
 
-// expectDone makes a request on a connection, which has to be served.
-func expectDone(t *testing.T, node *connectedNode, conn net.Conn) {
+// expectServed sends a request on a connection and fails the test unless it is served.
+func expectServed(t *testing.T, node *nodeProcess, conn net.Conn) {
 	t.Helper()
 	if body, err := node.request(conn); body != "done" {
-		t.Errorf("response %q, %v", body, err)
+		t.Errorf("request %d got the response %q, %v; want %q", node.requests, body, err, "done")
 	}
 }
 
-// A new configuration takes effect although its file cannot be opened for a moment.
-func TestSIGHUPOutlastsAShortageOfDescriptors(t *testing.T) {
+// SIGHUP arrives while the process can open no descriptors, and so cannot open its configuration file. The new
+// configuration must take effect once it can.
+func TestSIGHUPSurvivesADescriptorShortage(t *testing.T) {
 	t.Parallel()
 	calls := make(chan string, 1000)
 	process := balancertest.Start(t, map[string]any{
-		"discovery": namedDiscovery(t, "first", calls), "settings": testkit.JSON(settings),
+		"discovery": startNamedDiscovery(t, "first", calls), "settings": testkit.JSON(baseSettings),
 	}, balancertest.Build(t))
-	if name := testkit.Wait(t, calls, "a call"); name != "first" {
-		t.Fatalf("%s is called", name)
+	if name := testkit.Wait(t, calls, "a call to a discovery service"); name != "first" {
+		t.Fatalf("the node called the discovery service %q, want %q", name, "first")
 	}
-	process.ConfigFile.Replace(t, configText(namedDiscovery(t, "second", calls)))
-	previous := limitDescriptors(t, process.PID, scarceDescriptors)
+	process.ConfigFile.Replace(t, configText(startNamedDiscovery(t, "second", calls)))
+	previous := mustSetDescriptorLimit(t, process.PID, exhaustedDescriptorLimit)
 	balancertest.Signal(t, process.PID, unix.SIGHUP)
-	time.Sleep(shortage / 3) // the node tries to open the file for longer
-	limitDescriptors(t, process.PID, previous)
+	time.Sleep(shortageDuration / 3) // shorter than the time for which the node retries to open the file
+	mustSetDescriptorLimit(t, process.PID, previous)
 	for name := ""; name != "second"; {
-		name = testkit.Wait(t, calls, "a call to the second one")
+		name = testkit.Wait(t, calls, "a call to the second discovery service")
 	}
 }
--- /dev/null
+++ b/cmd/balancer/discovery_partition_test.go
@@ -0,0 +1,62 @@
+package main
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"calicohinge/internal/balancertest"
+	"calicohinge/internal/endpointjson"
+	"calicohinge/internal/testkit"
+	"calicohinge/policy"
+)
+
+// A network partition cuts off the machine of the discovery service, and a server starts to drain meanwhile. The node's
+// watch is unresponsive and its connection attempts time out. Once the partition ends, the node must be notified of the
+// new list within the notification deadline, however long the partition lasted.
+func TestDiscoveryIsFollowedAfterANetworkPartition(t *testing.T) {
+	program := balancertest.Build(t)
+	for _, mode := range discoveryModes() {
+		for _, duration := range []time.Duration{8 * time.Second, 50 * time.Second} {
+			t.Run(fmt.Sprintf("%s, partitioned for %v", mode, duration), func(t *testing.T) {
+				t.Parallel()
+				testPartition(t, program, mode, duration)
+			})
+		}
+	}
+}
+
+// testPartition cuts off the discovery service for a time and measures how long after that the node has the new list.
+func testPartition(t *testing.T, program, mode string, duration time.Duration) {
+	t.Helper()
+	firstServer, secondServer := testkit.NewBackend(t, testkit.OK), testkit.NewBackend(t, testkit.OK)
+	list := newWatchedList(firstServer.Endpoint("s-0"))
+	machine := testkit.NewMachine(t, list.respond)
+	process := balancertest.Start(t, map[string]any{
+		"discovery": machine.Address,
+		"settings":  settingsWith(fmt.Sprintf(`"RegistryMode": %q, "Contract": {"DrainGraceMs": 1000}`, mode)),
+	}, program)
+	addr := testkit.Wait(t, process.Addr, "the process to serve")
+	balancertest.AwaitReady(t, addr)
+	if body := post(addr); body != "done" {
+		t.Fatalf("response before the partition is %q, want %q", body, "done")
+	}
+
+	machine.Partition(t)
+	time.Sleep(duration) // the partition lasts this long
+	draining := firstServer.Endpoint("s-0")
+	draining.Lifecycle = "Terminating"
+	list.set(endpointjson.List{
+		Generation: 2, Reset: true, Endpoints: []endpointjson.Endpoint{draining, secondServer.Endpoint("s-1")},
+	})
+	machine.Heal(t)
+	healed := time.Now()
+
+	list.awaitWatch(t, 2)
+	took := time.Since(healed)
+	t.Logf("the node had the new list %v after the partition", took.Round(time.Millisecond))
+	if took > policy.NotificationDeadline {
+		t.Errorf("the node had the new list %v after a partition of %v, want %v at most",
+			took, duration, policy.NotificationDeadline)
+	}
+}
--- a/cmd/balancer/harness_test.go
+++ b/cmd/balancer/harness_test.go
@@ -14,44 +14,45 @@
 	"calicohinge/internal/testkit"
 )
 
-// processesFlag names the flag that says how many processes are started at once.
+// processesFlag is the flag with the number of processes that TestRestartedProcessesAreReadyInTime starts at once.
 const processesFlag = "processes"
 
 func TestMain(m *testing.M) {
 	flag.Int(processesFlag, 10, "how many processes TestRestartedProcessesAreReadyInTime starts at once")
-	flag.Int(soakRunsFlag, 4, "how many seeds TestSoak runs")
-	flag.Int(soakSeedFlag, 1, "the first seed that TestSoak runs")
-	flag.String(baselineFlag, "", "another version's binary, which the benchmarks measure as well")
+	flag.Int(soakRunsFlag, 4, "how many seeds TestSoak runs, each in a subtest")
+	flag.Int(soakSeedFlag, 1, "the first seed that TestSoak runs; the others follow it")
+	flag.String(baselineFlag, "", "path of another version's binary, which the benchmarks measure as well")
 	flag.Parse()
 	os.Exit(m.Run())
 }
 
-// flagValue returns the value of a flag of this package's tests.
+// flagValue returns the value of a flag that TestMain defines.
 func flagValue[T any](name string) T {
 	return flag.Lookup(name).Value.(flag.Getter).Get().(T)
 }
 
-// settings has one class; a test adds keys ahead of it with moreSettings.
-const settings = `{"Classes": [{"Name": "pay", "Effect": "side_effect", "DeadlineMs": 8000}], "Zones": ["a"]}`
+// baseSettings are the settings that the tests start from: one class and one zone. settingsWith adds keys to them.
+const baseSettings = `{"Classes": [{"Name": "pay", "Effect": "side_effect", "DeadlineMs": 8000}], "Zones": ["a"]}`
 
-// moreSettings returns settings with further keys.
-func moreSettings(keys string) json.RawMessage {
-	return json.RawMessage("{" + keys + ", " + strings.TrimPrefix(settings, "{"))
+// settingsWith returns baseSettings with further keys ahead of its own. They are JSON members without the braces.
+func settingsWith(keys string) json.RawMessage {
+	return json.RawMessage("{" + keys + ", " + strings.TrimPrefix(baseSettings, "{"))
 }
 
-// noDiscovery is an address at which no discovery service listens.
-const noDiscovery = "127.0.0.1:1"
+// refusingAddr is an address at which nothing listens, so that connections to it are refused.
+const refusingAddr = "127.0.0.1:1"
 
-// discoveryModes returns the modes in which a node follows its discovery service.
+// discoveryModes returns the values of the setting RegistryMode: a node watches its discovery service ("pushed") or
+// polls it ("on_request").
 func discoveryModes() []string { return []string{"pushed", "on_request"} }
 
-// newConfigFile writes the configuration of a node that listens at an address and knows a server, without a
-// discovery service.
+// newConfigFile writes the configuration of a node that listens at an address. The node has no discovery service;
+// its cached endpoint list contains one server.
 func newConfigFile(tb testing.TB, listen, server string) balancertest.ConfigFile {
 	tb.Helper()
 	text, err := json.Marshal(map[string]any{
-		"listen": listen, "discovery": noDiscovery, "settings": json.RawMessage(settings),
-		"known": listOf(1, server),
+		"listen": listen, "discovery": refusingAddr, "settings": json.RawMessage(baseSettings),
+		"known": snapshotOf(1, server),
 	})
 	if err != nil {
 		tb.Fatal(err)
@@ -59,14 +60,15 @@
 	return balancertest.NewConfigFile(tb, text)
 }
 
-// newServer starts a server and returns its address.
-func newServer(tb testing.TB, handle http.HandlerFunc) string {
+// startServer starts an HTTP server and returns its address. The server stops at the end of the test.
+func startServer(tb testing.TB, handle http.HandlerFunc) string {
 	tb.Helper()
 	return testkit.NewServer(tb, handle).Listener.Addr().String()
 }
 
-// listOf makes a complete list of ready servers.
-func listOf(generation uint64, addresses ...string) endpointjson.List {
+// snapshotOf returns a snapshot of the endpoint list with a ready server at each address. An address may occur
+// several times; each entry has an instance ID of its own.
+func snapshotOf(generation uint64, addresses ...string) endpointjson.List {
 	list := endpointjson.List{Generation: generation, Reset: true}
 	for i, address := range addresses {
 		list.Endpoints = append(list.Endpoints, endpointjson.Endpoint{
@@ -77,10 +79,10 @@
 	return list
 }
 
-// awaitExit waits until the program has exited, which has to be without an error.
+// awaitExit waits until run has returned, and fails the test if it returned an error.
 func awaitExit(t *testing.T, exited <-chan error) {
 	t.Helper()
-	if err := testkit.Wait(t, exited, "the exit of the program"); err != nil {
-		t.Errorf("exited with %v", err)
+	if err := testkit.Wait(t, exited, "run to return"); err != nil {
+		t.Errorf("run() = %v, want nil", err)
 	}
 }
--- a/cmd/balancer/shutdown_test.go
+++ b/cmd/balancer/shutdown_test.go
@@ -19,33 +19,33 @@
 )
 
 const (
-	// shutdownDeadline is the longest request deadline of the processes under test. It keeps a shutdown
-	// short: the process exits within half a second more.
-	shutdownDeadline = 200 * time.Millisecond
-	// earliestExit is how long after SIGTERM a process exits at the earliest under load: requests are served
-	// until 0.3 s before the end of the grace period, which is the longest deadline and 0.45 s more. From
-	// then on the process exits as soon as no connection is open.
-	earliestExit = shutdownDeadline + 150*time.Millisecond
-	// shutdownClients is how many clients send at the same time.
+	// shutdownClassDeadline is the longest class deadline of the processes under test. It is short to keep their
+	// shutdown short: the grace period is only 450 ms longer.
+	shutdownClassDeadline = 200 * time.Millisecond
+	// earliestExit is the minimum time between SIGTERM and the exit of a process under load. The grace period is
+	// shutdownClassDeadline plus 450 ms. The process serves as usual until 300 ms before its end, and from then on
+	// exits as soon as no connection is open.
+	earliestExit = shutdownClassDeadline + 150*time.Millisecond
+	// shutdownClients is the number of clients that send requests concurrently.
 	shutdownClients = 24
 )
 
-// shutdownResult is one shutdown of a process under load.
+// shutdownResult is the result of the shutdown of a process under load.
 type shutdownResult struct {
 	loadResult
 	exit processExit
 }
 
-// processExit is how a process exited.
+// processExit is how and when a process exited.
 type processExit struct {
 	err   error
-	after time.Duration // since SIGTERM
+	after time.Duration // time since SIGTERM
 }
 
-// shutDownUnderLoad starts a process and clients that send to it, and sends it SIGTERM. Then it calls disturb,
-// which may pause the process or take its descriptors. It returns when the process has exited and accepts no
-// connection any more.
-func shutDownUnderLoad(t *testing.T, program string, disturb func(pid int)) shutdownResult {
+// shutDownUnderLoad starts a process and clients that send requests to it, and sends SIGTERM to the process. Then it
+// calls injectFault, which may pause the process or exhaust its descriptors. It returns when the process has exited and
+// the connections of all clients are refused.
+func shutDownUnderLoad(t *testing.T, program string, injectFault func(pid int)) shutdownResult {
 	t.Helper()
 	process, addr := startShutdownProcess(t, program)
 	var signaledAt atomic.Pointer[time.Time]
@@ -56,7 +56,7 @@
 		return -1
 	}
 	results := startShutdownClients(addr, sinceSignal)
-	time.Sleep(shutdownDeadline) // until the clients send at their full rate
+	time.Sleep(shutdownClassDeadline) // by then the clients send at their full rate
 	now := time.Now()
 	signaledAt.Store(&now)
 	balancertest.Signal(t, process.PID, syscall.SIGTERM)
@@ -65,35 +65,35 @@
 		err := <-process.Exited
 		exits <- processExit{err, sinceSignal()}
 	}()
-	disturb(process.PID)
+	injectFault(process.PID)
 	return shutdownResult{results(), testkit.Wait(t, exits, "the exit of the process")}
 }
 
-// startShutdownProcess starts a process and returns the address at which it serves. Its endpoint list has three
-// entries for a server that responds and one for a server that hangs.
+// startShutdownProcess starts a process and returns it with the address at which it serves. Its endpoint list has three
+// entries for a server that responds and one for an unresponsive server.
 func startShutdownProcess(t *testing.T, program string) (balancertest.Process, string) {
 	t.Helper()
 	server := testkit.NewBackend(t, testkit.OK)
-	hanging := testkit.NewBackend(t, testkit.Unresponsive(make(chan struct{}, 1)))
+	unresponsive := testkit.NewBackend(t, testkit.Unresponsive(make(chan struct{}, 1)))
 	process := balancertest.Start(t, map[string]any{
-		"discovery": noDiscovery,
-		"settings": testkit.JSON(strings.ReplaceAll(settings, "8000",
-			fmt.Sprint(shutdownDeadline.Milliseconds()))),
-		"known": listOf(1, server.Address(), server.Address(), server.Address(), hanging.Address()),
+		"discovery": refusingAddr,
+		"settings": testkit.JSON(strings.ReplaceAll(baseSettings, "8000",
+			fmt.Sprint(shutdownClassDeadline.Milliseconds()))),
+		"known": snapshotOf(1, server.Address(), server.Address(), server.Address(), unresponsive.Address()),
 	}, program)
 	addr := testkit.Wait(t, process.Addr, "the process to serve")
 	balancertest.AwaitReady(t, addr)
 	return process, addr
 }
 
-// startShutdownClients starts clients that send until their connections are refused. The returned function
-// waits for the clients and returns their result.
+// startShutdownClients starts clients that send requests until their connections are refused. Half of them reuse their
+// connections. The returned function waits for the clients and returns the sum of their results.
 func startShutdownClients(addr string, sinceSignal func() time.Duration) func() loadResult {
 	results := make(chan loadResult, shutdownClients)
 	var clients sync.WaitGroup
 	for i := range shutdownClients {
 		client := loadClient{
-			addr: addr, name: fmt.Sprintf("c%d", i), timeout: shutdownDeadline, keepAlive: i%2 == 0,
+			addr: addr, name: fmt.Sprintf("c%d", i), timeout: shutdownClassDeadline, keepAlive: i%2 == 0,
 		}
 		clients.Go(func() { results <- client.sendUntilRefused(sinceSignal) })
 	}
@@ -108,12 +108,12 @@
 	}
 }
 
-// check fails the test for each request that got no response, up to a few, and for a process that exited
-// early or with an error.
+// check fails the test if a request was lost, too many connections were reset in the accept queue, no request got a
+// response, or the process exited too early or with an error. It shows only the first few lost requests.
 func (r shutdownResult) check(t *testing.T) {
 	t.Helper()
-	t.Logf("%d responses, %d requests lost, %d reset in the accept queue, %d closed unused",
-		r.responses, len(r.lost), r.resetInQueue, r.unusedClosed)
+	t.Logf("%d responses, %d requests lost, %d connections reset in the accept queue, %d unused connections closed",
+		r.responses, len(r.lost), r.resetInQueue, r.unusedConnsClosed)
 	if limit := maxResetInQueue(t); r.resetInQueue > limit {
 		t.Errorf("%d connections were reset in the accept queue, want %d at most", r.resetInQueue, limit)
 	}
@@ -122,17 +122,18 @@
 		t.Error(err)
 	}
 	if r.exit.err != nil || r.exit.after < earliestExit {
-		t.Errorf("the process exited %v after SIGTERM with %v, want no error and %v at least", r.exit.after, r.exit.err, earliestExit)
+		t.Errorf("the process exited %v after SIGTERM with the error %v, want %v at least and no error",
+			r.exit.after, r.exit.err, earliestExit)
 	}
 	if r.responses == 0 {
-		t.Error("no request got a response")
+		t.Error("the clients got 0 responses, want at least 1")
 	}
 }
 
-// maxResetInQueue returns how many connections may be reset in the accept queue: none where the
-// system has socket filters, with which the process stops handshakes before its last accept.
-// Without them no order of system calls excludes a connection between that accept and the close,
-// and on a busy machine each client may meet that moment, once.
+// maxResetInQueue returns how many connections may be reset in the accept queue. If the system supports socket filters,
+// it is 0: the process uses a filter to refuse handshakes before its last accept. Without a filter, a connection can be
+// established between the last accept and the close of the listener, whatever the order of system calls. On a busy
+// machine this may happen to each client once.
 func maxResetInQueue(t *testing.T) int {
 	t.Helper()
 	raw, err := testkit.Listen(t).(*net.TCPListener).SyscallConn()
@@ -150,17 +151,18 @@
 	if filterErr == nil {
 		return 0
 	}
-	t.Logf("no socket filters: %v", filterErr)
+	t.Logf("the system does not support socket filters: %v", filterErr)
 	return shutdownClients
 }
 
-// Clients send on old and new connections until the process accepts none. Each request whose connection
-// was established gets a complete response.
+// Clients send requests on new and reused connections until their connections are refused. Each request on an
+// established connection must get a complete response; loadClient lists the exceptions.
 func TestEveryRequestGetsAResponseUntilTheProcessExits(t *testing.T) {
 	shutDownUnderLoad(t, balancertest.Build(t), func(int) {}).check(t)
 }
 
-// The process is paused around each step of its shutdown, for as long as the operators' terms allow.
+// The process is paused around each step of its shutdown for 150 ms, the longest pause that the operators' requirements
+// allow.
 func TestEveryRequestGetsAResponseFromAPausedProcess(t *testing.T) {
 	const pause = 150 * time.Millisecond
 	program := balancertest.Build(t)
@@ -178,10 +180,10 @@
 	}
 }
 
-// The process gets no descriptor for a while, at several times of its shutdown: one of them is the time at
-// which it accepts the last connections.
-func TestEveryRequestGetsAResponseFromAProcessShortOfDescriptors(t *testing.T) {
-	const short = 100 * time.Millisecond
+// The process can open no descriptors for a while, at several points of its shutdown. At one of them it accepts the
+// last connections.
+func TestEveryRequestGetsAResponseDuringADescriptorShortage(t *testing.T) {
+	const shortage = 100 * time.Millisecond
 	program := balancertest.Build(t)
 	for _, afterMs := range []int{100, 300, 450, 520, 560, 590} {
 		after := time.Duration(afterMs) * time.Millisecond
@@ -189,25 +191,25 @@
 			t.Parallel()
 			shutDownUnderLoad(t, program, func(pid int) {
 				time.Sleep(after)
-				takeDescriptors(t, pid, short)
+				exhaustDescriptors(t, pid, shortage)
 			}).check(t)
 		})
 	}
 }
 
-// takeDescriptors prevents a process from opening descriptors for a time. The process may exit before the end
-// of that time: shutdownResult.check finds out whether it exited too early.
-func takeDescriptors(t *testing.T, pid int, duration time.Duration) {
+// exhaustDescriptors prevents a process from opening descriptors for a time. The process may exit in that time;
+// shutdownResult.check reports an exit that is too early.
+func exhaustDescriptors(t *testing.T, pid int, duration time.Duration) {
 	t.Helper()
-	previous, err := setDescriptorLimit(pid, scarceDescriptors)
+	previous, err := setDescriptorLimit(pid, exhaustedDescriptorLimit)
 	if err == nil {
 		time.Sleep(duration)
 		_, err = setDescriptorLimit(pid, previous)
 	}
 	switch {
 	case errors.Is(err, unix.ESRCH):
-		t.Log("the process exited before it was short of descriptors, or meanwhile")
+		t.Log("the process exited before or during the descriptor shortage")
 	case err != nil:
-		t.Error(err)
+		t.Errorf("set or restore the descriptor limit: %v", err)
 	}
 }
