--- a/internal/soak/apply.go
+++ b/internal/soak/apply.go
@@ -32,7 +32,7 @@
 	switch a := action.(type) {
 	case scenario.StepClock:
 		r.history.Logf("%v", a)
-		r.nodes[a.Node].stepClock(a.Ahead)
+		r.nodes[a.Node].stepClock(a.ClockOffset)
 	case scenario.PauseNode:
 		r.history.Logf("%v", a)
 		r.nodes[a.Node].pause()
@@ -65,7 +65,7 @@
 	delisted := server.endpoint
 	delisted.Lifecycle = lifecycle
 	generation := r.discovery.publish(delisted)
-	server.record.DelistedIn.CompareAndSwap(0, generation)
+	server.record.DelistedGeneration.CompareAndSwap(0, generation)
 	r.history.Logf("generation %d: %s is %s", generation, delisted.InstanceID, lifecycle)
 }
 
@@ -81,5 +81,5 @@
 	r.history.Logf("%v", action)
 	node.terminate(action.Signals)
 	r.history.Logf("%s: starts again", node.name)
-	node.start(1, action.Ahead)
+	node.start(1, action.ClockOffset)
 }
--- a/internal/soak/check/attempts.go
+++ b/internal/soak/check/attempts.go
@@ -10,8 +10,8 @@
 const (
 	// pauseSlack is how long a node may be paused between reading its clock and writing.
 	pauseSlack = 150 * time.Millisecond
-	// ruleSlack is what the operators' pages add to each time limit on sockets.
-	ruleSlack = 50 * time.Millisecond
+	// socketSlack is what the operators' pages add to each time limit on sockets.
+	socketSlack = 50 * time.Millisecond
 	// disconnectSlack is how long after its client has disconnected an attempt may begin.
 	disconnectSlack = 100 * time.Millisecond
 )
@@ -34,21 +34,21 @@
 	if request.Incarnation == nil {
 		return pauseSlack
 	}
-	return max(pauseSlack, request.Incarnation.PauseAround(attempt.At))
+	return max(pauseSlack, request.Incarnation.MaxPauseNear(attempt.At))
 }
 
 // checkDrain checks that an attempt was not sent to a draining or removed server after the drain grace.
 func (c *checker) checkDrain(request *history.Request, attempt *history.Attempt) {
 	discovery := &c.History.Discovery
-	generation := attempt.Server.DelistedIn.Load()
+	generation := attempt.Server.DelistedGeneration.Load()
 	if generation == 0 || attempt.At.Before(discovery.PublishedAt(generation)) {
 		return
 	}
 	notified := discovery.NotifiedAt(request.Incarnation, generation)
-	late := attempt.At.Sub(notified) - c.Settings.DrainGrace - ruleSlack - pauseSlack
+	late := attempt.At.Sub(notified) - c.Settings.DrainGrace - socketSlack - pauseSlack
 	if late > c.lag(attempt.At) {
-		c.violate("drain", attempt.At, request, "sent to %s %v after the notification of generation %d at %v, grace %v",
-			attempt.Server.ID, attempt.At.Sub(notified), generation, notified.Sub(c.History.Began()), c.Settings.DrainGrace)
+		c.addViolation("drain", attempt.At, request, "sent to %s %v after the notification of generation %d at %v, grace %v",
+			attempt.Server.ID, attempt.At.Sub(notified), generation, notified.Sub(c.History.StartTime()), c.Settings.DrainGrace)
 	}
 }
 
@@ -56,7 +56,7 @@
 func (c *checker) checkDeadline(request *history.Request, attempt *history.Attempt) {
 	left := request.SentAt.Add(request.Timeout).Sub(attempt.At)
 	if excess := attempt.Timeout - left - allowedPause(request, attempt); excess > c.lag(attempt.At) {
-		c.violate("deadline", attempt.At, request, "the server was given %v, the client had %v left", attempt.Timeout, left)
+		c.addViolation("deadline", attempt.At, request, "the server was given %v, the client had %v left", attempt.Timeout, left)
 	}
 }
 
@@ -66,7 +66,7 @@
 		return
 	}
 	if late := attempt.At.Sub(request.DisconnectedAt) - disconnectSlack; late > c.lag(attempt.At) {
-		c.violate("disconnect", attempt.At, request, "began %v after its client had disconnected", late+disconnectSlack)
+		c.addViolation("disconnect", attempt.At, request, "began %v after its client had disconnected", late+disconnectSlack)
 	}
 }
 
@@ -80,10 +80,10 @@
 		age := attempt.At.Sub(earlier.At)
 		switch class.Effect {
 		case scenario.EffectSideEffect:
-			c.violate("duplicate", attempt.At, request, "sent again %v after an attempt that may have been executed", age)
+			c.addViolation("duplicate", attempt.At, request, "sent again %v after an attempt that may have been executed", age)
 		case scenario.EffectToken:
 			if age > class.KeyRetention+c.lag(attempt.At) {
-				c.violate("duplicate", attempt.At, request, "sent again %v after an attempt, keys are retained for %v",
+				c.addViolation("duplicate", attempt.At, request, "sent again %v after an attempt, keys are retained for %v",
 					age, class.KeyRetention)
 			}
 		case scenario.EffectPure: // may be sent again at any time
--- a/internal/soak/check/check.go
+++ b/internal/soak/check/check.go
@@ -32,8 +32,8 @@
 	violations []history.Violation
 }
 
-// violate adds a violation at a request.
-func (c *checker) violate(rule string, at time.Time, request *history.Request, format string, arguments ...any) {
+// addViolation adds a violation at a request.
+func (c *checker) addViolation(rule string, at time.Time, request *history.Request, format string, arguments ...any) {
 	text := fmt.Sprintf("request %s, class %s: ", request.ID, request.Class.Name) + fmt.Sprintf(format, arguments...)
 	c.violations = append(c.violations, history.Violation{
 		Rule: rule, At: at, Incarnation: request.Incarnation, Text: text,
@@ -41,4 +41,4 @@
 }
 
 // lag returns how late what was recorded around a time may be.
-func (c *checker) lag(at time.Time) time.Duration { return c.History.Lag.Around(at) }
+func (c *checker) lag(at time.Time) time.Duration { return c.History.Lag.MaxNear(at) }
--- a/internal/soak/check/slow_start.go
+++ b/internal/soak/check/slow_start.go
@@ -24,8 +24,8 @@
 	warmAt := server.JoinedAt.Add(c.Settings.SlowStart)
 	for at := server.JoinedAt; at.Before(warmAt) && at.Before(c.EndedAt); at = at.Add(step) {
 		end := at.Add(c.Settings.OverloadWindow)
-		allowed := withChance(c.slowStartBudget(server, at, end))
-		if got := server.ArrivalsBetween(at, end); float64(got) > allowed {
+		allowed := withRandomVariation(c.slowStartBudget(server, at, end))
+		if got := server.CountArrivals(at, end); float64(got) > allowed {
 			c.violations = append(c.violations, history.Violation{
 				Rule: "slow start", At: at, Text: fmt.Sprintf("%s got %d requests %v after its start, %.1f are allowed",
 					server.ID, got, at.Sub(server.JoinedAt), allowed),
@@ -43,10 +43,10 @@
 	return s.OverloadMultiple * share * c.warmServerRate(from, to) * s.OverloadWindow.Seconds()
 }
 
-// withChance returns a budget of requests with the excess that the operators' terms allow for chance.
-func withChance(budget float64) float64 {
-	const few = 30
-	if budget < few {
+// withRandomVariation returns a budget of requests with the excess that the operators' terms allow for chance.
+func withRandomVariation(budget float64) float64 {
+	const smallBudget = 30
+	if budget < smallBudget {
 		return budget + 3*math.Sqrt(budget) + 3
 	}
 	return budget + 2*math.Sqrt(budget) + 2
@@ -55,16 +55,16 @@
 // warmServerRate returns the highest rate of a warm server, in requests a second. The nodes estimate this rate
 // from their recent past, so that the time before the given one counts too.
 func (c *checker) warmServerRate(from, to time.Time) float64 {
-	const lookBack = 3 * time.Second
-	most := 0
+	const lookback = 3 * time.Second
+	maxCount := 0
 	for _, server := range c.History.Servers() {
 		warm := server.JoinedAt.IsZero()
 		if !warm || server.Hanging.Load() {
 			continue
 		}
-		for at := from.Add(-lookBack); at.Before(to); at = at.Add(time.Second) {
-			most = max(most, server.ArrivalsBetween(at, at.Add(time.Second)))
+		for at := from.Add(-lookback); at.Before(to); at = at.Add(time.Second) {
+			maxCount = max(maxCount, server.CountArrivals(at, at.Add(time.Second)))
 		}
 	}
-	return float64(most)
+	return float64(maxCount)
 }
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -13,8 +13,8 @@
 	"calicohinge/internal/testkit"
 )
 
-// refusedPause is the pause of a client whose connection was refused.
-const refusedPause = 20 * time.Millisecond
+// reconnectDelay is the pause of a client whose connection was refused.
+const reconnectDelay = 20 * time.Millisecond
 
 // The errors that are no failure of the node.
 var (
@@ -31,13 +31,13 @@
 	classes   []scenario.Class
 	random    *rand.Rand
 	keepAlive bool
-	pause     time.Duration // mean between two requests
+	meanPause time.Duration // mean between two requests
 	ended     <-chan struct{}
 
-	incarnation *history.Incarnation // that the connection leads to
-	conn        net.Conn
-	reader      *bufio.Reader
-	sent        int
+	incarnation  *history.Incarnation // that the connection leads to
+	conn         net.Conn
+	reader       *bufio.Reader
+	requestCount int
 }
 
 // run sends requests until the run has ended.
@@ -47,26 +47,26 @@
 		select {
 		case <-c.ended:
 			return
-		case <-time.After(time.Duration(c.random.ExpFloat64() * float64(c.pause))):
+		case <-time.After(time.Duration(c.random.ExpFloat64() * float64(c.meanPause))):
 		}
-		c.sendOne()
+		c.sendRequest()
 	}
 }
 
-// sendOne sends a request. If the node closes the connection without reading the request, as it may close
-// an idle one, sendOne sends another on a new connection.
-func (c *client) sendOne() {
+// sendRequest sends a request. If the node closes the connection without reading the request, as it may close
+// an idle one, sendRequest sends another on a new connection.
+func (c *client) sendRequest() {
 	for again := true; again; {
-		again = c.sendOnce()
+		again = c.trySend()
 	}
 }
 
-// sendOnce sends a request and records how it ended. It returns true if the request crossed the close of an
+// trySend sends a request and records how it ended. It returns true if the request crossed the close of an
 // idle connection.
-func (c *client) sendOnce() bool {
+func (c *client) trySend() bool {
 	reused := c.conn != nil
 	if err := c.connect(); err != nil {
-		time.Sleep(refusedPause) // the node is being restarted
+		time.Sleep(reconnectDelay) // the node is being restarted
 		return false
 	}
 	responded, err := c.exchange()
@@ -75,23 +75,23 @@
 		return false
 	}
 	c.disconnect()
-	crossedClose := reused && !responded && !testkit.IsTimeout(err)
+	racedClose := reused && !responded && !testkit.IsTimeout(err)
 	switch {
 	case errors.Is(err, errDisconnected):
-	case crossedClose:
+	case racedClose:
 		return true
-	case c.resetInQueue(responded, err):
-		c.history.CountUnread()
+	case c.resetInAcceptQueue(responded, err):
+		c.history.CountReset()
 	default:
-		c.history.Violate("lost", c.incarnation, "request %s, reused connection %v, part of a response %v: %v",
+		c.history.RecordViolationf("lost", c.incarnation, "request %s, reused connection %v, part of a response %v: %v",
 			c.requestID(), reused, responded, err)
 	}
 	return false
 }
 
-// resetInQueue reports whether err means that the connection was reset in the accept queue of a node that
+// resetInAcceptQueue reports whether err means that the connection was reset in the accept queue of a node that
 // shuts down.
-func (c *client) resetInQueue(responded bool, err error) bool {
+func (c *client) resetInAcceptQueue(responded bool, err error) bool {
 	return errors.Is(err, syscall.ECONNRESET) && !responded && c.incarnation.Terminated()
 }
 
--- a/internal/soak/client_exchange.go
+++ b/internal/soak/client_exchange.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	disconnectShare   = 0.05 // of the requests whose clients disconnect early
-	shortTimeoutShare = 0.2  // of the requests whose clients wait for less than the class's deadline
+	disconnectShare       = 0.05 // of the requests whose clients disconnect early
+	shortenedTimeoutShare = 0.2  // of the requests whose clients wait for less than the class's deadline
 	// responseGrace is how long after its deadline a response may still come.
 	responseGrace = 500 * time.Millisecond
 	// lagAllowance is how much longer a client reads than a response may take: on a busy machine the client
@@ -21,14 +21,14 @@
 	lagAllowance = 2 * time.Second
 )
 
-func (c *client) requestID() string { return fmt.Sprintf("%s-%d", c.name, c.sent) }
+func (c *client) requestID() string { return fmt.Sprintf("%s-%d", c.name, c.requestCount) }
 
 // nextRequest makes the next request.
 func (c *client) nextRequest() *history.Request {
-	c.sent++
+	c.requestCount++
 	class := c.classes[c.random.IntN(len(c.classes))]
 	timeout := class.Deadline
-	if c.random.Float64() < shortTimeoutShare {
+	if c.random.Float64() < shortenedTimeoutShare {
 		timeout = timeout/4 + time.Duration(c.random.Float64()*float64(timeout)/2)
 	}
 	return &history.Request{
@@ -44,7 +44,7 @@
 	if disconnects {
 		readTimeout = time.Duration(c.random.Float64() * float64(request.Timeout))
 	}
-	c.history.RequestSent(request)
+	c.history.RecordRequest(request)
 	if err := c.write(request, readTimeout); err != nil {
 		if disconnects && testkit.IsTimeout(err) {
 			err = errDisconnected // before it has sent the request
@@ -53,7 +53,7 @@
 	}
 	result, err := c.readResponse()
 	if disconnects && testkit.IsTimeout(err) {
-		c.history.ClientDisconnects(request)
+		c.history.RecordDisconnect(request)
 		return result.began, errDisconnected
 	}
 	c.checkResponseTime(request)
@@ -78,8 +78,8 @@
 // allows for the scheduling lag of this process.
 func (c *client) checkResponseTime(request *history.Request) {
 	late := time.Since(request.SentAt) - request.Timeout - responseGrace
-	if late > c.history.Lag.Around(time.Now()) {
-		c.history.Violate("late", c.incarnation, "request %s: %v after the grace of its response", request.ID, late)
+	if late > c.history.Lag.MaxNear(time.Now()) {
+		c.history.RecordViolationf("late", c.incarnation, "request %s: %v after the grace of its response", request.ID, late)
 	}
 }
 
--- a/internal/soak/discovery.go
+++ b/internal/soak/discovery.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	maxSlowDelay         = 700 * time.Millisecond // of a response, while the service is slow
-	completeShare        = 0.3                    // of the responses to watches that are complete lists
-	withoutDrainingShare = 0.5                    // of the complete lists that leave out draining servers
+	maxSlowDelay      = 700 * time.Millisecond // of a response, while the service is slow
+	snapshotShare     = 0.3                    // of the responses to watches that are complete lists
+	omitDrainingShare = 0.5                    // of the complete lists that leave out draining servers
 )
 
 // discovery is the discovery service. It has a new address for each configuration of each node.
@@ -27,13 +27,13 @@
 	t      *testing.T
 	record *history.Discovery
 
-	mu        sync.Mutex
-	changes   [][]endpointjson.Endpoint        // the endpoints that changed in each generation, from 1 on
-	current   map[string]endpointjson.Endpoint // by ID
-	changed   chan struct{}                    // closed at the next change or fault
-	fault     scenario.DiscoveryFault
-	faultFrom time.Time
-	machines  []*testkit.Machine
+	mu         sync.Mutex
+	changes    [][]endpointjson.Endpoint        // the endpoints that changed in each generation, from 1 on
+	current    map[string]endpointjson.Endpoint // by ID
+	changed    chan struct{}                    // closed at the next change or fault
+	fault      scenario.DiscoveryFault
+	faultStart time.Time
+	machines   []*testkit.Machine
 }
 
 func newDiscovery(t *testing.T, record *history.Discovery) *discovery {
@@ -67,20 +67,20 @@
 		}
 	}
 	d.changes = append(d.changes, endpoints)
-	d.record.Published()
-	d.wake()
+	d.record.RecordGeneration()
+	d.completeWatches()
 	return uint64(len(d.changes))
 }
 
-// wake completes all pending watches. The caller holds d.mu.
-func (d *discovery) wake() {
+// completeWatches completes all pending watches. The caller holds d.mu.
+func (d *discovery) completeWatches() {
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
 // setFault begins a fault, or ends the present one with DiscoveryHealthy.
 func (d *discovery) setFault(fault scenario.DiscoveryFault) {
-	previous, machines := d.changeFault(fault)
+	previous, machines := d.replaceFault(fault)
 	var partitions sync.WaitGroup
 	for _, machine := range machines {
 		switch {
@@ -93,32 +93,32 @@
 	partitions.Wait()
 }
 
-// changeFault records a fault. It returns the previous one, and the machines of all addresses.
-func (d *discovery) changeFault(fault scenario.DiscoveryFault) (scenario.DiscoveryFault, []*testkit.Machine) {
+// replaceFault records a fault. It returns the previous one, and the machines of all addresses.
+func (d *discovery) replaceFault(fault scenario.DiscoveryFault) (scenario.DiscoveryFault, []*testkit.Machine) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	previous := d.fault
 	reachable := previous == scenario.DiscoveryHealthy || previous == scenario.DiscoverySlow
 	if !reachable {
-		d.record.OutageEnded(d.faultFrom)
+		d.record.RecordOutage(d.faultStart)
 	}
-	d.fault, d.faultFrom = fault, time.Now()
+	d.fault, d.faultStart = fault, time.Now()
 	if fault != scenario.DiscoveryUnresponsive {
-		d.wake()
+		d.completeWatches()
 	}
 	return previous, slices.Clone(d.machines)
 }
 
-// query is the query of a call.
-type query struct {
+// listQuery is the query of a call.
+type listQuery struct {
 	watch bool   // the call waits for a list newer than generation after
 	after uint64 // with watch
 }
 
 // parseQuery returns the query of a call. A call that names no generation is no watch.
-func parseQuery(r *http.Request) query {
+func parseQuery(r *http.Request) listQuery {
 	after, err := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
-	return query{watch: err == nil, after: after}
+	return listQuery{watch: err == nil, after: after}
 }
 
 // respond responds to a call of an incarnation of a node.
@@ -143,12 +143,12 @@
 		d.t.Error(err)
 	}
 	return testkit.Response{
-		Status: http.StatusOK, Body: string(text), Sent: func() { incarnation.ListDelivered(list.Generation) },
+		Status: http.StatusOK, Body: string(text), Sent: func() { incarnation.RecordDelivery(list.Generation) },
 	}
 }
 
 // awaitChange blocks a watch of a healthy service until there is a newer list, or its wait is over.
-func (d *discovery) awaitChange(requested query, r *http.Request) {
+func (d *discovery) awaitChange(requested listQuery, r *http.Request) {
 	d.mu.Lock()
 	changed, generation, fault := d.changed, uint64(len(d.changes)), d.fault
 	d.mu.Unlock()
@@ -159,18 +159,18 @@
 }
 
 // list returns the response to a query: the complete list, or what changed after a generation.
-func (d *discovery) list(requested query) endpointjson.List {
+func (d *discovery) list(requested listQuery) endpointjson.List {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if requested.watch && rand.Float64() >= completeShare {
-		return d.changesAfter(requested.after)
+	if requested.watch && rand.Float64() >= snapshotShare {
+		return d.delta(requested.after)
 	}
-	return d.completeList()
+	return d.snapshot()
 }
 
-// changesAfter returns a delta: the endpoints that changed after a generation, in their latest state. The
+// delta returns a delta: the endpoints that changed after a generation, in their latest state. The
 // caller holds d.mu.
-func (d *discovery) changesAfter(after uint64) endpointjson.List {
+func (d *discovery) delta(after uint64) endpointjson.List {
 	list := endpointjson.List{Generation: uint64(len(d.changes))}
 	latest := map[string]endpointjson.Endpoint{}
 	for _, endpoints := range d.changes[min(after, list.Generation):] {
@@ -184,10 +184,10 @@
 	return list
 }
 
-// completeList returns the complete list, at times without the draining servers. The caller holds d.mu.
-func (d *discovery) completeList() endpointjson.List {
+// snapshot returns the complete list, at times without the draining servers. The caller holds d.mu.
+func (d *discovery) snapshot() endpointjson.List {
 	list := endpointjson.List{Generation: uint64(len(d.changes)), Reset: true}
-	withoutDraining := rand.Float64() < withoutDrainingShare
+	withoutDraining := rand.Float64() < omitDrainingShare
 	for _, e := range d.current {
 		if e.Lifecycle == lifecycleReady || !withoutDraining {
 			list.Endpoints = append(list.Endpoints, e)
--- a/internal/soak/history/discovery.go
+++ b/internal/soak/history/discovery.go
@@ -19,15 +19,15 @@
 // outage is a span of time in which the service could not be reached.
 type outage struct{ from, to time.Time }
 
-// Published records that the list of the next generation is published now.
-func (d *Discovery) Published() {
+// RecordGeneration records that the list of the next generation is published now.
+func (d *Discovery) RecordGeneration() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.published = append(d.published, time.Now())
 }
 
-// OutageEnded records that the service could not be reached from a time until now.
-func (d *Discovery) OutageEnded(from time.Time) {
+// RecordOutage records that the service could not be reached from a time until now.
+func (d *Discovery) RecordOutage(from time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.outages = append(d.outages, outage{from, time.Now()})
@@ -40,9 +40,9 @@
 	return d.published[generation-1]
 }
 
-// reachableFrom returns the first time, from the given one on, after which the service could be reached
+// reachableSince returns the first time, from the given one on, after which the service could be reached
 // without a break for a span.
-func (d *Discovery) reachableFrom(from time.Time, span time.Duration) time.Time {
+func (d *Discovery) reachableSince(from time.Time, span time.Duration) time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, outage := range d.outages {
@@ -60,7 +60,7 @@
 	if known.Before(incarnation.StartedAt) {
 		known = incarnation.StartedAt
 	}
-	notified := d.reachableFrom(known, policy.NotificationDeadline).Add(policy.NotificationDeadline)
+	notified := d.reachableSince(known, policy.NotificationDeadline).Add(policy.NotificationDeadline)
 	deliveries, reloads := incarnation.notifications()
 	for _, delivery := range deliveries {
 		if delivery.generation >= generation && delivery.at.Before(notified) {
@@ -70,7 +70,7 @@
 	for _, reload := range reloads {
 		due := reload.Add(testkit.AddressChangeDeadline)
 		reloadFollows := !reload.Before(known)
-		reachable := d.reachableFrom(reload, testkit.AddressChangeDeadline).Equal(reload)
+		reachable := d.reachableSince(reload, testkit.AddressChangeDeadline).Equal(reload)
 		if reloadFollows && reachable && due.Before(notified) {
 			notified = due
 		}
--- a/internal/soak/history/discovery_test.go
+++ b/internal/soak/history/discovery_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestProcessIsNotNotifiedBeforeItStarts(t *testing.T) {
+func TestNotificationDeadlineCountsFromProcessStart(t *testing.T) {
 	began := time.Now()
 	discovery := Discovery{published: []time.Time{began}}
 	incarnation := &Incarnation{StartedAt: began.Add(time.Minute)}
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestLagAroundATimeIsTheGreatestNearIt(t *testing.T) {
+func TestMaxNearIsGreatestLagInWindow(t *testing.T) {
 	began := time.Now()
 	lag := lagSeries{samples: []lagSample{
 		{began, 20 * time.Millisecond},
@@ -58,7 +58,7 @@
 		-time.Second: 0, 100 * time.Millisecond: 20 * time.Millisecond, time.Second: 0, 2400 * time.Millisecond: 30 * time.Millisecond,
 		2700 * time.Millisecond: 10 * time.Millisecond, time.Minute: 0,
 	} {
-		if got := lag.Around(began.Add(after)); got != want {
+		if got := lag.MaxNear(began.Add(after)); got != want {
 			t.Errorf("lag %v around %v, want %v", got, after, want)
 		}
 	}
--- a/internal/soak/history/history.go
+++ b/internal/soak/history/history.go
@@ -16,13 +16,13 @@
 	Lag       *SchedulingLag
 
 	mu         sync.Mutex
-	began      time.Time
+	startTime  time.Time
 	requests   map[string]*Request
 	servers    []*Server
 	responses  int
-	unread     int
+	resets     int
 	violations []Violation
-	log        []string
+	timeline   []string
 }
 
 // Violation is a rule that was broken.
@@ -35,48 +35,48 @@
 
 // New returns the history of a run that begins now.
 func New(lag *SchedulingLag) *History {
-	return &History{Lag: lag, began: time.Now(), requests: map[string]*Request{}}
+	return &History{Lag: lag, startTime: time.Now(), requests: map[string]*Request{}}
 }
 
-// Begin makes the present the time from which the times of a run count.
-func (h *History) Begin() {
+// Start makes the present the time from which the times of a run count.
+func (h *History) Start() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.began = time.Now()
+	h.startTime = time.Now()
 }
 
-// Began returns the time from which the times of a run count.
-func (h *History) Began() time.Time {
+// StartTime returns the time from which the times of a run count.
+func (h *History) StartTime() time.Time {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.began
+	return h.startTime
 }
 
 // Logf adds a line to the timeline of the run.
 func (h *History) Logf(format string, arguments ...any) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	line := fmt.Sprintf("%7.3f ", time.Since(h.began).Seconds()) + fmt.Sprintf(format, arguments...)
-	h.log = append(h.log, line)
+	line := fmt.Sprintf("%7.3f ", time.Since(h.startTime).Seconds()) + fmt.Sprintf(format, arguments...)
+	h.timeline = append(h.timeline, line)
 }
 
 // Timeline returns the lines of Logf.
 func (h *History) Timeline() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return slices.Clone(h.log)
+	return slices.Clone(h.timeline)
 }
 
-// RequestSent records a request before its first byte is sent, and sets its time.
-func (h *History) RequestSent(request *Request) {
+// RecordRequest records a request before its first byte is sent, and sets its time.
+func (h *History) RecordRequest(request *Request) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	request.SentAt = time.Now()
 	h.requests[request.ID] = request
 }
 
-// ClientDisconnects records that the client of a request is about to disconnect.
-func (h *History) ClientDisconnects(request *Request) {
+// RecordDisconnect records that the client of a request is about to disconnect.
+func (h *History) RecordDisconnect(request *Request) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	request.DisconnectedAt = time.Now()
@@ -89,16 +89,16 @@
 	h.responses++
 }
 
-// CountUnread counts a request that no node read: its connection was reset in the accept queue of a node
+// CountReset counts a request that no node read: its connection was reset in the accept queue of a node
 // that shut down.
-func (h *History) CountUnread() {
+func (h *History) CountReset() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.unread++
+	h.resets++
 }
 
-// AttemptArrived records an attempt of the request with an ID at a server.
-func (h *History) AttemptArrived(id string, attempt Attempt) {
+// RecordAttempt records an attempt of the request with an ID at a server.
+func (h *History) RecordAttempt(id string, attempt Attempt) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	request := h.requests[id]
@@ -134,15 +134,15 @@
 	return slices.Clone(h.servers)
 }
 
-// Violate records a violation that is seen now.
-func (h *History) Violate(rule string, incarnation *Incarnation, format string, arguments ...any) {
-	h.AddViolation(Violation{
+// RecordViolationf records a violation that is seen now.
+func (h *History) RecordViolationf(rule string, incarnation *Incarnation, format string, arguments ...any) {
+	h.RecordViolation(Violation{
 		Rule: rule, At: time.Now(), Incarnation: incarnation, Text: fmt.Sprintf(format, arguments...),
 	})
 }
 
-// AddViolation records a violation.
-func (h *History) AddViolation(violation Violation) {
+// RecordViolation records a violation.
+func (h *History) RecordViolation(violation Violation) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.violations = append(h.violations, violation)
@@ -152,7 +152,7 @@
 type Summary struct {
 	Requests   int
 	Responses  int // requests with a complete response
-	Unread     int // requests whose connections were reset in the accept queue of a node that shut down
+	Resets     int // requests whose connections were reset in the accept queue of a node that shut down
 	Violations []Violation
 }
 
@@ -161,6 +161,6 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return Summary{
-		Requests: len(h.requests), Responses: h.responses, Unread: h.unread, Violations: slices.Clone(h.violations),
+		Requests: len(h.requests), Responses: h.responses, Resets: h.resets, Violations: slices.Clone(h.violations),
 	}
 }
--- a/internal/soak/history/incarnation.go
+++ b/internal/soak/history/incarnation.go
@@ -16,14 +16,14 @@
 	deliveries   []delivery
 	reloads      []time.Time // SIGHUPs
 	terminatedAt time.Time   // SIGTERM; zero: not yet
-	log          []string
+	logLines     []string
 
 	pauses lagSeries // that the process has reported
 }
 
-// pauseReport precedes the length of a pause in the log of a process that balancertest.BuildInstrumented has
+// pausePrefix precedes the length of a pause in the log of a process that balancertest.BuildInstrumented has
 // built.
-const pauseReport = "paused for "
+const pausePrefix = "paused for "
 
 // delivery is an endpoint list that the discovery service wrote to a node.
 type delivery struct {
@@ -31,22 +31,22 @@
 	at         time.Time
 }
 
-// ListDelivered records that the list of a generation is written to the node now.
-func (i *Incarnation) ListDelivered(generation uint64) {
+// RecordDelivery records that the list of a generation is written to the node now.
+func (i *Incarnation) RecordDelivery(generation uint64) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.deliveries = append(i.deliveries, delivery{generation, time.Now()})
 }
 
-// Reloads records that SIGHUP is sent now.
-func (i *Incarnation) Reloads() {
+// RecordReload records that SIGHUP is sent now.
+func (i *Incarnation) RecordReload() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.reloads = append(i.reloads, time.Now())
 }
 
-// Terminates records that SIGTERM is sent now.
-func (i *Incarnation) Terminates() {
+// RecordTermination records that SIGTERM is sent now.
+func (i *Incarnation) RecordTermination() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.terminatedAt = time.Now()
@@ -59,27 +59,27 @@
 	return !i.terminatedAt.IsZero()
 }
 
-// Logged records a line of the process's log.
-func (i *Incarnation) Logged(line string) {
-	if text, ok := strings.CutPrefix(line, pauseReport); ok {
+// RecordLogLine records a line of the process's log.
+func (i *Incarnation) RecordLogLine(line string) {
+	if text, ok := strings.CutPrefix(line, pausePrefix); ok {
 		if pause, err := time.ParseDuration(text); err == nil {
 			i.pauses.add(pause)
 		}
 	}
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.log = append(i.log, line)
+	i.logLines = append(i.logLines, line)
 }
 
-// PauseAround returns the longest time around a time for which the system kept the process from running, as the
+// MaxPauseNear returns the longest time around a time for which the system kept the process from running, as the
 // process has reported it.
-func (i *Incarnation) PauseAround(at time.Time) time.Duration { return i.pauses.Around(at) }
+func (i *Incarnation) MaxPauseNear(at time.Time) time.Duration { return i.pauses.MaxNear(at) }
 
 // LastLines returns the end of the process's log.
 func (i *Incarnation) LastLines(count int) string {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	return strings.Join(i.log[max(0, len(i.log)-count):], "\n")
+	return strings.Join(i.logLines[max(0, len(i.logLines)-count):], "\n")
 }
 
 // notifications returns the lists that were delivered to the process, and its reloads.
--- a/internal/soak/history/scheduling_lag.go
+++ b/internal/soak/history/scheduling_lag.go
@@ -9,8 +9,8 @@
 const (
 	// lagInterval is how often the lag is measured.
 	lagInterval = 5 * time.Millisecond
-	// lagReach is how far from a time Around considers the lag.
-	lagReach = 500 * time.Millisecond
+	// lagWindow is how far from a time MaxNear considers the lag.
+	lagWindow = 500 * time.Millisecond
 )
 
 // SchedulingLag measures how late the system scheduled this process. What the process recorded is late by as
@@ -32,8 +32,8 @@
 	lag time.Duration
 }
 
-// StartSchedulingLag starts a measurement. The caller stops it.
-func StartSchedulingLag() *SchedulingLag {
+// MeasureSchedulingLag starts a measurement. The caller stops it.
+func MeasureSchedulingLag() *SchedulingLag {
 	l := &SchedulingLag{stop: make(chan struct{})}
 	go l.measure()
 	return l
@@ -64,16 +64,16 @@
 	s.samples = append(s.samples, lagSample{time.Now(), lag})
 }
 
-// Around returns the greatest lag around a time.
-func (s *lagSeries) Around(at time.Time) time.Duration {
+// MaxNear returns the greatest lag around a time.
+func (s *lagSeries) MaxNear(at time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	first, _ := slices.BinarySearchFunc(s.samples, at.Add(-lagReach), func(sample lagSample, from time.Time) int {
+	first, _ := slices.BinarySearchFunc(s.samples, at.Add(-lagWindow), func(sample lagSample, from time.Time) int {
 		return sample.at.Compare(from)
 	})
 	greatest := time.Duration(0)
 	for _, sample := range s.samples[first:] {
-		if sample.at.Sub(at) > lagReach+sample.lag {
+		if sample.at.Sub(at) > lagWindow+sample.lag {
 			break
 		}
 		greatest = max(greatest, sample.lag)
--- a/internal/soak/history/server.go
+++ b/internal/soak/history/server.go
@@ -12,22 +12,22 @@
 	JoinedAt time.Time   // when it was listed first; zero: from the start of the run
 	Hanging  atomic.Bool // it responds to no request
 
-	// DelistedIn is the generation of the list that first showed the server as draining or removed; 0: none.
-	DelistedIn atomic.Uint64
+	// DelistedGeneration is the generation of the list that first showed the server as draining or removed; 0: none.
+	DelistedGeneration atomic.Uint64
 
 	mu       sync.Mutex
 	arrivals []time.Time
 }
 
-// RequestArrived records that a request arrived at the server.
-func (s *Server) RequestArrived(at time.Time) {
+// RecordArrival records that a request arrived at the server.
+func (s *Server) RecordArrival(at time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.arrivals = append(s.arrivals, at)
 }
 
-// ArrivalsBetween counts the requests that arrived in a time.
-func (s *Server) ArrivalsBetween(from, to time.Time) int {
+// CountArrivals counts the requests that arrived in a time.
+func (s *Server) CountArrivals(from, to time.Time) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	count := 0
--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -28,8 +28,8 @@
 	process balancertest.Process
 	clock   balancertest.WallClock
 
-	mu      sync.Mutex
-	current *history.Incarnation
+	mu                 sync.Mutex
+	currentIncarnation *history.Incarnation
 }
 
 // config returns the configuration of the node with an address of the discovery service.
@@ -47,9 +47,9 @@
 	n.clock = balancertest.NewWallClock(n.t, ahead)
 	next := &history.Incarnation{Name: fmt.Sprintf("%s.%d", n.name, number), StartedAt: time.Now()}
 	n.mu.Lock()
-	n.current = next // before a client can connect to it
+	n.currentIncarnation = next // before a client can connect to it
 	n.mu.Unlock()
-	options := balancertest.Options{Environment: []string{n.clock.Environment()}, Logged: next.Logged}
+	options := balancertest.Options{Environment: []string{n.clock.Environment()}, Logged: next.RecordLogLine}
 	n.process = balancertest.StartWith(n.t, options, n.config(n.discovery.newAddress(next)), n.program)
 	testkit.Wait(n.t, n.process.Addr, "the process of "+next.Name)
 }
@@ -58,7 +58,7 @@
 func (n *node) incarnation() *history.Incarnation {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.current
+	return n.currentIncarnation
 }
 
 // stepClock steps the wall clock of the node's machine.
@@ -73,7 +73,7 @@
 		return
 	}
 	n.process.ConfigFile.Replace(n.t, text)
-	current.Reloads()
+	current.RecordReload()
 	balancertest.Signal(n.t, n.process.PID, syscall.SIGHUP)
 }
 
@@ -90,7 +90,7 @@
 func (n *node) terminate(signals []syscall.Signal) {
 	const signalInterval = 40 * time.Millisecond
 	current := n.incarnation()
-	current.Terminates()
+	current.RecordTermination()
 	kill := time.After(n.killDelay)
 	for _, signal := range append([]syscall.Signal{syscall.SIGTERM}, signals...) {
 		balancertest.Signal(n.t, n.process.PID, signal)
@@ -99,10 +99,10 @@
 	select {
 	case err := <-n.process.Exited:
 		if err != nil {
-			n.history.Violate("crash", current, "exited with %v", err)
+			n.history.RecordViolationf("crash", current, "exited with %v", err)
 		}
 	case <-kill:
 		balancertest.Signal(n.t, n.process.PID, syscall.SIGKILL)
-		n.history.Violate("shutdown", current, "had to be killed %v after SIGTERM", n.killDelay)
+		n.history.RecordViolationf("shutdown", current, "had to be killed %v after SIGTERM", n.killDelay)
 	}
 }
--- a/internal/soak/report.go
+++ b/internal/soak/report.go
@@ -19,7 +19,7 @@
 	t.Helper()
 	summary := r.history.Summary()
 	t.Logf("seed %d: %s; %d requests, %d with a response, %d reset in the accept queue of a node that shut down, %d violations",
-		r.scenario.Seed, r.describe(), summary.Requests, summary.Responses, summary.Unread, len(summary.Violations))
+		r.scenario.Seed, r.describe(), summary.Requests, summary.Responses, summary.Resets, len(summary.Violations))
 	counts, incarnations := map[string]int{}, map[*history.Incarnation]bool{}
 	for _, violation := range summary.Violations {
 		counts[violation.Rule]++
@@ -31,12 +31,12 @@
 			name = violation.Incarnation.Name
 			incarnations[violation.Incarnation] = true
 		}
-		t.Errorf("rule %s at %.3f, %s: %s (lag %v)", violation.Rule, violation.At.Sub(r.history.Began()).Seconds(), name,
-			violation.Text, r.history.Lag.Around(violation.At))
+		t.Errorf("rule %s at %.3f, %s: %s (lag %v)", violation.Rule, violation.At.Sub(r.history.StartTime()).Seconds(), name,
+			violation.Text, r.history.Lag.MaxNear(violation.At))
 	}
 	for incarnation := range incarnations {
 		t.Logf("log of %s, started at %.3f:\n%s", incarnation.Name,
-			incarnation.StartedAt.Sub(r.history.Began()).Seconds(), incarnation.LastLines(logLinesShown))
+			incarnation.StartedAt.Sub(r.history.StartTime()).Seconds(), incarnation.LastLines(logLinesShown))
 	}
 	if len(summary.Violations) > 0 {
 		t.Logf("violations by rule: %v; timeline:\n%s", counts, strings.Join(r.history.Timeline(), "\n"))
--- a/internal/soak/scenario/action.go
+++ b/internal/soak/scenario/action.go
@@ -57,8 +57,8 @@
 type (
 	// StepClock sets by how much a node's wall clock is ahead.
 	StepClock struct {
-		Node  int
-		Ahead time.Duration
+		Node        int
+		ClockOffset time.Duration
 	}
 	// PauseNode stops a node's process for as long as the operators' terms allow.
 	PauseNode struct{ Node int }
@@ -66,9 +66,9 @@
 	ReloadNode struct{ Node int }
 	// RestartNode ends a node by SIGTERM and further signals and starts it again.
 	RestartNode struct {
-		Node    int
-		Signals []syscall.Signal
-		Ahead   time.Duration // of the wall clock of the new process
+		Node        int
+		Signals     []syscall.Signal
+		ClockOffset time.Duration // of the wall clock of the new process
 	}
 )
 
@@ -78,9 +78,11 @@
 func (a StartServer) String() string       { return fmt.Sprintf("start server %s", a.ID) }
 func (a HangServer) String() string        { return fmt.Sprintf("server %d hangs", a.Server) }
 func (a ResumeServer) String() string      { return fmt.Sprintf("server %d resumes", a.Server) }
-func (a StepClock) String() string         { return fmt.Sprintf("n%d: clock ahead by %v", a.Node, a.Ahead) }
-func (a PauseNode) String() string         { return fmt.Sprintf("n%d: paused", a.Node) }
-func (a ReloadNode) String() string        { return fmt.Sprintf("n%d: SIGHUP", a.Node) }
+func (a StepClock) String() string {
+	return fmt.Sprintf("n%d: clock ahead by %v", a.Node, a.ClockOffset)
+}
+func (a PauseNode) String() string  { return fmt.Sprintf("n%d: paused", a.Node) }
+func (a ReloadNode) String() string { return fmt.Sprintf("n%d: SIGHUP", a.Node) }
 func (a RestartNode) String() string {
-	return fmt.Sprintf("n%d: SIGTERM, then %v, restart with clock ahead by %v", a.Node, a.Signals, a.Ahead)
+	return fmt.Sprintf("n%d: SIGTERM, then %v, restart with clock ahead by %v", a.Node, a.Signals, a.ClockOffset)
 }
--- a/internal/soak/scenario/scenario.go
+++ b/internal/soak/scenario/scenario.go
@@ -43,7 +43,7 @@
 	return rand.New(rand.NewChaCha8(bytes))
 }
 
-// between generates a duration in a range.
-func between(random *rand.Rand, from, to time.Duration) time.Duration {
+// randomDuration generates a duration in a range.
+func randomDuration(random *rand.Rand, from, to time.Duration) time.Duration {
 	return from + time.Duration(random.Float64()*float64(to-from))
 }
--- a/internal/soak/scenario/scenario_test.go
+++ b/internal/soak/scenario/scenario_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-func TestSeedGivesTheSameScenarioTwice(t *testing.T) {
+func TestGenerateIsDeterministic(t *testing.T) {
 	for seed := range uint64(100) {
 		if first, second := Generate(seed), Generate(seed); !reflect.DeepEqual(first, second) {
 			t.Errorf("seed %d: %+v, then %+v", seed, first, second)
@@ -16,7 +16,7 @@
 	}
 }
 
-func TestSeedsGiveDifferentScenarios(t *testing.T) {
+func TestScenariosDifferBetweenSeeds(t *testing.T) {
 	first, second := Generate(1), Generate(2)
 	second.Seed = first.Seed
 	if reflect.DeepEqual(first, second) {
@@ -25,7 +25,7 @@
 }
 
 // Seeds that are noted in reports have to give the same scenario in later versions.
-func TestScenarioOfASeedStaysTheSame(t *testing.T) {
+func TestScenarioOfSeedIsStableAcrossVersions(t *testing.T) {
 	want, err := os.ReadFile("testdata/seed-1.txt")
 	if err != nil {
 		t.Fatal(err)
@@ -39,7 +39,7 @@
 func describe(s Scenario) string {
 	var text strings.Builder
 	_, _ = fmt.Fprintf(&text, "seed %d, high concurrency %v, %d nodes\n%+v\nclocks ahead by %v, final signals %v\n",
-		s.Seed, s.HighConcurrency, s.Nodes, s.Settings, s.Schedule.InitialClocks, s.Schedule.FinalSignals)
+		s.Seed, s.HighConcurrency, s.Nodes, s.Settings, s.Schedule.InitialClockOffsets, s.Schedule.FinalSignals)
 	for i, events := range s.Schedule.Concurrent {
 		_, _ = fmt.Fprintf(&text, "schedule %d\n", i)
 		for _, event := range events {
--- a/internal/soak/scenario/schedule.go
+++ b/internal/soak/scenario/schedule.go
@@ -16,9 +16,9 @@
 
 // Schedule is the faults of a run and the signals at its end.
 type Schedule struct {
-	InitialClocks []time.Duration  // by how much each node's wall clock is ahead at its start
-	Concurrent    [][]Event        // fault schedules that run concurrently, each in order of time
-	FinalSignals  []syscall.Signal // sent to each node after the SIGTERM that ends it
+	InitialClockOffsets []time.Duration  // by how much each node's wall clock is ahead at its start
+	Concurrent          [][]Event        // fault schedules that run concurrently, each in order of time
+	FinalSignals        []syscall.Signal // sent to each node after the SIGTERM that ends it
 }
 
 // generateSchedule generates a schedule. The order in which the parts are generated must stay: the parts
@@ -26,10 +26,10 @@
 func generateSchedule(random *rand.Rand, nodes int) Schedule {
 	schedule := Schedule{FinalSignals: generateSignals(random)}
 	for range nodes {
-		schedule.InitialClocks = append(schedule.InitialClocks, generateClockStep(random))
+		schedule.InitialClockOffsets = append(schedule.InitialClockOffsets, generateClockOffset(random))
 	}
 	schedule.Concurrent = append(schedule.Concurrent,
-		generateDiscoveryFaults(random), generateServerChanges(random), generateHang(random))
+		generateDiscoveryFaults(random), generateServerReplacements(random), generateHang(random))
 	restarted := random.IntN(nodes)
 	for node := range nodes {
 		events := generateNodeFaults(random, node)
@@ -44,8 +44,8 @@
 	return schedule
 }
 
-// generateClockStep generates by how much a wall clock is ahead.
-func generateClockStep(random *rand.Rand) time.Duration {
+// generateClockOffset generates by how much a wall clock is ahead.
+func generateClockOffset(random *rand.Rand) time.Duration {
 	const day = 24 * time.Hour
 	steps := []time.Duration{0, time.Second, 5 * time.Second, 30 * time.Second, 7 * time.Minute, time.Hour, 400 * day}
 	step := steps[random.IntN(len(steps))]
@@ -68,29 +68,29 @@
 		DiscoveryUnresponsive, DiscoveryUnresponsive, DiscoveryUnavailable, DiscoveryReset, DiscoverySlow,
 	}
 	var events []Event
-	at := between(random, time.Second, 4*time.Second)
+	at := randomDuration(random, time.Second, 4*time.Second)
 	for range 1 + random.IntN(2) {
 		fault := faults[random.IntN(len(faults))]
 		longest := 6 * time.Second
 		if fault == DiscoveryUnresponsive {
 			longest = 10 * time.Second
 		}
-		until := at + between(random, time.Second, longest)
+		until := at + randomDuration(random, time.Second, longest)
 		events = append(events, Event{at, SetDiscoveryFault{fault}}, Event{until, SetDiscoveryFault{DiscoveryHealthy}})
-		at = until + between(random, 200*time.Millisecond, 3*time.Second)
+		at = until + randomDuration(random, 200*time.Millisecond, 3*time.Second)
 	}
 	return events
 }
 
-// generateServerChanges generates servers that drain and are removed, and a server that starts after each of
+// generateServerReplacements generates servers that drain and are removed, and a server that starts after each of
 // them: the first under the ID of the removed one, the others under new IDs.
-func generateServerChanges(random *rand.Rand) []Event {
+func generateServerReplacements(random *rand.Rand) []Event {
 	const changes = 3
 	var events []Event
 	for i, server := range random.Perm(Servers)[:changes] {
-		drainAt := between(random, time.Second, 9*time.Second)
-		removeAt := drainAt + between(random, 500*time.Millisecond, 4*time.Second)
-		startAt := removeAt + between(random, 0, 2*time.Second)
+		drainAt := randomDuration(random, time.Second, 9*time.Second)
+		removeAt := drainAt + randomDuration(random, 500*time.Millisecond, 4*time.Second)
+		startAt := removeAt + randomDuration(random, 0, 2*time.Second)
 		id := ServerID(server)
 		if i > 0 {
 			id = fmt.Sprintf("new-%d", i)
@@ -108,7 +108,7 @@
 func generateHang(random *rand.Rand) []Event {
 	const duration = 2 * time.Second
 	server := random.IntN(Servers)
-	from := between(random, 2*time.Second, 12*time.Second)
+	from := randomDuration(random, 2*time.Second, 12*time.Second)
 	return []Event{{from, HangServer{server}}, {from + duration, ResumeServer{server}}}
 }
 
@@ -117,14 +117,14 @@
 	const stepInterval, reloadInterval, reloads = time.Second, 300 * time.Millisecond, 3
 	var events []Event
 	for at := stepInterval; at < Duration; at += stepInterval {
-		events = append(events, Event{at, StepClock{node, generateClockStep(random)}})
+		events = append(events, Event{at, StepClock{node, generateClockOffset(random)}})
 	}
 	for third := range time.Duration(3) { // apart: the operators' terms allow one pause at a time
-		at := between(random, third*Duration/3, (third+1)*Duration/3-time.Second)
+		at := randomDuration(random, third*Duration/3, (third+1)*Duration/3-time.Second)
 		events = append(events, Event{at, PauseNode{node}})
 	}
 	if random.IntN(3) > 0 {
-		from := between(random, time.Second, 10*time.Second)
+		from := randomDuration(random, time.Second, 10*time.Second)
 		for i := range reloads {
 			events = append(events, Event{from + time.Duration(i)*reloadInterval, ReloadNode{node}})
 		}
@@ -134,7 +134,7 @@
 
 // generateRestart generates the restart of a node.
 func generateRestart(random *rand.Rand, node int) Event {
-	at := between(random, 4*time.Second, 11*time.Second)
+	at := randomDuration(random, 4*time.Second, 11*time.Second)
 	signals := generateSignals(random)
-	return Event{at, RestartNode{node, signals, generateClockStep(random)}}
+	return Event{at, RestartNode{node, signals, generateClockOffset(random)}}
 }
--- a/internal/soak/server.go
+++ b/internal/soak/server.go
@@ -29,8 +29,8 @@
 	faultReset                           // the connection is closed without a response
 )
 
-// randomFault chooses a fault, according to the shares.
-func randomFault() serverFault {
+// chooseFault chooses a fault, according to the shares.
+func chooseFault() serverFault {
 	chosen := rand.Float64()
 	switch {
 	case chosen < notProcessedShare:
@@ -43,8 +43,8 @@
 	return faultNone
 }
 
-// meanWork is the mean time that a server takes for a request.
-const meanWork = 3 * time.Millisecond
+// meanServiceTime is the mean time that a server takes for a request.
+const meanServiceTime = 3 * time.Millisecond
 
 // The lifecycle of a server in the JSON form of the endpoint list.
 const (
@@ -79,14 +79,14 @@
 // ServeHTTP implements http.Handler.
 func (s *server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	now := time.Now()
-	s.record.RequestArrived(now)
+	s.record.RecordArrival(now)
 	timeoutText := r.Header.Get("X-Timeout-Ms")
 	timeoutMs, err := strconv.Atoi(timeoutText)
 	if err != nil {
-		s.history.Violate("deadline", nil, "server %s was given the time %q", s.record.ID, timeoutText)
+		s.history.RecordViolationf("deadline", nil, "server %s was given the time %q", s.record.ID, timeoutText)
 	}
-	fault := randomFault()
-	s.history.AttemptArrived(r.Header.Get("X-Request-Id"), history.Attempt{
+	fault := chooseFault()
+	s.history.RecordAttempt(r.Header.Get("X-Request-Id"), history.Attempt{
 		Server: s.record, At: now, Timeout: time.Duration(timeoutMs) * time.Millisecond,
 		NotExecuted: fault == faultNotProcessed,
 	})
@@ -94,7 +94,7 @@
 		<-r.Context().Done()
 		return
 	}
-	time.Sleep(time.Duration(rand.ExpFloat64() * float64(meanWork)))
+	time.Sleep(time.Duration(rand.ExpFloat64() * float64(meanServiceTime)))
 	switch fault {
 	case faultNotProcessed:
 		testkit.NotProcessed(w, r)
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -25,9 +25,9 @@
 func Run(t *testing.T, program string, seed uint64) {
 	t.Helper()
 	r := newRunner(t, program, scenario.Generate(seed))
-	r.run()
+	r.runScenario()
 	for _, violation := range check.All(check.Run{Settings: &r.scenario.Settings, History: r.history, EndedAt: r.endedAt}) {
-		r.history.AddViolation(violation)
+		r.history.RecordViolation(violation)
 	}
 	r.report(t)
 }
@@ -45,7 +45,7 @@
 
 func newRunner(t *testing.T, program string, s scenario.Scenario) *runner {
 	t.Helper()
-	lag := history.StartSchedulingLag()
+	lag := history.MeasureSchedulingLag()
 	t.Cleanup(lag.Stop)
 	records := history.New(lag)
 	r := &runner{t: t, scenario: s, history: records, discovery: newDiscovery(t, &records.Discovery)}
@@ -69,17 +69,17 @@
 	return r
 }
 
-// run starts the nodes and clients, runs the schedule and shuts the nodes down.
-func (r *runner) run() {
+// runScenario starts the nodes and clients, runs the schedule and shuts the nodes down.
+func (r *runner) runScenario() {
 	for i, node := range r.nodes {
-		node.start(0, r.scenario.Schedule.InitialClocks[i])
+		node.start(0, r.scenario.Schedule.InitialClockOffsets[i])
 	}
 	for _, node := range r.nodes {
 		balancertest.AwaitReady(r.t, node.addr)
 	}
 	ended := make(chan struct{})
 	clients := r.startClients(ended)
-	r.history.Begin()
+	r.history.Start()
 	r.runSchedule()
 	r.history.Logf("all nodes are shut down")
 	var shutdowns sync.WaitGroup
@@ -94,7 +94,7 @@
 
 // runSchedule runs the concurrent fault schedules to their end.
 func (r *runner) runSchedule() {
-	began := r.history.Began()
+	began := r.history.StartTime()
 	var schedules sync.WaitGroup
 	for _, events := range r.scenario.Schedule.Concurrent {
 		schedules.Go(func() {
@@ -116,9 +116,9 @@
 	highConcurrencyClientPause = 50 * time.Millisecond
 )
 
-// closingClientInterval is how many clients of a node there are to each one that opens a new connection for
+// noKeepAliveInterval is how many clients of a node there are to each one that opens a new connection for
 // every request.
-const closingClientInterval = 4
+const noKeepAliveInterval = 4
 
 // startClients starts the clients of all nodes, which send until ended is closed.
 func (r *runner) startClients(ended <-chan struct{}) *sync.WaitGroup {
@@ -132,7 +132,7 @@
 			client := &client{
 				name: fmt.Sprintf("%s-c%d", node.name, i), node: node, history: r.history,
 				classes: r.scenario.Settings.Classes, random: scenario.NewRandom(r.scenario.Seed, uint64(i+1)),
-				keepAlive: i%closingClientInterval != 0, pause: pause, ended: ended,
+				keepAlive: i%noKeepAliveInterval != 0, meanPause: pause, ended: ended,
 			}
 			clients.Go(client.run)
 		}
