--- a/internal/testkit/listener.go
+++ b/internal/testkit/listener.go
@@ -10,21 +10,21 @@
 	"testing"
 )
 
-// hosts counts the loopback hosts that were given out.
-var hosts atomic.Uint32 //nolint:gochecknoglobals // shared by all tests of a process, so that no host is given out twice
+// hostCount counts the loopback hosts that were given out.
+var hostCount atomic.Uint32 //nolint:gochecknoglobals // shared by all tests of a process, so that no host is given out twice
 
-// newHost returns a loopback host that it has returned to nobody else in this process. A node may go on
+// newLoopbackHost returns a loopback host that it has returned to nobody else in this process. A node may go on
 // calling a stand-in that has stopped, and its calls must not arrive at another one. The second octet
 // separates test processes that run at the same time.
-func newHost() string {
+func newLoopbackHost() string {
 	const firstOctet, octets = 16, 111
-	number := hosts.Add(1)
+	number := hostCount.Add(1)
 	return fmt.Sprintf("127.%d.%d.%d", firstOctet+os.Getpid()%octets, number>>8&0xff, number&0xff)
 }
 
 // ListenOnNewHost starts a TCP listener at a loopback host of its own. The caller closes it.
 func ListenOnNewHost() (net.Listener, error) {
-	return net.Listen("tcp", net.JoinHostPort(newHost(), "0"))
+	return net.Listen("tcp", net.JoinHostPort(newLoopbackHost(), "0"))
 }
 
 // Listen starts a TCP listener at a loopback host of its own. It is closed at the end of the test.
@@ -50,9 +50,9 @@
 	return errors.Join(controlErr, listenErr)
 }
 
-// acceptUntilClosed serves each connection in a goroutine of its own until the listener is closed.
+// serveUntilClosed serves each connection in a goroutine of its own until the listener is closed.
 // Then it closes the connections, which ends these goroutines.
-func acceptUntilClosed(listener net.Listener, serve func(net.Conn)) {
+func serveUntilClosed(listener net.Listener, serve func(net.Conn)) {
 	for {
 		conn, err := listener.Accept()
 		if err != nil {
--- a/internal/testkit/listener_test.go
+++ b/internal/testkit/listener_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-func TestReservedAddrRefusesUntilListen(t *testing.T) {
+func TestReservedAddrRefusesConnectionsUntilListen(t *testing.T) {
 	reserved := ReserveAddr(t)
 	if _, err := net.Dial("tcp", reserved.Address); !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Fatalf("dial before Listen: %v, want a refused connection", err)
@@ -25,7 +25,7 @@
 	_ = conn.Close() // nothing was written
 }
 
-func TestScriptedServerClosesItsConnectionsWithTheTest(t *testing.T) {
+func TestScriptedServerClosesConnectionsAtEndOfTest(t *testing.T) {
 	var conn net.Conn
 	t.Run("inner", func(t *testing.T) {
 		server := NewScriptedServer(t, "", KeepAlive)
@@ -49,7 +49,7 @@
 // A node calls its discovery service, and sends to its servers, until it has ended; a stand-in may stop
 // before. Its host must not be given to a stand-in of another test, which would take the calls for those of
 // its own node.
-func TestStandInsShareNoHost(t *testing.T) {
+func TestHostsAreNotReused(t *testing.T) {
 	seen := map[string]bool{}
 	for range 10 {
 		for _, address := range []string{
--- a/internal/testkit/machine_partition.go
+++ b/internal/testkit/machine_partition.go
@@ -11,7 +11,7 @@
 	tb.Helper()
 	m.beginPartition()
 	m.setBacklog(tb, 0)
-	m.completePendingAccept()
+	m.awaitPendingAccept()
 	fillBacklog(m.addFiller)
 }
 
@@ -30,7 +30,7 @@
 		return
 	}
 	m.partitioned = true
-	m.notifyChange()
+	m.signalChange()
 }
 
 // endPartition makes the machine reachable again and begins an epoch, if it is partitioned.
@@ -46,19 +46,19 @@
 		_ = conn.Close() // nothing was sent on it
 	}
 	m.fillers = nil
-	m.notifyChange()
+	m.signalChange()
 }
 
-// notifyChange wakes the goroutines that wait for a partition to begin or end. The caller holds m.mu.
-func (m *Machine) notifyChange() {
+// signalChange wakes the goroutines that wait for a partition to begin or end. The caller holds m.mu.
+func (m *Machine) signalChange() {
 	close(m.changed)
 	m.changed = make(chan struct{})
 }
 
-// completePendingAccept waits until no Accept is pending, or until the machine is healed. An Accept that was
+// awaitPendingAccept waits until no Accept is pending, or until the machine is healed. An Accept that was
 // pending when the partition began takes one more connection out of the accept queue, so that another can be
 // established. An Accept that is called later takes none during the partition.
-func (m *Machine) completePendingAccept() {
+func (m *Machine) awaitPendingAccept() {
 	m.mu.Lock()
 	pending, changed, partitioned := m.pendingAccept, m.changed, m.partitioned
 	m.mu.Unlock()
--- a/internal/testkit/machine_test.go
+++ b/internal/testkit/machine_test.go
@@ -49,21 +49,21 @@
 }
 
 func (l gatedListener) Accept() (net.Conn, error) {
-	signal(l.called)
+	trySignal(l.called)
 	<-l.gate
-	defer signal(l.returned)
+	defer trySignal(l.returned)
 	return l.Listener.Accept()
 }
 
-// signal sends to a channel, unless that is full: only the first call counts.
-func signal(channel chan<- struct{}) {
+// trySignal sends to a channel, unless that is full: only the first call counts.
+func trySignal(channel chan<- struct{}) {
 	select {
 	case channel <- struct{}{}:
 	default:
 	}
 }
 
-func TestPartitionLastsPastAnAcceptThatWasPending(t *testing.T) {
+func TestPendingAcceptDoesNotEndPartition(t *testing.T) {
 	listener := Listen(t)
 	machine := &Machine{
 		Address: listener.Addr().String(), listener: listener.(*net.TCPListener), changed: make(chan struct{}),
--- a/internal/testkit/reserved_addr.go
+++ b/internal/testkit/reserved_addr.go
@@ -26,7 +26,7 @@
 	}
 	file := os.NewFile(uintptr(fd), "reserved address")
 	t.Cleanup(func() { _ = file.Close() }) // a listener has its own copy of the descriptor
-	host := newHost()
+	host := newLoopbackHost()
 	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: netip.MustParseAddr(host).As4()}); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testkit/scripted_discovery.go
+++ b/internal/testkit/scripted_discovery.go
@@ -27,7 +27,7 @@
 		scripted.Calls <- r
 		select {
 		case text := <-scripted.Responses:
-			writeScripted(w, r, text)
+			writeScriptedResponse(w, r, text)
 		case <-r.Context().Done():
 		}
 	})
@@ -35,8 +35,8 @@
 	return scripted
 }
 
-// writeScripted writes one of the Responses of a ScriptedDiscovery.
-func writeScripted(w http.ResponseWriter, r *http.Request, text string) {
+// writeScriptedResponse writes one of the Responses of a ScriptedDiscovery.
+func writeScriptedResponse(w http.ResponseWriter, r *http.Request, text string) {
 	switch text {
 	case ResponseReset:
 		Reset(w, r)
--- a/internal/testkit/scripted_server.go
+++ b/internal/testkit/scripted_server.go
@@ -29,12 +29,12 @@
 	t.Helper()
 	listener := Listen(t)
 	server := &ScriptedServer{Address: listener.Addr().String(), Conns: make(chan net.Conn, 100)}
-	go acceptUntilClosed(listener, func(conn net.Conn) {
+	go serveUntilClosed(listener, func(conn net.Conn) {
 		server.Conns <- conn
 		defer func() { _ = conn.Close() }() // the client may have closed it first
 		requests := bufio.NewReader(conn)
 		for {
-			if respond(conn, requests, response) != nil || persistence == CloseAfterResponse {
+			if serveRequest(conn, requests, response) != nil || persistence == CloseAfterResponse {
 				return
 			}
 		}
@@ -42,8 +42,8 @@
 	return server
 }
 
-// respond reads one request, body included, and writes the response.
-func respond(conn net.Conn, requests *bufio.Reader, response string) error {
+// serveRequest reads one request, body included, and writes the response.
+func serveRequest(conn net.Conn, requests *bufio.Reader, response string) error {
 	request, err := http.ReadRequest(requests)
 	if err != nil {
 		return err
--- a/internal/testkit/stuck_server.go
+++ b/internal/testkit/stuck_server.go
@@ -12,23 +12,23 @@
 // loopback.
 const connectTimeout = 100 * time.Millisecond
 
-// hangingAttempts is how many attempts in a row have to fail: a single one may fail on a paused process too.
-const hangingAttempts = 3
+// failuresUntilFull is how many attempts in a row have to fail: a single one may fail on a paused process too.
+const failuresUntilFull = 3
 
 // fillBacklog calls open, which opens a connection and returns false if the attempt fails, until the backlog
 // is full.
 func fillBacklog(open func() bool) {
-	for hanging := 0; hanging < hangingAttempts; {
+	for failures := 0; failures < failuresUntilFull; {
 		if open() {
-			hanging = 0
+			failures = 0
 		} else {
-			hanging++
+			failures++
 		}
 	}
 }
 
-// admittedBytes is how many bytes of a connection StuckServer.Admit reports at most.
-const admittedBytes = 64
+// maxReportedBytes is how many bytes of a connection StuckServer.Admit reports at most.
+const maxReportedBytes = 64
 
 // StuckServer is a listener with a full backlog: connections to it are established only once Admit
 // is called.
@@ -62,9 +62,9 @@
 // Admit accepts every connection and reports the first bytes of each that sends any.
 func (s *StuckServer) Admit() <-chan string {
 	received := make(chan string, 100)
-	go acceptUntilClosed(s.Listener, func(conn net.Conn) {
+	go serveUntilClosed(s.Listener, func(conn net.Conn) {
 		defer func() { _ = conn.Close() }() // only the first bytes are of interest
-		first := make([]byte, admittedBytes)
+		first := make([]byte, maxReportedBytes)
 		if n, _ := conn.Read(first); n > 0 { // a client that disconnects sends nothing
 			received <- string(first[:n])
 		}
