--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -1,9 +1,9 @@
-// Package soak runs nodes as real processes under faults that a seed gives, and checks what their clients,
-// their servers and the discovery service saw.
+// Package soak runs nodes as real processes and injects faults that are generated from a seed. It checks the
+// behavior of the nodes as their clients, their servers and the discovery service observed it.
 //
-// Package scenario generates what happens in a run; this package runs it against a program and records it
-// in a history of package history; package check finds the broken rules in the history. Only a test of
-// cmd/balancer uses it.
+// Package scenario generates the settings and the faults of a run. This package runs them against a program
+// and records the observations in a History of package history. Package check searches the history for
+// violations of the rules. Only the soak test of cmd/balancer uses this package.
 package soak
 
 import (
@@ -20,25 +20,26 @@
 	"calicohinge/internal/testkit"
 )
 
-// Run runs the scenario of a seed on a program that balancertest.BuildInstrumented has built, and fails the
-// test for each rule that was broken.
+// Run runs the scenario of a seed and fails the test for each violation of a rule, up to violationsShown of
+// each rule. The program must be built by balancertest.BuildInstrumented.
 func Run(t *testing.T, program string, seed uint64) {
 	t.Helper()
 	r := newRunner(t, program, scenario.Generate(seed))
 	r.runScenario()
-	for _, violation := range check.All(check.Run{Settings: &r.scenario.Settings, History: r.history, EndedAt: r.endedAt}) {
+	ended := check.Run{Settings: &r.scenario.Settings, History: r.history, EndedAt: r.endedAt}
+	for _, violation := range check.All(ended) {
 		r.history.RecordViolation(violation)
 	}
 	r.report(t)
 }
 
-// runner runs a scenario. Its goroutines end with run.
+// runner runs a scenario. The goroutines of this package have ended when runScenario returns.
 type runner struct {
 	t         *testing.T
 	scenario  scenario.Scenario
 	history   *history.History
 	discovery *discovery
-	servers   []*server // those that are listed from the start
+	servers   []*server // the servers that are listed from the start of the run
 	nodes     []*node
 	endedAt   time.Time
 }
@@ -69,7 +70,7 @@
 	return r
 }
 
-// runScenario starts the nodes and clients, runs the schedule and shuts the nodes down.
+// runScenario starts the nodes and the clients, runs the schedule of faults and shuts the nodes down.
 func (r *runner) runScenario() {
 	for i, node := range r.nodes {
 		node.start(0, r.scenario.Schedule.InitialClockOffsets[i])
@@ -81,7 +82,7 @@
 	clients := r.startClients(ended)
 	r.history.Start()
 	r.runSchedule()
-	r.history.Logf("all nodes are shut down")
+	r.history.Logf("shutting all nodes down")
 	var shutdowns sync.WaitGroup
 	for _, node := range r.nodes {
 		shutdowns.Go(func() { node.terminate(r.scenario.Schedule.FinalSignals) })
@@ -92,7 +93,8 @@
 	r.endedAt = time.Now()
 }
 
-// runSchedule runs the concurrent fault schedules to their end.
+// runSchedule runs all fault schedules concurrently. It returns when they are complete and
+// scenario.Duration is over.
 func (r *runner) runSchedule() {
 	began := r.history.StartTime()
 	var schedules sync.WaitGroup
@@ -108,7 +110,7 @@
 	time.Sleep(time.Until(began.Add(scenario.Duration)))
 }
 
-// The number of clients of each node, and the mean pause of a client between two requests.
+// The number of clients per node and the mean pause of a client between two requests.
 const (
 	clientsPerNode             = 8
 	clientPause                = 8 * time.Millisecond
@@ -116,11 +118,10 @@
 	highConcurrencyClientPause = 50 * time.Millisecond
 )
 
-// noKeepAliveInterval is how many clients of a node there are to each one that opens a new connection for
-// every request.
+// noKeepAliveInterval makes every fourth client of a node open a new connection for each request.
 const noKeepAliveInterval = 4
 
-// startClients starts the clients of all nodes, which send until ended is closed.
+// startClients starts the clients of all nodes. They send requests until ended is closed.
 func (r *runner) startClients(ended <-chan struct{}) *sync.WaitGroup {
 	clients := &sync.WaitGroup{}
 	number, pause := clientsPerNode, clientPause
