--- a/internal/soak/apply.go
+++ b/internal/soak/apply.go
@@ -6,7 +6,7 @@
 	"calicohinge/internal/soak/scenario"
 )
 
-// apply applies an action of the schedule.
+// apply performs an action of the schedule.
 func (r *runner) apply(action scenario.Action) {
 	switch a := action.(type) {
 	case scenario.SetDiscoveryFault:
@@ -18,7 +18,7 @@
 	case scenario.StartServer:
 		r.addServer(a.ID)
 	case scenario.HangServer:
-		r.history.Logf("%s hangs", scenario.ServerID(a.Server))
+		r.history.Logf("%s: hangs", scenario.ServerID(a.Server))
 		r.servers[a.Server].record.Hanging.Store(true)
 	case scenario.ResumeServer:
 		r.servers[a.Server].record.Hanging.Store(false)
@@ -27,7 +27,7 @@
 	}
 }
 
-// applyToNode applies an action on a node.
+// applyToNode performs an action on a node.
 func (r *runner) applyToNode(action scenario.Action) {
 	switch a := action.(type) {
 	case scenario.StepClock:
@@ -42,12 +42,12 @@
 	case scenario.RestartNode:
 		r.restartNode(a)
 	default:
-		r.t.Errorf("unknown action %v", action)
+		r.t.Errorf("schedule contains %T (%v), want one of the actions of package scenario", action, action)
 	}
 }
 
-// setDiscoveryFault begins or ends a fault. The timeline shows its begin before it takes effect, and its end
-// afterwards.
+// setDiscoveryFault starts or ends a fault of the discovery service. The timeline shows the start before the
+// fault takes effect and the end afterwards, so that it covers the whole fault.
 func (r *runner) setDiscoveryFault(action scenario.SetDiscoveryFault) {
 	ends := action.Fault == scenario.DiscoveryHealthy
 	if !ends {
@@ -59,7 +59,7 @@
 	}
 }
 
-// delistServer publishes that a server is draining or removed.
+// delistServer publishes a generation in which a server is draining or removed.
 func (r *runner) delistServer(index int, lifecycle string) {
 	server := r.servers[index]
 	delisted := server.endpoint
@@ -69,17 +69,17 @@
 	r.history.Logf("generation %d: %s is %s", generation, delisted.InstanceID, lifecycle)
 }
 
-// addServer starts a process of a server and publishes it.
+// addServer starts a server process and publishes its endpoint.
 func (r *runner) addServer(id string) {
 	server := startServer(r.t, r.history, id, time.Now())
 	r.history.Logf("generation %d: %s starts", r.discovery.publish(server.endpoint), id)
 }
 
-// restartNode shuts a node down and starts it again.
+// restartNode shuts a node down and starts its next incarnation.
 func (r *runner) restartNode(action scenario.RestartNode) {
 	node := r.nodes[action.Node]
 	r.history.Logf("%v", action)
 	node.terminate(action.Signals)
-	r.history.Logf("%s: starts again", node.name)
+	r.history.Logf("%s: restarting", node.name)
 	node.start(1, action.ClockOffset)
 }
