--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -13,17 +13,17 @@
 	"calicohinge/internal/testkit"
 )
 
-// reconnectDelay is the pause of a client whose connection was refused.
+// reconnectDelay is the pause of a client that failed to connect to its node.
 const reconnectDelay = 20 * time.Millisecond
 
-// The errors that are no failure of the node.
+// Errors that are not failures of the node.
 var (
-	errDisconnected = errors.New("the client disconnected")
-	errRestarted    = errors.New("the node was restarted")
+	errDisconnected = errors.New("client disconnected")
+	errRestarted    = errors.New("node restarted while the client connected")
 )
 
-// client sends requests to a node one after another, also while the node shuts down. It uses a connection
-// for as long as that stays open.
+// client sends requests to a node, one at a time. It continues while the node shuts down and restarts. A
+// client with keepAlive reuses its connection until the node closes it.
 type client struct {
 	name      string
 	node      *node
@@ -31,16 +31,16 @@
 	classes   []scenario.Class
 	random    *rand.Rand
 	keepAlive bool
-	meanPause time.Duration // mean between two requests
+	meanPause time.Duration // between two requests
 	ended     <-chan struct{}
 
-	incarnation  *history.Incarnation // that the connection leads to
+	incarnation  *history.Incarnation // the incarnation of the node that conn leads to
 	conn         net.Conn
 	reader       *bufio.Reader
 	requestCount int
 }
 
-// run sends requests until the run has ended.
+// run sends requests until ended is closed.
 func (c *client) run() {
 	defer c.disconnect()
 	for {
@@ -53,20 +53,20 @@
 	}
 }
 
-// sendRequest sends a request. If the node closes the connection without reading the request, as it may close
-// an idle one, sendRequest sends another on a new connection.
+// sendRequest sends a request. The node may close an idle connection while the client writes to it; sendRequest
+// then sends another request on a new connection.
 func (c *client) sendRequest() {
 	for again := true; again; {
 		again = c.trySend()
 	}
 }
 
-// trySend sends a request and records how it ended. It returns true if the request crossed the close of an
-// idle connection.
+// trySend sends a request and records its result. It returns true if the node closed a reused connection without
+// sending any byte of a response.
 func (c *client) trySend() bool {
 	reused := c.conn != nil
 	if err := c.connect(); err != nil {
-		time.Sleep(reconnectDelay) // the node is being restarted
+		time.Sleep(reconnectDelay) // the node is restarting or shut down
 		return false
 	}
 	responded, err := c.exchange()
@@ -83,19 +83,20 @@
 	case c.resetInAcceptQueue(responded, err):
 		c.history.CountReset()
 	default:
-		c.history.RecordViolationf("lost", c.incarnation, "request %s, reused connection %v, part of a response %v: %v",
+		c.history.RecordViolationf("lost", c.incarnation,
+			"request %s (connection reused: %v, partial response: %v) failed with %q, want a response",
 			c.requestID(), reused, responded, err)
 	}
 	return false
 }
 
-// resetInAcceptQueue reports whether err means that the connection was reset in the accept queue of a node that
-// shuts down.
+// resetInAcceptQueue reports whether err is a reset that a node may cause when it shuts down: the system resets
+// the connections that the node has not accepted yet. No node has read the request of such a connection.
 func (c *client) resetInAcceptQueue(responded bool, err error) bool {
 	return errors.Is(err, syscall.ECONNRESET) && !responded && c.incarnation.Terminated()
 }
 
-// connect opens a connection unless there is one.
+// connect opens a connection to the node if none is open.
 func (c *client) connect() error {
 	if c.conn != nil {
 		return nil
@@ -105,18 +106,18 @@
 	if err != nil {
 		return err
 	}
-	if c.node.incarnation() != current { // restarted meanwhile: the connection may lead to either process
-		_ = conn.Close() // nothing was sent on it
+	if c.node.incarnation() != current { // it restarted meanwhile: the connection may lead to either incarnation
+		_ = conn.Close() // nothing was sent
 		return errRestarted
 	}
 	c.incarnation, c.conn, c.reader = current, conn, bufio.NewReader(conn)
 	return nil
 }
 
-// disconnect closes the connection, if there is one.
+// disconnect closes the connection if one is open.
 func (c *client) disconnect() {
 	if c.conn != nil {
-		_ = c.conn.Close() // nothing more is expected of it
+		_ = c.conn.Close() // the result of the request is known already
 		c.conn = nil
 	}
 }
