--- a/internal/soak/client_exchange.go
+++ b/internal/soak/client_exchange.go
@@ -12,18 +12,19 @@
 )
 
 const (
-	disconnectShare       = 0.05 // of the requests whose clients disconnect early
-	shortenedTimeoutShare = 0.2  // of the requests whose clients wait for less than the class's deadline
-	// responseGrace is how long after its deadline a response may still come.
+	disconnectShare       = 0.05 // share of requests whose client may disconnect before the response
+	shortenedTimeoutShare = 0.2  // share of requests with a timeout shorter than the deadline of the class
+	// responseGrace is how long after the deadline of its request a response may still arrive.
 	responseGrace = 500 * time.Millisecond
-	// lagAllowance is how much longer a client reads than a response may take: on a busy machine the client
-	// may read late itself. checkResponseTime decides whether the response was late.
+	// lagAllowance extends the read timeout of a client beyond the time that a response may take, because on a
+	// busy machine the client itself may read late. checkResponseTime decides whether the response was late.
 	lagAllowance = 2 * time.Second
 )
 
+// requestID returns the ID of the current request.
 func (c *client) requestID() string { return fmt.Sprintf("%s-%d", c.name, c.requestCount) }
 
-// nextRequest makes the next request.
+// nextRequest returns the next request: a random class, and a timeout of at most the deadline of that class.
 func (c *client) nextRequest() *history.Request {
 	c.requestCount++
 	class := c.classes[c.random.IntN(len(c.classes))]
@@ -36,7 +37,7 @@
 	}
 }
 
-// exchange sends a request and reads its response. It returns whether a part of the response came.
+// exchange sends a request and reads its response. It reports whether any byte of the response arrived.
 func (c *client) exchange() (bool, error) {
 	request := c.nextRequest()
 	disconnects := c.random.Float64() < disconnectShare
@@ -47,7 +48,7 @@
 	c.history.RecordRequest(request)
 	if err := c.write(request, readTimeout); err != nil {
 		if disconnects && testkit.IsTimeout(err) {
-			err = errDisconnected // before it has sent the request
+			err = errDisconnected // before the request was sent completely
 		}
 		return false, err
 	}
@@ -63,7 +64,7 @@
 	return result.began, err
 }
 
-// write sends a request. The timeout is that of the whole exchange.
+// write sends a request. The timeout bounds the whole exchange: writing the request and reading the response.
 func (c *client) write(request *history.Request, timeout time.Duration) error {
 	if err := c.conn.SetDeadline(time.Now().Add(timeout)); err != nil {
 		return err
@@ -74,16 +75,17 @@
 	return nil
 }
 
-// checkResponseTime checks that the response to a request, or the close of its connection, came in time. It
-// allows for the scheduling lag of this process.
+// checkResponseTime checks that a request ended in time, by a response or by the close of its connection: within
+// its timeout plus responseGrace. It tolerates the scheduling lag of the test process on top.
 func (c *client) checkResponseTime(request *history.Request) {
 	late := time.Since(request.SentAt) - request.Timeout - responseGrace
 	if late > c.history.Lag.MaxNear(time.Now()) {
-		c.history.RecordViolationf("late", c.incarnation, "request %s: %v after the grace of its response", request.ID, late)
+		c.history.RecordViolationf("late", c.incarnation, "request %s ended %v too late, want its end within %v",
+			request.ID, late, request.Timeout+responseGrace)
 	}
 }
 
-// requestText returns a request as it is sent.
+// requestText returns the bytes of a request.
 func requestText(r *history.Request) string {
 	method, more := "POST", "Content-Length: 0\r\n"
 	switch r.Class.Effect {
@@ -97,23 +99,23 @@
 		method, r.Class.Name, r.ID, r.Timeout.Milliseconds(), more)
 }
 
-// readResult is how far the reading of a response got.
+// readResult is the progress of reading a response.
 type readResult struct {
-	began     bool // a part of the response came
-	keepAlive bool // the response is complete and its connection is used again
+	began     bool // at least one byte of the response arrived
+	keepAlive bool // the response is complete and the connection can be reused
 }
 
-// readResponse reads a response.
+// readResponse reads a response to its end and discards the body.
 func (c *client) readResponse() (readResult, error) {
 	if _, err := c.reader.Peek(1); err != nil {
-		return readResult{}, fmt.Errorf("no response: %w", err)
+		return readResult{}, fmt.Errorf("await response: %w", err)
 	}
 	response, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
-		return readResult{began: true}, fmt.Errorf("response: %w", err)
+		return readResult{began: true}, fmt.Errorf("read response: %w", err)
 	}
 	if _, err = io.Copy(io.Discard, response.Body); err != nil {
-		return readResult{began: true}, fmt.Errorf("response body: %w", err)
+		return readResult{began: true}, fmt.Errorf("read response body: %w", err)
 	}
 	return readResult{began: true, keepAlive: c.keepAlive && !response.Close}, nil
 }
