--- a/internal/soak/discovery.go
+++ b/internal/soak/discovery.go
@@ -17,22 +17,23 @@
 )
 
 const (
-	maxSlowDelay      = 700 * time.Millisecond // of a response, while the service is slow
-	snapshotShare     = 0.3                    // of the responses to watches that are complete lists
-	omitDrainingShare = 0.5                    // of the complete lists that leave out draining servers
+	maxSlowDelay      = 700 * time.Millisecond // longest delay of a response while the service is slow
+	snapshotShare     = 0.3                    // share of responses to watches that are snapshots
+	omitDrainingShare = 0.5                    // share of snapshots that omit draining servers
 )
 
-// discovery is the discovery service. It has a new address for each configuration of each node.
+// discovery is the discovery service. Each incarnation of a node, and each reload of its configuration, uses a
+// new address of the service.
 type discovery struct {
 	t      *testing.T
 	record *history.Discovery
 
 	mu         sync.Mutex
-	changes    [][]endpointjson.Endpoint        // the endpoints that changed in each generation, from 1 on
-	current    map[string]endpointjson.Endpoint // by ID
-	changed    chan struct{}                    // closed at the next change or fault
+	changes    [][]endpointjson.Endpoint        // the changed endpoints of each generation, starting with generation 1
+	current    map[string]endpointjson.Endpoint // the endpoints of the latest generation, by ID
+	changed    chan struct{}                    // closed when pending watches must complete, then replaced
 	fault      scenario.DiscoveryFault
-	faultStart time.Time
+	faultStart time.Time // of fault; set when it replaces another
 	machines   []*testkit.Machine
 }
 
@@ -43,7 +44,8 @@
 	}
 }
 
-// newAddress returns a new address of the service, for one incarnation of a node.
+// newAddress returns a new address of the service for an incarnation of a node. Lists that are requested there
+// are recorded as delivered to that incarnation.
 func (d *discovery) newAddress(incarnation *history.Incarnation) string {
 	machine := testkit.NewMachine(d.t, func(r *http.Request) testkit.Response { return d.respond(incarnation, r) })
 	d.mu.Lock()
@@ -56,7 +58,7 @@
 	return machine.Address
 }
 
-// publish makes a new generation of the list and returns its number.
+// publish publishes changed endpoints as a new generation of the endpoint list and returns the generation.
 func (d *discovery) publish(endpoints ...endpointjson.Endpoint) uint64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -78,7 +80,7 @@
 	d.changed = make(chan struct{})
 }
 
-// setFault begins a fault, or ends the present one with DiscoveryHealthy.
+// setFault starts a fault. DiscoveryHealthy ends the current one.
 func (d *discovery) setFault(fault scenario.DiscoveryFault) {
 	previous, machines := d.replaceFault(fault)
 	var partitions sync.WaitGroup
@@ -93,7 +95,8 @@
 	partitions.Wait()
 }
 
-// replaceFault records a fault. It returns the previous one, and the machines of all addresses.
+// replaceFault sets the fault and records the end of an outage. It returns the previous fault and the machines
+// behind all addresses.
 func (d *discovery) replaceFault(fault scenario.DiscoveryFault) (scenario.DiscoveryFault, []*testkit.Machine) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -109,19 +112,19 @@
 	return previous, slices.Clone(d.machines)
 }
 
-// listQuery is the query of a call.
+// listQuery is the query of a call for the endpoint list.
 type listQuery struct {
-	watch bool   // the call waits for a list newer than generation after
-	after uint64 // with watch
+	watch bool   // whether the call waits for a generation later than after
+	after uint64 // the generation that the node has; only with watch
 }
 
-// parseQuery returns the query of a call. A call that names no generation is no watch.
+// parseQuery returns the query of a call. A call without a valid generation is not a watch.
 func parseQuery(r *http.Request) listQuery {
 	after, err := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	return listQuery{watch: err == nil, after: after}
 }
 
-// respond responds to a call of an incarnation of a node.
+// respond returns the response to a call from an incarnation of a node.
 func (d *discovery) respond(incarnation *history.Incarnation, r *http.Request) testkit.Response {
 	requested := parseQuery(r)
 	d.awaitChange(requested, r)
@@ -140,14 +143,15 @@
 	list := d.list(requested)
 	text, err := json.Marshal(list)
 	if err != nil {
-		d.t.Error(err)
+		d.t.Errorf("marshal the endpoint list of generation %d: %v", list.Generation, err)
 	}
 	return testkit.Response{
 		Status: http.StatusOK, Body: string(text), Sent: func() { incarnation.RecordDelivery(list.Generation) },
 	}
 }
 
-// awaitChange blocks a watch of a healthy service until there is a newer list, or its wait is over.
+// awaitChange blocks a watch of an up-to-date node until the next change or fault, or until the wait that the
+// watch requests is over. It blocks only while the service is healthy.
 func (d *discovery) awaitChange(requested listQuery, r *http.Request) {
 	d.mu.Lock()
 	changed, generation, fault := d.changed, uint64(len(d.changes)), d.fault
@@ -158,7 +162,7 @@
 	}
 }
 
-// list returns the response to a query: the complete list, or what changed after a generation.
+// list returns the endpoint list for a query: a snapshot, or a delta for some of the watches.
 func (d *discovery) list(requested listQuery) endpointjson.List {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -168,8 +172,8 @@
 	return d.snapshot()
 }
 
-// delta returns a delta: the endpoints that changed after a generation, in their latest state. The
-// caller holds d.mu.
+// delta returns a delta: the endpoints that changed after a generation, each in its latest state. The caller
+// holds d.mu.
 func (d *discovery) delta(after uint64) endpointjson.List {
 	list := endpointjson.List{Generation: uint64(len(d.changes))}
 	latest := map[string]endpointjson.Endpoint{}
@@ -184,7 +188,7 @@
 	return list
 }
 
-// snapshot returns the complete list, at times without the draining servers. The caller holds d.mu.
+// snapshot returns a snapshot. It randomly omits the draining servers. The caller holds d.mu.
 func (d *discovery) snapshot() endpointjson.List {
 	list := endpointjson.List{Generation: uint64(len(d.changes)), Reset: true}
 	withoutDraining := rand.Float64() < omitDrainingShare
