--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -13,8 +13,8 @@
 	"calicohinge/internal/testkit"
 )
 
-// node is one node of a run. Its processes run one after the other at the same address. At any time only one
-// goroutine starts, signals and ends them.
+// node is one node of a run. Its incarnations are processes that run one after another at the same address. Only
+// one goroutine at a time starts, signals and terminates them.
 type node struct {
 	t         *testing.T
 	name      string
@@ -23,7 +23,7 @@
 	settings  json.RawMessage
 	discovery *discovery
 	history   *history.History
-	killDelay time.Duration // from SIGTERM to SIGKILL
+	killDelay time.Duration // time from SIGTERM to SIGKILL
 
 	process balancertest.Process
 	clock   balancertest.WallClock
@@ -32,7 +32,7 @@
 	currentIncarnation *history.Incarnation
 }
 
-// config returns the configuration of the node with an address of the discovery service.
+// config returns the configuration of the node for an address of the discovery service.
 func (n *node) config(discovery string) map[string]any {
 	return map[string]any{
 		"name": n.name, "listen": n.addr, "discovery": discovery, "settings": n.settings,
@@ -40,36 +40,36 @@
 	}
 }
 
-// start starts a process of the node, the first or, after a restart, the second, on a machine whose wall
-// clock is ahead.
+// start starts an incarnation of the node: number 0 at the start of the run, number 1 after its restart. Its wall
+// clock is ahead by the given offset.
 func (n *node) start(number int, ahead time.Duration) {
 	n.t.Helper()
 	n.clock = balancertest.NewWallClock(n.t, ahead)
 	next := &history.Incarnation{Name: fmt.Sprintf("%s.%d", n.name, number), StartedAt: time.Now()}
 	n.mu.Lock()
-	n.currentIncarnation = next // before a client can connect to it
+	n.currentIncarnation = next // before the process starts, so before a client can connect to it
 	n.mu.Unlock()
 	options := balancertest.Options{Environment: []string{n.clock.Environment()}, Logged: next.RecordLogLine}
 	n.process = balancertest.StartWith(n.t, options, n.config(n.discovery.newAddress(next)), n.program)
-	testkit.Wait(n.t, n.process.Addr, "the process of "+next.Name)
+	testkit.Wait(n.t, n.process.Addr, "the log line with the address at which "+next.Name+" serves")
 }
 
-// incarnation returns the process that serves at the node's address.
+// incarnation returns the latest incarnation of the node.
 func (n *node) incarnation() *history.Incarnation {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.currentIncarnation
 }
 
-// stepClock steps the wall clock of the node's machine.
+// stepClock steps the wall clock of the node's process, so that it is ahead by the given offset.
 func (n *node) stepClock(ahead time.Duration) { n.clock.Step(n.t, n.process.PID, ahead) }
 
-// reload gives the node a new address of the discovery service.
+// reload changes the node's address of the discovery service and sends SIGHUP.
 func (n *node) reload() {
 	current := n.incarnation()
 	text, err := json.Marshal(n.config(n.discovery.newAddress(current)))
 	if err != nil {
-		n.t.Error(err)
+		n.t.Errorf("marshal the configuration of %s: %v", current.Name, err)
 		return
 	}
 	n.process.ConfigFile.Replace(n.t, text)
@@ -77,7 +77,7 @@
 	balancertest.Signal(n.t, n.process.PID, syscall.SIGHUP)
 }
 
-// pause stops the node for as long as the operators' terms allow.
+// pause stops the node's process for the longest pause that the operators' contract allows.
 func (n *node) pause() {
 	const longest = 120 * time.Millisecond
 	balancertest.Signal(n.t, n.process.PID, syscall.SIGSTOP)
@@ -85,8 +85,8 @@
 	balancertest.Signal(n.t, n.process.PID, syscall.SIGCONT)
 }
 
-// terminate shuts the node down by SIGTERM, followed by further signals. It kills the process as early as the
-// operators' terms allow; a process that has not exited by then breaks a rule.
+// terminate shuts the node down by SIGTERM, followed by further signals. A process that is still running after
+// killDelay, the shortest delay that the operators' contract allows, is killed and recorded as a violation.
 func (n *node) terminate(signals []syscall.Signal) {
 	const signalInterval = 40 * time.Millisecond
 	current := n.incarnation()
@@ -99,10 +99,11 @@
 	select {
 	case err := <-n.process.Exited:
 		if err != nil {
-			n.history.RecordViolationf("crash", current, "exited with %v", err)
+			n.history.RecordViolationf("crash", current, "process exited after SIGTERM with %q, want exit code 0", err)
 		}
 	case <-kill:
 		balancertest.Signal(n.t, n.process.PID, syscall.SIGKILL)
-		n.history.RecordViolationf("shutdown", current, "had to be killed %v after SIGTERM", n.killDelay)
+		n.history.RecordViolationf("shutdown", current, "process was still running %v after SIGTERM, want its exit by then",
+			n.killDelay)
 	}
 }
