--- a/internal/soak/server.go
+++ b/internal/soak/server.go
@@ -12,24 +12,24 @@
 	"calicohinge/internal/testkit"
 )
 
-// The shares of the requests to which a server responds with a fault.
+// The shares of attempts to which a server responds with each of its faults.
 const (
 	errorShare        = 0.02
 	resetShare        = 0.02
 	notProcessedShare = 0.02
 )
 
-// serverFault is the fault with which a server responds to a request.
+// serverFault is the fault that a server injects into its response to an attempt.
 type serverFault int
 
 const (
 	faultNone         serverFault = iota // status 200
-	faultNotProcessed                    // not executed, with status 503
+	faultNotProcessed                    // status 503 with X-Not-Processed: the request was not executed
 	faultError                           // status 500
 	faultReset                           // the connection is closed without a response
 )
 
-// chooseFault chooses a fault, according to the shares.
+// chooseFault returns a random fault with the probabilities of the shares above.
 func chooseFault() serverFault {
 	chosen := rand.Float64()
 	switch {
@@ -43,25 +43,26 @@
 	return faultNone
 }
 
-// meanServiceTime is the mean time that a server takes for a request.
+// meanServiceTime is the mean time that a server takes to process a request.
 const meanServiceTime = 3 * time.Millisecond
 
-// The lifecycle of a server in the JSON form of the endpoint list.
+// Values of endpointjson.Endpoint.Lifecycle.
 const (
 	lifecycleReady    = "Ready"
 	lifecycleDraining = "Terminating"
 	lifecycleRemoved  = "Gone"
 )
 
-// server is one process of a server. It goes on serving when it is draining or removed, so that requests which
-// a node sends to it after that are recorded.
+// server is one process of a server. It continues to serve when it is draining or removed, so that attempts that
+// a node still sends to it are recorded.
 type server struct {
 	record   *history.Server
 	history  *history.History
 	endpoint endpointjson.Endpoint
 }
 
-// startServer starts a server. A zero joinedAt means that it is listed from the start of the run.
+// startServer starts a server, which stops at the end of the test. A zero joinedAt marks a server that is listed
+// from the start of the run.
 func startServer(t *testing.T, records *history.History, id string, joinedAt time.Time) *server {
 	t.Helper()
 	s := &server{record: &history.Server{ID: id, JoinedAt: joinedAt}, history: records}
@@ -76,14 +77,15 @@
 	return s
 }
 
-// ServeHTTP implements http.Handler.
+// ServeHTTP implements http.Handler. It records the attempt before it responds.
 func (s *server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	now := time.Now()
 	s.record.RecordArrival(now)
 	timeoutText := r.Header.Get("X-Timeout-Ms")
 	timeoutMs, err := strconv.Atoi(timeoutText)
 	if err != nil {
-		s.history.RecordViolationf("deadline", nil, "server %s was given the time %q", s.record.ID, timeoutText)
+		s.history.RecordViolationf("deadline", nil, "server %s received an attempt with X-Timeout-Ms %q, want an integer",
+			s.record.ID, timeoutText)
 	}
 	fault := chooseFault()
 	s.history.RecordAttempt(r.Header.Get("X-Request-Id"), history.Attempt{
