--- a/internal/soak/report.go
+++ b/internal/soak/report.go
@@ -9,16 +9,18 @@
 )
 
 const (
-	violationsShown = 3  // of each rule
-	logLinesShown   = 40 // of each process with a violation
+	violationsShown = 3  // maximum number of reported violations per rule
+	logLinesShown   = 40 // maximum number of log lines per incarnation with a reported violation
 )
 
-// report fails the test for each violation, up to violationsShown of each rule. It logs the timeline of the run
-// and the logs of the processes that broke a rule.
+// report fails the test for each violation, up to violationsShown of each rule, and if fewer than half of the
+// requests got a response. It logs the timeline of a run with violations and the ends of the logs of the
+// incarnations whose violations it reports.
 func (r *runner) report(t *testing.T) {
 	t.Helper()
 	summary := r.history.Summary()
-	t.Logf("seed %d: %s; %d requests, %d with a response, %d reset in the accept queue of a node that shut down, %d violations",
+	t.Logf("seed %d: %s; %d requests, %d responses, %d connections reset in the accept queue of a node that shut down, "+
+		"%d violations",
 		r.scenario.Seed, r.describe(), summary.Requests, summary.Responses, summary.Resets, len(summary.Violations))
 	counts, incarnations := map[string]int{}, map[*history.Incarnation]bool{}
 	for _, violation := range summary.Violations {
@@ -26,29 +28,29 @@
 		if counts[violation.Rule] > violationsShown {
 			continue
 		}
-		name := ""
+		name := "no specific node"
 		if violation.Incarnation != nil {
 			name = violation.Incarnation.Name
 			incarnations[violation.Incarnation] = true
 		}
-		t.Errorf("rule %s at %.3f, %s: %s (lag %v)", violation.Rule, violation.At.Sub(r.history.StartTime()).Seconds(), name,
-			violation.Text, r.history.Lag.MaxNear(violation.At))
+		t.Errorf("violation of rule %q at %.3f s, %s: %s (scheduling lag %v)", violation.Rule,
+			violation.At.Sub(r.history.StartTime()).Seconds(), name, violation.Text, r.history.Lag.MaxNear(violation.At))
 	}
 	for incarnation := range incarnations {
-		t.Logf("log of %s, started at %.3f:\n%s", incarnation.Name,
+		t.Logf("log of %s, started at %.3f s:\n%s", incarnation.Name,
 			incarnation.StartedAt.Sub(r.history.StartTime()).Seconds(), incarnation.LastLines(logLinesShown))
 	}
 	if len(summary.Violations) > 0 {
-		t.Logf("violations by rule: %v; timeline:\n%s", counts, strings.Join(r.history.Timeline(), "\n"))
+		t.Logf("number of violations of each rule: %v; timeline:\n%s", counts, strings.Join(r.history.Timeline(), "\n"))
 	}
 	if summary.Responses < summary.Requests/2 {
-		t.Errorf("%d of %d requests have a response", summary.Responses, summary.Requests)
+		t.Errorf("%d of %d requests got a response, want at least half", summary.Responses, summary.Requests)
 	}
 }
 
-// describe describes the scenario in a line.
+// describe summarizes the scenario in one line.
 func (r *runner) describe() string {
 	settings := &r.scenario.Settings
-	return fmt.Sprintf("%d nodes, high concurrency %v, lists %s, deadline %v, drain grace %v", len(r.nodes),
-		r.scenario.HighConcurrency, settings.Mode, settings.LongestDeadline(), settings.DrainGrace)
+	return fmt.Sprintf("%d nodes, high concurrency: %v, discovery mode %s, longest deadline %v, drain grace %v",
+		len(r.nodes), r.scenario.HighConcurrency, settings.Mode, settings.LongestDeadline(), settings.DrainGrace)
 }
