--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -20,8 +20,8 @@
 	"calicohinge/internal/testkit"
 )
 
-// Run runs the scenario of a seed and fails the test for each violation of a rule, up to violationsShown of
-// each rule. The program must be built by balancertest.BuildInstrumented.
+// Run runs the scenario of a seed. It fails the test if a rule is violated or if fewer than half of the requests
+// get a response. The program must be built by balancertest.BuildInstrumented.
 func Run(t *testing.T, program string, seed uint64) {
 	t.Helper()
 	r := newRunner(t, program, scenario.Generate(seed))
