--- a/internal/soak/scenario/scenario.go
+++ b/internal/soak/scenario/scenario.go
@@ -1,6 +1,6 @@
-// Package scenario generates what happens in a run of the soak from a seed: the settings of the nodes and a
-// schedule of faults. It has no side effects, and the same seed always gives the same scenario. Package soak
-// runs it.
+// Package scenario generates the scenario of a soak run from a seed: the settings of the nodes and a schedule of
+// faults. It has no side effects, and the same seed always yields the same scenario. Package soak runs the
+// scenario.
 package scenario
 
 import (
@@ -10,17 +10,17 @@
 )
 
 const (
-	// Duration is how long the schedules last. Then all nodes are shut down.
+	// Duration is the minimum duration of the schedules. All nodes are shut down after it.
 	Duration = 16 * time.Second
-	// Servers is how many servers are listed from the start.
+	// Servers is the number of servers that are listed from the start.
 	Servers = 6
 )
 
-// Scenario is a run of the soak as its seed determines it.
+// Scenario is the part of a soak run that its seed determines.
 type Scenario struct {
 	Seed            uint64
-	HighConcurrency bool // many clients that send seldom, in place of few that send often
-	Nodes           int
+	HighConcurrency bool // many clients that send rarely, instead of a few that send often
+	Nodes           int  // number of nodes
 	Settings        Settings
 	Schedule        Schedule
 }
@@ -35,7 +35,8 @@
 	return scenario
 }
 
-// NewRandom returns one of the random sequences of a seed. Sequence 0 is that of Generate.
+// NewRandom returns a random number generator. Each pair of a seed and a sequence number has its own sequence;
+// Generate uses sequence 0.
 func NewRandom(seed, sequence uint64) *rand.Rand {
 	var bytes [32]byte
 	binary.LittleEndian.PutUint64(bytes[:], seed)
@@ -43,7 +44,7 @@
 	return rand.New(rand.NewChaCha8(bytes))
 }
 
-// randomDuration generates a duration in a range.
+// randomDuration returns a random duration in the range [from, to).
 func randomDuration(random *rand.Rand, from, to time.Duration) time.Duration {
 	return from + time.Duration(random.Float64()*float64(to-from))
 }
