--- a/internal/soak/scenario/action.go
+++ b/internal/soak/scenario/action.go
@@ -6,21 +6,24 @@
 	"time"
 )
 
-// Action is one step of a fault schedule. It names nodes and servers by index.
+// Action is one step of a fault schedule. It identifies a node or a server by its index, except StartServer,
+// which has an ID.
 type Action interface{ fmt.Stringer }
 
-// DiscoveryFault is how the discovery service fails for a while.
+// DiscoveryFault is a fault of the discovery service.
 type DiscoveryFault int
 
 // The faults of the discovery service.
 const (
-	DiscoveryHealthy      DiscoveryFault = iota
-	DiscoveryUnresponsive                // its machine is partitioned
-	DiscoveryUnavailable                 // it responds with status 503
-	DiscoveryReset                       // it resets the connections of calls
-	DiscoverySlow                        // its responses take time; it counts as reachable
+	DiscoveryHealthy      DiscoveryFault = iota // no fault
+	DiscoveryUnresponsive                       // a network partition cuts off its machine
+	DiscoveryUnavailable                        // it responds with status 503
+	DiscoveryReset                              // it resets the connections of calls
+	DiscoverySlow                               // it delays its responses; it is still considered reachable
 )
 
+// String implements fmt.Stringer.
+
 func (f DiscoveryFault) String() string {
 	switch f {
 	case DiscoveryHealthy:
@@ -34,20 +37,20 @@
 	case DiscoverySlow:
 		return "slow"
 	}
-	return fmt.Sprintf("fault %d", int(f))
+	return fmt.Sprintf("DiscoveryFault(%d)", int(f))
 }
 
 // The actions on the discovery service and on servers.
 type (
-	// SetDiscoveryFault begins a fault of the discovery service, or ends it.
+	// SetDiscoveryFault starts a fault of the discovery service; DiscoveryHealthy ends the current one.
 	SetDiscoveryFault struct{ Fault DiscoveryFault }
-	// DrainServer lists a server as draining.
+	// DrainServer publishes a server as draining.
 	DrainServer struct{ Server int }
-	// RemoveServer removes a server from the list.
+	// RemoveServer publishes a server as removed.
 	RemoveServer struct{ Server int }
-	// StartServer starts a process of a server and lists it.
+	// StartServer starts a server process and publishes its endpoint.
 	StartServer struct{ ID string }
-	// HangServer makes a server hang: it responds to no request.
+	// HangServer makes a server hang: it accepts requests and does not respond to them.
 	HangServer struct{ Server int }
 	// ResumeServer ends the hang of a server.
 	ResumeServer struct{ Server int }
@@ -55,20 +58,20 @@
 
 // The actions on nodes.
 type (
-	// StepClock sets by how much a node's wall clock is ahead.
+	// StepClock steps a node's wall clock, so that it is ahead by an offset.
 	StepClock struct {
 		Node        int
 		ClockOffset time.Duration
 	}
-	// PauseNode stops a node's process for as long as the operators' terms allow.
+	// PauseNode stops a node's process for the longest pause that the operators' contract allows.
 	PauseNode struct{ Node int }
-	// ReloadNode gives a node a new address of the discovery service, by SIGHUP.
+	// ReloadNode changes a node's address of the discovery service and sends SIGHUP.
 	ReloadNode struct{ Node int }
-	// RestartNode ends a node by SIGTERM and further signals and starts it again.
+	// RestartNode shuts a node down by SIGTERM and further signals, and starts it again.
 	RestartNode struct {
 		Node        int
 		Signals     []syscall.Signal
-		ClockOffset time.Duration // of the wall clock of the new process
+		ClockOffset time.Duration // how far the wall clock of the new process is ahead
 	}
 )
 
