--- a/internal/soak/scenario/schedule.go
+++ b/internal/soak/scenario/schedule.go
@@ -8,21 +8,21 @@
 	"time"
 )
 
-// Event is an action at a time of a run.
+// Event is an action at a given time of a run.
 type Event struct {
-	At     time.Duration // since the clients began
+	At     time.Duration // since the clients started
 	Action Action
 }
 
-// Schedule is the faults of a run and the signals at its end.
+// Schedule contains the faults of a run and the signals at its end.
 type Schedule struct {
-	InitialClockOffsets []time.Duration  // by how much each node's wall clock is ahead at its start
-	Concurrent          [][]Event        // fault schedules that run concurrently, each in order of time
-	FinalSignals        []syscall.Signal // sent to each node after the SIGTERM that ends it
+	InitialClockOffsets []time.Duration  // how far the wall clock of each node is ahead when the node first starts
+	Concurrent          [][]Event        // fault schedules that run concurrently, each ordered by time
+	FinalSignals        []syscall.Signal // signals to each node after the SIGTERM at the end of the run
 }
 
-// generateSchedule generates a schedule. The order in which the parts are generated must stay: the parts
-// share one random sequence.
+// generateSchedule generates a schedule. The parts share one random sequence: generating them in another order
+// would change the scenario of every seed.
 func generateSchedule(random *rand.Rand, nodes int) Schedule {
 	schedule := Schedule{FinalSignals: generateSignals(random)}
 	for range nodes {
@@ -44,7 +44,7 @@
 	return schedule
 }
 
-// generateClockOffset generates by how much a wall clock is ahead.
+// generateClockOffset returns how far a wall clock is ahead. A negative offset means that it is behind.
 func generateClockOffset(random *rand.Rand) time.Duration {
 	const day = 24 * time.Hour
 	steps := []time.Duration{0, time.Second, 5 * time.Second, 30 * time.Second, 7 * time.Minute, time.Hour, 400 * day}
@@ -55,14 +55,14 @@
 	return step
 }
 
-// generateSignals generates the signals that follow SIGTERM.
+// generateSignals returns the signals that a node receives after SIGTERM while it shuts down.
 func generateSignals(random *rand.Rand) []syscall.Signal {
 	return [][]syscall.Signal{
 		nil, {syscall.SIGTERM}, {syscall.SIGHUP, syscall.SIGTERM}, {syscall.SIGTERM, syscall.SIGHUP, syscall.SIGINT},
 	}[random.IntN(4)]
 }
 
-// generateDiscoveryFaults generates one or two outages of the discovery service.
+// generateDiscoveryFaults returns the start and end of one or two faults of the discovery service.
 func generateDiscoveryFaults(random *rand.Rand) []Event {
 	faults := []DiscoveryFault{
 		DiscoveryUnresponsive, DiscoveryUnresponsive, DiscoveryUnavailable, DiscoveryReset, DiscoverySlow,
@@ -82,8 +82,8 @@
 	return events
 }
 
-// generateServerReplacements generates servers that drain and are removed, and a server that starts after each of
-// them: the first under the ID of the removed one, the others under new IDs.
+// generateServerReplacements returns the replacements of some servers. Each replaced server drains and is removed;
+// then its replacement starts, the first one under the ID of the removed server, the others under new IDs.
 func generateServerReplacements(random *rand.Rand) []Event {
 	const changes = 3
 	var events []Event
@@ -101,10 +101,10 @@
 	return events
 }
 
-// ServerID returns the ID of one of the first servers.
+// ServerID returns the ID of a server that is listed from the start.
 func ServerID(server int) string { return fmt.Sprintf("s-%d", server) }
 
-// generateHang generates a server that hangs for a while.
+// generateHang returns the start and end of the hang of one server.
 func generateHang(random *rand.Rand) []Event {
 	const duration = 2 * time.Second
 	server := random.IntN(Servers)
@@ -112,14 +112,15 @@
 	return []Event{{from, HangServer{server}}, {from + duration, ResumeServer{server}}}
 }
 
-// generateNodeFaults generates steps of a node's wall clock, pauses and a series of reloads.
+// generateNodeFaults returns the clock steps and the pauses of a node and, with a probability of 2/3, a series of
+// reloads.
 func generateNodeFaults(random *rand.Rand, node int) []Event {
 	const stepInterval, reloadInterval, reloads = time.Second, 300 * time.Millisecond, 3
 	var events []Event
 	for at := stepInterval; at < Duration; at += stepInterval {
 		events = append(events, Event{at, StepClock{node, generateClockOffset(random)}})
 	}
-	for third := range time.Duration(3) { // apart: the operators' terms allow one pause at a time
+	for third := range time.Duration(3) { // the operators' contract allows one pause at a time
 		at := randomDuration(random, third*Duration/3, (third+1)*Duration/3-time.Second)
 		events = append(events, Event{at, PauseNode{node}})
 	}
@@ -132,7 +133,7 @@
 	return events
 }
 
-// generateRestart generates the restart of a node.
+// generateRestart returns the restart of a node.
 func generateRestart(random *rand.Rand, node int) Event {
 	at := randomDuration(random, 4*time.Second, 11*time.Second)
 	signals := generateSignals(random)
