--- a/internal/soak/scenario/settings.go
+++ b/internal/soak/scenario/settings.go
@@ -11,10 +11,10 @@
 	Name         string
 	Effect       Effect
 	Deadline     time.Duration
-	KeyRetention time.Duration // of a class that is idempotent with a key, else 0
+	KeyRetention time.Duration // how long servers remember idempotency keys; 0: the class has none
 }
 
-// Effect is what a request does at its server, as the settings name it.
+// Effect is the effect of executing a request, under the name that it has in the settings.
 type Effect string
 
 // The effects of a class.
@@ -24,19 +24,19 @@
 	EffectSideEffect Effect = "side_effect" // not idempotent
 )
 
-// Settings holds those settings of the nodes that differ between runs.
+// Settings contains the settings of the nodes that vary between runs or that the checks of the soak need.
 type Settings struct {
-	Mode             string // of discovery
+	Mode             string // discovery mode
 	Classes          []Class
 	DrainGrace       time.Duration
-	SlowStartShare   float64
-	SlowStart        time.Duration
-	OverloadMultiple float64       // of its share that a server bears while it warms up
-	OverloadWindow   time.Duration // over which its requests are counted
+	SlowStartShare   float64       // fraction of its capacity that a server has when it starts
+	SlowStart        time.Duration // time after its start by which a server is warm
+	OverloadMultiple float64       // multiple of its current capacity that a server tolerates while it is warming up
+	OverloadWindow   time.Duration // time over which the requests to such a server are counted
 	Hedging          bool
 }
 
-// generateSettings generates the settings of a run.
+// generateSettings returns the random settings of a run.
 func generateSettings(random *rand.Rand) Settings {
 	deadline := func() time.Duration { return time.Duration(200+random.IntN(600)) * time.Millisecond }
 	return Settings{
@@ -55,7 +55,7 @@
 	}
 }
 
-// JSON returns the settings of one of the nodes in the form of the configuration file.
+// JSON returns the settings of one node as they are written in its configuration file.
 func (s *Settings) JSON(node, nodes int) (json.RawMessage, error) {
 	classes := make([]map[string]any, 0, len(s.Classes))
 	for _, class := range s.Classes {
@@ -74,7 +74,7 @@
 	})
 }
 
-// settings returns the class in the form of the configuration file.
+// settings returns the settings of the class as they are written in a configuration file.
 func (c *Class) settings() map[string]any {
 	settings := map[string]any{
 		"Name": c.Name, "Effect": c.Effect, "DeadlineMs": c.Deadline.Milliseconds(),
@@ -86,13 +86,14 @@
 	return settings
 }
 
-// KillDelay returns how long after SIGTERM the operators' terms allow a node to be killed.
+// KillDelay returns the shortest time after SIGTERM after which the operators' contract allows a node to be
+// killed: 700 ms after the longest deadline.
 func (s *Settings) KillDelay() time.Duration {
-	const extra = 700 * time.Millisecond // after the longest deadline
+	const extra = 700 * time.Millisecond
 	return s.LongestDeadline() + extra
 }
 
-// LongestDeadline returns the longest deadline of the classes, but 3 s at most.
+// LongestDeadline returns the longest deadline of all classes, limited to 3 s.
 func (s *Settings) LongestDeadline() time.Duration {
 	const limit = 3 * time.Second
 	longest := time.Duration(0)
