--- a/internal/soak/scenario/scenario_test.go
+++ b/internal/soak/scenario/scenario_test.go
@@ -11,7 +11,7 @@
 func TestGenerateIsDeterministic(t *testing.T) {
 	for seed := range uint64(100) {
 		if first, second := Generate(seed), Generate(seed); !reflect.DeepEqual(first, second) {
-			t.Errorf("seed %d: %+v, then %+v", seed, first, second)
+			t.Errorf("Generate(%d) returned %+v, then %+v, want the same scenario twice", seed, first, second)
 		}
 	}
 }
@@ -20,22 +20,22 @@
 	first, second := Generate(1), Generate(2)
 	second.Seed = first.Seed
 	if reflect.DeepEqual(first, second) {
-		t.Errorf("seeds 1 and 2 give %+v", first)
+		t.Errorf("Generate(1) and Generate(2) both returned %+v, want different scenarios", first)
 	}
 }
 
-// Seeds that are noted in reports have to give the same scenario in later versions.
+// A seed in a report must still reproduce its scenario in later versions.
 func TestScenarioOfSeedIsStableAcrossVersions(t *testing.T) {
 	want, err := os.ReadFile("testdata/seed-1.txt")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if got := describe(Generate(1)); got != string(want) {
-		t.Errorf("seed 1 gives\n%s\nwant\n%s", got, want)
+		t.Errorf("Generate(1) returned\n%s\nwant\n%s", got, want)
 	}
 }
 
-// describe returns a text of all parts of a scenario.
+// describe returns a text that contains every part of a scenario.
 func describe(s Scenario) string {
 	var text strings.Builder
 	_, _ = fmt.Fprintf(&text, "seed %d, high concurrency %v, %d nodes\n%+v\nclocks ahead by %v, final signals %v\n",
