--- a/internal/soak/scenario/schedule.go
+++ b/internal/soak/scenario/schedule.go
@@ -47,12 +47,12 @@
 // generateClockOffset returns how far a wall clock is ahead. A negative offset means that it is behind.
 func generateClockOffset(random *rand.Rand) time.Duration {
 	const day = 24 * time.Hour
-	steps := []time.Duration{0, time.Second, 5 * time.Second, 30 * time.Second, 7 * time.Minute, time.Hour, 400 * day}
-	step := steps[random.IntN(len(steps))]
+	offsets := []time.Duration{0, time.Second, 5 * time.Second, 30 * time.Second, 7 * time.Minute, time.Hour, 400 * day}
+	offset := offsets[random.IntN(len(offsets))]
 	if random.IntN(2) == 0 {
-		return -step
+		return -offset
 	}
-	return step
+	return offset
 }
 
 // generateSignals returns the signals that a node receives after SIGTERM while it shuts down.
