--- a/internal/soak/history/history.go
+++ b/internal/soak/history/history.go
@@ -1,6 +1,6 @@
-// Package history records what clients, servers, the discovery service and nodes of a soak run did and saw.
-// Package soak writes it, package check reads it. All methods may be called from several goroutines; fields
-// are set before their value is shared, unless their comment says otherwise.
+// Package history records the events of a soak run, as the clients, the servers, the discovery service and the
+// nodes observed them. Package soak writes the history, package check reads it. All methods are safe for
+// concurrent use. Exported fields are set before their value is shared, unless their comment says otherwise.
 package history
 
 import (
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// History is what happened in a run.
+// History is the record of a run.
 type History struct {
 	Discovery Discovery
 	Lag       *SchedulingLag
@@ -25,34 +25,34 @@
 	timeline   []string
 }
 
-// Violation is a rule that was broken.
+// Violation is one violation of a rule.
 type Violation struct {
-	Rule        string
+	Rule        string // short name of the rule
 	At          time.Time
-	Incarnation *Incarnation // of the node; nil: none or unknown
-	Text        string
+	Incarnation *Incarnation // the incarnation that violated the rule; nil: no specific or no known one
+	Text        string       // what was observed
 }
 
-// New returns the history of a run that begins now.
+// New returns the history of a run that starts now.
 func New(lag *SchedulingLag) *History {
 	return &History{Lag: lag, startTime: time.Now(), requests: map[string]*Request{}}
 }
 
-// Start makes the present the time from which the times of a run count.
+// Start sets the start time of the run to the current time.
 func (h *History) Start() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.startTime = time.Now()
 }
 
-// StartTime returns the time from which the times of a run count.
+// StartTime returns the start time of the run. The timeline and the schedules count from it.
 func (h *History) StartTime() time.Time {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.startTime
 }
 
-// Logf adds a line to the timeline of the run.
+// Logf adds a line, preceded by the time since the start, to the timeline of the run.
 func (h *History) Logf(format string, arguments ...any) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -60,14 +60,14 @@
 	h.timeline = append(h.timeline, line)
 }
 
-// Timeline returns the lines of Logf.
+// Timeline returns the lines that Logf added.
 func (h *History) Timeline() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return slices.Clone(h.timeline)
 }
 
-// RecordRequest records a request before its first byte is sent, and sets its time.
+// RecordRequest records a request and sets its SentAt. The client calls it before it sends the first byte.
 func (h *History) RecordRequest(request *Request) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -75,7 +75,7 @@
 	h.requests[request.ID] = request
 }
 
-// RecordDisconnect records that the client of a request is about to disconnect.
+// RecordDisconnect sets DisconnectedAt of a request whose client is about to disconnect.
 func (h *History) RecordDisconnect(request *Request) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -89,27 +89,30 @@
 	h.responses++
 }
 
-// CountReset counts a request that no node read: its connection was reset in the accept queue of a node
-// that shut down.
+// CountReset counts a request that no node has read, because its connection was reset in the accept queue of a
+// node that shut down.
 func (h *History) CountReset() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.resets++
 }
 
-// RecordAttempt records an attempt of the request with an ID at a server.
+// RecordAttempt records that an attempt arrived at a server, under the ID of its request. An ID that no client
+// has sent is a violation.
 func (h *History) RecordAttempt(id string, attempt Attempt) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	request := h.requests[id]
 	if request == nil {
-		h.violations = append(h.violations, Violation{Rule: "unknown", At: attempt.At, Text: "no client sent " + id})
+		text := fmt.Sprintf("server %s received an attempt of request %q, want the ID of a request that a client sent",
+			attempt.Server.ID, id)
+		h.violations = append(h.violations, Violation{Rule: "unknown", At: attempt.At, Text: text})
 		return
 	}
 	request.Attempts = append(request.Attempts, attempt)
 }
 
-// Requests returns all requests. They change while clients and servers run.
+// Requests returns all requests, in no particular order. They change while clients and servers run.
 func (h *History) Requests() []*Request {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -120,21 +123,21 @@
 	return requests
 }
 
-// AddServer records a process of a server.
+// AddServer records a server process.
 func (h *History) AddServer(server *Server) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.servers = append(h.servers, server)
 }
 
-// Servers returns all processes of servers.
+// Servers returns all server processes.
 func (h *History) Servers() []*Server {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return slices.Clone(h.servers)
 }
 
-// RecordViolationf records a violation that is seen now.
+// RecordViolationf records a violation with the current time and a formatted text.
 func (h *History) RecordViolationf(rule string, incarnation *Incarnation, format string, arguments ...any) {
 	h.RecordViolation(Violation{
 		Rule: rule, At: time.Now(), Incarnation: incarnation, Text: fmt.Sprintf(format, arguments...),
@@ -148,15 +151,15 @@
 	h.violations = append(h.violations, violation)
 }
 
-// Summary is a history in numbers, with its violations.
+// Summary contains the counts and the violations of a run.
 type Summary struct {
-	Requests   int
+	Requests   int // all requests
 	Responses  int // requests with a complete response
-	Resets     int // requests whose connections were reset in the accept queue of a node that shut down
+	Resets     int // requests whose connection was reset in the accept queue of a node that shut down
 	Violations []Violation
 }
 
-// Summary returns a summary.
+// Summary returns the summary of the events recorded so far.
 func (h *History) Summary() Summary {
 	h.mu.Lock()
 	defer h.mu.Unlock()
