--- a/internal/soak/history/request.go
+++ b/internal/soak/history/request.go
@@ -6,22 +6,22 @@
 	"calicohinge/internal/soak/scenario"
 )
 
-// Request is a request as its client saw it, with the attempts that arrived at servers.
+// Request is a request that a client sent, with the attempts that arrived at servers.
 type Request struct {
 	ID          string
-	Incarnation *Incarnation // of the node that it was sent to
+	Incarnation *Incarnation // the incarnation of the node that received the request
 	Class       scenario.Class
-	Timeout     time.Duration
+	Timeout     time.Duration // the timeout that the client sent
 
-	SentAt         time.Time // set by RequestSent
-	DisconnectedAt time.Time // set by ClientDisconnects; zero: the client waited
-	Attempts       []Attempt // set by AttemptArrived, in order of arrival
+	SentAt         time.Time // set by RecordRequest
+	DisconnectedAt time.Time // set by RecordDisconnect; zero: the client did not disconnect early
+	Attempts       []Attempt // added by RecordAttempt, in order of arrival
 }
 
-// Attempt is one arrival of a request at a server.
+// Attempt is an attempt that arrived at a server.
 type Attempt struct {
 	Server      *Server
-	At          time.Time
-	Timeout     time.Duration // in the request that the server received
-	NotExecuted bool          // the server guarantees that it did not execute the request
+	At          time.Time     // time of arrival
+	Timeout     time.Duration // the timeout that the node sent to the server
+	NotExecuted bool          // whether the server guarantees in its response that it did not execute the request
 }
