--- a/internal/soak/history/server.go
+++ b/internal/soak/history/server.go
@@ -9,24 +9,25 @@
 // Server is one process of a server.
 type Server struct {
 	ID       string
-	JoinedAt time.Time   // when it was listed first; zero: from the start of the run
-	Hanging  atomic.Bool // it responds to no request
+	JoinedAt time.Time   // its start time; zero: it is listed from the start of the run
+	Hanging  atomic.Bool // whether it accepts requests and does not respond; changes during the run
 
-	// DelistedGeneration is the generation of the list that first showed the server as draining or removed; 0: none.
+	// DelistedGeneration is the first generation in which the server is draining or removed. It is 0 until such a
+	// generation is published.
 	DelistedGeneration atomic.Uint64
 
 	mu       sync.Mutex
-	arrivals []time.Time
+	arrivals []time.Time // of attempts
 }
 
-// RecordArrival records that a request arrived at the server.
+// RecordArrival records that an attempt arrived at the server.
 func (s *Server) RecordArrival(at time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.arrivals = append(s.arrivals, at)
 }
 
-// CountArrivals counts the requests that arrived in a time.
+// CountArrivals returns the number of attempts that arrived in the interval [from, to).
 func (s *Server) CountArrivals(from, to time.Time) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
