--- a/internal/soak/history/incarnation.go
+++ b/internal/soak/history/incarnation.go
@@ -14,52 +14,52 @@
 
 	mu           sync.Mutex
 	deliveries   []delivery
-	reloads      []time.Time // SIGHUPs
-	terminatedAt time.Time   // SIGTERM; zero: not yet
+	reloads      []time.Time // when SIGHUP was sent
+	terminatedAt time.Time   // when the first SIGTERM was sent; zero: not yet
 	logLines     []string
 
-	pauses lagSeries // that the process has reported
+	pauses lagSeries // the pauses that the process reported in its log
 }
 
-// pausePrefix precedes the length of a pause in the log of a process that balancertest.BuildInstrumented has
-// built.
+// pausePrefix is the start of a log line that reports a pause; the duration follows. A process reports its pauses
+// if its program was built by balancertest.BuildInstrumented.
 const pausePrefix = "paused for "
 
-// delivery is an endpoint list that the discovery service wrote to a node.
+// delivery is the delivery of an endpoint list to a node.
 type delivery struct {
 	generation uint64
-	at         time.Time
+	at         time.Time // when the discovery service started to write its response
 }
 
-// RecordDelivery records that the list of a generation is written to the node now.
+// RecordDelivery records that the discovery service is about to write the list of a generation to the process.
 func (i *Incarnation) RecordDelivery(generation uint64) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.deliveries = append(i.deliveries, delivery{generation, time.Now()})
 }
 
-// RecordReload records that SIGHUP is sent now.
+// RecordReload records that SIGHUP is about to be sent.
 func (i *Incarnation) RecordReload() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.reloads = append(i.reloads, time.Now())
 }
 
-// RecordTermination records that SIGTERM is sent now.
+// RecordTermination records that SIGTERM is about to be sent.
 func (i *Incarnation) RecordTermination() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.terminatedAt = time.Now()
 }
 
-// Terminated reports whether SIGTERM was sent.
+// Terminated reports whether RecordTermination was called.
 func (i *Incarnation) Terminated() bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return !i.terminatedAt.IsZero()
 }
 
-// RecordLogLine records a line of the process's log.
+// RecordLogLine records a line of the process's log. A report of a pause is recorded as a pause that has just ended.
 func (i *Incarnation) RecordLogLine(line string) {
 	if text, ok := strings.CutPrefix(line, pausePrefix); ok {
 		if pause, err := time.ParseDuration(text); err == nil {
@@ -71,18 +71,18 @@
 	i.logLines = append(i.logLines, line)
 }
 
-// MaxPauseNear returns the longest time around a time for which the system kept the process from running, as the
-// process has reported it.
+// MaxPauseNear returns the longest pause of the process around a time, as the process reported it. During a pause,
+// the system does not schedule the process.
 func (i *Incarnation) MaxPauseNear(at time.Time) time.Duration { return i.pauses.MaxNear(at) }
 
-// LastLines returns the end of the process's log.
+// LastLines returns up to count lines from the end of the process's log.
 func (i *Incarnation) LastLines(count int) string {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return strings.Join(i.logLines[max(0, len(i.logLines)-count):], "\n")
 }
 
-// notifications returns the lists that were delivered to the process, and its reloads.
+// notifications returns the deliveries of endpoint lists to the process and the times of its reloads.
 func (i *Incarnation) notifications() ([]delivery, []time.Time) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
