--- a/internal/soak/history/scheduling_lag.go
+++ b/internal/soak/history/scheduling_lag.go
@@ -7,32 +7,32 @@
 )
 
 const (
-	// lagInterval is how often the lag is measured.
+	// lagInterval is the interval at which the lag is measured.
 	lagInterval = 5 * time.Millisecond
-	// lagWindow is how far from a time MaxNear considers the lag.
+	// lagWindow is the distance from a given time within which MaxNear considers samples.
 	lagWindow = 500 * time.Millisecond
 )
 
-// SchedulingLag measures how late the system scheduled this process. What the process recorded is late by as
-// much.
+// SchedulingLag measures by how much the system schedules the test process late. The times that the process
+// records may be late by as much.
 type SchedulingLag struct {
 	lagSeries
 	stop chan struct{}
 }
 
-// lagSeries is a series of measured lags of one process.
+// lagSeries is a series of lags or pauses of one process.
 type lagSeries struct {
 	mu      sync.Mutex
 	samples []lagSample // in order of time
 }
 
-// lagSample is one measured lag.
+// lagSample is one lag or pause.
 type lagSample struct {
-	at  time.Time
+	at  time.Time // its end
 	lag time.Duration
 }
 
-// MeasureSchedulingLag starts a measurement. The caller stops it.
+// MeasureSchedulingLag starts a measurement. The caller must stop it.
 func MeasureSchedulingLag() *SchedulingLag {
 	l := &SchedulingLag{stop: make(chan struct{})}
 	go l.measure()
@@ -42,7 +42,7 @@
 // Stop ends the measurement.
 func (l *SchedulingLag) Stop() { close(l.stop) }
 
-// measure records each lag that is longer than the interval itself, until Stop is called.
+// measure records each lag that is longer than lagInterval, until Stop is called.
 func (l *SchedulingLag) measure() {
 	for {
 		before := time.Now()
@@ -57,14 +57,15 @@
 	}
 }
 
-// add adds a lag that has just ended.
+// add adds a lag that ends now.
 func (s *lagSeries) add(lag time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.samples = append(s.samples, lagSample{time.Now(), lag})
 }
 
-// MaxNear returns the greatest lag around a time.
+// MaxNear returns the longest lag around a time: of those that ended within lagWindow before it or began within
+// lagWindow after it. It returns 0 if there is none.
 func (s *lagSeries) MaxNear(at time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
