--- a/internal/soak/history/discovery.go
+++ b/internal/soak/history/discovery.go
@@ -8,25 +8,25 @@
 	"calicohinge/policy"
 )
 
-// Discovery is what the discovery service published, and when it could not be reached. The zero value is
-// ready to use.
+// Discovery records when the discovery service published each generation and when it was unreachable. The zero
+// value is ready to use.
 type Discovery struct {
 	mu        sync.Mutex
-	published []time.Time // by generation, from 1 on
-	outages   []outage    // those that have ended, in order of time
+	published []time.Time // by generation; index 0 is generation 1
+	outages   []outage    // the outages that have ended, in order of time
 }
 
-// outage is a span of time in which the service could not be reached.
+// outage is a period in which the service was unreachable.
 type outage struct{ from, to time.Time }
 
-// RecordGeneration records that the list of the next generation is published now.
+// RecordGeneration records that the next generation is published now.
 func (d *Discovery) RecordGeneration() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.published = append(d.published, time.Now())
 }
 
-// RecordOutage records that the service could not be reached from a time until now.
+// RecordOutage records an outage from a given time until now.
 func (d *Discovery) RecordOutage(from time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -40,8 +40,8 @@
 	return d.published[generation-1]
 }
 
-// reachableSince returns the first time, from the given one on, after which the service could be reached
-// without a break for a span.
+// reachableSince returns the earliest time, not before from, at which a period of the given span without an outage
+// starts.
 func (d *Discovery) reachableSince(from time.Time, span time.Duration) time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -53,8 +53,12 @@
 	return from
 }
 
-// NotifiedAt returns when a process counts as notified of a generation: when the list was written to it, but
-// at the end of the notification deadline or of the address change deadline at the latest.
+// NotifiedAt returns when an incarnation is considered notified of a generation. This is the earliest of:
+//   - the delivery of a list of this generation or a later one;
+//   - the notification deadline, counted from the first time at which the incarnation runs, the generation is
+//     published and the service then stays reachable for as long as the deadline lasts;
+//   - the address change deadline after a reload, if the generation was published before it and the service
+//     stayed reachable for as long as the deadline lasts.
 func (d *Discovery) NotifiedAt(incarnation *Incarnation, generation uint64) time.Time {
 	known := d.PublishedAt(generation)
 	if known.Before(incarnation.StartedAt) {
