--- a/internal/soak/history/discovery_test.go
+++ b/internal/soak/history/discovery_test.go
@@ -17,21 +17,26 @@
 		reloads    []time.Time
 		want       time.Time
 	}{
-		"nothing happens":                  {nil, nil, nil, at(0).Add(policy.NotificationDeadline)},
-		"the list is delivered":            {nil, []delivery{{2, at(1)}}, nil, at(1)},
-		"a newer list is delivered":        {nil, []delivery{{3, at(2)}}, nil, at(2)},
-		"an older list is delivered":       {nil, []delivery{{1, at(1)}}, nil, at(0).Add(policy.NotificationDeadline)},
-		"the address changes":              {nil, nil, []time.Time{at(1)}, at(1).Add(testkit.AddressChangeDeadline)},
-		"the address changed before":       {nil, nil, []time.Time{at(-1)}, at(0).Add(policy.NotificationDeadline)},
-		"an outage":                        {[]outage{{at(1), at(9)}}, nil, nil, at(9).Add(policy.NotificationDeadline)},
-		"outages that leave too little":    {[]outage{{at(-1), at(1)}, {at(3), at(9)}}, nil, nil, at(9).Add(policy.NotificationDeadline)},
-		"the address changes in an outage": {[]outage{{at(0), at(3)}}, nil, []time.Time{at(1)}, at(3).Add(policy.NotificationDeadline)},
+		"neither delivery nor reload":       {nil, nil, nil, at(0).Add(policy.NotificationDeadline)},
+		"delivery of the generation":        {nil, []delivery{{2, at(1)}}, nil, at(1)},
+		"delivery of a later generation":    {nil, []delivery{{3, at(2)}}, nil, at(2)},
+		"delivery of an earlier generation": {nil, []delivery{{1, at(1)}}, nil, at(0).Add(policy.NotificationDeadline)},
+		"reload after publication":          {nil, nil, []time.Time{at(1)}, at(1).Add(testkit.AddressChangeDeadline)},
+		"reload before publication":         {nil, nil, []time.Time{at(-1)}, at(0).Add(policy.NotificationDeadline)},
+		"outage":                            {[]outage{{at(1), at(9)}}, nil, nil, at(9).Add(policy.NotificationDeadline)},
+		"outages shortly after each other": {
+			[]outage{{at(-1), at(1)}, {at(3), at(9)}}, nil, nil, at(9).Add(policy.NotificationDeadline),
+		},
+		"reload during an outage": {
+			[]outage{{at(0), at(3)}}, nil, []time.Time{at(1)}, at(3).Add(policy.NotificationDeadline),
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			discovery := Discovery{published: []time.Time{at(-9), at(0), at(0.5)}, outages: c.outages}
 			incarnation := &Incarnation{StartedAt: at(-10), deliveries: c.deliveries, reloads: c.reloads}
 			if got := discovery.NotifiedAt(incarnation, 2); !got.Equal(c.want) {
-				t.Errorf("notified %v after the list was published, want %v", got.Sub(at(0)), c.want.Sub(at(0)))
+				t.Errorf("NotifiedAt(incarnation, 2) is %v after generation 2 was published, want %v",
+					got.Sub(at(0)), c.want.Sub(at(0)))
 			}
 		})
 	}
@@ -43,7 +48,8 @@
 	incarnation := &Incarnation{StartedAt: began.Add(time.Minute)}
 	want := incarnation.StartedAt.Add(policy.NotificationDeadline)
 	if got := discovery.NotifiedAt(incarnation, 1); !got.Equal(want) {
-		t.Errorf("notified %v after the start, want %v", got.Sub(incarnation.StartedAt), policy.NotificationDeadline)
+		t.Errorf("NotifiedAt(incarnation, 1) is %v after the process started, want %v",
+			got.Sub(incarnation.StartedAt), policy.NotificationDeadline)
 	}
 }
 
@@ -55,11 +61,15 @@
 		{began.Add(2300 * time.Millisecond), 10 * time.Millisecond},
 	}}
 	for after, want := range map[time.Duration]time.Duration{
-		-time.Second: 0, 100 * time.Millisecond: 20 * time.Millisecond, time.Second: 0, 2400 * time.Millisecond: 30 * time.Millisecond,
-		2700 * time.Millisecond: 10 * time.Millisecond, time.Minute: 0,
+		-time.Second:            0,
+		100 * time.Millisecond:  20 * time.Millisecond,
+		time.Second:             0,
+		2400 * time.Millisecond: 30 * time.Millisecond,
+		2700 * time.Millisecond: 10 * time.Millisecond,
+		time.Minute:             0,
 	} {
 		if got := lag.MaxNear(began.Add(after)); got != want {
-			t.Errorf("lag %v around %v, want %v", got, after, want)
+			t.Errorf("MaxNear(%v after the first sample) = %v, want %v", after, got, want)
 		}
 	}
 }
