--- a/internal/soak/check/check.go
+++ b/internal/soak/check/check.go
@@ -1,6 +1,6 @@
-// Package check holds the rules of the soak: it reads the history of a run and returns each violation of a
-// rule about attempts and about slow start. Package soak itself records the violations that a client, a
-// server or a node notices at once, such as a lost request or a late shutdown.
+// Package check contains the rules of the soak that need the whole history of a run: the rules on attempts and
+// on slow start. It returns the violations of these rules. Package soak records the violations that a client, a
+// server or a node notices during the run, such as a lost request or a late shutdown.
 package check
 
 import (
@@ -11,14 +11,14 @@
 	"calicohinge/internal/soak/scenario"
 )
 
-// Run is a run that has ended.
+// Run is a completed run.
 type Run struct {
 	Settings *scenario.Settings
 	History  *history.History
 	EndedAt  time.Time
 }
 
-// All checks every rule and returns the violations.
+// All checks all rules and returns the violations.
 func All(run Run) []history.Violation {
 	checker := checker{Run: run}
 	checker.checkAttempts()
@@ -26,19 +26,19 @@
 	return checker.violations
 }
 
-// checker collects the violations of a run.
+// checker checks a run and collects the violations.
 type checker struct {
 	Run
 	violations []history.Violation
 }
 
-// addViolation adds a violation at a request.
+// addViolation adds a violation that concerns a request.
 func (c *checker) addViolation(rule string, at time.Time, request *history.Request, format string, arguments ...any) {
-	text := fmt.Sprintf("request %s, class %s: ", request.ID, request.Class.Name) + fmt.Sprintf(format, arguments...)
+	text := fmt.Sprintf("request %s of class %s: ", request.ID, request.Class.Name) + fmt.Sprintf(format, arguments...)
 	c.violations = append(c.violations, history.Violation{
 		Rule: rule, At: at, Incarnation: request.Incarnation, Text: text,
 	})
 }
 
-// lag returns how late what was recorded around a time may be.
+// lag returns by how much an event that was recorded around a time may be recorded late.
 func (c *checker) lag(at time.Time) time.Duration { return c.History.Lag.MaxNear(at) }
