--- a/internal/soak/check/attempts.go
+++ b/internal/soak/check/attempts.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// pauseSlack is how long a node may be paused between reading its clock and writing.
+	// pauseSlack is how long a node may be paused between reading its clock and writing to a socket.
 	pauseSlack = 150 * time.Millisecond
-	// socketSlack is what the operators' pages add to each time limit on sockets.
+	// socketSlack is the tolerance that the operators' contract adds to each time limit on sockets.
 	socketSlack = 50 * time.Millisecond
-	// disconnectSlack is how long after its client has disconnected an attempt may begin.
+	// disconnectSlack is how long after its client has disconnected an attempt may still arrive at a server.
 	disconnectSlack = 100 * time.Millisecond
 )
 
-// checkAttempts checks every attempt that arrived at a server.
+// checkAttempts checks the rules on attempts for each attempt that arrived at a server.
 func (c *checker) checkAttempts() {
 	for _, request := range c.History.Requests() {
 		for i := range request.Attempts {
@@ -28,8 +28,8 @@
 	}
 }
 
-// allowedPause returns how long the node may have been paused before an attempt: pauseSlack, or for longer if the
-// node has reported that the busy machine paused it for longer.
+// allowedPause returns how long the node may have been paused before an attempt: pauseSlack, or the longest pause
+// around the attempt that the node reported, if that is longer. A busy machine causes such pauses.
 func allowedPause(request *history.Request, attempt *history.Attempt) time.Duration {
 	if request.Incarnation == nil {
 		return pauseSlack
@@ -37,7 +37,8 @@
 	return max(pauseSlack, request.Incarnation.MaxPauseNear(attempt.At))
 }
 
-// checkDrain checks that an attempt was not sent to a draining or removed server after the drain grace.
+// checkDrain checks that no attempt arrives at a draining or removed server once the drain grace has passed since
+// the node was notified of the server's state.
 func (c *checker) checkDrain(request *history.Request, attempt *history.Attempt) {
 	discovery := &c.History.Discovery
 	generation := attempt.Server.DelistedGeneration.Load()
@@ -47,30 +48,34 @@
 	notified := discovery.NotifiedAt(request.Incarnation, generation)
 	late := attempt.At.Sub(notified) - c.Settings.DrainGrace - socketSlack - pauseSlack
 	if late > c.lag(attempt.At) {
-		c.addViolation("drain", attempt.At, request, "sent to %s %v after the notification of generation %d at %v, grace %v",
+		c.addViolation("drain", attempt.At, request,
+			"attempt arrived at %s %v after the node was notified of generation %d at %v, want at most the drain grace of %v",
 			attempt.Server.ID, attempt.At.Sub(notified), generation, notified.Sub(c.History.StartTime()), c.Settings.DrainGrace)
 	}
 }
 
-// checkDeadline checks that the server was given at most the time that its client had left.
+// checkDeadline checks that the timeout sent to the server is not longer than the time until the client's deadline.
 func (c *checker) checkDeadline(request *history.Request, attempt *history.Attempt) {
 	left := request.SentAt.Add(request.Timeout).Sub(attempt.At)
 	if excess := attempt.Timeout - left - allowedPause(request, attempt); excess > c.lag(attempt.At) {
-		c.addViolation("deadline", attempt.At, request, "the server was given %v, the client had %v left", attempt.Timeout, left)
+		c.addViolation("deadline", attempt.At, request,
+			"server received a timeout of %v, want at most the %v until the client's deadline", attempt.Timeout, left)
 	}
 }
 
-// checkDisconnect checks that the attempt did not begin after its client had disconnected.
+// checkDisconnect checks that no attempt arrives at a server after its client has disconnected.
 func (c *checker) checkDisconnect(request *history.Request, attempt *history.Attempt) {
 	if request.DisconnectedAt.IsZero() {
 		return
 	}
 	if late := attempt.At.Sub(request.DisconnectedAt) - disconnectSlack; late > c.lag(attempt.At) {
-		c.addViolation("disconnect", attempt.At, request, "began %v after its client had disconnected", late+disconnectSlack)
+		c.addViolation("disconnect", attempt.At, request,
+			"attempt arrived %v after its client had disconnected, want at most %v", late+disconnectSlack, disconnectSlack)
 	}
 }
 
-// checkRetry checks that an attempt may be sent although an earlier one may have been executed.
+// checkRetry checks that an attempt is allowed after the earlier attempts of its request: a request that a server
+// may have executed is sent again only if executing it twice is harmless.
 func (c *checker) checkRetry(request *history.Request, index int) {
 	attempt, class := &request.Attempts[index], &request.Class
 	for _, earlier := range request.Attempts[:index] {
@@ -80,13 +85,15 @@
 		age := attempt.At.Sub(earlier.At)
 		switch class.Effect {
 		case scenario.EffectSideEffect:
-			c.addViolation("duplicate", attempt.At, request, "sent again %v after an attempt that may have been executed", age)
+			c.addViolation("duplicate", attempt.At, request,
+				"another attempt arrived %v after one that may have been executed, want none", age)
 		case scenario.EffectToken:
 			if age > class.KeyRetention+c.lag(attempt.At) {
-				c.addViolation("duplicate", attempt.At, request, "sent again %v after an attempt, keys are retained for %v",
+				c.addViolation("duplicate", attempt.At, request,
+					"another attempt arrived %v after one that may have been executed, want at most the key retention of %v",
 					age, class.KeyRetention)
 			}
-		case scenario.EffectPure: // may be sent again at any time
+		case scenario.EffectPure: // idempotent: may be sent again at any time
 		}
 	}
 }
