--- a/internal/soak/check/check_test.go
+++ b/internal/soak/check/check_test.go
@@ -10,15 +10,16 @@
 	"calicohinge/internal/soak/scenario"
 )
 
-// testRun is a run of a minute with one node and two servers.
+// testRun is a run of one minute with one node and two servers.
 type testRun struct {
 	Run
 	node      *history.Incarnation
-	server    *history.Server // listed all the time
-	delisted  *history.Server // removed by generation 2, which is published as the run begins
+	server    *history.Server // ready during the whole run
+	delisted  *history.Server // removed in generation 2, which is published when the run starts
 	startTime time.Time
 }
 
+// newTestRun returns a run without requests.
 func newTestRun() *testRun {
 	scenario := scenario.Generate(1)
 	r := &testRun{
@@ -37,7 +38,7 @@
 	return r
 }
 
-// request records a request that was sent as the run began, with attempts.
+// request records a request that was sent at the start of the run, with the given attempts.
 func (r *testRun) request(effect scenario.Effect, attempts ...history.Attempt) *history.Request {
 	request := &history.Request{
 		ID: fmt.Sprint("r", len(r.History.Requests())), Incarnation: r.node, Timeout: time.Hour,
@@ -51,56 +52,61 @@
 	return request
 }
 
-// attempt returns an attempt at a server, some time after the run began.
+// attempt returns an attempt that arrives at a server at the given time after the start of the run.
 func (r *testRun) attempt(server *history.Server, after time.Duration) history.Attempt {
 	return history.Attempt{Server: server, At: r.startTime.Add(after), Timeout: time.Second}
 }
 
-// The drain grace of the run is one second, the notification deadline six.
+// Each case records a request with attempts and expects the violation of one rule, or none.
 func TestInvalidAttemptsAreReported(t *testing.T) {
+	// The notification deadline of 6 s and the drain grace of 1 s, with the tolerances.
 	const drainLimit = 7*time.Second + socketSlack + pauseSlack
 	for name, c := range map[string]struct {
 		record   func(r *testRun)
-		wantRule string // the rule; empty: none is broken
+		wantRule string // the violated rule; empty: none
 	}{
-		"to a ready server": {func(r *testRun) { r.request(scenario.EffectPure, r.attempt(r.server, drainLimit+time.Second)) }, ""},
-		"to a removed server in time": {func(r *testRun) {
+		"to a ready server": {func(r *testRun) {
+			r.request(scenario.EffectPure, r.attempt(r.server, drainLimit+time.Second))
+		}, ""},
+		"to a removed server within the drain grace": {func(r *testRun) {
 			r.request(scenario.EffectPure, r.attempt(r.delisted, drainLimit-10*time.Millisecond))
 		}, ""},
-		"to a removed server after the notification deadline": {func(r *testRun) {
+		"to a removed server after the notification deadline and the drain grace": {func(r *testRun) {
 			r.request(scenario.EffectPure, r.attempt(r.delisted, drainLimit+10*time.Millisecond))
 		}, "drain"},
-		"to a removed server after the delivery of its removal": {func(r *testRun) {
+		"to a removed server after the delivery of its removal and the drain grace": {func(r *testRun) {
 			r.node.RecordDelivery(2)
 			r.request(scenario.EffectPure, r.attempt(r.delisted, 2*time.Second))
 		}, "drain"},
-		"to a removed server after a reload": {func(r *testRun) {
+		"to a removed server after a reload and the drain grace": {func(r *testRun) {
 			r.node.RecordReload()
 			r.request(scenario.EffectPure, r.attempt(r.delisted, 6*time.Second))
 		}, "drain"},
-		"with the time that is left": {func(r *testRun) {
+		"with the time until the deadline": {func(r *testRun) {
 			r.request(scenario.EffectPure, r.attempt(r.server, time.Second)).Timeout = 2 * time.Second
 		}, ""},
-		"with more time than is left": {func(r *testRun) {
+		"with more than the time until the deadline": {func(r *testRun) {
 			r.request(scenario.EffectPure, r.attempt(r.server, 1200*time.Millisecond)).Timeout = 2 * time.Second
 		}, "deadline"},
-		"with more time than is left, by a pause of the node": {func(r *testRun) {
+		"with excess time shorter than a pause of the node": {func(r *testRun) {
 			r.node.RecordLogLine("paused for 210ms")
 			r.request(scenario.EffectPure, r.attempt(r.server, 200*time.Millisecond)).Timeout = time.Second
 		}, ""},
-		"with more time than is left, by more than a pause of the node": {func(r *testRun) {
+		"with excess time longer than a pause of the node": {func(r *testRun) {
 			r.node.RecordLogLine("paused for 190ms")
 			r.request(scenario.EffectPure, r.attempt(r.server, 200*time.Millisecond)).Timeout = time.Second
 		}, "deadline"},
-		"with more time than is left, long after a pause of the node": {func(r *testRun) {
+		"with excess time long after a pause of the node": {func(r *testRun) {
 			r.node.RecordLogLine("paused for 210ms")
 			r.request(scenario.EffectPure, r.attempt(r.server, time.Second)).Timeout = 1800 * time.Millisecond
 		}, "deadline"},
-		"just after a disconnection": {func(r *testRun) {
-			r.request(scenario.EffectPure, r.attempt(r.server, time.Second)).DisconnectedAt = r.startTime.Add(950 * time.Millisecond)
+		"50 ms after the client disconnected": {func(r *testRun) {
+			request := r.request(scenario.EffectPure, r.attempt(r.server, time.Second))
+			request.DisconnectedAt = r.startTime.Add(950 * time.Millisecond)
 		}, ""},
-		"after a disconnection": {func(r *testRun) {
-			r.request(scenario.EffectPure, r.attempt(r.server, time.Second)).DisconnectedAt = r.startTime.Add(850 * time.Millisecond)
+		"150 ms after the client disconnected": {func(r *testRun) {
+			request := r.request(scenario.EffectPure, r.attempt(r.server, time.Second))
+			request.DisconnectedAt = r.startTime.Add(850 * time.Millisecond)
 		}, "disconnect"},
 		"retry of an idempotent request": {func(r *testRun) {
 			r.request(scenario.EffectPure, r.attempt(r.server, 0), r.attempt(r.server, time.Second))
@@ -108,15 +114,15 @@
 		"retry of a request with side effects": {func(r *testRun) {
 			r.request(scenario.EffectSideEffect, r.attempt(r.server, 0), r.attempt(r.server, time.Millisecond))
 		}, "duplicate"},
-		"retry of one with side effects that was not executed": {func(r *testRun) {
+		"retry of a request with side effects that was not executed": {func(r *testRun) {
 			first := r.attempt(r.server, 0)
 			first.NotExecuted = true
 			r.request(scenario.EffectSideEffect, first, r.attempt(r.server, time.Millisecond))
 		}, ""},
-		"retry within the retention of the key": {func(r *testRun) {
+		"retry within the key retention": {func(r *testRun) {
 			r.request(scenario.EffectToken, r.attempt(r.server, 0), r.attempt(r.server, 400*time.Millisecond))
 		}, ""},
-		"retry after the retention of the key": {func(r *testRun) {
+		"retry after the key retention": {func(r *testRun) {
 			r.request(scenario.EffectToken, r.attempt(r.server, 0), r.attempt(r.server, 401*time.Millisecond))
 		}, "duplicate"},
 	} {
@@ -129,13 +135,13 @@
 }
 
 func TestOverloadDuringWarmUpIsReported(t *testing.T) {
-	const warmRate = 100 // requests a second to each server from the start
+	const warmRate = 100 // requests in the first second to the server that is warm
 	for name, c := range map[string]struct {
-		arrivals int // in the first second of the new server
+		arrivals int // requests in the first second to the server that is warming up
 		wantRule string
 	}{
-		"a share that grows":                     {60, ""},
-		"the share of a warm server, twice over": {200, "slow start"},
+		"within the allowed rate":         {60, ""},
+		"twice the rate of a warm server": {200, "slow start"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newTestRun()
@@ -152,7 +158,7 @@
 	}
 }
 
-// expectViolation checks that one violation of a rule was found, or none if the rule is empty.
+// expectViolation checks that All returned exactly one violation, of the given rule, or none if the rule is empty.
 func expectViolation(t *testing.T, got []history.Violation, rule string) {
 	t.Helper()
 	var rules, want []string
@@ -163,6 +169,6 @@
 		want = []string{rule}
 	}
 	if !slices.Equal(rules, want) {
-		t.Errorf("violations of %q, want %q", rules, want)
+		t.Errorf("All returned violations of the rules %q, want %q", rules, want)
 	}
 }
