--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -1,6 +1,6 @@
-// Package testkit holds what the tests of several packages share: functions that wait for a
-// condition, stand-ins for servers and for the discovery service, and listeners. Whatever a function
-// starts ends with the test that it was given. Only tests import it.
+// Package testkit contains helpers that the tests of several packages share: functions that wait for a condition,
+// fake servers, fake discovery services and listeners. Everything that a function starts is stopped at the end of
+// the test that it receives, unless its comment says otherwise. Only tests import this package.
 package testkit
 
 import (
@@ -11,16 +11,15 @@
 	"time"
 )
 
-// WaitTimeout bounds the wait for a condition that must come true. It ends a test that fails and never
-// delays one that passes.
+// WaitTimeout bounds each wait for an event that a test expects. A test that passes never waits that long.
 const WaitTimeout = 20 * time.Second
 
-// AddressChangeDeadline is the operators' term: this long after SIGHUP a node counts as notified of the list
-// at a new address of the discovery service.
+// AddressChangeDeadline is the time after SIGHUP at which a node is considered notified of the endpoint list at
+// a new address of the discovery service. The operators' contract sets it.
 const AddressChangeDeadline = 4 * time.Second
 
-// Wait returns the next value of a channel, or fails the test. The description completes the words
-// "timed out waiting for".
+// Wait returns the next value of a channel. It fails the test after WaitTimeout; the description completes the
+// message "timed out waiting for".
 func Wait[T any](tb testing.TB, values <-chan T, description string) T {
 	tb.Helper()
 	select {
@@ -32,10 +31,10 @@
 	}
 }
 
-// pollInterval is the pause between two checks of a condition: short beside what tests wait for.
+// pollInterval is the pause between two checks of a condition. It is short compared with what tests wait for.
 const pollInterval = time.Millisecond
 
-// Until waits until a condition holds, or fails the test.
+// Until waits until a condition holds. It fails the test after WaitTimeout, with a message as in Wait.
 func Until(tb testing.TB, description string, holds func() bool) {
 	tb.Helper()
 	for end := time.Now().Add(WaitTimeout); !holds(); time.Sleep(pollInterval) {
@@ -45,13 +44,13 @@
 	}
 }
 
-// IsTimeout reports whether a deadline ended a network operation.
+// IsTimeout reports whether err is the timeout of a network operation.
 func IsTimeout(err error) bool {
 	var netErr net.Error
 	return errors.As(err, &netErr) && netErr.Timeout()
 }
 
-// JSON is text that is marshalled as it is: a part of a configuration file that a test writes itself.
+// JSON is JSON text that is marshaled unchanged. Tests use it for parts of a configuration file.
 type JSON string
 
 // MarshalJSON implements json.Marshaler.
