--- a/internal/testkit/backend.go
+++ b/internal/testkit/backend.go
@@ -10,17 +10,16 @@
 	"calicohinge/internal/endpointjson"
 )
 
-// maxRecordedRequests bounds Backend.Requests; further requests are handled and not recorded.
+// maxRecordedRequests is the capacity of Backend.Requests. Requests beyond it are handled but not recorded.
 const maxRecordedRequests = 1000
 
-// Backend is an HTTP server that records the requests it receives.
+// Backend is an HTTP server that records the requests that it receives.
 type Backend struct {
 	*httptest.Server
-	Requests chan *http.Request // each with its body read and restored
+	Requests chan *http.Request // the received requests; their bodies can be read from memory
 }
 
-// NewBackend starts a server that records each request before it handles it. It stops at the end of
-// the test.
+// NewBackend starts a server that records each request and then calls handle. It stops at the end of the test.
 func NewBackend(t *testing.T, handle http.HandlerFunc) *Backend {
 	t.Helper()
 	backend := &Backend{Requests: make(chan *http.Request, maxRecordedRequests)}
@@ -32,14 +31,14 @@
 		r.Body = io.NopCloser(bytes.NewReader(body))
 		select {
 		case backend.Requests <- r:
-		default: // a handler must not block when no test reads the channel
+		default: // the channel is full: no test may read it, and the handler must not block
 		}
 		handle(w, r)
 	}))
 	return backend
 }
 
-// NewServer starts an HTTP server at a host of its own. It stops at the end of the test.
+// NewServer starts an HTTP server at a new loopback host. It stops at the end of the test.
 func NewServer(tb testing.TB, handler http.Handler) *httptest.Server {
 	tb.Helper()
 	listener, err := ListenOnNewHost()
@@ -55,13 +54,13 @@
 	return server
 }
 
-// Address returns the host and port at which the server listens.
+// Address returns the host and port on which the server listens.
 func (b *Backend) Address() string { return b.Listener.Addr().String() }
 
-// Endpoint returns the server's entry in an endpoint list.
+// Endpoint returns an entry of an endpoint list for the server, which is ready.
 func (b *Backend) Endpoint(id string) endpointjson.Endpoint { return readyEndpoint(id, b.Address()) }
 
-// readyEndpoint returns the entry of a ready server in an endpoint list.
+// readyEndpoint returns an entry of an endpoint list for a ready server.
 func readyEndpoint(id, address string) endpointjson.Endpoint {
 	return endpointjson.Endpoint{InstanceID: id, Address: address, Zone: "a", Lifecycle: "Ready", Weight: 1}
 }
