--- a/internal/testkit/reserved_addr.go
+++ b/internal/testkit/reserved_addr.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// ReservedAddr is a loopback address that is bound, so that no other process can take it, and that
-// refuses connections until Listen is called.
+// ReservedAddr is a bound loopback address: no other process can use it, and it refuses connections until Listen
+// is called.
 type ReservedAddr struct {
 	Address string
 	file    *os.File
@@ -25,7 +25,7 @@
 		t.Fatal(err)
 	}
 	file := os.NewFile(uintptr(fd), "reserved address")
-	t.Cleanup(func() { _ = file.Close() }) // a listener has its own copy of the descriptor
+	t.Cleanup(func() { _ = file.Close() }) // a listener has its own duplicate of the descriptor
 	host := newLoopbackHost()
 	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: netip.MustParseAddr(host).As4()}); err != nil {
 		t.Fatal(err)
@@ -38,10 +38,10 @@
 	return &ReservedAddr{Address: net.JoinHostPort(host, strconv.Itoa(port)), file: file}
 }
 
-// Listen starts to accept connections at the address. The caller closes the listener.
+// Listen starts a listener on the address. The caller must close it.
 func (a *ReservedAddr) Listen() (net.Listener, error) {
 	if err := syscall.Listen(int(a.file.Fd()), syscall.SOMAXCONN); err != nil {
-		return nil, fmt.Errorf("listen at %s: %w", a.Address, err)
+		return nil, fmt.Errorf("listen on %s: %w", a.Address, err)
 	}
 	return net.FileListener(a.file)
 }
