--- a/internal/testkit/registry.go
+++ b/internal/testkit/registry.go
@@ -13,19 +13,19 @@
 	"calicohinge/internal/endpointjson"
 )
 
-// maxRecordedCalls bounds Registry.Queries; further calls are served and not recorded.
+// maxRecordedCalls is the capacity of Registry.Queries. Calls beyond it are served but not recorded.
 const maxRecordedCalls = 4096
 
-// Registry is a discovery service whose list the test sets.
+// Registry is a discovery service whose endpoint list the test sets.
 type Registry struct {
 	*httptest.Server
-	Queries chan string // the query of each call, in order of arrival
+	Queries chan string // the raw query of each call, in order of arrival
 
 	mu         sync.Mutex
 	endpoints  []endpointjson.Endpoint
 	generation int
-	down       bool
-	changed    chan struct{} // closed at the next change
+	down       bool          // whether calls fail with status 503
+	changed    chan struct{} // closed and replaced at each change
 }
 
 // NewRegistry starts a discovery service with an endpoint list. It stops at the end of the test.
@@ -35,14 +35,14 @@
 		endpoints: endpoints, changed: make(chan struct{}), Queries: make(chan string, maxRecordedCalls),
 	}
 	registry.Server = NewServer(t, registry)
-	t.Cleanup(func() { registry.update(func() {}) }) // completes the watches, for which Close would wait
+	t.Cleanup(func() { registry.update(func() {}) }) // completes pending watches: Close waits for them
 	return registry
 }
 
-// Address returns the host and port at which the service listens.
+// Address returns the host and port on which the service listens.
 func (r *Registry) Address() string { return r.Listener.Addr().String() }
 
-// update makes a change under the lock and completes the pending watches.
+// update calls change with r.mu held, starts a new generation and completes the pending watches.
 func (r *Registry) update(change func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -52,24 +52,24 @@
 	r.changed = make(chan struct{})
 }
 
-// SetDown makes calls fail with status 503, or ends that.
+// SetDown sets whether calls fail with status 503.
 func (r *Registry) SetDown(down bool) { r.update(func() { r.down = down }) }
 
-// SetEndpoints replaces the list.
+// SetEndpoints replaces the endpoint list.
 func (r *Registry) SetEndpoints(endpoints ...endpointjson.Endpoint) {
 	r.update(func() { r.endpoints = endpoints })
 }
 
-// SetEndpointsAndWait replaces the list and waits for the next watch of the node: it has applied the
-// change before it calls again.
+// SetEndpointsAndWait replaces the endpoint list and waits until a node has applied it. The node starts its next
+// watch, from the new generation, only after that.
 func (r *Registry) SetEndpointsAndWait(t *testing.T, endpoints ...endpointjson.Endpoint) {
 	t.Helper()
 	r.SetEndpoints(endpoints...)
 	r.mu.Lock()
 	after := fmt.Sprintf("after=%d&", r.generation)
 	r.mu.Unlock()
-	Until(t, "the watch after the change", func() bool {
-		return strings.HasPrefix(Wait(t, r.Queries, "a call"), after)
+	Until(t, "a watch with the query "+after, func() bool {
+		return strings.HasPrefix(Wait(t, r.Queries, "a call with the query "+after), after)
 	})
 }
 
@@ -77,7 +77,7 @@
 func (r *Registry) ServeHTTP(w http.ResponseWriter, request *http.Request) {
 	select {
 	case r.Queries <- request.URL.RawQuery:
-	default:
+	default: // the channel is full
 	}
 	r.awaitChange(request)
 	r.mu.Lock()
@@ -90,8 +90,8 @@
 	_ = json.NewEncoder(w).Encode(list) // the client may have disconnected
 }
 
-// awaitChange blocks a watch until the list is newer than the generation that it names, or its wait
-// is over.
+// awaitChange blocks a watch until the generation is later than the one in its query, or until the wait that it
+// requests is over. It does not block while calls fail.
 func (r *Registry) awaitChange(request *http.Request) {
 	after, err := strconv.Atoi(request.URL.Query().Get("after"))
 	isWatch := err == nil
