--- a/internal/testkit/scripted_discovery.go
+++ b/internal/testkit/scripted_discovery.go
@@ -6,20 +6,21 @@
 	"testing"
 )
 
-// The responses of a ScriptedDiscovery other than a body.
+// Values for ScriptedDiscovery.Responses that are not bodies.
 const (
-	ResponseReset       = "reset" // the connection is reset
-	ResponseUnavailable = "down"  // status 503
+	ResponseReset       = "reset" // the connection is closed without a response
+	ResponseUnavailable = "down"  // the response has status 503
 )
 
-// ScriptedDiscovery is a discovery service whose responses the test sends one by one.
+// ScriptedDiscovery is a discovery service to which the test sends each response.
 type ScriptedDiscovery struct {
 	Address   string
-	Calls     chan *http.Request // in order of arrival
-	Responses chan string        // one for each call: a body, or one of the constants above
+	Calls     chan *http.Request // the received calls, in order of arrival
+	Responses chan string        // one response per call: the body, ResponseReset or ResponseUnavailable
 }
 
-// NewScriptedDiscovery starts a discovery service. It stops at the end of the test.
+// NewScriptedDiscovery starts a discovery service. A call blocks until the test sends its response or the client
+// disconnects. The service stops at the end of the test.
 func NewScriptedDiscovery(t *testing.T) *ScriptedDiscovery {
 	t.Helper()
 	scripted := &ScriptedDiscovery{Calls: make(chan *http.Request, 100), Responses: make(chan string)}
@@ -35,7 +36,7 @@
 	return scripted
 }
 
-// writeScriptedResponse writes one of the Responses of a ScriptedDiscovery.
+// writeScriptedResponse responds to a call with a value of ScriptedDiscovery.Responses.
 func writeScriptedResponse(w http.ResponseWriter, r *http.Request, text string) {
 	switch text {
 	case ResponseReset:
