--- a/internal/testkit/scripted_server.go
+++ b/internal/testkit/scripted_server.go
@@ -8,23 +8,22 @@
 	"testing"
 )
 
-// ScriptedServer is a server that writes the same bytes in response to each request. They need not
-// be valid HTTP.
+// ScriptedServer is a server that responds to each request with the same bytes, which need not be valid HTTP.
 type ScriptedServer struct {
 	Address string
 	Conns   chan net.Conn // the accepted connections
 }
 
-// Persistence is what a ScriptedServer does with a connection after a response.
+// Persistence specifies what a ScriptedServer does with a connection after a response.
 type Persistence int
 
-// The connection stays open for another request, or is closed.
+// The values of Persistence.
 const (
-	KeepAlive Persistence = iota
-	CloseAfterResponse
+	KeepAlive          Persistence = iota // the connection stays open for further requests
+	CloseAfterResponse                    // the connection is closed
 )
 
-// NewScriptedServer starts a server. It stops at the end of the test.
+// NewScriptedServer starts a server that responds with the given bytes. It stops at the end of the test.
 func NewScriptedServer(t *testing.T, response string, persistence Persistence) *ScriptedServer {
 	t.Helper()
 	listener := Listen(t)
@@ -42,7 +41,7 @@
 	return server
 }
 
-// serveRequest reads one request, body included, and writes the response.
+// serveRequest reads one request with its body and writes the response.
 func serveRequest(conn net.Conn, requests *bufio.Reader, response string) error {
 	request, err := http.ReadRequest(requests)
 	if err != nil {
