--- a/internal/testkit/stuck_server.go
+++ b/internal/testkit/stuck_server.go
@@ -8,15 +8,15 @@
 	"calicohinge/internal/endpointjson"
 )
 
-// connectTimeout ends a connection attempt to a listener with a full backlog. Others succeed at once over
-// loopback.
+// connectTimeout bounds an attempt to connect to a listener whose backlog may be full. If it is not full, the
+// connection is established immediately, because it uses the loopback interface.
 const connectTimeout = 100 * time.Millisecond
 
-// failuresUntilFull is how many attempts in a row have to fail: a single one may fail on a paused process too.
+// failuresUntilFull is the number of consecutive failures to connect after which a backlog is considered full. A
+// single one may also fail because the process was paused.
 const failuresUntilFull = 3
 
-// fillBacklog calls open, which opens a connection and returns false if the attempt fails, until the backlog
-// is full.
+// fillBacklog calls open until the backlog is full. Each call opens a connection and returns false if that fails.
 func fillBacklog(open func() bool) {
 	for failures := 0; failures < failuresUntilFull; {
 		if open() {
@@ -27,16 +27,15 @@
 	}
 }
 
-// maxReportedBytes is how many bytes of a connection StuckServer.Admit reports at most.
+// maxReportedBytes is the maximum number of bytes that StuckServer.Admit reports per connection.
 const maxReportedBytes = 64
 
-// StuckServer is a listener with a full backlog: connections to it are established only once Admit
-// is called.
+// StuckServer is a listener with a full backlog. New connections are not established until Admit is called.
 type StuckServer struct {
 	net.Listener
 }
 
-// NewStuckServer starts a listener and fills its backlog.
+// NewStuckServer starts a listener and fills its backlog. It is closed at the end of the test.
 func NewStuckServer(t *testing.T) *StuckServer {
 	t.Helper()
 	listener := Listen(t)
@@ -54,18 +53,19 @@
 	return &StuckServer{listener}
 }
 
-// Endpoint returns the server's entry in an endpoint list.
+// Endpoint returns an entry of an endpoint list for the server, which is ready.
 func (s *StuckServer) Endpoint(id string) endpointjson.Endpoint {
 	return readyEndpoint(id, s.Addr().String())
 }
 
-// Admit accepts every connection and reports the first bytes of each that sends any.
+// Admit starts to accept all connections. The returned channel receives the first bytes of each connection on
+// which the client sends any.
 func (s *StuckServer) Admit() <-chan string {
 	received := make(chan string, 100)
 	go serveUntilClosed(s.Listener, func(conn net.Conn) {
-		defer func() { _ = conn.Close() }() // only the first bytes are of interest
+		defer func() { _ = conn.Close() }() // the client may have closed it already
 		first := make([]byte, maxReportedBytes)
-		if n, _ := conn.Read(first); n > 0 { // a client that disconnects sends nothing
+		if n, _ := conn.Read(first); n > 0 { // 0 if the client disconnected without sending
 			received <- string(first[:n])
 		}
 	})
