--- a/internal/testkit/machine.go
+++ b/internal/testkit/machine.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-// Machine is an HTTP service on a machine that a network partition may cut off. While it is partitioned,
-// open connections stay open and carry nothing, and the system drops the packets that open new ones. When
-// it is healed, the connections from before are reset.
+// Machine is an HTTP service on a machine that can be cut off by a network partition. During the partition, open
+// connections stay open but carry no data, and the system drops the packets that would open new connections. When
+// the partition ends, the calls that were in progress when it began are reset, and later calls get a response.
 type Machine struct {
 	Address string
 
@@ -19,22 +19,22 @@
 
 	mu          sync.Mutex
 	partitioned bool
-	epoch       int           // how often the machine was healed
-	changed     chan struct{} // closed at the next Partition or Heal
+	epoch       int           // number of partitions that have ended
+	changed     chan struct{} // closed and replaced whenever a partition begins or ends
 	fillers     []net.Conn    // connections that fill the accept queue during a partition
 
 	pendingAccept chan struct{} // closed when the pending Accept returns; nil: none is pending
 }
 
-// Response is the response to a call of a Machine.
+// Response is the response to a call to a Machine.
 type Response struct {
-	Status int // 0: the call's connection is reset
+	Status int // 0: the connection of the call is reset
 	Body   string
 	Sent   func() // called just before the response is sent; may be nil
 }
 
-// NewMachine starts a service that responds to each call with what the function returns. The function may
-// block. The service stops at the end of the test.
+// NewMachine starts a service that responds to each call with the result of respond, which may block. The service
+// stops at the end of the test.
 func NewMachine(tb testing.TB, respond func(r *http.Request) Response) *Machine {
 	tb.Helper()
 	listener, err := ListenOnNewHost()
@@ -49,19 +49,19 @@
 	return m
 }
 
-// serve serves the connections that a listener accepts, until the end of the test.
+// serve serves the connections that a listener accepts until the end of the test.
 func (m *Machine) serve(tb testing.TB, listener net.Listener) {
 	tb.Helper()
 	server := &http.Server{Handler: m}
-	go func() { _ = server.Serve(machineListener{listener, m}) }() // ends with the server's Close
+	go func() { _ = server.Serve(machineListener{listener, m}) }() // returns when the server is closed
 	tb.Cleanup(func() {
 		m.endPartition()
-		_ = server.Close() // the test is over
+		_ = server.Close() // errors do not matter after the test
 	})
 }
 
-// ServeHTTP implements http.Handler. A call that is open when the machine is partitioned is reset when the
-// machine is healed.
+// ServeHTTP implements http.Handler. A call that was in progress when a partition began is reset when the
+// partition ends. A call that arrived during the partition gets its response then.
 func (m *Machine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	startEpoch, _ := m.awaitReachable(r)
 	response := m.respond(r)
@@ -78,8 +78,8 @@
 	_, _ = io.WriteString(w, response.Body) // the client may have disconnected
 }
 
-// awaitReachable waits until the machine is reachable and returns its epoch. It returns false if the client
-// disconnects before that.
+// awaitReachable waits until the machine is reachable and returns its epoch and true. It returns false if the
+// client disconnects first.
 func (m *Machine) awaitReachable(r *http.Request) (int, bool) {
 	for {
 		m.mu.Lock()
