--- a/internal/testkit/machine_partition.go
+++ b/internal/testkit/machine_partition.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Partition cuts the machine off the network. When it returns, connection attempts hang.
+// Partition cuts the machine off from the network. When it returns, attempts to connect hang.
 func (m *Machine) Partition(tb testing.TB) {
 	tb.Helper()
 	m.beginPartition()
@@ -22,7 +22,7 @@
 	m.endPartition()
 }
 
-// beginPartition makes the machine unreachable, unless it is already.
+// beginPartition makes the machine unreachable. It has no effect if the machine is partitioned already.
 func (m *Machine) beginPartition() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -33,7 +33,8 @@
 	m.signalChange()
 }
 
-// endPartition makes the machine reachable again and begins an epoch, if it is partitioned.
+// endPartition makes the machine reachable and starts a new epoch. It has no effect if the machine is not
+// partitioned.
 func (m *Machine) endPartition() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -43,21 +44,21 @@
 	m.partitioned = false
 	m.epoch++
 	for _, conn := range m.fillers {
-		_ = conn.Close() // nothing was sent on it
+		_ = conn.Close() // it carried no data
 	}
 	m.fillers = nil
 	m.signalChange()
 }
 
-// signalChange wakes the goroutines that wait for a partition to begin or end. The caller holds m.mu.
+// signalChange wakes the goroutines that wait until a partition begins or ends. The caller holds m.mu.
 func (m *Machine) signalChange() {
 	close(m.changed)
 	m.changed = make(chan struct{})
 }
 
-// awaitPendingAccept waits until no Accept is pending, or until the machine is healed. An Accept that was
-// pending when the partition began takes one more connection out of the accept queue, so that another can be
-// established. An Accept that is called later takes none during the partition.
+// awaitPendingAccept waits until no Accept is pending or the partition ends. An Accept that was pending when the
+// partition began takes one more connection from the accept queue, which frees a place for another connection. An
+// Accept that is called during the partition waits for its end first.
 func (m *Machine) awaitPendingAccept() {
 	m.mu.Lock()
 	pending, changed, partitioned := m.pendingAccept, m.changed, m.partitioned
@@ -65,15 +66,15 @@
 	if pending == nil || !partitioned {
 		return
 	}
-	m.addFiller() // for the pending Accept, if no other connection is in the queue
+	m.addFiller() // lets the pending Accept return if the queue is empty
 	select {
 	case <-pending:
 	case <-changed:
 	}
 }
 
-// addFiller opens a connection that stays in the accept queue. It returns false if the queue is full or
-// the machine is healed.
+// addFiller adds a connection to the accept queue. It returns false if the queue is full or the partition has
+// ended.
 func (m *Machine) addFiller() bool {
 	conn, err := net.DialTimeout("tcp", m.Address, connectTimeout)
 	if err != nil {
@@ -82,22 +83,22 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !m.partitioned {
-		_ = conn.Close() // nothing was sent on it
+		_ = conn.Close() // it carried no data
 		return false
 	}
 	m.fillers = append(m.fillers, conn)
 	return true
 }
 
-// setBacklog sets how many connections the system establishes ahead of Accept.
+// setBacklog sets how many connections the system establishes before they are accepted.
 func (m *Machine) setBacklog(tb testing.TB, connections int) {
 	tb.Helper()
 	if err := setBacklog(m.listener, connections); err != nil {
-		tb.Fatal(err)
+		tb.Fatalf("set the backlog of %s to %d: %v", m.Address, connections, err)
 	}
 }
 
-// machineListener accepts no connection during a partition of its machine.
+// machineListener is a listener that accepts no connections while its machine is partitioned.
 type machineListener struct {
 	net.Listener
 	machine *Machine
@@ -110,12 +111,12 @@
 	conn, err := l.Listener.Accept()
 	l.machine.acceptReturned()
 	if err == nil {
-		l.machine.whenReachable(func() {}) // a partition may have begun meanwhile
+		l.machine.whenReachable(func() {}) // a partition may have begun during Accept
 	}
 	return conn, err
 }
 
-// whenReachable waits until the machine is reachable and then calls a function, with m.mu held.
+// whenReachable waits until the machine is reachable, then calls the function with m.mu held.
 func (m *Machine) whenReachable(call func()) {
 	for {
 		m.mu.Lock()
