--- a/internal/testkit/listener_test.go
+++ b/internal/testkit/listener_test.go
@@ -11,18 +11,18 @@
 func TestReservedAddrRefusesConnectionsUntilListen(t *testing.T) {
 	reserved := ReserveAddr(t)
 	if _, err := net.Dial("tcp", reserved.Address); !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Fatalf("dial before Listen: %v, want a refused connection", err)
+		t.Fatalf("dial of %s before Listen returned %v, want %v", reserved.Address, err, syscall.ECONNREFUSED)
 	}
 	listener, err := reserved.Listen()
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Listen on %s returned %v, want no error", reserved.Address, err)
 	}
-	defer func() { _ = listener.Close() }() // the test is over
+	defer func() { _ = listener.Close() }() // errors do not matter after the test
 	conn, err := net.Dial("tcp", reserved.Address)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("dial of %s after Listen returned %v, want a connection", reserved.Address, err)
 	}
-	_ = conn.Close() // nothing was written
+	_ = conn.Close() // it carried no data
 }
 
 func TestScriptedServerClosesConnectionsAtEndOfTest(t *testing.T) {
@@ -31,24 +31,23 @@
 		server := NewScriptedServer(t, "", KeepAlive)
 		var err error
 		if conn, err = net.Dial("tcp", server.Address); err != nil {
-			t.Fatal(err)
+			t.Fatalf("dial of the server returned %v, want a connection", err)
 		}
-		Wait(t, server.Conns, "the connection")
+		Wait(t, server.Conns, "the server to accept the connection")
 	})
-	defer func() { _ = conn.Close() }() // the server has closed it
+	defer func() { _ = conn.Close() }() // the server has closed its side
 	ended := make(chan error, 1)
 	go func() {
 		_, err := conn.Read(make([]byte, 1))
 		ended <- err
 	}()
-	if err := Wait(t, ended, "the end of the connection"); err == nil {
-		t.Error("read a byte, want the end")
+	if err := Wait(t, ended, "the server to close the connection"); err == nil {
+		t.Error("Read on the connection returned a byte after the end of the server's test, want an error")
 	}
 }
 
-// A node calls its discovery service, and sends to its servers, until it has ended; a stand-in may stop
-// before. Its host must not be given to a stand-in of another test, which would take the calls for those of
-// its own node.
+// A node may continue to call a fake discovery service or server that has stopped. If a fake of another test got
+// the same host, it would receive these calls and attribute them to the node of its own test.
 func TestHostsAreNotReused(t *testing.T) {
 	seen := map[string]bool{}
 	for range 10 {
@@ -59,10 +58,10 @@
 		} {
 			host, _, err := net.SplitHostPort(address)
 			if err != nil {
-				t.Fatal(err)
+				t.Fatalf("SplitHostPort(%q) returned %v, want a host", address, err)
 			}
 			if seen[host] {
-				t.Fatalf("%s is given out again", host)
+				t.Fatalf("host %s of address %s was used before, want a new host", host, address)
 			}
 			seen[host] = true
 		}
