--- a/internal/testkit/machine_test.go
+++ b/internal/testkit/machine_test.go
@@ -25,29 +25,30 @@
 		return string(body)
 	}
 	if got := get(); got != "reachable" {
-		t.Fatalf("response %q", got)
+		t.Fatalf("call before the partition returned %q, want %q", got, "reachable")
 	}
 	machine.Partition(t)
 	if _, err := net.DialTimeout("tcp", machine.Address, connectTimeout); !IsTimeout(err) {
-		t.Errorf("dial during the partition: %v, want a timeout", err)
+		t.Errorf("dial during the partition returned error %v, want a timeout", err)
 	}
 	responses := make(chan string, 1)
-	go func() { responses <- get() }() // on the connection from before
+	go func() { responses <- get() }() // reuses the connection that was opened before the partition
 	machine.Heal(t)
-	Wait(t, responses, "the end of the call during the partition")
+	Wait(t, responses, "the result of the call that started during the partition")
 	if got := get(); got != "reachable" {
-		t.Errorf("response %q after the partition", got)
+		t.Errorf("call after the partition returned %q, want %q", got, "reachable")
 	}
 }
 
-// gatedListener begins its first Accept when the gate opens, like one whose goroutine is scheduled late.
+// gatedListener delays Accept until the gate is open, like a listener whose goroutine is scheduled late.
 type gatedListener struct {
 	net.Listener
-	called   chan<- struct{}
-	gate     <-chan struct{}
-	returned chan<- struct{}
+	called   chan<- struct{} // receives a value when Accept is called
+	gate     <-chan struct{} // open once it is closed
+	returned chan<- struct{} // receives a value when Accept returns
 }
 
+// Accept implements net.Listener.
 func (l gatedListener) Accept() (net.Conn, error) {
 	trySignal(l.called)
 	<-l.gate
@@ -55,7 +56,7 @@
 	return l.Listener.Accept()
 }
 
-// trySignal sends to a channel, unless that is full: only the first call counts.
+// trySignal sends a value to a channel unless the channel is full. The test receives only the first value.
 func trySignal(channel chan<- struct{}) {
 	select {
 	case channel <- struct{}{}:
@@ -63,6 +64,8 @@
 	}
 }
 
+// An Accept that is pending when a partition begins takes a connection from the accept queue later. The place
+// that this frees must not let a client connect to the machine during the partition.
 func TestPendingAcceptDoesNotEndPartition(t *testing.T) {
 	listener := Listen(t)
 	machine := &Machine{
@@ -70,11 +73,11 @@
 	}
 	called, gate, returned := make(chan struct{}, 1), make(chan struct{}), make(chan struct{}, 1)
 	machine.serve(t, gatedListener{listener, called, gate, returned})
-	Wait(t, called, "the Accept")
+	Wait(t, called, "the first call of Accept")
 	time.AfterFunc(2*connectTimeout, func() { close(gate) })
 	machine.Partition(t)
 	Wait(t, returned, "the return of the pending Accept")
 	if _, err := net.DialTimeout("tcp", machine.Address, connectTimeout); !IsTimeout(err) {
-		t.Errorf("dial after the pending Accept: %v, want a timeout", err)
+		t.Errorf("dial after the pending Accept returned error %v, want a timeout", err)
 	}
 }
