--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -4,6 +4,9 @@
 // Package scenario generates the settings and the faults of a run. This package runs them against a program
 // and records the observations in a History of package history. Package check searches the history for
 // violations of the rules. Only the soak test of cmd/balancer uses this package.
+//
+// A seed always yields the same settings and the same schedule of faults. The responses of the servers and of the
+// discovery service are random in each run.
 package soak
 
 import (
@@ -44,6 +47,7 @@
 	endedAt   time.Time
 }
 
+// newRunner starts the servers that are listed from the start and publishes them. It starts no nodes.
 func newRunner(t *testing.T, program string, s scenario.Scenario) *runner {
 	t.Helper()
 	lag := history.MeasureSchedulingLag()
@@ -60,7 +64,7 @@
 	for i := range s.Nodes {
 		settings, err := s.Settings.JSON(i, s.Nodes)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("settings of node %d of seed %d: %v, want valid JSON", i, s.Seed, err)
 		}
 		r.nodes = append(r.nodes, &node{
 			t: t, name: fmt.Sprintf("n%d", i), addr: testkit.FreeAddr(t), program: program, settings: settings,
