--- a/internal/soak/history/discovery.go
+++ b/internal/soak/history/discovery.go
@@ -55,10 +55,12 @@
 
 // NotifiedAt returns when an incarnation is considered notified of a generation. This is the earliest of:
 //   - the delivery of a list of this generation or a later one;
-//   - the notification deadline, counted from the first time at which the incarnation runs, the generation is
-//     published and the service then stays reachable for as long as the deadline lasts;
-//   - the address change deadline after a reload, if the generation was published before it and the service
-//     stayed reachable for as long as the deadline lasts.
+//   - the end of the notification deadline;
+//   - the end of the address change deadline of a reload.
+//
+// The notification deadline starts when the generation is published or, if it is later, when the incarnation
+// starts. An outage restarts it. The address change deadline starts at the reload. It applies only if the reload
+// comes after the publication and after the start, and if no outage interrupts the deadline.
 func (d *Discovery) NotifiedAt(incarnation *Incarnation, generation uint64) time.Time {
 	known := d.PublishedAt(generation)
 	if known.Before(incarnation.StartedAt) {
