--- a/internal/soak/check/attempts.go
+++ b/internal/soak/check/attempts.go
@@ -63,7 +63,8 @@
 	}
 }
 
-// checkDisconnect checks that no attempt arrives at a server after its client has disconnected.
+// checkDisconnect checks that no attempt arrives at a server more than disconnectSlack after its client has
+// disconnected.
 func (c *checker) checkDisconnect(request *history.Request, attempt *history.Attempt) {
 	if request.DisconnectedAt.IsZero() {
 		return
