--- a/internal/testkit/reserved_addr.go
+++ b/internal/testkit/reserved_addr.go
@@ -22,17 +22,17 @@
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("create a TCP socket: %v", err)
 	}
 	file := os.NewFile(uintptr(fd), "reserved address")
 	t.Cleanup(func() { _ = file.Close() }) // a listener has its own duplicate of the descriptor
 	host := newLoopbackHost()
 	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: netip.MustParseAddr(host).As4()}); err != nil {
-		t.Fatal(err)
+		t.Fatalf("bind a socket to %s: %v", host, err)
 	}
 	bound, err := syscall.Getsockname(fd)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("get the address of a socket that is bound to %s: %v", host, err)
 	}
 	port := bound.(*syscall.SockaddrInet4).Port
 	return &ReservedAddr{Address: net.JoinHostPort(host, strconv.Itoa(port)), file: file}
