--- a/internal/testkit/stuck_server.go
+++ b/internal/testkit/stuck_server.go
@@ -40,7 +40,7 @@
 	t.Helper()
 	listener := Listen(t)
 	if err := setBacklog(listener.(*net.TCPListener), 0); err != nil {
-		t.Fatal(err)
+		t.Fatalf("set the backlog of %s to 0: %v", listener.Addr(), err)
 	}
 	fillBacklog(func() bool {
 		conn, err := net.DialTimeout("tcp", listener.Addr().String(), connectTimeout)
