--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -117,7 +117,7 @@
 // disconnect closes the connection if one is open.
 func (c *client) disconnect() {
 	if c.conn != nil {
-		_ = c.conn.Close() // the result of the request is known already
+		_ = c.conn.Close() // the client expects no further data
 		c.conn = nil
 	}
 }
