--- a/internal/soak/history/discovery.go
+++ b/internal/soak/history/discovery.go
@@ -8,26 +8,26 @@
 	"calicohinge/policy"
 )
 
-// Discovery is what the discovery service published, and when it could not be reached. The zero value is
-// ready to use.
+// Discovery records when the discovery service published each generation and when it was unreachable. The zero
+// value is ready to use.
 type Discovery struct {
 	mu        sync.Mutex
-	published []time.Time // by generation, from 1 on
-	outages   []outage    // those that have ended, in order of time
+	published []time.Time // by generation; index 0 is generation 1
+	outages   []outage    // the outages that have ended, in order of time
 }
 
-// outage is a span of time in which the service could not be reached.
+// outage is a period in which the service was unreachable.
 type outage struct{ from, to time.Time }
 
-// Published records that the list of the next generation is published now.
-func (d *Discovery) Published() {
+// RecordGeneration records that the next generation is published now.
+func (d *Discovery) RecordGeneration() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.published = append(d.published, time.Now())
 }
 
-// OutageEnded records that the service could not be reached from a time until now.
-func (d *Discovery) OutageEnded(from time.Time) {
+// RecordOutage records an outage from a given time until now.
+func (d *Discovery) RecordOutage(from time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.outages = append(d.outages, outage{from, time.Now()})
@@ -40,9 +40,9 @@
 	return d.published[generation-1]
 }
 
-// reachableFrom returns the first time, from the given one on, after which the service could be reached
-// without a break for a span.
-func (d *Discovery) reachableFrom(from time.Time, span time.Duration) time.Time {
+// reachableSince returns the earliest time, not before from, at which a period of the given span without an outage
+// starts.
+func (d *Discovery) reachableSince(from time.Time, span time.Duration) time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, outage := range d.outages {
@@ -53,14 +53,20 @@
 	return from
 }
 
-// NotifiedAt returns when a process counts as notified of a generation: when the list was written to it, but
-// at the end of the notification deadline or of the address change deadline at the latest.
+// NotifiedAt returns when an incarnation is considered notified of a generation. This is the earliest of:
+//   - the delivery of a list of this generation or a later one;
+//   - the end of the notification deadline;
+//   - the end of the address change deadline of a reload.
+//
+// The notification deadline starts when the generation is published or, if it is later, when the incarnation
+// starts. An outage restarts it. The address change deadline starts at the reload. It applies only if the reload
+// comes after the publication and after the start, and if no outage interrupts the deadline.
 func (d *Discovery) NotifiedAt(incarnation *Incarnation, generation uint64) time.Time {
 	known := d.PublishedAt(generation)
 	if known.Before(incarnation.StartedAt) {
 		known = incarnation.StartedAt
 	}
-	notified := d.reachableFrom(known, policy.NotificationDeadline).Add(policy.NotificationDeadline)
+	notified := d.reachableSince(known, policy.NotificationDeadline).Add(policy.NotificationDeadline)
 	deliveries, reloads := incarnation.notifications()
 	for _, delivery := range deliveries {
 		if delivery.generation >= generation && delivery.at.Before(notified) {
@@ -70,7 +76,7 @@
 	for _, reload := range reloads {
 		due := reload.Add(testkit.AddressChangeDeadline)
 		reloadFollows := !reload.Before(known)
-		reachable := d.reachableFrom(reload, testkit.AddressChangeDeadline).Equal(reload)
+		reachable := d.reachableSince(reload, testkit.AddressChangeDeadline).Equal(reload)
 		if reloadFollows && reachable && due.Before(notified) {
 			notified = due
 		}
--- a/internal/soak/history/history.go
+++ b/internal/soak/history/history.go
@@ -1,6 +1,6 @@
-// Package history records what clients, servers, the discovery service and nodes of a soak run did and saw.
-// Package soak writes it, package check reads it. All methods may be called from several goroutines; fields
-// are set before their value is shared, unless their comment says otherwise.
+// Package history records the events of a soak run, as the clients, the servers, the discovery service and the
+// nodes observed them. Package soak writes the history, package check reads it. All methods are safe for
+// concurrent use. Exported fields are set before their value is shared, unless their comment says otherwise.
 package history
 
 import (
@@ -10,73 +10,73 @@
 	"time"
 )
 
-// History is what happened in a run.
+// History is the record of a run.
 type History struct {
 	Discovery Discovery
 	Lag       *SchedulingLag
 
 	mu         sync.Mutex
-	began      time.Time
+	startTime  time.Time
 	requests   map[string]*Request
 	servers    []*Server
 	responses  int
-	unread     int
+	resets     int
 	violations []Violation
-	log        []string
+	timeline   []string
 }
 
-// Violation is a rule that was broken.
+// Violation is one violation of a rule.
 type Violation struct {
-	Rule        string
+	Rule        string // short name of the rule
 	At          time.Time
-	Incarnation *Incarnation // of the node; nil: none or unknown
-	Text        string
+	Incarnation *Incarnation // the incarnation that violated the rule; nil: no specific or no known one
+	Text        string       // what was observed
 }
 
-// New returns the history of a run that begins now.
+// New returns the history of a run that starts now.
 func New(lag *SchedulingLag) *History {
-	return &History{Lag: lag, began: time.Now(), requests: map[string]*Request{}}
+	return &History{Lag: lag, startTime: time.Now(), requests: map[string]*Request{}}
 }
 
-// Begin makes the present the time from which the times of a run count.
-func (h *History) Begin() {
+// Start sets the start time of the run to the current time.
+func (h *History) Start() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.began = time.Now()
+	h.startTime = time.Now()
 }
 
-// Began returns the time from which the times of a run count.
-func (h *History) Began() time.Time {
+// StartTime returns the start time of the run. The timeline and the schedules count from it.
+func (h *History) StartTime() time.Time {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.began
+	return h.startTime
 }
 
-// Logf adds a line to the timeline of the run.
+// Logf adds a line, preceded by the time since the start, to the timeline of the run.
 func (h *History) Logf(format string, arguments ...any) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	line := fmt.Sprintf("%7.3f ", time.Since(h.began).Seconds()) + fmt.Sprintf(format, arguments...)
-	h.log = append(h.log, line)
+	line := fmt.Sprintf("%7.3f ", time.Since(h.startTime).Seconds()) + fmt.Sprintf(format, arguments...)
+	h.timeline = append(h.timeline, line)
 }
 
-// Timeline returns the lines of Logf.
+// Timeline returns the lines that Logf added.
 func (h *History) Timeline() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return slices.Clone(h.log)
+	return slices.Clone(h.timeline)
 }
 
-// RequestSent records a request before its first byte is sent, and sets its time.
-func (h *History) RequestSent(request *Request) {
+// RecordRequest records a request and sets its SentAt. The client calls it before it sends the first byte.
+func (h *History) RecordRequest(request *Request) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	request.SentAt = time.Now()
 	h.requests[request.ID] = request
 }
 
-// ClientDisconnects records that the client of a request is about to disconnect.
-func (h *History) ClientDisconnects(request *Request) {
+// RecordDisconnect sets DisconnectedAt of a request whose client is about to disconnect.
+func (h *History) RecordDisconnect(request *Request) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	request.DisconnectedAt = time.Now()
@@ -89,27 +89,30 @@
 	h.responses++
 }
 
-// CountUnread counts a request that no node read: its connection was reset in the accept queue of a node
-// that shut down.
-func (h *History) CountUnread() {
+// CountReset counts a request that no node has read, because its connection was reset in the accept queue of a
+// node that shut down.
+func (h *History) CountReset() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.unread++
+	h.resets++
 }
 
-// AttemptArrived records an attempt of the request with an ID at a server.
-func (h *History) AttemptArrived(id string, attempt Attempt) {
+// RecordAttempt records that an attempt arrived at a server, under the ID of its request. An ID that no client
+// has sent is a violation.
+func (h *History) RecordAttempt(id string, attempt Attempt) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	request := h.requests[id]
 	if request == nil {
-		h.violations = append(h.violations, Violation{Rule: "unknown", At: attempt.At, Text: "no client sent " + id})
+		text := fmt.Sprintf("server %s received an attempt of request %q, want the ID of a request that a client sent",
+			attempt.Server.ID, id)
+		h.violations = append(h.violations, Violation{Rule: "unknown", At: attempt.At, Text: text})
 		return
 	}
 	request.Attempts = append(request.Attempts, attempt)
 }
 
-// Requests returns all requests. They change while clients and servers run.
+// Requests returns all requests, in no particular order. They change while clients and servers run.
 func (h *History) Requests() []*Request {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -120,47 +123,47 @@
 	return requests
 }
 
-// AddServer records a process of a server.
+// AddServer records a server process.
 func (h *History) AddServer(server *Server) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.servers = append(h.servers, server)
 }
 
-// Servers returns all processes of servers.
+// Servers returns all server processes.
 func (h *History) Servers() []*Server {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return slices.Clone(h.servers)
 }
 
-// Violate records a violation that is seen now.
-func (h *History) Violate(rule string, incarnation *Incarnation, format string, arguments ...any) {
-	h.AddViolation(Violation{
+// RecordViolationf records a violation with the current time and a formatted text.
+func (h *History) RecordViolationf(rule string, incarnation *Incarnation, format string, arguments ...any) {
+	h.RecordViolation(Violation{
 		Rule: rule, At: time.Now(), Incarnation: incarnation, Text: fmt.Sprintf(format, arguments...),
 	})
 }
 
-// AddViolation records a violation.
-func (h *History) AddViolation(violation Violation) {
+// RecordViolation records a violation.
+func (h *History) RecordViolation(violation Violation) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.violations = append(h.violations, violation)
 }
 
-// Summary is a history in numbers, with its violations.
+// Summary contains the counts and the violations of a run.
 type Summary struct {
-	Requests   int
+	Requests   int // all requests
 	Responses  int // requests with a complete response
-	Unread     int // requests whose connections were reset in the accept queue of a node that shut down
+	Resets     int // requests whose connection was reset in the accept queue of a node that shut down
 	Violations []Violation
 }
 
-// Summary returns a summary.
+// Summary returns the summary of the events recorded so far.
 func (h *History) Summary() Summary {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return Summary{
-		Requests: len(h.requests), Responses: h.responses, Unread: h.unread, Violations: slices.Clone(h.violations),
+		Requests: len(h.requests), Responses: h.responses, Resets: h.resets, Violations: slices.Clone(h.violations),
 	}
 }
