--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -54,17 +54,18 @@
 	return append(raw, make([]byte, eventSize-len(raw))...)
 }
 
-// encodeBatch encodes a batch with the number 7 and a clock of 5,000 ms.
+// encodeBatch encodes the records and the tail of batch 7, whose clock is at 5,000 ms.
 func encodeBatch(tail string, records ...[]byte) []byte {
 	body := bytes.Join(records, nil)
 	header := encodeFields(uint32(len(body)+len(tail)), math.Float64bits(5000), uint32(len(records)), uint32(7))
 	return append(append(header, body...), tail...)
 }
 
+// selectInstanceEvent encodes the event that selects testInstance for the events that follow.
 func selectInstanceEvent() []byte { return encodeEvent(eventInstance, testInstance) }
 
-// openInstanceEvent encodes the event that opens the selected instance. It refers to settings at the
-// start of the tail.
+// openInstanceEvent encodes the event that opens the selected instance with the settings at the start
+// of the tail.
 func openInstanceEvent(settings string) []byte {
 	return encodeEvent(eventOpen, uint64(1), uint32(0), uint32(len(settings)))
 }
@@ -84,6 +85,7 @@
 }
 
 func TestRunRepliesToBatchesUntilTheInputEnds(t *testing.T) {
+	// 10.0.0.1:8080 in zone 0 and cell 0, ready, with weight 1, warm
 	endpoint := "\x0a\x00\x00\x01\x1f\x90" +
 		"\x00\x00\x00\x00\x00\x00\x01\x3f\x80\x00\x00" + strings.Repeat("\x00", 8)
 	in := bytes.Join([][]byte{
@@ -97,7 +99,7 @@
 		t.Fatal(err)
 	}
 	if got := actionCodes(t, out.Bytes()); !bytes.Equal(got, []byte{actionContext, actionSend, actionSetTimer}) {
-		t.Fatalf("action codes %v, want those of context, send and set timer", got)
+		t.Fatalf("action codes of the replies: got %v, want those of context, send and set timer", got)
 	}
 }
 
@@ -109,7 +111,7 @@
 	}
 	if !bytes.Contains(out.Bytes(), []byte("settings.Classes[0].DeadlineMs is -5")) ||
 		!bytes.Contains(actionCodes(t, out.Bytes()), []byte{actionFatal}) {
-		t.Fatalf("reply %q, want a fatal action that names the key and the value", out.Bytes())
+		t.Fatalf("reply to invalid settings: got %q, want a fatal action that names the key and the value", out.Bytes())
 	}
 }
 
@@ -123,11 +125,12 @@
 		var out bytes.Buffer
 		err := run(bytes.NewReader(in), &out)
 		if err == nil || !strings.Contains(err.Error(), "batch 7, record") {
-			t.Errorf("%s: error %v, want one that names the batch and the record", name, err)
+			t.Errorf("run() with an instance %s: got error %v, want one that names the batch and the record", name, err)
 		}
 	}
 }
 
+// handleEvent does not check that the instance is open, so the request causes a panic.
 func TestPanicIsReportedAsFatal(t *testing.T) {
 	a := newAdapter()
 	a.reply.Reset()
@@ -139,6 +142,7 @@
 	}
 	if got := actionCodes(t, out.Bytes()); !bytes.Equal(got, []byte{actionContext, actionFatal}) ||
 		!bytes.Contains(out.Bytes(), []byte("panic")) {
-		t.Fatalf("reply %q with action codes %v, want context, fatal and the text of the panic", out.Bytes(), got)
+		t.Fatalf("reply after a panic: got %q with action codes %v, want context, fatal and the text of the panic",
+			out.Bytes(), got)
 	}
 }
