--- a/internal/asyncwriter/asyncwriter_test.go
+++ b/internal/asyncwriter/asyncwriter_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// Lines are written in order, and Close waits until they are written.
+// Close waits until the queued lines are written. Write after Close returns no error.
 func TestLinesAreWrittenInOrder(t *testing.T) {
 	target := &gatedWriter{permits: make(chan struct{}, 3)}
 	w := New(target)
@@ -41,11 +41,11 @@
 	if got, want := target.text.String(), "line 0\nline 1\nline 2\n"; got != want {
 		t.Errorf("wrote %q, want %q", got, want)
 	}
-	writeLines(t, w, 1) // must not fail after Close
+	writeLines(t, w, 1) // returns no error, although the line is not written
 }
 
-// A blocked target delays neither Write nor Close. Once it accepts lines again, the number of dropped lines is
-// written before the next line.
+// While the target is blocked, lines that do not fit into the queue are dropped. Once the target accepts lines again,
+// the number of dropped lines is written before the next line.
 func TestBlockedTargetDelaysNeitherWriteNorClose(t *testing.T) {
 	target := &gatedWriter{permits: make(chan struct{}, maxQueuedLines+2)}
 	w := New(target)
@@ -59,7 +59,7 @@
 	writeLines(t, w, 1)
 	w.Close(testkit.WaitTimeout)
 	if text := target.text.String(); !strings.HasSuffix(text, "\n5 log lines dropped\nline 0\n") {
-		t.Errorf("output ends with %q, want the number of dropped lines, 5, and line 0", text[max(0, len(text)-80):])
+		t.Errorf("end of the output: got %q, want the count of 5 dropped lines and line 0", text[max(0, len(text)-80):])
 	}
 
 	blocked := New(&gatedWriter{})
