--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// validFileWith returns a valid configuration file with additional JSON members inserted. They may make it invalid.
+// validFileWith inserts additional JSON members, which may be invalid, into a valid configuration file.
 func validFileWith(additional string) string {
 	return `{"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", ` + additional + `"settings": ` + validSettings + `}`
 }
@@ -76,7 +76,7 @@
 		})
 	}
 	if !reflect.DeepEqual(config, want) {
-		t.Errorf("configuration\n%+v, want\n%+v", config, want)
+		t.Errorf("Load() =\n%+v, want\n%+v", config, want)
 	}
 }
 
@@ -89,7 +89,7 @@
 		if config.Seed != 0 || config.IdleTimeout != 15*time.Second ||
 			config.ConnectTimeout != 250*time.Millisecond || config.DrainGrace != 0 ||
 			config.Limits.Cores != 0 || config.Limits.MemoryMB != 0 || config.Limits.Sockets > 1024 {
-			t.Errorf("%s keys: configuration %+v, want the defaults", name, config)
+			t.Errorf("Load() with %s keys = %+v, want the defaults", name, config)
 		}
 	}
 }
@@ -102,7 +102,7 @@
 		t.Fatal(err)
 	}
 	if config.IdleTimeout != 15*time.Second || config.ConnectTimeout != 250*time.Millisecond || config.DrainGrace != 0 {
-		t.Errorf("idle timeout %v, connect timeout %v, drain grace %v, want 15s, 250ms and 0s",
+		t.Errorf("Load(): got idle timeout %v, connect timeout %v, drain grace %v; want 15s, 250ms, 0s",
 			config.IdleTimeout, config.ConnectTimeout, config.DrainGrace)
 	}
 }
@@ -114,7 +114,7 @@
 		t.Fatal(err)
 	}
 	if config.Name != "n2" || config.Listen != "127.0.0.1:7" || config.Discovery != "127.0.0.1:8" {
-		t.Errorf("name %q, listen %q, discovery %q, want the values of the environment",
+		t.Errorf("Load(): got name %q, listen %q, discovery %q; want the values of the environment",
 			config.Name, config.Listen, config.Discovery)
 	}
 }
@@ -129,13 +129,13 @@
 		_, err := Load(fakeGetenv(path, overrides))
 		if missing == "" {
 			if err != nil {
-				t.Errorf("both addresses in the environment: error %v", err)
+				t.Errorf("Load() with both addresses in the environment: got error %v, want none", err)
 			}
 			continue
 		}
 		configError, ok := errors.AsType[*Error](err)
 		if !ok || configError.Key != missing || configError.Value != nil {
-			t.Errorf("error %v, want one that reports %s as missing", err, missing)
+			t.Errorf("Load(): got error %v, want one that reports %s as missing", err, missing)
 		}
 	}
 }
@@ -145,7 +145,7 @@
 	configError, ok := errors.AsType[*Error](err)
 	if !ok || configError.Key != "BALANCER_DISCOVERY" || configError.File != "" ||
 		configError.Value != "nowhere" {
-		t.Errorf("error %+v, want one that names BALANCER_DISCOVERY but no file", err)
+		t.Errorf("Load(): got error %+v, want one that names BALANCER_DISCOVERY but no file", err)
 	}
 }
 
@@ -153,7 +153,7 @@
 	path := writeConfigFile(t, validFileWith(""))
 	overrides := map[string]string{"BALANCER_DISCOVERY": "127.0.0.1:8"}
 	if address, err := ReloadDiscovery(fakeGetenv(path, overrides)); err != nil || address != "127.0.0.1:1" {
-		t.Errorf("address %q, error %v, want the address in the file", address, err)
+		t.Errorf("ReloadDiscovery() = %q, %v; want the address in the file, no error", address, err)
 	}
 }
 
@@ -243,11 +243,11 @@
 			for _, err := range []error{loadErr, reloadErr} {
 				configError, ok := errors.AsType[*Error](err)
 				if !ok || configError.File != path || configError.Key != invalid.key {
-					t.Fatalf("error %v, want the file %s and the key %q", err, path, invalid.key)
+					t.Fatalf("got error %v, want one with the file %s and the key %q", err, path, invalid.key)
 				}
 				if !strings.Contains(err.Error(), path) || !strings.Contains(err.Error(), invalid.key) ||
 					!strings.Contains(err.Error(), invalid.part) || strings.Contains(err.Error(), "\n") {
-					t.Errorf("error %q, want a single line that contains %q", err, invalid.part)
+					t.Errorf("got error %q, want one line with the file, the key and %q", err, invalid.part)
 				}
 			}
 		})
@@ -265,10 +265,10 @@
 		for _, err := range []error{loadErr, reloadErr} {
 			_, ok := errors.AsType[*Error](err)
 			if !ok || !strings.Contains(err.Error(), name) {
-				t.Errorf("error %v, want an *Error that names %s", err, name)
+				t.Errorf("got error %v, want an *Error that names %s", err, name)
 			}
 			if name == path && !errors.Is(err, fs.ErrNotExist) {
-				t.Errorf("error %v does not wrap fs.ErrNotExist", err)
+				t.Errorf("got error %v, want one that wraps fs.ErrNotExist", err)
 			}
 		}
 	}
@@ -280,6 +280,6 @@
 		t.Fatal(err)
 	}
 	if _, err := policy.New(config.Policy, config.Seed, nil); err != nil {
-		t.Error(err)
+		t.Errorf("policy.New with the loaded settings: got error %v, want none", err)
 	}
 }
