--- a/internal/config/example_config_test.go
+++ b/internal/config/example_config_test.go
@@ -28,27 +28,27 @@
 func TestExampleConfigurationIsValid(t *testing.T) {
 	loaded := loadExample(t, nil)
 	if loaded.Name != "node-0" || loaded.Listen != "127.0.0.1:8000" || loaded.Discovery != "127.0.0.1:8500" {
-		t.Errorf("name %q, listen %q, discovery %q, want the values of the example",
+		t.Errorf("example: got name %q, listen %q, discovery %q; want node-0, 127.0.0.1:8000, 127.0.0.1:8500",
 			loaded.Name, loaded.Listen, loaded.Discovery)
 	}
 	if len(loaded.CachedList.Endpoints) != 2 {
-		t.Errorf("%d cached endpoints, want 2", len(loaded.CachedList.Endpoints))
+		t.Errorf("cached endpoints of the example: got %d, want 2", len(loaded.CachedList.Endpoints))
 	}
 	for _, server := range loaded.CachedList.Endpoints {
 		if _, knownZone := loaded.Zones[server.Zone]; !knownZone || server.State != policy.Ready {
-			t.Errorf("endpoint %x: zone %q, state %v, want a configured zone and a ready server",
+			t.Errorf("cached endpoint %x: got zone %q, state %v; want a configured zone and a ready server",
 				server.ID, server.Zone, server.State)
 		}
 	}
 	if loaded.ConnectTimeout != 150*time.Millisecond || loaded.DrainGrace != time.Second {
-		t.Errorf("connect timeout %v, drain grace %v", loaded.ConnectTimeout, loaded.DrainGrace)
+		t.Errorf("example: got connect timeout %v, drain grace %v; want 150ms, 1s",
+			loaded.ConnectTimeout, loaded.DrainGrace)
 	}
 	if _, err := policy.New(loaded.Policy, loaded.Seed, nil); err != nil {
-		t.Error(err)
+		t.Errorf("policy.New with the settings of the example: got error %v, want none", err)
 	}
 }
 
-// The example has one class for each kind of idempotency.
 func TestExampleConfigurationHasEachKindOfIdempotency(t *testing.T) {
 	loaded := loadExample(t, nil)
 	want := map[string]policy.Idempotency{
@@ -57,11 +57,11 @@
 	for name, idempotency := range want {
 		index, listed := loaded.Classes[name]
 		if !listed || loaded.Policy.Classes[index].Idempotency != idempotency {
-			t.Errorf("class %s: found %v, want it to be %v", name, listed, idempotency)
+			t.Errorf("class %s: got listed %v, want it listed with idempotency %v", name, listed, idempotency)
 		}
 	}
 	if len(loaded.Classes) != len(want) {
-		t.Errorf("classes %v, want %d", loaded.Classes, len(want))
+		t.Errorf("classes of the example: got %v, want %d classes", loaded.Classes, len(want))
 	}
 }
 
@@ -70,7 +70,7 @@
 		"BALANCER_NAME": "node-7", "BALANCER_LISTEN": "127.0.0.1:8007", "BALANCER_DISCOVERY": "127.0.0.1:8507",
 	})
 	if loaded.Name != "node-7" || loaded.Listen != "127.0.0.1:8007" || loaded.Discovery != "127.0.0.1:8507" {
-		t.Errorf("name %q, listen %q, discovery %q, want the values of the environment",
+		t.Errorf("got name %q, listen %q, discovery %q; want the values of the environment",
 			loaded.Name, loaded.Listen, loaded.Discovery)
 	}
 }
