--- a/internal/config/setting_error_test.go
+++ b/internal/config/setting_error_test.go
@@ -10,7 +10,7 @@
 	"calicohinge/policy"
 )
 
-// invalidateNumbers sets every number in value, at any depth, to an invalid one.
+// invalidateNumbers sets every number in value, at any depth, to an invalid number.
 func invalidateNumbers(value reflect.Value) {
 	switch value.Kind() {
 	case reflect.Struct:
@@ -31,7 +31,7 @@
 	}
 }
 
-// setValidNumber sets the number at a path such as "Classes[0].Deadline" to a valid one.
+// setValidNumber sets the field at a path such as "Classes[0].Deadline" to a valid number.
 func setValidNumber(t *testing.T, settings *policy.Settings, path string) {
 	t.Helper()
 	value := reflect.ValueOf(settings).Elem()
@@ -50,17 +50,17 @@
 	case reflect.Float64:
 		value.SetFloat(1)
 	default:
-		t.Fatalf("field %s is not a number but a %v", path, value.Kind())
+		t.Fatalf("field %s has the kind %v, want a number", path, value.Kind())
 	}
 }
 
 // rejectedFields returns every field that an error of Validate can name. It starts from settings in
-// which all numbers are invalid, and corrects the field that Validate reports until none is left.
+// which all numbers are invalid, and corrects each field that Validate reports until the settings are valid.
 func rejectedFields(t *testing.T) []string {
 	t.Helper()
 	settings := policy.Settings{Classes: make([]policy.Class, 3), Tenants: make([]policy.Tenant, 2)}
 	invalidateNumbers(reflect.ValueOf(&settings).Elem())
-	fields := []string{"Classes"} // reported only if the list is empty
+	fields := []string{"Classes"} // Validate reports Classes only if the list is empty
 	for {
 		err := settings.Validate()
 		if err == nil {
@@ -68,7 +68,7 @@
 		}
 		settingError, ok := errors.AsType[*policy.SettingError](err)
 		if !ok {
-			t.Fatalf("Validate returned %v, want a *policy.SettingError", err)
+			t.Fatalf("Validate() = %v, want a *policy.SettingError", err)
 		}
 		fields = append(fields, settingError.Field)
 		setValidNumber(t, &settings, settingError.Field)
@@ -98,19 +98,19 @@
 	for _, field := range rejectedFields(t) {
 		got, ok := settingForField(field)
 		if !ok || got.key != want[field] {
-			t.Errorf("field %s: key %q, in the table: %v, want %q", field, got.key, ok, want[field])
+			t.Errorf("settingForField(%q) = key %q, %v; want key %q, true", field, got.key, ok, want[field])
 		}
 		delete(want, field)
 	}
 	for field := range want {
-		t.Errorf("Validate did not reject the invalid %s", field)
+		t.Errorf("Validate accepted an invalid %s, want an error", field)
 	}
 }
 
 func TestUnknownFieldsHaveNoKey(t *testing.T) {
 	for _, field := range []string{"", "Unknown", "Classes[0].Unknown", "Tenants[0].Unknown", "Unknown[0].Deadline"} {
 		if found, ok := settingForField(field); ok {
-			t.Errorf("field %q has the key %q, want none", field, found.key)
+			t.Errorf("settingForField(%q) = key %q, want none", field, found.key)
 		}
 	}
 }
@@ -140,11 +140,11 @@
 		_, err := ParseSettings([]byte(text))
 		got, ok := errors.AsType[*Error](err)
 		if !ok {
-			t.Errorf("%s: error %v, want an *Error", text, err)
+			t.Errorf("ParseSettings(%s): got error %v, want an *Error", text, err)
 			continue
 		}
 		if got.Key != want.Key || got.Value != want.Value || got.Allowed != want.Allowed || got.File != "" {
-			t.Errorf("%s: error %+v, want %+v", text, got, want)
+			t.Errorf("ParseSettings(%s): got error %+v, want %+v", text, got, want)
 		}
 	}
 }
@@ -153,10 +153,11 @@
 	_, err := ParseSettings([]byte(`{"Classes": [{"DeadlineMs": -5}]}`))
 	settingError, ok := errors.AsType[*policy.SettingError](err)
 	if !ok || settingError.Field != "Classes[0].Deadline" {
-		t.Errorf("error %v wraps %+v, want a *policy.SettingError of the field Classes[0].Deadline", err, settingError)
+		t.Errorf("error %v: got wrapped error %+v, want a *policy.SettingError of the field Classes[0].Deadline",
+			err, settingError)
 	}
 	const want = "configuration: settings.Classes[0].DeadlineMs is -5, must be more than 0"
 	if err.Error() != want {
-		t.Errorf("error %q, want %q", err, want)
+		t.Errorf("Error() = %q, want %q", err, want)
 	}
 }
