--- a/internal/config/settings_table_test.go
+++ b/internal/config/settings_table_test.go
@@ -14,7 +14,7 @@
 )
 
 // valueTypes returns the type of each value in a struct type, by its path. The parts of a path are JSON names, or
-// field names if there are no tags. A list of structs has an entry itself, and so do the values in its elements.
+// field names if there are no tags. A list of structs has an entry, as has each value in its elements.
 func valueTypes(structType reflect.Type, prefix string) map[string]reflect.Type {
 	found := map[string]reflect.Type{}
 	for field := range structType.Fields() {
@@ -60,7 +60,7 @@
 	var keys []string
 	for _, s := range settingsTable() {
 		if slices.Contains(keys, s.key) {
-			t.Errorf("%s is in the table twice", s.key)
+			t.Errorf("key %s is in the table twice, want it once", s.key)
 		}
 		keys = append(keys, s.key)
 	}
@@ -75,12 +75,13 @@
 			continue
 		}
 		if slices.Contains(mapped, s.field) {
-			t.Errorf("%s is in the table twice", s.field)
+			t.Errorf("field %s is in the table twice, want it once", s.field)
 		}
 		mapped = append(mapped, s.field)
 		isDuration := fields[s.field] == reflect.TypeFor[time.Duration]()
 		if isDuration != (s.kind == kindMilliseconds) {
-			t.Errorf("%s has the kind %d; its field is a duration: %v", s.field, s.kind, isDuration)
+			t.Errorf("kind of %s: got %d, want kindMilliseconds exactly if its field is a duration (%v)",
+				s.field, s.kind, isDuration)
 		}
 	}
 	checkSameElements(t, mapped, slices.Collect(maps.Keys(fields)))
@@ -89,7 +90,7 @@
 func TestKeysEndInMsIfInMilliseconds(t *testing.T) {
 	for _, s := range settingsTable() {
 		if strings.HasSuffix(s.key, "Ms") != (s.kind == kindMilliseconds) {
-			t.Errorf("%s has the kind %d, want kindMilliseconds exactly if the key ends in Ms", s.key, s.kind)
+			t.Errorf("kind of %s: got %d, want kindMilliseconds exactly if the key ends in Ms", s.key, s.kind)
 		}
 	}
 }
@@ -107,7 +108,7 @@
 	return value
 }
 
-// Each key that the package passes to the translator must be the one in the table.
+// Keys are written in the table and again where a value is translated. An error must name the key in the table.
 func TestErrorsOfUntranslatableValuesNameKey(t *testing.T) {
 	invalidValues := map[kind]string{kindMilliseconds: "1e300", kindEnum: `"unknown"`}
 	for _, s := range settingsTable() {
@@ -122,7 +123,7 @@
 		}
 		want := settingsKey + "." + strings.Replace(s.key, "[]", "[0]", 1)
 		if got, ok := errors.AsType[*Error](err); !ok || got.Key != want {
-			t.Errorf("%s: error %v, want one with the key %s", text, err, want)
+			t.Errorf("error of the settings %s: got %v, want one with the key %s", text, err, want)
 		}
 	}
 }
@@ -130,7 +131,7 @@
 // documentedKey is a row in one of the tables of keys in docs/CONFIGURATION.md.
 type documentedKey struct{ key, unit string }
 
-// documentedKeys returns the rows of all tables in docs/CONFIGURATION.md whose first column is "key".
+// documentedKeys returns the rows of all tables in docs/CONFIGURATION.md whose first column is headed "key".
 func documentedKeys(t *testing.T) []documentedKey {
 	t.Helper()
 	text, err := os.ReadFile("../../docs/CONFIGURATION.md")
@@ -165,12 +166,12 @@
 		if row.isSetting() {
 			documented = append(documented, row.key)
 			if (row.unit == "ms") != strings.HasSuffix(row.key, "Ms") {
-				t.Errorf("%s has the unit %q, want ms exactly if the key ends in Ms", row.key, row.unit)
+				t.Errorf("documented unit of %s: got %q, want ms exactly if the key ends in Ms", row.key, row.unit)
 			}
 		}
 	}
 	for _, s := range settingsTable() {
-		if s.kind != kindList { // the documentation has rows for the settings of the elements instead
+		if s.kind != kindList { // instead of the list, the documentation has rows for the settings of its elements
 			want = append(want, s.key)
 		}
 	}
@@ -185,7 +186,7 @@
 		}
 	}
 	for key := range valueTypes(reflect.TypeFor[configFile](), "") {
-		if !strings.HasPrefix(key, "known.") { // the format of the endpoint list is that of discovery
+		if !strings.HasPrefix(key, "known.") { // "known" has the format of the discovery service
 			want = append(want, key)
 		}
 	}
