--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -49,7 +49,7 @@
 		},
 	}
 	if !reflect.DeepEqual(settings, want) {
-		t.Errorf("settings\n%+v, want\n%+v", settings, want)
+		t.Errorf("ParseSettings() =\n%+v, want\n%+v", settings, want)
 	}
 }
 
@@ -60,7 +60,8 @@
 	} {
 		settings, err := ParseSettings([]byte(`{"Classes": [{"DeadlineMs": 1, "Effect": "` + word + `"}]}`))
 		if err != nil || settings.Classes[0].Idempotency != want {
-			t.Errorf("Effect %q: %v, error %v, want %v", word, settings.Classes, err, want)
+			t.Errorf("ParseSettings with Effect %q: got classes %+v, error %v; want idempotency %v",
+				word, settings.Classes, err, want)
 		}
 	}
 	for word, want := range map[string]policy.KeyScope{
@@ -68,13 +69,15 @@
 	} {
 		settings, err := ParseSettings([]byte(`{"Classes": [{"DeadlineMs": 1, "DedupScope": "` + word + `"}]}`))
 		if err != nil || settings.Classes[0].KeyScope != want {
-			t.Errorf("DedupScope %q: %v, error %v, want %v", word, settings.Classes, err, want)
+			t.Errorf("ParseSettings with DedupScope %q: got classes %+v, error %v; want key scope %v",
+				word, settings.Classes, err, want)
 		}
 	}
 	for word, want := range map[string]bool{"": false, "pushed": false, "on_request": true} {
 		settings, err := ParseSettings([]byte(`{"Classes": [{"DeadlineMs": 1}], "RegistryMode": "` + word + `"}`))
 		if err != nil || settings.PollEndpoints != want {
-			t.Errorf("RegistryMode %q: polling %v, error %v, want %v", word, settings.PollEndpoints, err, want)
+			t.Errorf("ParseSettings with RegistryMode %q: got polling %v, error %v; want polling %v",
+				word, settings.PollEndpoints, err, want)
 		}
 	}
 }
@@ -82,7 +85,7 @@
 func TestRetryAfterIsOffUnlessPermitted(t *testing.T) {
 	settings, err := ParseSettings([]byte(`{"Classes": [{"DeadlineMs": 1}], "Limits": {"MaxRetryAfterMs": 600}}`))
 	if err != nil || settings.Limits.MaxRetryAfter != 0 {
-		t.Errorf("MaxRetryAfter %v, error %v, want 0 and no error", settings.Limits.MaxRetryAfter, err)
+		t.Errorf("ParseSettings(): got MaxRetryAfter %v, error %v; want 0s, no error", settings.Limits.MaxRetryAfter, err)
 	}
 }
 
@@ -100,7 +103,7 @@
 		}
 		if settings.Nodes != want.Nodes || settings.Tick != want.Tick || settings.Limits != want.Limits ||
 			settings.Rules != want.Rules || settings.OverQuotaFraction != want.OverQuotaFraction {
-			t.Errorf("%s: settings %+v, want %+v", text, settings, want)
+			t.Errorf("ParseSettings(%s) = %+v, want the defaults %+v", text, settings, want)
 		}
 	}
 }
@@ -115,7 +118,7 @@
 		`{"Contract": {"ColdMs": 1e300}}`:          "settings.Contract.ColdMs is 1e+300",
 	} {
 		if _, err := ParseSettings([]byte(text)); err == nil || !strings.Contains(err.Error(), key) {
-			t.Errorf("%s: error %v does not name %s", text, err, key)
+			t.Errorf("ParseSettings(%s): got error %v, want one that names %s", text, err, key)
 		}
 	}
 }
@@ -134,7 +137,7 @@
 		"GraceToAnswer": `{"Contract": {"GraceToAnswerMs": true}}`,
 	} {
 		if _, err := ParseSettings([]byte(text)); err == nil || !strings.Contains(err.Error(), key) {
-			t.Errorf("%s: error %v does not name the key %s", text, err, key)
+			t.Errorf("ParseSettings(%s): got error %v, want one that names the key %s", text, err, key)
 		}
 	}
 }
