--- a/internal/decayrate/decayrate_test.go
+++ b/internal/decayrate/decayrate_test.go
@@ -14,7 +14,7 @@
 		now += 10 * time.Millisecond
 	}
 	if got := m.PerSecond(now); math.Abs(got-300) > 3 {
-		t.Errorf("rate %.1f per second, want 300", got)
+		t.Errorf("PerSecond() after steady events = %.1f, want about 300", got)
 	}
 }
 
@@ -22,19 +22,19 @@
 	m := New(2 * time.Second)
 	m.Add(time.Hour, 10)
 	if got := m.PerSecond(time.Hour); got != 5 {
-		t.Errorf("rate %v per second right after an event, want 5, its weight divided by the time constant", got)
+		t.Errorf("PerSecond() right after an event = %v, want 5, its weight divided by the time constant", got)
 	}
 	if got, want := m.PerSecond(time.Hour+2*time.Second), 5/math.E; math.Abs(got-want) > 0.1*want {
-		t.Errorf("rate %.2f per second after one time constant, want about %.2f", got, want)
+		t.Errorf("PerSecond() after one time constant = %.2f, want about %.2f", got, want)
 	}
 	if got := m.PerSecond(2 * time.Hour); got <= 0 || got > 0.01 {
-		t.Errorf("rate %v per second an hour later, want positive and at most 0.01", got)
+		t.Errorf("PerSecond() an hour later = %v, want more than 0 and at most 0.01", got)
 	}
 }
 
 func TestRateWithoutEventsIsZero(t *testing.T) {
 	m := New(time.Second)
 	if got := m.PerSecond(time.Minute); got != 0 {
-		t.Errorf("rate %v per second, want 0", got)
+		t.Errorf("PerSecond() without events = %v, want 0", got)
 	}
 }
