--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -39,7 +39,8 @@
 }
 
 // A watch request made while another watch is active is stale once that watch fails, because the handler then
-// requests the next watch itself. If the stale request stayed, all nodes would call again at the same time.
+// requests the next watch itself. If the stale request stayed, the next call would be made
+// immediately, and all nodes would call at the same time.
 func TestStaleWatchRequestIsDropped(t *testing.T) {
 	scripted := testkit.NewScriptedDiscovery(t)
 	client := New(Config{Address: scripted.Address, Poll: true})
@@ -64,7 +65,7 @@
 	if len(client.watchRequests) > 0 || len(scripted.Calls) > 0 {
 		t.Error("the stale watch request was kept, or caused a call")
 	}
-	client.RequestWatch() // a request after the failure causes a call
+	client.RequestWatch() // this request, made after the failure, causes a call
 	testkit.Wait(t, scripted.Calls, "the watch after the failure")
 
 	cancel()
@@ -75,18 +76,18 @@
 type clientStartTest struct {
 	cached  endpoint.List
 	poll    bool
-	updates []policy.UpdateKind // want before the first call
-	query   string              // want in the first call
+	updates []policy.UpdateKind // expected updates before the first call
+	query   string              // expected query of the first call
 }
 
-// In polling mode, moreover, no call is made before RequestWatch.
+// In polling mode, the first call also waits for RequestWatch.
 func TestCachedListIsReportedBeforeTheFirstCall(t *testing.T) {
 	t.Parallel()
 	cached := endpoint.List{Generation: 7, Endpoints: []endpoint.Endpoint{{ID: 1}}}
 	update := []policy.UpdateKind{policy.UpdateCached}
 	for name, c := range map[string]clientStartTest{
 		"polling, cached list": {cached, true, update, "after=7&wait_ms=3000"},
-		"polling, no list":     {endpoint.List{}, true, update, ""}, // package policy then requests the first watch
+		"polling, no list":     {endpoint.List{}, true, update, ""}, // package policy requests a watch after the update
 		"push, cached list":    {cached, false, update, "after=7&wait_ms=3000"},
 		"push, no list":        {endpoint.List{}, false, nil, ""},
 	} {
@@ -105,7 +106,7 @@
 	go client.Run(t.Context(), handler)
 	for _, want := range c.updates {
 		if kind := testkit.Wait(t, handler.updates, "an update"); kind != want {
-			t.Errorf("update %v, want %v", kind, want)
+			t.Errorf("update before the first call: got %v, want %v", kind, want)
 		}
 	}
 	if c.poll {
@@ -115,16 +116,16 @@
 		client.RequestWatch()
 	}
 	if query := testkit.Wait(t, scripted.Calls, "the first call").URL.RawQuery; query != c.query {
-		t.Errorf("query %q, want %q", query, c.query)
+		t.Errorf("query of the first call: got %q, want %q", query, c.query)
 	}
 	if len(handler.updates) > 0 {
-		t.Errorf("more updates than %v before the first response", c.updates)
+		t.Errorf("got more updates than %v before the first response, want only those", c.updates)
 	}
 }
 
-// After changes of address, a snapshot is requested from the latest address, in polling mode without a request. The
-// pending call to the previous address is cancelled only when the latest address has returned its list, since a
-// response may be in transit.
+// After the address has changed twice, the client requests a snapshot from the latest address. In polling mode, it does
+// not wait for RequestWatch. The pending call to the previous address is cancelled only after the latest address has
+// returned a list, because the response to the pending call may be in transit.
 func TestAddressChangeRequestsSnapshot(t *testing.T) {
 	t.Parallel()
 	for name, poll := range map[string]bool{"polling": true, "push": false} {
@@ -144,10 +145,10 @@
 			client.SetAddress(latest.Address)
 
 			if query := testkit.Wait(t, latest.Calls, "a call to the new address").URL.RawQuery; query != "" {
-				t.Errorf("query %q, want none", query)
+				t.Errorf("query of the call to the new address: got %q, want none", query)
 			}
 			if err := pending.Context().Err(); err != nil {
-				t.Errorf("the call to the previous address was cancelled before a new list: %v", err)
+				t.Errorf("the call to the previous address ended before the new address returned a list: %v", err)
 			}
 			latest.Responses <- `{"generation":1,"reset":true,"instances":[]}`
 			testkit.Wait(t, pending.Context().Done(), "the cancellation of the call to the previous address")
