--- a/internal/discovery/errors_test.go
+++ b/internal/discovery/errors_test.go
@@ -20,10 +20,10 @@
 		{&Error{Kind: BadStatus, Status: 503}, "status 503"},
 	} {
 		if c.err.Error() != c.text {
-			t.Errorf("error text %q, want %q", c.err.Error(), c.text)
+			t.Errorf("Error() = %q, want %q", c.err.Error(), c.text)
 		}
 		if wraps := errors.Is(c.err, cause); wraps != (c.err.Status == 0) {
-			t.Errorf("error %v wraps the cause: %v, want the opposite", c.err, wraps)
+			t.Errorf("errors.Is(%v, cause) = %v, want %v", c.err, wraps, !wraps)
 		}
 	}
 }
@@ -33,7 +33,8 @@
 	for kind := Unknown; kind <= Malformed; kind++ {
 		name := kind.String()
 		if other, found := seen[name]; found || strings.HasPrefix(name, "kind ") {
-			t.Errorf("kind %d has the name %q, want a name of its own (kind %d)", int(kind), name, int(other))
+			t.Errorf("ErrorKind(%d).String() = %q, want a name that differs from the fallback and from that of kind %d",
+				int(kind), name, int(other))
 		}
 		seen[name] = kind
 	}
