--- a/internal/discovery/fetch_test.go
+++ b/internal/discovery/fetch_test.go
@@ -17,21 +17,22 @@
 // The wait of an unresponsive watch, the margin for a late response and the interval over which the next calls are
 // spread must leave an eighth of the notification deadline for the response to the next call.
 func TestUnresponsiveWatchLeavesTimeForAnotherCall(t *testing.T) {
-	const spread = 750 * time.Millisecond // the next calls start within this time
+	const spread = 750 * time.Millisecond // interval over which the next calls are spread
 	remaining := policy.NotificationDeadline - watchWait - watchResponseMargin - spread
 	if remaining < policy.NotificationDeadline/8 {
-		t.Errorf("%v is left for the next call, want at least an eighth of the notification deadline", remaining)
+		t.Errorf("time left for the next call: got %v, want at least %v", remaining, policy.NotificationDeadline/8)
 	}
 	if responseTimeout > watchWait+watchResponseMargin {
-		t.Errorf("response timeout %v, want at most the wait of a watch and the response margin", responseTimeout)
+		t.Errorf("responseTimeout = %v, want at most %v", responseTimeout, watchWait+watchResponseMargin)
 	}
-	// For a call that may wait, the deadline is 2 s after the end of its wait if that is later.
+	// The notification deadline of a call with a long wait is later than usual: 2 s after the end of the wait.
 	if watchWait+2*time.Second > policy.NotificationDeadline {
-		t.Errorf("a wait of %v moves the notification deadline", watchWait)
+		t.Errorf("watchWait = %v, want at most %v, so that the notification deadline is as usual",
+			watchWait, policy.NotificationDeadline-2*time.Second)
 	}
 }
 
-// newTestFollower returns a follower at an address, in push mode.
+// newTestFollower returns a follower of the list at an address, in push mode.
 func newTestFollower(t *testing.T, address string, haveList bool) *follower {
 	t.Helper()
 	client := New(Config{Address: address})
@@ -45,13 +46,13 @@
 func TestErrorKindOfFailedCall(t *testing.T) {
 	const ok = "HTTP/1.1 200 OK\r\n"
 	for name, c := range map[string]struct {
-		response string // if empty, no server listens at the address
+		response string // empty: no server listens at the address
 		kind     ErrorKind
 		status   int
 	}{
 		"refused":               {"", Unreachable, 0},
 		"closed after a header": {ok + "Content-Length: 20\r\n", Reset, 0},
-		"closed in a header":    {ok + "Content-Le", Malformed, 0}, // net/http reports a malformed header
+		"closed in a header":    {ok + "Content-Le", Malformed, 0}, // net/http reports this as a malformed header
 		"closed in the body":    {ok + "Content-Length: 20\r\n\r\n{", Reset, 0},
 		"unavailable": {
 			"HTTP/1.1 503 Down\r\nContent-Length: 4\r\n\r\ndown", BadStatus, http.StatusServiceUnavailable,
@@ -78,17 +79,17 @@
 	t.Helper()
 	failure, ok := errors.AsType[*Error](err)
 	if !ok {
-		t.Fatalf("error %v, want an *Error", err)
+		t.Fatalf("got error %v, want an *Error", err)
 	}
 	if failure.Kind != kind || failure.Status != status {
-		t.Errorf("error kind %v with status %d, want %v with %d: %v", failure.Kind, failure.Status, kind, status, err)
+		t.Errorf("error %v: got kind %v and status %d, want %v and %d", err, failure.Kind, failure.Status, kind, status)
 	}
 }
 
 func TestConnectionClosedWithoutResponseIsReset(t *testing.T) {
 	backend := testkit.NewBackend(t, testkit.Reset)
 	if _, err := newTestFollower(t, backend.Address(), true).fetch(t.Context()); kindOf(err) != Reset {
-		t.Errorf("error kind %v: %v, want kind %v", kindOf(err), err, Reset)
+		t.Errorf("fetch(): got error %v of kind %v, want kind %v", err, kindOf(err), Reset)
 	}
 }
 
@@ -111,7 +112,7 @@
 	}
 }
 
-// timeoutTest describes a call that gets no response, and how it has to end.
+// timeoutTest describes a call that gets no response, and its expected end.
 type timeoutTest struct {
 	haveList       bool
 	addressChanged bool
@@ -128,14 +129,15 @@
 	startedAt := time.Now()
 	_, err := f.fetch(t.Context())
 	if kindOf(err) != c.kind || !errors.Is(err, context.DeadlineExceeded) {
-		t.Errorf("error kind %v: %v, want kind %v for an exceeded deadline", kindOf(err), err, c.kind)
+		t.Errorf("fetch(): got error %v of kind %v, want an exceeded deadline of kind %v",
+			err, kindOf(err), c.kind)
 	}
 	if took := time.Since(startedAt); took != c.took {
-		t.Errorf("the call ended after %v, want %v", took, c.took)
+		t.Errorf("duration of the call: got %v, want %v", took, c.took)
 	}
 }
 
-// A watch that is cancelled by the caller does not count as unresponsive.
+// The deadline of the caller must not be mistaken for the response timeout of the watch.
 func TestCancelledWatchIsNotUnresponsive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFollower(t, "discovery", true)
@@ -143,13 +145,13 @@
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		if _, err := f.fetch(ctx); err == nil || kindOf(err) == Unresponsive {
-			t.Errorf("error kind %v: %v, want an error of another kind than unresponsive", kindOf(err), err)
+			t.Errorf("fetch(): got error %v of kind %v, want any kind but %v", err, kindOf(err), Unresponsive)
 		}
 	})
 }
 
-// Without a list, the next call requests a snapshot. Its response counts as a snapshot even if its field "reset" is
-// not set.
+// A follower without a list requests a snapshot. The response counts as a snapshot even if its field "reset" is not
+// set.
 func TestFirstResponseIsSnapshot(t *testing.T) {
 	for _, haveList := range []bool{false, true} {
 		next := newTestFollower(t, "discovery", haveList).nextQuery()
@@ -158,12 +160,13 @@
 			t.Fatal(err)
 		}
 		if list.Complete == haveList {
-			t.Errorf("have list %v: response is a snapshot: %v, want the opposite", haveList, list.Complete)
+			t.Errorf("response to a follower with haveList = %v: got Complete = %v, want %v",
+				haveList, list.Complete, !haveList)
 		}
 	}
 }
 
-// unresponsiveHost neither accepts nor refuses connections. It counts the attempts to open one.
+// unresponsiveHost neither accepts nor refuses connections. It counts the attempts to open a connection.
 type unresponsiveHost struct{ started, inProgress atomic.Int32 }
 
 func (h *unresponsiveHost) dial(ctx context.Context, _, _ string) (net.Conn, error) {
@@ -174,9 +177,9 @@
 	return nil, &net.OpError{Op: "dial", Err: ctx.Err()}
 }
 
-// Calls are cancelled while their connection is being opened. A connection attempt that outlasted its call would
-// count against maxConnectionsPerHost and delay later calls: each attempt must end with its call, and each call must
-// start its own attempt immediately.
+// A call may be cancelled while its connection is being opened. A connection attempt that outlasted its call would
+// count against maxConnectionsPerHost and delay later calls. Each attempt must therefore end with its call, and each
+// call must start its own attempt immediately.
 func TestConnectionAttemptsEndWithTheirCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		host := &unresponsiveHost{}
@@ -188,11 +191,11 @@
 			cancel()
 			synctest.Wait()
 			if phase := failed.progress.current(); err == nil || phase > phaseConnecting {
-				t.Fatalf("error %v in phase %v, want a failed call without a connection", err, phase)
+				t.Fatalf("fetch(): got error %v in phase %v, want an error before a connection is open", err, phase)
 			}
 			started, inProgress := host.started.Load(), host.inProgress.Load()
 			if started != calls+1 || inProgress != 0 {
-				t.Fatalf("after call %d: %d connection attempts started and %d in progress, want %d and none",
+				t.Fatalf("connection attempts after call %d: got %d started and %d in progress, want %d and 0",
 					calls+1, started, inProgress, calls+1)
 			}
 		}
