--- a/internal/discovery/follower_state_test.go
+++ b/internal/discovery/follower_state_test.go
@@ -10,8 +10,8 @@
 	"calicohinge/internal/endpoint"
 )
 
-// URLs by which followerTest identifies the earlier call and the call to a previous address. The current call has
-// another URL.
+// URLs by which followerTest.send distinguishes the earlier call and the call to a previous address from the current
+// call, which has another URL.
 const (
 	earlierURL  = "earlier call"
 	previousURL = "call to a previous address"
@@ -23,10 +23,11 @@
 	err  error
 }
 
-// followerTest is a test that determines the results of the calls of a follower.
+// followerTest is a test that determines the results of a follower's calls.
 type followerTest struct {
 	*testing.T
-	current, earlier, previous chan callResult // results of the current, earlier and previous calls
+	// Results of the current call, of an earlier call and of a call to a previous address.
+	current, earlier, previous chan callResult
 }
 
 // send is the sendFunc of the test. It waits for the result of the call.
@@ -126,19 +127,20 @@
 	calls.close()
 
 	if f.state != c.next {
-		t.Errorf("state %d, want %d", f.state, c.next)
+		t.Errorf("state after the event: got %d, want %d", f.state, c.next)
 	}
 	if len(handler.updates) != c.updates || len(handler.failed) != c.failures {
-		t.Errorf("handler received %d lists and %d failures, want %d and %d",
+		t.Errorf("handler received: got %d lists and %d failures, want %d and %d",
 			len(handler.updates), len(handler.failed), c.updates, c.failures)
 	}
 }
 
-// A follower of a new address makes a call immediately, even in polling mode.
+// Even in polling mode, the first call to a new address does not wait for RequestWatch.
 func TestFollowerOfNewAddressCallsImmediately(t *testing.T) {
 	f := newTestFollower(t, "first", true)
 	f.client.polling, f.state = true, stateIdle
 	if next := f.moveTo("second", time.Now()); next.state != stateCalling || next.haveList {
-		t.Errorf("state %d, have list %v, want stateCalling without a list", next.state, next.haveList)
+		t.Errorf("moveTo(): got state %d, haveList %v; want %d (stateCalling), false",
+			next.state, next.haveList, stateCalling)
 	}
 }
