--- a/internal/discovery/follower_test.go
+++ b/internal/discovery/follower_test.go
@@ -35,18 +35,19 @@
 			for range 10 {
 				delay := f.retryDelay(c.kind)
 				if !c.grows && delay >= initialBackoff {
-					t.Errorf("delay %v, want less than %v", delay, initialBackoff)
+					t.Errorf("retryDelay(%v) = %v, want less than %v", c.kind, delay, initialBackoff)
 				}
 			}
 			if grown := f.backoff.nominalDelay > initialBackoff; grown != c.grows {
-				t.Errorf("next nominal delay %v, want it to have grown: %v", f.backoff.nominalDelay, c.grows)
+				t.Errorf("nominal delay after the failures: got %v, want more than %v: %v",
+					f.backoff.nominalDelay, initialBackoff, c.grows)
 			}
 		})
 	}
 }
 
-// The node counts as notified of the changes that a failed call has missed at the notification deadline of the call,
-// or earlier if the initial list at a new address is due before.
+// A node may miss changes because a call fails. It counts as notified of them at the notification deadline of the call,
+// or earlier if the initial list at a new address is due before then.
 func TestFailureIsReportedWithNotificationTime(t *testing.T) {
 	for name, c := range map[string]failureDeadlineTest{
 		"address unchanged":                  {0, 0, policy.NotificationDeadline},
@@ -63,9 +64,9 @@
 // failureDeadlineTest describes the time that is reported with a failed call. All fields are relative to the start
 // of the call.
 type failureDeadlineTest struct {
-	currentIn  time.Duration // deadline of the current address; 0 if the address has not changed
-	previousIn time.Duration // deadline of a previous address; 0 if no list from one is pending
-	notifiedIn time.Duration // want
+	currentIn  time.Duration // list deadline of the current address; 0: the address has not changed
+	previousIn time.Duration // list deadline of a previous address; 0: no list of a previous address is due
+	notifiedIn time.Duration // expected notification time
 }
 
 func (c failureDeadlineTest) check(t *testing.T) {
@@ -82,15 +83,15 @@
 	time.Sleep(time.Second) // duration of the call
 	next := f.handleFailure(t.Context(), failed, &Error{Kind: Reset, Err: errors.New("reset")})
 	if notifiedIn := (<-handler.failed).Sub(failed.startedAt); notifiedIn != c.notifiedIn {
-		t.Errorf("node counts as notified after %v, want %v", notifiedIn, c.notifiedIn)
+		t.Errorf("notification time after the start of the call: got %v, want %v", notifiedIn, c.notifiedIn)
 	}
 	if next != stateIdle {
-		t.Errorf("next state %d, want stateIdle, which waits for a request", next)
+		t.Errorf("handleFailure() = state %d, want %d (stateIdle)", next, stateIdle)
 	}
 }
 
 // If the address changes several times before a list arrives, the first deadline stays in force until it has passed.
-// Then that of a later change applies.
+// Then the deadline of a later change applies.
 func TestRepeatedAddressChangesKeepFirstDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		startedAt := time.Now()
@@ -102,7 +103,7 @@
 			time.Sleep(time.Until(startedAt.Add(c.changedAt)))
 			f = f.moveTo("next", time.Now())
 			if due := f.deadlines.nextAfter(time.Now()).Sub(startedAt); due != c.due {
-				t.Errorf("address changed at %v: list due at %v, want %v", c.changedAt, due, c.due)
+				t.Errorf("list deadline after the address change at %v: got %v, want %v", c.changedAt, due, c.due)
 			}
 		}
 	})
@@ -131,6 +132,6 @@
 	}
 	want := []policy.UpdateKind{policy.UpdateSnapshot, policy.UpdateDelta, policy.UpdateSnapshot}
 	if !slices.Equal(kinds, want) {
-		t.Errorf("updates %v, want %v", kinds, want)
+		t.Errorf("kinds of the updates: got %v, want %v", kinds, want)
 	}
 }
