--- a/internal/discovery/late_response_test.go
+++ b/internal/discovery/late_response_test.go
@@ -81,7 +81,7 @@
 	stopped := make(chan struct{})
 	go func() { defer close(stopped); client.Run(ctx, handler) }()
 	if kind := testkit.Wait(t, handler.updates, "the cached list"); kind != policy.UpdateCached {
-		t.Errorf("update %v, want the cached list", kind)
+		t.Errorf("first update: got %v, want %v", kind, policy.UpdateCached)
 	}
 	body(&lateResponseTest{t, client, transport.calls, handler.updates})
 	cancel()
@@ -93,19 +93,19 @@
 	return testkit.Wait(t.T, t.calls, "a call")
 }
 
-// expectWatch waits for the next call, which has to be a watch for changes after a generation.
+// expectWatch waits for the next call and expects it to request changes after a generation.
 func (t *lateResponseTest) expectWatch(after string) {
 	t.Helper()
 	if got := t.waitCall().request.URL.Query().Get("after"); got != after {
-		t.Errorf("the next call asks for changes after generation %q, want %s", got, after)
+		t.Errorf("generation in the query of the next call: got %q, want %q", got, after)
 	}
 }
 
-// expectUpdate waits for an update, which has to be of the given kind.
+// expectUpdate waits for an update and expects it to be of the given kind.
 func (t *lateResponseTest) expectUpdate(want policy.UpdateKind) {
 	t.Helper()
 	if kind := testkit.Wait(t.T, t.updates, "an update"); kind != want {
-		t.Errorf("update %v, want %v", kind, want)
+		t.Errorf("next update: got %v, want %v", kind, want)
 	}
 }
 
@@ -114,7 +114,7 @@
 	t.Helper()
 	synctest.Wait()
 	if len(t.updates) > 0 {
-		t.Errorf("update %v, want none", <-t.updates)
+		t.Errorf("next update: got %v, want none", <-t.updates)
 	}
 }
 
@@ -126,9 +126,9 @@
 
 const oneServer = `"instances":[{"instanceId":"s","hostPort":"127.0.0.1:1","lifecycle":"Terminating"}]}`
 
-// A response arrives after the response timeout of its call and after the start of the next call, because the service
-// is slow or the node's process was paused. The node counts as notified of what the service has written, so the
-// response must be used.
+// If discovery is slow or the node's process was paused, a response may arrive after the response timeout of its call
+// and after the start of the next call. The node counts as notified of what discovery has written, so the response must
+// be used.
 func TestLateResponseIsUsed(t *testing.T) {
 	testLateResponse(t, func(t *lateResponseTest) {
 		late, next := t.waitCall(), t.waitCall()
@@ -144,7 +144,7 @@
 	})
 }
 
-// The responses to two calls arrive in reverse order. The response to the older call must not be used.
+// If the responses to two calls arrive in reverse order, the response to the older call must not be used.
 func TestOlderResponseIsDropped(t *testing.T) {
 	testLateResponse(t, func(t *lateResponseTest) {
 		late, next := t.waitCall(), t.waitCall()
@@ -156,7 +156,7 @@
 	})
 }
 
-// The address changes while the response to a watch is in transit. The node counts as notified of what the previous
+// When the address changes, the response to a watch may be in transit. The node counts as notified of what the previous
 // address has written, so the response must be used. Calls to previous addresses are cancelled once the new address
 // has returned its list.
 func TestPreviousAddressIsUsedUntilNewListArrives(t *testing.T) {
@@ -172,7 +172,7 @@
 	first.body <- `{"generation":4,` + oneServer
 	t.expectUpdate(policy.UpdateDelta)
 	if url := third.request.URL; url.Host != "third" || url.RawQuery != "" {
-		t.Errorf("the call to the new address is %v, want a request for a snapshot", url)
+		t.Errorf("URL of the call to the new address: got %v, want a request for a snapshot from third", url)
 	}
 	third.body <- `{"generation":1,"reset":true,` + oneServer
 	t.expectUpdate(policy.UpdateSnapshot)
@@ -182,8 +182,8 @@
 	t.expectWatch("1")
 }
 
-// The service does not respond to any call. The number of calls in flight must be bounded, and the latest call must
-// be among them.
+// Calls without a response stay in flight after their response timeout. Their number must be bounded, and the latest
+// call must be among them.
 func TestInFlightCallsAreBounded(t *testing.T) {
 	testLateResponse(t, checkCallsWithoutResponse)
 }
@@ -202,11 +202,11 @@
 		}
 	}
 	if len(inFlight) < 2 || len(inFlight) > maxConnectionsPerHost || inFlight[len(inFlight)-1] != made-1 {
-		t.Errorf("calls %v are in flight, want 2 to %d calls including the latest", inFlight, maxConnectionsPerHost)
+		t.Errorf("calls in flight: got %v, want 2 to %d calls including the latest", inFlight, maxConnectionsPerHost)
 	}
 }
 
-// A service that has restarted returns a lower generation than that in the query. Its list must be used.
+// A discovery service that has restarted may return a lower generation than that in the query. The list must be used.
 func TestListOfRestartedServiceIsUsed(t *testing.T) {
 	testLateResponse(t, func(t *lateResponseTest) {
 		t.waitCall().body <- `{"generation":1,"reset":true,` + oneServer
@@ -214,8 +214,8 @@
 	})
 }
 
-// The service writes the response to the current call before that to an earlier call, but it arrives later. It must
-// not be used.
+// Discovery may respond to the current call first and then to an earlier call, whose response arrives first. The
+// response to the current call is then older than the list in use and must be dropped.
 func TestStaleResponseIsDropped(t *testing.T) {
 	testLateResponse(t, func(t *lateResponseTest) {
 		late, next := t.waitCall(), t.waitCall()
