--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -39,8 +39,8 @@
 }
 
 // A watch request made while another watch is active is stale once that watch fails, because the handler then
-// requests the next watch itself. If the stale request stayed, the next call would be made
-// immediately, and all nodes would call at the same time.
+// requests the next watch itself. If the stale request stayed, the next call would be made immediately, and
+// all nodes would call at the same time.
 func TestStaleWatchRequestIsDropped(t *testing.T) {
 	scripted := testkit.NewScriptedDiscovery(t)
 	client := New(Config{Address: scripted.Address, Poll: true})
