--- a/internal/downstream/accept_pause_test.go
+++ b/internal/downstream/accept_pause_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A pause delays connections accepted during it and for backlogClearTime after it, by up to the time
-// since it began. A pause that begins within backlogClearTime extends the previous one.
+// A connection that is accepted during a pause, or within backlogClearTime after its end, may have
+// waited since the pause began. Another pause that begins within that time extends the first pause.
 func TestAcceptPauseDelaysConnections(t *testing.T) {
 	const ms = time.Millisecond
 	at := func(after time.Duration) time.Time { return time.Unix(1000, 0).Add(after) }
@@ -14,7 +14,7 @@
 	expect := func(after, want time.Duration) {
 		t.Helper()
 		if got := pause.maxDelay(at(after)); got != want {
-			t.Errorf("maxDelay after %v is %v, want %v", after, got, want)
+			t.Errorf("maxDelay() at %v = %v, want %v", after, got, want)
 		}
 	}
 	expect(0, 0)
@@ -28,7 +28,7 @@
 	expect(50*ms+backlogClearTime, 0)
 	pause.begin(at(time.Second))
 	pause.end(at(time.Second + 10*ms))
-	pause.begin(at(time.Second + 20*ms)) // within backlogClearTime: extends the previous pause
+	pause.begin(at(time.Second + 20*ms)) // within backlogClearTime, so it extends the previous pause
 	expect(time.Second+30*ms, 30*ms)
 	pause.reset()
 	expect(time.Second+30*ms, 0)
