--- a/internal/downstream/admission_test.go
+++ b/internal/downstream/admission_test.go
@@ -10,9 +10,9 @@
 	"calicohinge/internal/testkit"
 )
 
-// While all connections are active, a new connection is accepted from the reserve and reported by
-// OverLimit. A connection beyond the reserve waits until another one is closed; the request that its
-// client has already sent is not lost.
+// While all connections are active, a new connection is accepted within the reserve and reported by
+// OverLimit. A connection beyond the reserve waits until another connection is closed. The request that
+// the waiting client has already sent must not be lost.
 func TestNewConnWhileAllAreActiveUsesReserve(t *testing.T) {
 	conns := NewConns(Config{MaxOpen: 1, Reserve: 1, MaxReadAhead: testMaxReadAhead, ReadTimeout: testReadTimeout})
 	listener := listen(t, conns)
@@ -23,7 +23,7 @@
 		c.RequestComplete()
 		last = c
 		if c.OverLimit() != wantOverLimit {
-			t.Errorf("OverLimit is %v, want %v", c.OverLimit(), wantOverLimit)
+			t.Errorf("OverLimit() = %v, want %v", c.OverLimit(), wantOverLimit)
 		}
 	}
 
@@ -32,7 +32,7 @@
 	accepted := acceptInBackground(t, listener)
 	testkit.Until(t, "the connection beyond the reserve to wait", conns.hasWaiters)
 	if sockstate.Peek(waiting) != sockstate.Quiet || conns.Open() != 2 {
-		t.Errorf("the client's socket is %v, %d connections are open; want it %v and 2 open",
+		t.Errorf("while the connection waits: got client's socket %v, %d open connections; want %v, 2",
 			sockstate.Peek(waiting), conns.Open(), sockstate.Quiet)
 	}
 
@@ -58,13 +58,13 @@
 	}
 
 	if err := testkit.Wait(t, accepted, "Accept to return"); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("Accept returned %v, want %v", err, net.ErrClosed)
+		t.Errorf("Accept: got error %v, want %v", err, net.ErrClosed)
 	}
 	if err := waiting.SetReadDeadline(time.Now().Add(testkit.WaitTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	if n, err := waiting.Read(make([]byte, 1)); n != 0 || err == nil || testkit.IsTimeout(err) {
-		t.Errorf("the waiting client read %d bytes, %v; want a closed connection", n, err)
+		t.Errorf("Read by the waiting client: got %d bytes, error %v; want a closed connection", n, err)
 	}
 }
 
@@ -74,6 +74,6 @@
 		t.Fatal(err)
 	}
 	if conns.awaitCapacity(admissionStep{decision: decisionWait, wait: testkit.WaitTimeout}) {
-		t.Error("awaitCapacity returned true although the listener was closed")
+		t.Error("awaitCapacity() = true after the listener was closed, want false")
 	}
 }
