--- a/internal/downstream/conn_test.go
+++ b/internal/downstream/conn_test.go
@@ -12,20 +12,21 @@
 )
 
 // Bytes that arrive on a connection that was closed concurrently stay unread, because they would not
-// get a response. Only the caller that marked the connection closed decrements the count of open ones.
+// get a response. Only the caller that marked the connection closed decrements the number of open
+// connections.
 func TestReadAfterConcurrentCloseReturnsNothing(t *testing.T) {
 	conns := newTestConns(1)
 	client, c := acceptConn(t, conns)
-	withLock(conns, func() { c.state = stateClosed }) // as by a concurrent caller of Conns.markClosed
+	withLock(conns, func() { c.state = stateClosed }) // as a concurrent call of Conns.markClosed does
 
 	send(t, client, "GET")
 
 	expectReadError(t, c)
 	if err := c.Close(); err != nil {
-		t.Errorf("second close: %v", err)
+		t.Errorf("second Close: got error %v, want none", err)
 	}
 	if open := conns.Open(); open != 1 {
-		t.Errorf("%d open connections are counted, want 1: the concurrent caller decrements the count", open)
+		t.Errorf("Open() = %d, want 1, because only the concurrent caller decrements the number", open)
 	}
 	if err := c.Conn.Close(); err != nil {
 		t.Error(err)
@@ -38,7 +39,7 @@
 	ended := readErrInBackground(c)
 	setReadDeadline(t, c, time.Unix(1, 0))
 	if err := testkit.Wait(t, ended, "Read to return"); !testkit.IsTimeout(err) {
-		t.Fatalf("Read returned %v, want a timeout", err)
+		t.Fatalf("Read: got error %v, want a timeout", err)
 	}
 }
 
@@ -52,7 +53,7 @@
 	sendUnread(t, client, c, "GET")
 	n, err := c.Read(make([]byte, 10))
 	if n != 0 || !testkit.IsTimeout(err) || sockstate.Peek(c.Conn) != sockstate.Readable {
-		t.Errorf("Read returned %d bytes, %v after the deadline; want a timeout and the bytes unread", n, err)
+		t.Errorf("Read after the deadline: got %d bytes, error %v; want a timeout and the bytes unread", n, err)
 	}
 	setReadDeadline(t, c, time.Time{})
 	expectRead(t, c, "GET")
@@ -67,7 +68,7 @@
 		sendUnread(t, client, c, "GET")
 		expectRead(t, c, "GET")
 		if err := testkit.Wait(t, readErrInBackground(c), "the read timeout"); !testkit.IsTimeout(err) {
-			t.Errorf("Read of the rest returned %v, want a timeout", err)
+			t.Errorf("Read after the request: got error %v, want a timeout", err)
 		}
 	})
 }
@@ -82,10 +83,10 @@
 	setReadDeadline(t, c, time.Now().Add(time.Hour)) // as net/http does for the idle timeout
 	send(t, client, "G")
 	if n, err := c.Read(make([]byte, 10)); n != 1 || err != nil {
-		t.Fatalf("read %d bytes, %v", n, err)
+		t.Fatalf("Read of the first byte: got %d bytes, error %v; want 1 byte, no error", n, err)
 	}
 	if err := testkit.Wait(t, readErrInBackground(c), "the read timeout"); !testkit.IsTimeout(err) {
-		t.Errorf("Read returned %v, want a timeout", err)
+		t.Errorf("Read: got error %v, want a timeout", err)
 	}
 }
 
@@ -99,22 +100,22 @@
 	buffer := make([]byte, 2)
 	for _, want := range []string{"he", "a", "d"} { // a head may be read in pieces of any size
 		if n, err := c.Read(buffer[:len(want)]); string(buffer[:n]) != want || err != nil {
-			t.Fatalf("read %q, %v", buffer[:n], err)
+			t.Fatalf("Read of the head: got %q, error %v; want %q, no error", buffer[:n], err, want)
 		}
 	}
 	conns.ConnState(c, http.StateActive)
 	send(t, client, "body and more")
 	if n, err := c.Read(make([]byte, 4)); n != 4 || err != nil {
-		t.Fatalf("read %d bytes of the body, %v", n, err)
+		t.Fatalf("Read of the body: got %d bytes, error %v; want 4 bytes, no error", n, err)
 	}
 
 	closeClient(t, client)
 
 	// Compared without errors.Is: an io.Reader has to return io.EOF itself.
 	if n, err := io.Reader(c).Read(buffer[:1]); n != 0 || err != io.EOF {
-		t.Errorf("the background read returned %d bytes, %v; want 0 bytes, %v", n, err, io.EOF)
+		t.Errorf("background Read: got %d bytes, error %v; want 0 bytes, %v", n, err, io.EOF)
 	}
 	if string(c.readAhead) != " and more" {
-		t.Errorf("%q is buffered for the next request, want %q", c.readAhead, " and more")
+		t.Errorf("bytes buffered for the next request: got %q, want %q", c.readAhead, " and more")
 	}
 }
