--- a/internal/downstream/disconnect_test.go
+++ b/internal/downstream/disconnect_test.go
@@ -7,8 +7,8 @@
 	"calicohinge/internal/sockstate"
 )
 
-// A client sends a request on an idle connection and immediately closes the connection. The request
-// is read, and ClientDisconnected returns true.
+// A client may send a request on an idle connection and close the connection at once. The request must
+// be read, and ClientDisconnected must then detect the disconnect.
 func TestClientDisconnectedAfterRequestAndClose(t *testing.T) {
 	conns := newTestConns(5)
 	client, c := acceptConn(t, conns)
@@ -20,7 +20,7 @@
 	c.RequestComplete()
 	waitForSocketState(t, c, sockstate.Closed)
 	if !c.ClientDisconnected() {
-		t.Error("the disconnect was not detected")
+		t.Error("ClientDisconnected() = false after the client closed the connection, want true")
 	}
 }
 
@@ -39,7 +39,7 @@
 			prepare(conns, c)
 
 			if c.ClientDisconnected() {
-				t.Error("a client that sends nothing is reported as disconnected")
+				t.Error("ClientDisconnected() = true for a client that sends nothing, want false")
 			}
 			sendUnread(t, client, c, "GET")
 			if c.ClientDisconnected() || sockstate.Peek(c.Conn) != sockstate.Readable {
@@ -61,6 +61,6 @@
 	closeClient(t, client)
 	waitForSocketState(t, c, sockstate.Closed)
 	if !c.ClientDisconnected() {
-		t.Error("the disconnect was not detected")
+		t.Error("ClientDisconnected() = false after the client closed the connection, want true")
 	}
 }
