--- a/internal/downstream/drain_test.go
+++ b/internal/downstream/drain_test.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// expectCandidateReadingHead expects c to be the eviction candidate as a connection with a partial
-// request.
+// expectCandidateReadingHead expects c to be the eviction candidate, in the state of a connection with
+// a partial request.
 func expectCandidateReadingHead(t *testing.T, conns *Conns, c *Conn) {
 	t.Helper()
 	conns.mu.Lock()
@@ -45,7 +45,7 @@
 	now := time.Now()
 	conns.beginUnreadRequests(now)
 	if candidate, _ := conns.evictionCandidate(now); candidate != c || c.state != stateReadingHead {
-		t.Errorf("the eviction candidate is %p, want %p; its state is %v, want %v",
+		t.Errorf("evictionCandidate() = %p, want %p; state of the wanted connection: got %v, want %v",
 			candidate, c, c.state, stateReadingHead)
 	}
 }
@@ -56,7 +56,7 @@
 	makeIdle(conns, c)
 	conns.Drain(canceledContext())
 	if _, err := c.Read(make([]byte, 1)); err == nil {
-		t.Error("Drain left an idle connection open")
+		t.Error("Read after Drain succeeded, want a closed connection")
 	}
 }
 
@@ -67,7 +67,7 @@
 		t.Helper()
 		conns.advanceTo(stageClosing)
 		if closing := conns.takeWithoutCompleteRequest(); closing != c {
-			t.Fatalf("takeWithoutCompleteRequest returned %p, want %p", closing, c)
+			t.Fatalf("takeWithoutCompleteRequest() = %p, want %p", closing, c)
 		}
 		sendUnread(t, client, c, "GET")
 		conns.ConnState(c, http.StateIdle)
@@ -116,10 +116,10 @@
 	ended := readErrInBackground(c) // as net/http does if the request is incomplete
 	conns.Shutdown(t.Context())
 	if err := testkit.Wait(t, ended, "Read to return"); err == nil || !c.Closed() {
-		t.Errorf("Read returned %v, closed is %v; want an error and a closed connection", err, c.Closed())
+		t.Errorf("after Shutdown: got Read error %v, Closed() = %v; want an error, true", err, c.Closed())
 	}
 	if stats := conns.Stats(); stats != (Stats{Incomplete: 1}) {
-		t.Errorf("Stats are %+v, want only one incomplete request", stats)
+		t.Errorf("Stats() = %+v, want %+v", stats, Stats{Incomplete: 1})
 	}
 }
 
@@ -151,8 +151,8 @@
 	expectBufferedRequestReturned(t, func(conns *Conns) { conns.Shutdown(canceledContext()) })
 }
 
-// A request in the read-ahead buffer is not visible on the socket. Its connection must not be closed
-// as idle nevertheless.
+// A request in the read-ahead buffer is not visible on the socket. Even so, its connection must not be
+// closed as idle.
 func TestBufferedRequestWhileDrainingIsReturned(t *testing.T) {
 	expectBufferedRequestReturned(t, func(conns *Conns) { conns.advanceTo(stageDraining) })
 }
