--- a/internal/downstream/eviction_test.go
+++ b/internal/downstream/eviction_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A connection whose bytes the node was too busy to read has the grace period of a partial request,
-// not the shorter one of a connection without data.
+// A connection whose bytes the node was too busy to read must get the grace period of a partial
+// request, not the shorter grace period of a connection without data.
 func TestUnreadBytesExtendGracePeriod(t *testing.T) {
 	listener := listen(t, newTestConns(1))
 	connect := func(text string) {
@@ -19,12 +19,12 @@
 	began := time.Now()
 	connect("")
 	if took := time.Since(began); took < partialGracePeriod {
-		t.Errorf("a connection with unread bytes was evicted after %v, want %v at least", took, partialGracePeriod)
+		t.Errorf("connection with unread bytes: evicted after %v, want at least %v", took, partialGracePeriod)
 	}
 
 	began = time.Now()
 	connect("")
 	if took := time.Since(began); took < noDataGracePeriod {
-		t.Errorf("a connection without data was evicted after %v, want %v at least", took, noDataGracePeriod)
+		t.Errorf("connection without data: evicted after %v, want at least %v", took, noDataGracePeriod)
 	}
 }
