--- a/internal/downstream/helpers_test.go
+++ b/internal/downstream/helpers_test.go
@@ -115,7 +115,7 @@
 	call()
 }
 
-// hasWaiters reports whether a goroutine waits for a change of the set's connections.
+// hasWaiters reports whether a goroutine waits for a change of a connection in the set.
 func (cs *Conns) hasWaiters() bool {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
@@ -182,7 +182,7 @@
 	t.Helper()
 	buffer := make([]byte, 10)
 	if n, err := c.Read(buffer); string(buffer[:n]) != want || err != nil {
-		t.Fatalf("read %q, %v; want %q", buffer[:n], err, want)
+		t.Fatalf("Read: got %q, error %v; want %q, no error", buffer[:n], err, want)
 	}
 }
 
@@ -190,7 +190,7 @@
 func expectReadError(t *testing.T, c *Conn) {
 	t.Helper()
 	if n, err := c.Read(make([]byte, 10)); n != 0 || err == nil {
-		t.Errorf("read %d bytes, %v; want 0 bytes and an error", n, err)
+		t.Errorf("Read: got %d bytes, error %v; want 0 bytes, an error", n, err)
 	}
 }
 
