--- a/internal/downstream/listener_test.go
+++ b/internal/downstream/listener_test.go
@@ -33,7 +33,7 @@
 	return &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", errno)}
 }
 
-// After each temporary error, the connection is accepted by a later accept.
+// An error of a single connection, or a shortage of this machine, must not stop the listener.
 func TestAcceptIsRetriedAfterTemporaryFailure(t *testing.T) {
 	for _, errno := range []syscall.Errno{
 		syscall.ECONNABORTED, syscall.EINTR, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
@@ -57,7 +57,7 @@
 	} {
 		listener := newTestConns(5).Listener(&failingListener{testkit.Listen(t), 1, want})
 		if _, err := listener.Accept(); !errors.Is(err, want) {
-			t.Errorf("Accept returned %v, want %v", err, want)
+			t.Errorf("Accept: got error %v, want %v", err, want)
 		}
 	}
 }
@@ -71,7 +71,7 @@
 		t.Fatal(err)
 	}
 	if err := testkit.Wait(t, ended, "Accept to return"); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("Accept returned %v, want %v", err, net.ErrClosed)
+		t.Errorf("Accept: got error %v, want %v", err, net.ErrClosed)
 	}
 }
 
@@ -93,12 +93,12 @@
 		expectRead(t, accept(t, listener), "GET")
 	}
 	if _, err := listener.Accept(); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("Accept returned %v after the last queued connection, want %v", err, net.ErrClosed)
+		t.Errorf("Accept after the last queued connection: got error %v, want %v", err, net.ErrClosed)
 	}
 	testkit.Wait(t, stopped, "StopAccepting to return")
 	if conn, err := net.Dial("tcp", listener.Addr().String()); err == nil {
-		t.Error("a connection was established after StopAccepting")
-		_ = conn.Close() // the test has failed already
+		t.Error("net.Dial after StopAccepting succeeded, want an error")
+		_ = conn.Close() // whatever Close returns, the test has failed
 	}
 }
 
@@ -122,7 +122,7 @@
 
 	c := accept(t, listener)
 	if c.QueueTime() < backoff {
-		t.Errorf("QueueTime is %v after failed accepts, want at least %v", c.QueueTime(), backoff)
+		t.Errorf("QueueTime() after failed accepts = %v, want at least %v", c.QueueTime(), backoff)
 	}
 
 	c.RequestComplete()
@@ -135,11 +135,11 @@
 	}
 	waited := testkit.Wait(t, accepted, "the admission")
 	if waited.QueueTime() < backoff {
-		t.Errorf("QueueTime is %v after a wait for admission, want at least %v", waited.QueueTime(), backoff)
+		t.Errorf("QueueTime() after a wait for admission = %v, want at least %v", waited.QueueTime(), backoff)
 	}
 
 	makeIdle(conns, waited)
 	if waited.QueueTime() > 0 {
-		t.Errorf("QueueTime of the second request is %v, want 0", waited.QueueTime())
+		t.Errorf("QueueTime() of the second request = %v, want 0s", waited.QueueTime())
 	}
 }
