--- a/internal/downstream/read_ahead_test.go
+++ b/internal/downstream/read_ahead_test.go
@@ -17,17 +17,18 @@
 	c.RequestComplete()
 	sendUnread(t, client, c, "next")
 	if c.ClientDisconnected() {
-		t.Fatal("a client that sent one request ahead is reported as disconnected")
+		t.Fatal("ClientDisconnected() = true after the client sent one request ahead, want false")
 	}
 	conns.ConnState(c, http.StateIdle)
 	expectRead(t, c, "next")
 
 	c.RequestComplete()
-	go func() { // ends at the latest when the test closes the client connection
+	go func() { // the write ends at the latest when the test closes the client connection
 		_, _ = io.WriteString(client, strings.Repeat("x", 4*testMaxReadAhead))
 	}()
 	testkit.Until(t, "the read-ahead limit to be exceeded", c.ClientDisconnected)
 	if len(c.readAhead) > testMaxReadAhead+readAheadChunkSize {
-		t.Errorf("%d bytes are buffered, want at most %d", len(c.readAhead), testMaxReadAhead+readAheadChunkSize)
+		t.Errorf("length of the read-ahead buffer: got %d, want at most %d",
+			len(c.readAhead), testMaxReadAhead+readAheadChunkSize)
 	}
 }
