--- a/internal/endpointjson/endpointjson_test.go
+++ b/internal/endpointjson/endpointjson_test.go
@@ -22,7 +22,7 @@
 	} {
 		server := Endpoint{Lifecycle: lifecycle}
 		if state := server.Translate().State; state != want {
-			t.Errorf("lifecycle %q: state %v, want %v", lifecycle, state, want)
+			t.Errorf("state of the lifecycle %q: got %v, want %v", lifecycle, state, want)
 		}
 	}
 }
@@ -40,7 +40,7 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(list, want) {
-		t.Errorf("decoded %+v, want %+v", list, want)
+		t.Errorf("json.Unmarshal(): got %+v, want %+v", list, want)
 	}
 	encoded, err := json.Marshal(want)
 	if err != nil {
@@ -48,7 +48,8 @@
 	}
 	var decoded List
 	if err := json.Unmarshal(encoded, &decoded); err != nil || !reflect.DeepEqual(decoded, want) {
-		t.Errorf("decoded %+v after encoding, want %+v; error %v", decoded, want, err)
+		t.Errorf("decoding of the encoded list: got %+v, error %v; want %+v, no error",
+			decoded, err, want)
 	}
 }
 
@@ -62,7 +63,8 @@
 	if startedAt := translated.Endpoints[0].StartedAt; !startedAt.Equal(started) {
 		t.Errorf("StartedAt = %v, want %v", startedAt, started)
 	}
-	translated.Endpoints[0].StartedAt = time.Time{} // checked above; its location depends on the machine
+	// StartedAt is checked above. DeepEqual would also compare its location, which depends on the machine.
+	translated.Endpoints[0].StartedAt = time.Time{}
 	want := endpoint.List{Generation: 4, Complete: true, Endpoints: []endpoint.Endpoint{{
 		ID: endpoint.IDOf("s-1"), Address: "127.0.0.1:8080", Zone: "a", Cell: 3, State: policy.Ready, Weight: 0.5,
 	}}}
@@ -79,7 +81,7 @@
 	} {
 		e := Endpoint{StartedUnixMilli: unixMilli}
 		if startedAt := e.Translate().StartedAt; !startedAt.Equal(want) {
-			t.Errorf("start time of %g ms: %v, want %v", unixMilli, startedAt, want)
+			t.Errorf("StartedAt of %g ms: got %v, want %v", unixMilli, startedAt, want)
 		}
 	}
 }
