--- a/internal/hashring/hashring_test.go
+++ b/internal/hashring/hashring_test.go
@@ -2,19 +2,20 @@
 
 import "testing"
 
+// The members of a group are adjacent because their positions have the same upper half, which no other group has.
 func TestMembersOfAGroupAreAdjacent(t *testing.T) {
 	groupOf := map[uint64]uint64{}
 	for group := range uint64(100) {
 		for member := range uint64(10) {
 			groupHash := Position(group, 10*group+member) >> 32
 			if other, used := groupOf[groupHash]; used && other != group {
-				t.Fatalf("groups %d and %d have the same upper half", other, group)
+				t.Fatalf("groups %d and %d have the same upper half, want different halves", other, group)
 			}
 			groupOf[groupHash] = group
 		}
 	}
 	if len(groupOf) != 100 {
-		t.Errorf("100 groups have %d distinct upper halves", len(groupOf))
+		t.Errorf("distinct upper halves of 100 groups: got %d, want 100", len(groupOf))
 	}
 }
 
@@ -24,7 +25,7 @@
 		seen[Position(7, member)] = true
 	}
 	if len(seen) != 1000 {
-		t.Errorf("1000 members have %d distinct positions", len(seen))
+		t.Errorf("distinct positions of 1000 members: got %d, want 1000", len(seen))
 	}
 }
 
@@ -35,7 +36,7 @@
 	}
 	for i, n := range quarters {
 		if n < 200 || n > 300 {
-			t.Errorf("quarter %d of the ring has %d of 1000 groups, want about 250", i, n)
+			t.Errorf("groups in quarter %d of the ring: got %d of 1000, want 200 to 300", i, n)
 		}
 	}
 }
