--- a/internal/httpheader/httpheader_test.go
+++ b/internal/httpheader/httpheader_test.go
@@ -39,7 +39,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := EndToEnd(c.header); !reflect.DeepEqual(got, c.want) {
-				t.Errorf("EndToEnd() = %v, want %v", got, c.want)
+				t.Errorf("EndToEnd(%v) = %v, want %v", c.header, got, c.want)
 			}
 		})
 	}
@@ -51,6 +51,6 @@
 	forwarded["Accept"][0] = "changed"
 	want := http.Header{"Connection": {"x-one"}, "X-One": {"1"}, "Accept": {"a"}}
 	if !reflect.DeepEqual(header, want) {
-		t.Errorf("the argument was changed to %v, want %v", header, want)
+		t.Errorf("argument after EndToEnd: got %v, want %v", header, want)
 	}
 }
