--- a/internal/jitter/jitter_test.go
+++ b/internal/jitter/jitter_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// drawRange returns the shortest and the longest of many random delays.
+// drawRange returns the shortest and the longest of many delays that draw returns for the given delay.
 func drawRange(draw func(*rand.Rand, time.Duration) time.Duration, delay time.Duration) (
 	time.Duration, time.Duration,
 ) {
@@ -23,7 +23,7 @@
 func TestFullCoversAllDelaysUpToTheGivenOne(t *testing.T) {
 	shortest, longest := drawRange(Full, time.Second)
 	if shortest < 0 || shortest > 10*time.Millisecond || longest < 990*time.Millisecond || longest > time.Second {
-		t.Errorf("delays from %v to %v, want 0 to 1 s", shortest, longest)
+		t.Errorf("Full(1s): got delays from %v to %v, want 0s to 1s", shortest, longest)
 	}
 }
 
@@ -34,6 +34,6 @@
 	shortest, longest := drawRange(drawProportional, time.Second)
 	if shortest < 800*time.Millisecond || shortest > 810*time.Millisecond ||
 		longest < 1190*time.Millisecond || longest > 1200*time.Millisecond {
-		t.Errorf("delays from %v to %v, want 0.8 s to 1.2 s", shortest, longest)
+		t.Errorf("Proportional(1s, 0.2): got delays from %v to %v, want 0.8s to 1.2s", shortest, longest)
 	}
 }
