--- a/internal/milliseconds/milliseconds_test.go
+++ b/internal/milliseconds/milliseconds_test.go
@@ -42,7 +42,8 @@
 func TestSumsOfThreeTimesInRangeDoNotOverflow(t *testing.T) {
 	longest, ok := ToDuration(math.Nextafter(limit, 0))
 	if !ok || longest > math.MaxInt64/3 {
-		t.Errorf("longest duration %d ns, %v; want at most a third of the range, true", longest, ok)
+		t.Errorf("ToDuration of the largest valid value = %d ns, %v; want at most a third of the range, true",
+			longest, ok)
 	}
 }
 
