--- a/internal/netdial/netdial_test.go
+++ b/internal/netdial/netdial_test.go
@@ -15,10 +15,10 @@
 // failingDialer is a dialer whose first attempts fail with a system error.
 type failingDialer struct {
 	net.Dialer
-	failures    int // attempts that fail
+	failures    int // number of first attempts that fail
 	syscallName string
 	errno       syscall.Errno
-	attempts    int
+	attempts    int // number of attempts so far
 }
 
 func (d *failingDialer) dial(ctx context.Context, network, address string) (net.Conn, error) {
@@ -28,8 +28,8 @@
 	return d.DialContext(ctx, network, address)
 }
 
-// The system is out of sockets or ports for a moment, or the network is unreachable: a retry opens the connection.
-// A refusal by the peer or a timeout is final.
+// If this machine is out of sockets or ports for a moment, or the network is unreachable, a retry can open the
+// connection. A refusal by the peer or a timeout is final.
 func TestDialIsRetriedAfterATransientFailure(t *testing.T) {
 	address := testkit.Listen(t).Addr().String()
 	for _, c := range []struct {
@@ -58,15 +58,17 @@
 			recovering := &failingDialer{failures: maxAttempts - 1, syscallName: c.syscallName, errno: c.errno}
 			conn, err := Repeat(recovering.dial)(t.Context(), "tcp", address)
 			if recovering.attempts != wantAttempts || (err == nil) != c.transient {
-				t.Errorf("%d attempts, error %v; want %d, success %v", recovering.attempts, err, wantAttempts, c.transient)
+				t.Errorf("dial whose last attempt would succeed: got %d attempts, error %v; want %d, success %v",
+					recovering.attempts, err, wantAttempts, c.transient)
 			}
 			if err == nil {
-				_ = conn.Close() // nothing was sent on it
+				_ = conn.Close() // nothing was sent on the connection
 			}
 			failing := &failingDialer{failures: maxAttempts, syscallName: c.syscallName, errno: c.errno}
 			_, err = Repeat(failing.dial)(t.Context(), "tcp", address)
 			if !errors.Is(err, c.errno) || IsLocalFailure(err) != c.local {
-				t.Errorf("error %v, local %v; want %v, local %v", err, IsLocalFailure(err), c.errno, c.local)
+				t.Errorf("dial whose attempts all fail: got error %v, local failure %v; want %v, %v",
+					err, IsLocalFailure(err), c.errno, c.local)
 			}
 		})
 	}
@@ -78,6 +80,7 @@
 	failing := &failingDialer{failures: maxAttempts, syscallName: "socket", errno: syscall.ENFILE}
 	_, err := Repeat(failing.dial)(ctx, "tcp", "127.0.0.1:1")
 	if !errors.Is(err, syscall.ENFILE) || failing.attempts != 1 {
-		t.Errorf("error %v after %d attempts, want %v after 1", err, failing.attempts, syscall.ENFILE)
+		t.Errorf("dial with a done context: got error %v after %d attempts, want %v after 1",
+			err, failing.attempts, syscall.ENFILE)
 	}
 }
