--- a/internal/netdial/stagger_test.go
+++ b/internal/netdial/stagger_test.go
@@ -22,7 +22,7 @@
 	healedAt time.Time
 
 	mu            sync.Mutex
-	inProgress    int // attempts
+	inProgress    int // number of attempts in progress
 	maxInProgress int // highest value of inProgress
 }
 
@@ -52,12 +52,13 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.inProgress != 0 || p.maxInProgress > int(testTimeout/testInterval)+1 {
-		t.Errorf("%d attempts still in progress, up to %d at once", p.inProgress, p.maxInProgress)
+		t.Errorf("attempts: got %d still in progress, at most %d at once; want 0, at most %d",
+			p.inProgress, p.maxInProgress, int(testTimeout/testInterval)+1)
 	}
 }
 
-// A peer is unreachable because of a network partition. However long the partition lasts, the dial succeeds within
-// an interval after it heals, and no attempt outlasts its timeout or the dial.
+// However long a network partition lasts, the dial succeeds within an interval after the partition has healed, and no
+// attempt outlasts its timeout or the dial.
 func TestStaggeredDialReachesAPeerAfterAPartition(t *testing.T) {
 	for _, partition := range []time.Duration{0, testInterval, 4 * time.Second, time.Minute} {
 		synctest.Test(t, func(t *testing.T) {
@@ -67,9 +68,10 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			_ = conn.Close() // nothing was sent on it
+			_ = conn.Close() // nothing was sent on the connection
 			if took := time.Since(start); took > partition+testInterval {
-				t.Errorf("connected after %v, want at most %v", took, partition+testInterval)
+				t.Errorf("duration of the dial during a partition of %v: got %v, want at most %v",
+					partition, took, partition+testInterval)
 			}
 			peer.checkAttempts(t)
 		})
@@ -84,13 +86,14 @@
 		defer cancel()
 		_, err := Stagger(peer.dial, testInterval, testTimeout)(ctx, "tcp", "peer")
 		if !errors.Is(err, context.DeadlineExceeded) || time.Since(start) != 4*time.Second {
-			t.Errorf("error %v after %v, want %v after 4s", err, time.Since(start), context.DeadlineExceeded)
+			t.Errorf("dial of an unreachable peer: got error %v after %v, want %v after 4s",
+				err, time.Since(start), context.DeadlineExceeded)
 		}
 		peer.checkAttempts(t)
 	})
 }
 
-// If the peer refuses the connection, the dial fails at once. A timeout of the operating system ends only its
+// If the peer refuses the connection, the dial fails at once. A timeout that the operating system reports ends only the
 // attempt.
 func TestStaggeredDialFailsWhenThePeerRefuses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -103,7 +106,8 @@
 		}
 		_, err := Stagger(dial, testInterval, testTimeout)(t.Context(), "tcp", "peer")
 		if !errors.Is(err, syscall.ECONNREFUSED) || attempts != len(errnos) {
-			t.Errorf("error %v after %d attempts, want %v after %d", err, attempts, syscall.ECONNREFUSED, len(errnos))
+			t.Errorf("dial of a refusing peer: got error %v after %d attempts, want %v after %d",
+				err, attempts, syscall.ECONNREFUSED, len(errnos))
 		}
 	})
 }
