--- a/internal/outcomewindow/outcomewindow_test.go
+++ b/internal/outcomewindow/outcomewindow_test.go
@@ -9,8 +9,8 @@
 	t.Helper()
 	if w.Len() != length || w.Successes() != successes || w.Failures() != length-successes ||
 		w.LatencySum() != latencySum {
-		t.Errorf("%d outcomes, %d successes, %d failures, latency sum %v; want %d, %d, %d, %v", w.Len(),
-			w.Successes(), w.Failures(), w.LatencySum(), length, successes, length-successes, latencySum)
+		t.Errorf("window: got %d outcomes, %d successes, %d failures, latency sum %v; want %d, %d, %d, %v",
+			w.Len(), w.Successes(), w.Failures(), w.LatencySum(), length, successes, length-successes, latencySum)
 	}
 }
 
