--- a/internal/processstart/registry_test.go
+++ b/internal/processstart/registry_test.go
@@ -32,7 +32,7 @@
 	return Moment{Clock: m.Clock + d, Wall: m.Wall.Add(d)}
 }
 
-// newTestRegistry returns the registry of a node that started with its wall clock ahead of the true time.
+// newTestRegistry returns the registry of a node whose wall clock was ahead of the true time when the node started.
 func newTestRegistry(ahead time.Duration) *Registry {
 	return NewRegistry(wallNow().Add(ahead-clockNow), testSlowStart)
 }
@@ -82,28 +82,29 @@
 	start := registry.Update(policy.UpdateDelta, list, nowWithWallClockAhead(nodeStep))[0]
 
 	if age := clockNow - start; age < 0 || age > processAge {
-		t.Errorf("age %v, want 0 to %v, the time since discovery last responded", age, processAge)
+		t.Errorf("age of the new process: got %v, want 0s to %v, the time since discovery last responded",
+			age, processAge)
 	}
 	for range 2 {
 		later := Moment{clockNow + time.Second, wallNow()}
 		if again := registry.Update(policy.UpdateSnapshot, list, later)[0]; again != start {
-			t.Errorf("the start changed from %v to %v", start, again)
+			t.Errorf("start after another update: got %v, want it unchanged at %v", again, start)
 		}
 	}
 }
 
-// If all wall clocks are right, the estimate is exact, also for a process older than the node.
+// If all wall clocks are right, the estimate is exact, even for a process that is older than the node.
 func TestStartIsExactWithoutClockSteps(t *testing.T) {
 	for _, age := range []time.Duration{0, time.Millisecond, processAge, time.Minute, clockNow - time.Second} {
 		registry, list := newTestRegistry(0), endpointStartedAt(wallNow().Add(-age))
 		if start := registry.Update(policy.UpdateCached, list, nowWithWallClockAhead(0))[0]; start != clockNow-age {
-			t.Errorf("age %v, want %v", clockNow-start, age)
+			t.Errorf("age of the process: got %v, want %v", clockNow-start, age)
 		}
 	}
 }
 
-// The wall clock of the node's machine is stepped before discovery first responds. Either the time before the step
-// or the time after it is right: the estimate is the lower of the two ages.
+// If the wall clock of the node's machine is stepped before discovery first responds, either the time before the step
+// or the time after the step is right. The estimate is the lower of the two resulting ages.
 func TestStartAfterAClockStepIsTheLaterOfTwoEstimates(t *testing.T) {
 	for step, want := range map[time.Duration]time.Duration{
 		-30 * time.Second: clockNow - 30*time.Second,
@@ -111,24 +112,24 @@
 	} {
 		registry, list := newTestRegistry(0), endpointStartedAt(wallNow().Add(-time.Minute))
 		if start := registry.Update(policy.UpdateCached, list, nowWithWallClockAhead(step))[0]; start != want {
-			t.Errorf("step of %v: age %v, want %v", step, clockNow-start, clockNow-want)
+			t.Errorf("age after a step of %v: got %v, want %v", step, clockNow-start, clockNow-want)
 		}
 	}
 }
 
-// A server restarts before discovery first responds; until then the node knows it from its configuration only. The
-// new process has the age that discovery reports.
+// Until discovery first responds, the node knows a server only from the configuration. If the server has restarted, the
+// new process has the age that discovery reports, and is not considered just started.
 func TestRestartBeforeTheFirstListKeepsItsAge(t *testing.T) {
 	registry, now := newTestRegistry(0), nowWithWallClockAhead(0)
 	registry.Update(policy.UpdateCached, endpointStartedAt(wallNow().Add(-time.Hour)), now)
 	start := registry.Update(policy.UpdateSnapshot, endpointStartedAt(wallNow().Add(-time.Minute)), now)[0]
 	if age := clockNow - start; age != time.Minute {
-		t.Errorf("age %v, want 1m", age)
+		t.Errorf("age of the new process: got %v, want 1m", age)
 	}
 }
 
-// A node that follows discovery is notified of a server with a new ID. Its process is considered just started, also
-// if the node's wall clock has been wrong from the beginning.
+// A server that is added while the node follows discovery is considered just started, even if the node's wall clock has
+// been wrong from the beginning.
 func TestNewServerHasJustStartedRegardlessOfTheWallClock(t *testing.T) {
 	for _, ahead := range []time.Duration{0, time.Second, 5 * time.Second, 30 * time.Second, time.Hour, -time.Hour} {
 		registry, now := newTestRegistry(ahead), nowWithWallClockAhead(ahead)
@@ -136,13 +137,13 @@
 		registry.Synced(clockNow - processAge)
 		start := registry.Update(policy.UpdateDelta, endpointStartedAt(wallNow().Add(-time.Millisecond)), now)[0]
 		if start != clockNow {
-			t.Errorf("wall clock ahead by %v: age %v, want 0", ahead, clockNow-start)
+			t.Errorf("age with the wall clock ahead by %v: got %v, want 0s", ahead, clockNow-start)
 		}
 	}
 }
 
-// Servers start while discovery is unavailable. Their ages follow from the servers' clock, by which the newest one
-// has just started, and are at most the time since discovery last responded.
+// The ages of servers that start while discovery is unavailable follow from the servers' clock, by which the newest
+// process has just started. The ages are at most the time since discovery last responded.
 func TestServersStartedDuringAnOutageUseTheServersClock(t *testing.T) {
 	const outage = 8 * time.Second
 	want := []time.Duration{clockNow, clockNow - 5*time.Second, clockNow - outage}
@@ -155,37 +156,39 @@
 		starts := registry.Update(policy.UpdateDelta, list, now)
 
 		if !slices.Equal(starts, want) {
-			t.Errorf("wall clock ahead by %v: starts %v, want %v", ahead, starts, want)
+			t.Errorf("starts with the wall clock ahead by %v: got %v, want %v", ahead, starts, want)
 		}
 	}
 }
 
-// A node whose wall clock is ahead starts after a few servers have been restarted: their ages follow from the
-// servers' clock. If many servers have been restarted, the ages follow from the node's wall clock, right or wrong.
+// If a node starts after a few servers have been restarted, the ages of these servers follow from the servers' clock,
+// even if the node's wall clock is ahead. If many servers have been restarted, their ages follow from the node's wall
+// clock, right or wrong.
 func TestFirstListUsesTheServersClockIfFewAreWarmingUp(t *testing.T) {
 	const ahead = time.Hour
 	for _, c := range []struct {
 		warmingUp, warm int
-		wantAge         time.Duration // of the second newest process, which is a second older than the newest
+		// Age of the second newest process, which is a second older than the newest.
+		wantAge time.Duration
 	}{{2, 8, time.Second}, {2, 6, time.Second}, {2, 5, ahead + time.Second}, {4, 0, ahead + time.Second}} {
 		startedAt := []time.Time{wallNow()}
 		startedAt = append(startedAt, slices.Repeat([]time.Time{wallNow().Add(-time.Second)}, c.warmingUp-1)...)
-		startedAt = append(startedAt, make([]time.Time, c.warm)...) // long ago
+		startedAt = append(startedAt, make([]time.Time, c.warm)...) // the zero time means long ago
 
 		registry, list := newTestRegistry(ahead), endpointsStartedAt(startedAt...)
 		starts := registry.Update(policy.UpdateSnapshot, list, nowWithWallClockAhead(ahead))
 
 		if age := clockNow - starts[1]; age != c.wantAge {
-			t.Errorf("%d servers warming up, %d warm: age %v, want %v", c.warmingUp, c.warm, age, c.wantAge)
+			t.Errorf("age with %d servers warming up and %d warm: got %v, want %v", c.warmingUp, c.warm, age, c.wantAge)
 		}
 		if c.warm > 0 && starts[c.warmingUp] != 0 {
-			t.Errorf("a process that started long ago has start %v, want 0", starts[c.warmingUp])
+			t.Errorf("start of a process that started long ago: got %v, want 0s", starts[c.warmingUp])
 		}
 	}
 }
 
-// A server that is removed and returns with the same process keeps its start, unless it was removed for longer
-// than the slow start duration. The registry does not keep it for longer.
+// A server that is removed and returns with the same process keeps its start, unless it was removed for longer than the
+// slow start duration, after which the registry discards the start.
 func TestStartOfAReturningProcessIsStable(t *testing.T) {
 	for removedFor, want := range map[time.Duration]time.Duration{
 		processAge:        clockNow - processAge,
@@ -200,20 +203,20 @@
 		removed[0].State = policy.Removed
 		registry.Update(policy.UpdateDelta, removed, now)
 		if len(registry.listed) > 0 {
-			t.Errorf("%d removed processes are still listed", len(registry.listed))
+			t.Errorf("listed processes after the removal: got %d, want 0", len(registry.listed))
 		}
 
 		later := now.after(removedFor)
 		registry.Synced(later.Clock)
 		if again := registry.Update(policy.UpdateDelta, list, later)[0]; again != want {
-			t.Errorf("removed for %v: start %v, want %v", removedFor, again, want)
+			t.Errorf("start after a removal for %v: got %v, want %v", removedFor, again, want)
 		}
 
-		// All servers are removed, and the retention passes.
+		// Once all servers are removed and the slow start duration has passed, no process is kept.
 		registry.Update(policy.UpdateSnapshot, nil, later)
 		registry.Update(policy.UpdateDelta, nil, Moment{later.Clock + testSlowStart + 1, now.Wall})
 		if kept := len(registry.listed) + len(registry.removed); kept > 0 {
-			t.Errorf("%d removed processes are kept after the retention", kept)
+			t.Errorf("processes kept after the slow start duration: got %d, want 0", kept)
 		}
 	}
 }
