--- a/internal/runningmean/runningmean_test.go
+++ b/internal/runningmean/runningmean_test.go
@@ -5,7 +5,7 @@
 func checkMean(t *testing.T, m *Mean, value, samples float64) {
 	t.Helper()
 	if m.Value() != value || m.Samples() != samples {
-		t.Errorf("mean %v of %v samples, want %v of %v", m.Value(), m.Samples(), value, samples)
+		t.Errorf("got mean %v of %v samples, want %v of %v", m.Value(), m.Samples(), value, samples)
 	}
 }
 
