--- a/internal/simproto/decode_test.go
+++ b/internal/simproto/decode_test.go
@@ -63,17 +63,17 @@
 	for code := range uint16(1000) {
 		status, ok := statusCode(code).policyStatus()
 		if wanted, known := want[code]; ok != known || status != wanted {
-			t.Errorf("code %d: got status %v, known %v; want %v, %v", code, status, ok, wanted, known)
+			t.Errorf("statusCode(%d).policyStatus() = %v, %v; want %v, %v", code, status, ok, wanted, known)
 		}
 	}
 }
 
-// decodeOne decodes a batch with one event record, which starts with the bytes in text, in hexadecimal.
+// decodeOne decodes a batch with a single event record. The record starts with the bytes in text, in hexadecimal.
 func decodeOne(t *testing.T, text string) Event {
 	t.Helper()
 	events, err := decodeAll(frame(1, eventRecord(t, text), nil))
 	if !errors.Is(err, io.EOF) || len(events) != 1 {
-		t.Fatalf("decoded %d events with error %v, want one event and io.EOF", len(events), err)
+		t.Fatalf("decoded %d events with error %v, want 1 event and io.EOF", len(events), err)
 	}
 	return events[0]
 }
@@ -88,7 +88,7 @@
 func TestCostHintWithoutValidFlagIsIgnored(t *testing.T) {
 	event := decodeOne(t, "03 5d3a91c4 00 0001 91f03b7c55d20a64 406e000000000000 4028000000000000 06")
 	if event.Request.CostHint != 0 {
-		t.Errorf("cost hint is %v, want 0", event.Request.CostHint)
+		t.Errorf("CostHint = %v, want 0s", event.Request.CostHint)
 	}
 }
 
@@ -96,11 +96,11 @@
 	names := map[string]EventCode{}
 	for code := EventOpen; code <= EventInstance; code++ {
 		if other, taken := names[code.String()]; taken || code.String() == "" {
-			t.Errorf("codes %d and %d are both named %q", other, code, code)
+			t.Errorf("codes %d and %d are both named %q, want distinct names", other, code, code)
 		}
 		names[code.String()] = code
 	}
 	if got := EventCode(99).String(); got != "event code 99" {
-		t.Errorf("unknown code is named %q, want \"event code 99\"", got)
+		t.Errorf("EventCode(99).String() = %q, want \"event code 99\"", got)
 	}
 }
