--- a/internal/simproto/encode_test.go
+++ b/internal/simproto/encode_test.go
@@ -69,7 +69,7 @@
 		reply.Reset()
 		reply.Fail(7)
 		if err := reply.WriteTo(bufio.NewWriterSize(failingWriter{}, size), 12); !errors.Is(err, errBrokenPipe) {
-			t.Errorf("%s: got %v, want an error that wraps %v", name, err, errBrokenPipe)
+			t.Errorf("WriteTo with an %s: got %v, want an error that wraps %v", name, err, errBrokenPipe)
 		}
 	}
 }
