--- a/internal/simproto/frame_test.go
+++ b/internal/simproto/frame_test.go
@@ -32,7 +32,7 @@
 	return paddedRecord(tb, eventSize, text)
 }
 
-// frame returns a frame that holds batch 12 at the time 8,500 ms. Its header claims count records.
+// frame returns a frame with batch 12, whose clock is at 8,500 ms. The header of the frame claims count records.
 func frame(count int, records, tail []byte) []byte {
 	header := make([]byte, batchHeaderSize)
 	binary.BigEndian.PutUint32(header[0:], uint32(len(records)+len(tail)))
@@ -44,7 +44,8 @@
 
 func join(parts ...[]byte) []byte { return bytes.Join(parts, nil) }
 
-// decodeAll decodes batches until the first error and returns that error, io.EOF at a clean end of the input.
+// decodeAll decodes batches until the first error. It returns the decoded events and that error, which is io.EOF if the
+// input ends after a complete batch.
 func decodeAll(raw []byte) ([]Event, error) {
 	reader := NewReader(bytes.NewReader(raw))
 	var events []Event
