--- a/internal/simproto/malformed_test.go
+++ b/internal/simproto/malformed_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// malformedFrames returns malformed frames by the name of their fault.
+// malformedFrames returns malformed frames by the names of their faults.
 func malformedFrames(tb testing.TB) map[string][]byte {
 	tb.Helper()
 	return map[string][]byte{
@@ -33,7 +33,7 @@
 	}
 }
 
-// overwrite replaces bytes of the frame from the given offset on and returns the frame.
+// overwrite replaces bytes of a frame, starting at an offset, and returns the frame.
 func overwrite(frame []byte, offset int, other ...byte) []byte {
 	copy(frame[offset:], other)
 	return frame
@@ -44,7 +44,7 @@
 		t.Run(name, func(t *testing.T) {
 			_, err := decodeAll(raw)
 			if !errors.Is(err, ErrFormat) || !strings.Contains(err.Error(), "batch") || strings.Contains(err.Error(), "\n") {
-				t.Fatalf("got %q, want one line that wraps ErrFormat and names the batch", err)
+				t.Fatalf("decodeAll: got error %q, want one line that wraps ErrFormat and names the batch", err)
 			}
 		})
 	}
@@ -75,11 +75,11 @@
 		_, err := decodeAll(test.raw)
 		formatError, ok := errors.AsType[*FormatError](err)
 		if !ok || formatError.Batch != test.batch || formatError.Record != test.record {
-			t.Errorf("got %v, want a *FormatError for batch %d, record %d", err, test.batch, test.record)
+			t.Errorf("decodeAll: got error %v, want a *FormatError for batch %d, record %d", err, test.batch, test.record)
 			continue
 		}
 		if err.Error() != test.text || test.cause != nil && !errors.Is(err, test.cause) {
-			t.Errorf("got %q, want %q with the cause %v", err, test.text, test.cause)
+			t.Errorf("decodeAll: got error %q, want %q with the cause %v", err, test.text, test.cause)
 		}
 	}
 }
