--- a/internal/sockstate/sockstate_test.go
+++ b/internal/sockstate/sockstate_test.go
@@ -10,7 +10,7 @@
 	"calicohinge/internal/testkit"
 )
 
-// connectLoopback returns the local end and the peer's end of a new loopback connection.
+// connectLoopback returns both ends of a new loopback connection: the local end, then the peer's end.
 func connectLoopback(t *testing.T) (*net.TCPConn, *net.TCPConn) {
 	t.Helper()
 	listener := testkit.Listen(t)
@@ -71,14 +71,14 @@
 	testkit.Until(t, "unread bytes", func() bool { return Peek(local) == Readable })
 	text, err := io.ReadAll(local)
 	if err != nil || string(text) != "x" {
-		t.Errorf("read %q, error %v; want %q", text, err, "x")
+		t.Errorf("io.ReadAll(): got %q, error %v; want %q, no error", text, err, "x")
 	}
 	if state := Peek(local); state != Closed {
-		t.Errorf("state %v after end of file, want %v", state, Closed)
+		t.Errorf("Peek() after the end of the input = %v, want %v", state, Closed)
 	}
 }
 
-// Another goroutine is blocked reading from the connection: Peek must not wait for it.
+// RawConn.Read would wait for another goroutine that is blocked reading from the connection. Peek must not wait.
 func TestPeekDoesNotWaitForABlockedReader(t *testing.T) {
 	local, peer := connectLoopback(t)
 	raw, err := local.SyscallConn()
@@ -101,7 +101,7 @@
 	states := make(chan State, 1)
 	go func() { states <- Peek(local) }()
 	if state := testkit.Wait(t, states, "the state"); state != Quiet {
-		t.Errorf("state %v, want %v", state, Quiet)
+		t.Errorf("Peek() while a reader is blocked = %v, want %v", state, Quiet)
 	}
 	requireNoError(t, peer.Close())
 	requireNoError(t, testkit.Wait(t, read, "the reader to return"))
@@ -111,13 +111,13 @@
 	local, _ := connectLoopback(t)
 	requireNoError(t, local.Close())
 	if state := Peek(local); state != Closed {
-		t.Errorf("state %v after a local close, want %v", state, Closed)
+		t.Errorf("Peek() after a local close = %v, want %v", state, Closed)
 	}
 	pipe, other := net.Pipe()
 	defer closeIgnoringError(pipe)
 	defer closeIgnoringError(other)
 	if state := Peek(pipe); state != Closed {
-		t.Errorf("state %v of a pipe, want %v", state, Closed)
+		t.Errorf("Peek() of a pipe = %v, want %v", state, Closed)
 	}
 }
 
@@ -140,7 +140,7 @@
 		syscall.ENOTCONN: Closed, syscall.EBADF: Closed,
 	} {
 		if got := stateOf(-1, errno); got != want {
-			t.Errorf("%v: state %v, want %v", errno, got, want)
+			t.Errorf("stateOf(-1, %v) = %v, want %v", errno, got, want)
 		}
 	}
 }
