--- a/internal/syserror/syserror_test.go
+++ b/internal/syserror/syserror_test.go
@@ -30,8 +30,8 @@
 		{os.ErrDeadlineExceeded, false, false},
 	} {
 		if IsShortage(c.err) != c.shortage || IsTransient(c.err) != c.transient {
-			t.Errorf("%v: shortage %v, transient %v; want %v, %v", c.err, IsShortage(c.err), IsTransient(c.err),
-				c.shortage, c.transient)
+			t.Errorf("error %v: got IsShortage() = %v, IsTransient() = %v; want %v, %v",
+				c.err, IsShortage(c.err), IsTransient(c.err), c.shortage, c.transient)
 		}
 	}
 }
@@ -41,7 +41,7 @@
 		name      string
 		errors    []error // returned by the first calls; further calls succeed
 		wantCalls int
-		wantErr   bool // of the last call
+		wantErr   bool // whether the last call fails
 	}{
 		{"success", nil, 1, false},
 		{"transient failures", []error{syscall.EMFILE, syscall.EIO}, 3, false},
@@ -59,10 +59,11 @@
 			return nil
 		})
 		if calls != c.wantCalls || (err != nil) != c.wantErr {
-			t.Errorf("%s: %d calls, error %v; want %d calls, failure %v", c.name, calls, err, c.wantCalls, c.wantErr)
+			t.Errorf("Retry with %s: got %d calls, error %v; want %d calls, failure %v",
+				c.name, calls, err, c.wantCalls, c.wantErr)
 		}
 		if c.wantErr && !errors.Is(err, c.errors[calls-1]) {
-			t.Errorf("%s: error %v, want the last one, %v", c.name, err, c.errors[calls-1])
+			t.Errorf("Retry with %s: got error %v, want %v, the error of the last call", c.name, err, c.errors[calls-1])
 		}
 	}
 }
