--- a/internal/tokenbucket/tokenbucket_test.go
+++ b/internal/tokenbucket/tokenbucket_test.go
@@ -17,30 +17,30 @@
 func TestBurstIsLimitedToTheTokensOfOneSecond(t *testing.T) {
 	b := New(5)
 	if n := takeUpTo(&b, time.Hour, 100); n != 5 {
-		t.Errorf("%d tokens after a long pause, want 5", n)
+		t.Errorf("tokens after a long pause: got %d, want 5", n)
 	}
 	if n := takeUpTo(&b, time.Hour+400*time.Millisecond, 100); n != 2 {
-		t.Errorf("%d tokens after 0.4 s, want 2", n)
+		t.Errorf("tokens 0.4 s after the burst: got %d, want 2", n)
 	}
 }
 
 func TestRateBelowOnePerSecondStillAccumulatesOneToken(t *testing.T) {
 	b := New(0.5)
 	if n := takeUpTo(&b, time.Hour, 100); n != 1 {
-		t.Errorf("%d tokens, want 1", n)
+		t.Errorf("tokens after a long pause: got %d, want 1", n)
 	}
 	if b.Take(time.Hour + time.Second) {
-		t.Error("took a token after half of the time to refill one")
+		t.Error("Take() = true after half the time to refill a token, want false")
 	}
 	if !b.Take(time.Hour + 2*time.Second) {
-		t.Error("no token after the time to refill one")
+		t.Error("Take() = false after the time to refill a token, want true")
 	}
 }
 
 func TestRateZeroIsUnlimited(t *testing.T) {
 	b := New(0)
 	if n := takeUpTo(&b, time.Hour, 1000); n != 1000 {
-		t.Errorf("took %d tokens without a limit, want all 1000", n)
+		t.Errorf("tokens without a limit: got %d, want all 1000", n)
 	}
 }
 
@@ -49,6 +49,6 @@
 	takeUpTo(&b, time.Hour, 100)
 	b.Return()
 	if n := takeUpTo(&b, time.Hour, 100); n != 1 {
-		t.Errorf("%d tokens after one was returned, want 1", n)
+		t.Errorf("tokens after a token was returned: got %d, want 1", n)
 	}
 }
