--- a/internal/upstream/dial_test.go
+++ b/internal/upstream/dial_test.go
@@ -15,7 +15,8 @@
 )
 
 // If this machine lacks a resource for a connection, the server is not at fault and the status is
-// NotSent. If the server cannot be reached, the status is ConnectFailed. Both free the capacity.
+// NotSent. If the server cannot be reached, the status is ConnectFailed. In either case, the failed
+// connection must no longer count as open.
 func TestFailedDialStatus(t *testing.T) {
 	for errno, want := range map[syscall.Errno]policy.Status{
 		syscall.EMFILE: policy.NotSent, syscall.ENOBUFS: policy.NotSent, syscall.EADDRNOTAVAIL: policy.NotSent,
@@ -45,16 +46,16 @@
 
 	result := pool.Send(NewCall(t.Context(), neverDisconnected), id, newTestRequest(), time.Now().Add(timeout))
 	if result.Status != policy.OK {
-		t.Fatalf("attempt ended with status %v, want %v", result.Status, policy.OK)
+		t.Fatalf("status of the attempt: got %v, want %v", result.Status, policy.OK)
 	}
 	received := testkit.Wait(t, backend.Requests, "the request")
 	milliseconds, err := strconv.Atoi(received.Header.Get(timeoutHeader))
 	if err != nil || milliseconds <= 0 || time.Duration(milliseconds)*time.Millisecond > timeout-connecting {
-		t.Errorf("the server got a timeout of %d ms (error %v), want at most %v", milliseconds, err, timeout-connecting)
+		t.Errorf("timeout header: got %d ms, error %v; want at most %v", milliseconds, err, timeout-connecting)
 	}
 }
 
-// An attempt is not sent if the client's deadline has passed when the connection is established.
+// An attempt must not be sent if the client's deadline has passed when the connection is established.
 func TestAttemptIsNotSentAfterClientDeadline(t *testing.T) {
 	backend := testkit.NewBackend(t, testkit.OK)
 	pool, id := newPoolWithServer(testPoolConfig(), backend.Address())
@@ -63,8 +64,8 @@
 	result := pool.Send(call, id, newTestRequest(), time.Now())
 
 	if result.Status != policy.NotSent || call.Started() || len(backend.Requests) > 0 {
-		t.Errorf("status %v, sent %v, %d requests received; want %v, false, 0", result.Status, call.Started(),
-			len(backend.Requests), policy.NotSent)
+		t.Errorf("attempt: got status %v, sent %v, %d requests received; want %v, false, 0",
+			result.Status, call.Started(), len(backend.Requests), policy.NotSent)
 	}
 }
 
@@ -77,6 +78,6 @@
 	})
 	call.SetWriteDeadline(time.Now())
 	if err := call.checkAndMarkSent(); !errors.Is(err, errWriteDeadline) {
-		t.Errorf("checkAndMarkSent returned %v, want %v", err, errWriteDeadline)
+		t.Errorf("checkAndMarkSent() = %v, want %v", err, errWriteDeadline)
 	}
 }
