--- a/internal/upstream/endpoints_test.go
+++ b/internal/upstream/endpoints_test.go
@@ -20,7 +20,7 @@
 		kind      policy.UpdateKind
 		endpoints []endpoint.Endpoint
 		revoked   bool
-		listed    bool // the server is still in the pool
+		listed    bool // whether the server is still in the pool
 	}{
 		"unchanged":         {policy.UpdateSnapshot, []endpoint.Endpoint{known}, false, true},
 		"not in a delta":    {policy.UpdateDelta, nil, false, true},
@@ -44,22 +44,23 @@
 		t.Run(name, func(t *testing.T) {
 			pool := NewPool(testPoolConfig())
 			if revoked := pool.UpdateEndpoints(policy.UpdateSnapshot, []endpoint.Endpoint{known}); !revoked.Contains(known.ID) {
-				t.Error("a new server is not among the servers to revoke")
+				t.Error("UpdateEndpoints did not return a new server, want it among the servers to revoke")
 			}
 
 			revoked := pool.UpdateEndpoints(c.kind, c.endpoints)
 
 			if got := revoked.Contains(known.ID); got != c.revoked {
-				t.Errorf("revoked %v, want %v", got, c.revoked)
+				t.Errorf("server revoked: got %v, want %v", got, c.revoked)
 			}
 			if _, listed := pool.Stats().Servers[known.ID]; listed != c.listed {
-				t.Errorf("listed %v, want %v", listed, c.listed)
+				t.Errorf("server listed: got %v, want %v", listed, c.listed)
 			}
 		})
 	}
 }
 
-// A connection that is in use when its server is replaced by another incarnation is closed at its release.
+// When a server is replaced by another incarnation, its idle connections are closed at once, and connections in use
+// when they are released.
 func TestReplacedServerKeepsNoConnections(t *testing.T) {
 	server := testkit.NewScriptedServer(t, okResponse, testkit.KeepAlive)
 	pool, id := newPoolWithServer(testPoolConfig(), server.Address)
