--- a/internal/upstream/exchange_test.go
+++ b/internal/upstream/exchange_test.go
@@ -13,12 +13,12 @@
 	"calicohinge/policy"
 )
 
-// responseCase is a response and the expected effect on two attempts that get it, one after the other.
+// responseCase is a response and its expected effect on two consecutive attempts, which both get it.
 type responseCase struct {
 	response    string
 	persistence testkit.Persistence
-	status      policy.Status // of each attempt
-	connections int           // number of connections that both attempts use
+	status      policy.Status // status of each attempt
+	connections int           // number of connections that the two attempts use in total
 }
 
 func TestCompleteResponseDeterminesStatusAndReuse(t *testing.T) {
@@ -126,14 +126,14 @@
 				testResponse(t, pool, id, c.status)
 			}
 			if len(server.Conns) != c.connections {
-				t.Errorf("the attempts used %d connections, want %d", len(server.Conns), c.connections)
+				t.Errorf("connections of both attempts: got %d, want %d", len(server.Conns), c.connections)
 			}
 		})
 	}
 }
 
-// testResponse makes an attempt and checks its result. The timeout only limits the time of the test:
-// Send has to recognize an invalid response without it.
+// testResponse makes an attempt and checks its result. The timeout only bounds the duration of the
+// test: Send must recognize an invalid response without it.
 func testResponse(t *testing.T, pool *Pool, id policy.ServerID, want policy.Status) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), testkit.WaitTimeout)
@@ -143,10 +143,10 @@
 		t.Error("the attempt did not end before the timeout of its context")
 	}
 	if result.Status != want {
-		t.Errorf("attempt ended with status %v, want %v", result.Status, want)
+		t.Errorf("status of the attempt: got %v, want %v", result.Status, want)
 	}
 	if want == policy.OK && string(result.Body) != "hi" {
-		t.Errorf("body is %q, want %q", result.Body, "hi")
+		t.Errorf("body of the response: got %q, want %q", result.Body, "hi")
 	}
 }
 
@@ -172,7 +172,7 @@
 			request := newTestRequest()
 			request.ResponseReadTimeout = c.readTimeout
 			if result := send(t.Context(), pool, id, request); result.Status != c.want {
-				t.Errorf("attempt ended with status %v, want %v", result.Status, c.want)
+				t.Errorf("status of the attempt: got %v, want %v", result.Status, c.want)
 			}
 			close(attemptEnded)
 		})
@@ -199,7 +199,7 @@
 			backend := testkit.NewBackend(t, hijackHandler(func(conn net.Conn) {
 				_, err := io.WriteString(conn, start)
 				for err == nil {
-					time.Sleep(time.Millisecond) // the test is about slow writes
+					time.Sleep(time.Millisecond) // the read timeout must pass before the response is too large
 					_, err = io.WriteString(conn, "x")
 				}
 			}))
