--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -67,7 +67,7 @@
 func expectAttemptStatus(t *testing.T, pool *Pool, id policy.ServerID, want policy.Status) {
 	t.Helper()
 	if result := send(t.Context(), pool, id, newTestRequest()); result.Status != want {
-		t.Errorf("attempt ended with status %v, want %v", result.Status, want)
+		t.Errorf("status of the attempt: got %v, want %v", result.Status, want)
 	}
 }
 
@@ -75,7 +75,7 @@
 func expectOpenConnections(t *testing.T, pool *Pool, want int) {
 	t.Helper()
 	if open := pool.Stats().Open; open != want {
-		t.Errorf("%d open connections, want %d", open, want)
+		t.Errorf("open connections: got %d, want %d", open, want)
 	}
 }
 
