--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -38,7 +38,7 @@
 		t.Fatal(err)
 	}
 	if text := testkit.Wait(t, received, "bytes on the later connection"); text != "later" {
-		t.Errorf("the server received %q, want only the bytes of the later connection", text)
+		t.Errorf("bytes received by the server: got %q, want only those of the later connection", text)
 	}
 	expectOpenConnections(t, pool, 0)
 }
@@ -77,9 +77,8 @@
 	}
 }
 
-// After its response, a server may close the connection or send another response, which takes a
-// moment to arrive. A request that is written before that would be lost, or would get a response that
-// does not belong to it.
+// After its response, a server may close the connection or send more bytes. Either takes a moment to
+// become visible. A request that is written before then would be lost or would get a wrong response.
 func TestConnectionIsNotReusedWithinTheSettleDelay(t *testing.T) {
 	const surplusResponse = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nold"
 	for name, afterResponse := range map[string]func(conn net.Conn){
@@ -111,7 +110,7 @@
 		t.Helper()
 		result := send(t.Context(), pool, id, newTestRequest())
 		if result.Status != policy.OK || string(result.Body) != "hi" {
-			t.Errorf("status %v, body %q; want %v, %q", result.Status, result.Body, policy.OK, "hi")
+			t.Errorf("attempt: got status %v, body %q; want %v, %q", result.Status, result.Body, policy.OK, "hi")
 		}
 	}
 
@@ -123,5 +122,5 @@
 	pool.config.SettleDelay = 0
 
 	expectServed()                    // on a new connection: the first two are closed or have unread bytes
-	expectOpenConnections(t, pool, 1) // only the last one
+	expectOpenConnections(t, pool, 1) // only the connection of the last attempt
 }
