--- a/internal/upstream/send_test.go
+++ b/internal/upstream/send_test.go
@@ -24,11 +24,11 @@
 	call.Revoke()
 
 	if result := pool.Send(call, id, newTestRequest(), clientDeadline()); result.Status != policy.NotSent {
-		t.Errorf("revoked attempt ended with status %v, want %v", result.Status, policy.NotSent)
+		t.Errorf("status of the revoked attempt: got %v, want %v", result.Status, policy.NotSent)
 	}
 	send(t.Context(), pool, id, newTestRequest())
 	if len(backend.Requests) != 1 {
-		t.Errorf("the server received %d requests, want only the second one", len(backend.Requests))
+		t.Errorf("requests received by the server: got %d, want 1, that of the second attempt", len(backend.Requests))
 	}
 }
 
@@ -40,14 +40,14 @@
 	result := pool.Send(call, id, newTestRequest(), clientDeadline())
 
 	if result.Status != policy.NotSent || !result.ClientDisconnected {
-		t.Errorf("status %v, client disconnected %v; want %v, true",
+		t.Errorf("attempt: got status %v, client disconnected %v; want %v, true",
 			result.Status, result.ClientDisconnected, policy.NotSent)
 	}
 	if len(backend.Requests) != 0 || call.Started() {
-		t.Errorf("%d requests received, sent %v; want 0, false", len(backend.Requests), call.Started())
+		t.Errorf("attempt: got %d requests received, sent %v; want 0, false", len(backend.Requests), call.Started())
 	}
 	if pool.Stats().Idle() != 1 {
-		t.Error("the unused connection was not kept")
+		t.Error("Stats().Idle() after the attempt is not 1, want the unused connection kept")
 	}
 }
 
@@ -55,15 +55,15 @@
 	pool, id := newPoolWithServer(testPoolConfig(), testkit.NewBackend(t, testkit.OK).Address())
 	call := NewCall(t.Context(), neverDisconnected)
 	if result := pool.Send(call, id, newTestRequest(), clientDeadline()); result.Status != policy.OK {
-		t.Errorf("attempt ended with status %v, want %v", result.Status, policy.OK)
+		t.Errorf("status of the attempt: got %v, want %v", result.Status, policy.OK)
 	}
 	if call.Revoke() || call.Revoked() || !call.Started() {
-		t.Errorf("after Revoke: revoked %v, sent %v; want a sent attempt that stays so", call.Revoked(), call.Started())
+		t.Errorf("after Revoke: got revoked %v, sent %v; want false, true", call.Revoked(), call.Started())
 	}
 }
 
-// If the server has closed a new connection, nothing was written to it. The status ConnectFailed allows
-// a retry on another server.
+// Nothing is written to a new connection that the server has closed, so the attempt may be retried on
+// another server. The status ConnectFailed allows that.
 func TestClosedNewConnectionIsConnectFailed(t *testing.T) {
 	listener := testkit.Listen(t)
 	pool, id := newPoolWithServer(testPoolConfig(), listener.Addr().String())
@@ -78,7 +78,7 @@
 	closeQuietly(accepted)
 	testkit.Until(t, "the close to be visible", func() bool { return sockstate.Peek(conn.Conn) != sockstate.Quiet })
 
-	conn.server.idle = append(conn.server.idle, conn) // the next attempt gets it as a new connection
+	conn.server.idle = append(conn.server.idle, conn) // the next attempt takes the connection, which counts as new
 	conn.idleSince = time.Now()
 	expectAttemptStatus(t, pool, id, policy.ConnectFailed)
 }
@@ -104,10 +104,10 @@
 
 	result := testkit.Wait(t, results, "the end of the attempt")
 	if result.Status != policy.ConnectFailed && result.Status != policy.NotSent {
-		t.Errorf("attempt ended with status %v, want %v or %v", result.Status, policy.ConnectFailed, policy.NotSent)
+		t.Errorf("status of the attempt: got %v, want %v or %v", result.Status, policy.ConnectFailed, policy.NotSent)
 	}
 	if err := readRequest(conn); err == nil || testkit.IsTimeout(err) {
-		t.Errorf("reading the request returned %v, want a truncated request on a closed connection", err)
+		t.Errorf("readRequest() = %v, want the error of a truncated request on a closed connection", err)
 	}
 }
 
