--- a/cmd/simadapter/adapter.go
+++ b/cmd/simadapter/adapter.go
@@ -45,7 +45,7 @@
 			instanceSelected = true
 			continue
 		}
-		if !instanceSelected || !a.accepts(event.Code) {
+		if !instanceSelected || !a.mayReceive(event.Code) {
 			return &simproto.FormatError{
 				Batch: batch.Number, Record: i, Err: fmt.Errorf("event %q: %w", event.Code, errNoInstance),
 			}
@@ -60,9 +60,9 @@
 	a.reply.SelectInstance(instance)
 }
 
-// accepts reports whether the selected instance can receive an event. An instance that is not
+// mayReceive reports whether the selected instance can receive an event. An instance that is not
 // open can receive only the event that opens it.
-func (a *adapter) accepts(code simproto.EventCode) bool {
+func (a *adapter) mayReceive(code simproto.EventCode) bool {
 	return code == simproto.EventOpen || a.instances[a.selected] != nil
 }
 
