--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -11,13 +11,13 @@
 
 // configFile is the JSON form of the configuration file.
 type configFile struct {
-	Name      string            `json:"name"`
-	Listen    string            `json:"listen"`
-	Discovery string            `json:"discovery"`
-	Seed      string            `json:"seed"`
-	Limits    Limits            `json:"limits"`
-	Known     endpointjson.List `json:"known"`
-	Settings  json.RawMessage   `json:"settings"`
+	Name       string            `json:"name"`
+	Listen     string            `json:"listen"`
+	Discovery  string            `json:"discovery"`
+	Seed       string            `json:"seed"`
+	Limits     Limits            `json:"limits"`
+	CachedList endpointjson.List `json:"known"`
+	Settings   json.RawMessage   `json:"settings"`
 }
 
 // readConfig reads the configuration file without applying the environment overrides. It also
@@ -64,7 +64,7 @@
 		Listen:     file.Listen,
 		Discovery:  file.Discovery,
 		Limits:     file.Limits,
-		CachedList: file.Known.Translate(),
+		CachedList: file.CachedList.Translate(),
 	}
 	var err error
 	if config.Seed, err = parseSeed(file.Seed); err != nil {
