--- a/internal/processstart/estimator.go
+++ b/internal/processstart/estimator.go
@@ -45,7 +45,7 @@
 // observe updates the servers' clock from the endpoints of an update and decides whether the estimates for that
 // update use it: always once discovery has responded, before that only if few servers are warming up.
 func (e *estimator) observe(list []endpoint.Endpoint, now time.Duration) {
-	e.learnServerClock(list, now)
+	e.inferServerClock(list, now)
 	e.useServerClock = e.lastResponseAt > 0 || e.fewAreWarmingUp(list, now)
 }
 
@@ -84,11 +84,11 @@
 	return min(byStartupClock, byCurrentClock)
 }
 
-// learnServerClock infers the servers' wall time from their start times: no process starts after it is listed.
+// inferServerClock infers the servers' wall time from their start times: no process starts after it is listed.
 // The inferred time lags by the age that the newest process had when it was listed, so that all ages are too low
 // by as much. If the clock of one server's machine is ahead, the inferred time is ahead too, and from then on only
 // the other two ages limit the estimates.
-func (e *estimator) learnServerClock(list []endpoint.Endpoint, now time.Duration) {
+func (e *estimator) inferServerClock(list []endpoint.Endpoint, now time.Duration) {
 	for i := range list {
 		if list[i].StartedAt.IsZero() {
 			continue
