--- a/internal/simproto/encode.go
+++ b/internal/simproto/encode.go
@@ -58,8 +58,8 @@
 // SelectInstance sets the instance to which the following actions belong.
 func (r *Reply) SelectInstance(instance uint16) { r.selectedInstance = instance }
 
-// action appends an action record. If the instance has changed, it appends a context record first.
-func (r *Reply) action(code actionCode) record {
+// appendAction appends an action record. If the instance has changed, it appends a context record first.
+func (r *Reply) appendAction(code actionCode) record {
 	if r.contextInstance != int(r.selectedInstance) {
 		r.contextInstance = int(r.selectedInstance)
 		r.appendRecord(actionContext).putUint16(instanceOffset, r.selectedInstance)
@@ -78,9 +78,9 @@
 	return rec
 }
 
-// requestAction appends an action record about a request.
-func (r *Reply) requestAction(code actionCode, id policy.RequestID) record {
-	rec := r.action(code)
+// appendRequestAction appends an action record about a request.
+func (r *Reply) appendRequestAction(code actionCode, id policy.RequestID) record {
+	rec := r.appendAction(code)
 	rec.putRequestID(id)
 	return rec
 }
@@ -91,7 +91,7 @@
 		serverOffset  = 5
 		timeoutOffset = 11
 	)
-	rec := r.requestAction(actionSend, id)
+	rec := r.appendRequestAction(actionSend, id)
 	rec.putServerID(serverOffset, server)
 	rec.putDuration(timeoutOffset, timeout)
 }
@@ -99,17 +99,17 @@
 // Cancel implements policy.Host.
 func (r *Reply) Cancel(id policy.RequestID, attempt int) {
 	const attemptOffset = 5
-	r.requestAction(actionCancel, id).putUint16(attemptOffset, uint16(attempt))
+	r.appendRequestAction(actionCancel, id).putUint16(attemptOffset, uint16(attempt))
 }
 
 // Reject implements policy.Host.
 func (r *Reply) Reject(id policy.RequestID, retryAfter time.Duration) {
 	const retryAfterOffset = 5
-	r.requestAction(actionReject, id).putDuration(retryAfterOffset, retryAfter)
+	r.appendRequestAction(actionReject, id).putDuration(retryAfterOffset, retryAfter)
 }
 
 // Fail implements policy.Host.
-func (r *Reply) Fail(id policy.RequestID) { r.requestAction(actionFail, id) }
+func (r *Reply) Fail(id policy.RequestID) { r.appendRequestAction(actionFail, id) }
 
 // SetTimer implements policy.Host.
 func (r *Reply) SetTimer(at time.Duration, token uint64) {
@@ -117,7 +117,7 @@
 		timeOffset  = 1
 		tokenOffset = 9
 	)
-	rec := r.action(actionSetTimer)
+	rec := r.appendAction(actionSetTimer)
 	rec.putDuration(timeOffset, at)
 	rec.putUint64(tokenOffset, token)
 }
@@ -128,7 +128,7 @@
 		subscribeOffset = 1
 		subscribe       = 1 // 0 unsubscribes
 	)
-	r.action(actionWatchEndpoints)[subscribeOffset] = subscribe
+	r.appendAction(actionWatchEndpoints)[subscribeOffset] = subscribe
 }
 
 // Fatal appends an action that ends the simulation with an error text.
@@ -137,7 +137,7 @@
 		textReferenceOffset = 1
 		textSizeOffset      = 5
 	)
-	rec := r.action(actionFatal)
+	rec := r.appendAction(actionFatal)
 	rec.putUint32(textReferenceOffset, uint32(len(r.tail)))
 	rec.putUint32(textSizeOffset, uint32(len(text)))
 	r.tail = append(r.tail, text...)
