--- a/internal/node/handler.go
+++ b/internal/node/handler.go
@@ -150,7 +150,7 @@
 // another request with the same X-Request-ID is active, or errClientDisconnected.
 func (h *handler) submit(w http.ResponseWriter, r *http.Request, parsed *request) error {
 	id := parsed.Header.Get("X-Request-Id")
-	if !h.activeIDs.reserve(id) {
+	if !h.activeIDs.add(id) {
 		return &rejectionError{status: http.StatusConflict, reason: "a request with this X-Request-ID is open"}
 	}
 	h.lastRequestAt.Store(int64(h.loop.clock.now()))
@@ -159,7 +159,7 @@
 	// request's read deadline for one. The error is ignored: a broken connection is detected elsewhere.
 	_ = controller.SetReadDeadline(time.Time{})
 	final, err := h.loop.submit(r.Context(), parsed)
-	h.activeIDs.release(id)
+	h.activeIDs.remove(id)
 	if err != nil {
 		return err
 	}
--- a/internal/node/requestids.go
+++ b/internal/node/requestids.go
@@ -8,8 +8,8 @@
 	ids map[string]struct{}
 }
 
-// reserve adds an ID to the set. It returns false if the ID is already in use.
-func (s *requestIDs) reserve(id string) bool {
+// add adds an ID to the set. It returns false if the ID is already in use.
+func (s *requestIDs) add(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if _, used := s.ids[id]; used {
@@ -22,8 +22,8 @@
 	return true
 }
 
-// release removes an ID from the set.
-func (s *requestIDs) release(id string) {
+// remove removes an ID from the set.
+func (s *requestIDs) remove(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.ids, id)
