--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -11,14 +11,14 @@
 	"calicohinge/internal/config"
 )
 
-// The platform kills a node some time after SIGTERM: after the longest deadline of any class, at most killDeadlineCap,
-// plus killDeadlineExtra.
+// The platform kills a node some time after SIGTERM: after the longest deadline of any class, at most maxDeadlineWait,
+// plus killDelay.
 const (
-	killDeadlineCap   = 3 * time.Second
-	killDeadlineExtra = 700 * time.Millisecond
-	// killDeadlineMargin is the time between the end of the grace period and the kill. It allows for a pause of the
+	maxDeadlineWait = 3 * time.Second
+	killDelay       = 700 * time.Millisecond
+	// killMargin is the time between the end of the grace period and the kill. It allows for a pause of the
 	// process of 150 ms and for the writing of the last responses.
-	killDeadlineMargin = 250 * time.Millisecond
+	killMargin = 250 * time.Millisecond
 )
 
 // The durations of the shutdown phases.
@@ -35,7 +35,7 @@
 	terminationPeriod = 50 * time.Millisecond
 	// writePeriod is how long after the grace period the last responses may still be written, which takes time if
 	// a client does not read. It is short enough for the node to exit before it is killed.
-	writePeriod = killDeadlineMargin / 2
+	writePeriod = killMargin / 2
 	// minWritePeriod is the minimum time for writing the last responses, even if the process was paused and the
 	// write period has passed.
 	minWritePeriod = 100 * time.Millisecond
@@ -48,7 +48,7 @@
 	for _, class := range cfg.Policy.Classes {
 		longest = max(longest, class.Deadline)
 	}
-	return min(longest, killDeadlineCap) + killDeadlineExtra - killDeadlineMargin
+	return min(longest, maxDeadlineWait) + killDelay - killMargin
 }
 
 // shutdown is a graceful shutdown in progress.
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -180,9 +180,9 @@
 // shutdownStart.
 func wantBeforeKill(t *testing.T, shutdownStart time.Time) {
 	t.Helper()
-	if took := time.Since(shutdownStart); took >= killDeadlineCap+killDeadlineExtra {
+	if took := time.Since(shutdownStart); took >= maxDeadlineWait+killDelay {
 		t.Errorf("the last response came %v after the start of the shutdown, want less than %v, when the node is killed",
-			took, killDeadlineCap+killDeadlineExtra)
+			took, maxDeadlineWait+killDelay)
 	}
 }
 
