--- a/cmd/balancer/main.go
+++ b/cmd/balancer/main.go
@@ -32,8 +32,8 @@
 	// become more frequent. The rest is left for stacks and socket buffers.
 	memoryLimitNumerator, memoryLimitDenominator = 7, 10
 	// logFlushTimeout limits how long a regular exit waits for queued log lines to be
-	// written. It takes little of the time that a shutdown leaves before the platform
-	// kills the process.
+	// written. It is short compared with the time that remains after a shutdown before the
+	// platform kills the process.
 	logFlushTimeout = 20 * time.Millisecond
 	// errorFlushTimeout is the same limit for an exit with an error.
 	errorFlushTimeout = time.Second
