--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -30,7 +30,7 @@
 	Name           string // name of the node, used in logs only
 	Listen         string // address at which the node accepts client connections
 	Discovery      string // address of the discovery service
-	Seed           uint64
+	Seed           uint64 // seed of the balancer's random choices
 	Limits         Limits
 	CachedList     endpoint.List // endpoint list used until discovery has sent one
 	Policy         policy.Settings
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -9,7 +9,8 @@
 	minSockets = 64
 )
 
-// Limits holds the resources that the process may use. For Cores and MemoryMB, 0 means no limit.
+// Limits holds the resources that the process may use. In the configuration file, 0 means no limit for Cores and
+// MemoryMB, and the default for Sockets.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
