--- a/internal/config/error.go
+++ b/internal/config/error.go
@@ -17,8 +17,8 @@
 	Err     error  // the cause; may be nil
 }
 
-// Error returns the file, the key, the value and the allowed values. If Allowed is empty, the cause replaces the
-// last two.
+// Error returns a line with the file, the key, the value and the allowed values. If Allowed is empty, the line has the
+// cause in place of the value and the allowed values.
 func (e *Error) Error() string {
 	text := "configuration"
 	if e.File != "" {
@@ -56,7 +56,7 @@
 
 func (t jsonType) String() string { return "a JSON " + string(t) }
 
-// decodeJSON decodes the JSON text at the given key. An empty key stands for the whole file.
+// decodeJSON decodes the JSON text of the value at a key. An empty key stands for the whole file.
 func decodeJSON(text []byte, key string, target any) error {
 	err := json.Unmarshal(text, target)
 	if err == nil {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -86,8 +86,8 @@
 	return settings
 }
 
-// limits translates what clients and servers permit: the number of attempts, hedged requests,
-// cancellation and Retry-After. MaxRetryAfter stays 0 unless Retry-After is permitted.
+// limits translates the settings of what clients and servers permit: the maximum number of attempts,
+// hedged requests, cancellation and Retry-After. MaxRetryAfter stays 0 unless Retry-After is permitted.
 func (t *translator) limits(limits *policy.Limits, source *limitsJSON) {
 	setIfPresent(&limits.MaxAttempts, source.MaxAttempts)
 	limits.Cancel = source.Cancel
--- a/internal/config/settings_table.go
+++ b/internal/config/settings_table.go
@@ -7,7 +7,7 @@
 	"calicohinge/internal/milliseconds"
 )
 
-// kind says how the value of a setting is translated. The zero kind is a value that package policy uses
+// kind says how the value of a setting is translated. The zero kind stands for a value that package policy uses
 // unchanged.
 type kind int
 
--- a/internal/config/translator.go
+++ b/internal/config/translator.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// duration sets the field to a time in milliseconds. If ms is nil, the field is unchanged.
+// duration sets the field to the time that ms gives in milliseconds. If ms is nil, the field is unchanged.
 func (t *translator) duration(field *time.Duration, key string, ms *float64) {
 	if ms == nil {
 		return
