--- a/internal/endpoint/endpoint.go
+++ b/internal/endpoint/endpoint.go
@@ -1,6 +1,6 @@
 // Package endpoint defines the node's representation of the endpoint list: the servers of the fleet with their
-// IDs, states and start times. Package endpointjson translates the JSON form into it; packages config, discovery,
-// node and upstream use it. It keeps no state.
+// IDs, states and start times. Package endpointjson translates the JSON form into these types; packages config,
+// discovery, node and upstream use them. Package endpoint keeps no state.
 package endpoint
 
 import (
@@ -13,19 +13,19 @@
 // List is a snapshot of the endpoint list, or a delta with the endpoints that changed since an earlier generation.
 type List struct {
 	Generation uint64 // increases with each change
-	Complete   bool   // a snapshot: an endpoint that is not listed has been removed
+	Complete   bool   // whether the list is a snapshot; an endpoint that a snapshot omits has been removed
 	Endpoints  []Endpoint
 }
 
 // Endpoint is the entry of one server in a list.
 type Endpoint struct {
-	ID        policy.ServerID // 0: the list gave no instance ID
-	Address   string          // host:port
+	ID        policy.ServerID // 0 if the list gave no instance ID
+	Address   string          // in the form host:port
 	Zone      string
 	Cell      int
 	State     policy.EndpointState
-	Weight    float64   // approximate capacity relative to other servers; 0: unknown
-	StartedAt time.Time // start of the server process by the wall clock of its machine; zero: long ago
+	Weight    float64   // approximate capacity relative to other servers; 0 if unknown
+	StartedAt time.Time // start of the server process by the wall clock of its machine; the zero time means long ago
 }
 
 // IDOf returns the server ID for an instance ID: its 64-bit FNV-1a hash, or 0 if the instance ID is empty.
