--- a/internal/endpointjson/endpointjson.go
+++ b/internal/endpointjson/endpointjson.go
@@ -1,6 +1,7 @@
 // Package endpointjson defines the JSON form of the endpoint list and translates it into the types of package
 // endpoint. The discovery service publishes the list in this form, and a node's configuration file may contain
-// one. No other package depends on the JSON names. Packages config and discovery use it. It keeps no state.
+// a list. No other package depends on the JSON names. Packages config and discovery use the package. It keeps no
+// state.
 package endpointjson
 
 import (
@@ -14,7 +15,7 @@
 // List is an endpoint list in its JSON form.
 type List struct {
 	Generation uint64     `json:"generation"`
-	Reset      bool       `json:"reset"` // the list is a snapshot
+	Reset      bool       `json:"reset"` // whether the list is a snapshot
 	Endpoints  []Endpoint `json:"instances"`
 }
 
@@ -26,7 +27,7 @@
 	Cell             int     `json:"cell"`
 	Lifecycle        string  `json:"lifecycle"`
 	Weight           float64 `json:"weight"`
-	StartedUnixMilli float64 `json:"startedAtMs"` // milliseconds since the Unix epoch; 0 or negative: long ago
+	StartedUnixMilli float64 `json:"startedAtMs"` // milliseconds since the Unix epoch; 0 or less means long ago
 }
 
 // Values of Endpoint.Lifecycle. Any other value means draining.
