--- a/internal/netdial/netdial.go
+++ b/internal/netdial/netdial.go
@@ -37,7 +37,7 @@
 }
 
 // IsLocalFailure reports whether only this machine can have caused a dial to fail, according to socket(2) and
-// connect(2). It returns false for an unreachable address, which the peer may have caused.
+// connect(2). It returns false for an unreachable network or host, which the peer may have caused.
 func IsLocalFailure(err error) bool {
 	return syserror.IsShortage(err) || errors.Is(err, syscall.EADDRNOTAVAIL) ||
 		errors.Is(err, syscall.EADDRINUSE) || errors.Is(err, syscall.ENETDOWN)
--- a/internal/netdial/stagger.go
+++ b/internal/netdial/stagger.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Stagger returns a dial function that starts an attempt at once and another one after each interval until one
+// Stagger returns a dial function that starts an attempt at once and another after each interval until an attempt
 // succeeds. Each attempt ends after timeout. The function returns the first connection and closes those of the
 // other attempts. It fails when ctx ends, or as soon as an attempt fails other than by a timeout.
 //
@@ -25,8 +25,8 @@
 type staggeredDial struct {
 	dial             Func
 	network, address string
-	timeout          time.Duration   // per attempt
-	results          chan dialResult // unbuffered
+	timeout          time.Duration   // maximum duration of each attempt
+	results          chan dialResult // unbuffered, so that an attempt closes a connection that run does not receive
 }
 
 // dialResult is the result of one attempt.
