--- a/internal/syserror/syserror.go
+++ b/internal/syserror/syserror.go
@@ -12,8 +12,8 @@
 const (
 	// maxAttempts limits how often Retry calls an operation.
 	maxAttempts = 6
-	// initialBackoff is the backoff before the second attempt. It doubles with each further attempt and adds up to
-	// 310 ms at most.
+	// initialBackoff is the backoff before the second attempt. The backoff doubles with each further attempt. All
+	// backoffs of one operation together take 310 ms at most.
 	initialBackoff = 10 * time.Millisecond
 )
 
