--- a/internal/sockstate/sockstate.go
+++ b/internal/sockstate/sockstate.go
@@ -9,7 +9,7 @@
 	"syscall"
 )
 
-// State is the state of a socket at the time of a call of Peek.
+// State is the state of a socket at the time at which Peek was called.
 type State int
 
 // States of a socket.
@@ -43,14 +43,14 @@
 		return Closed
 	}
 	state := Closed
-	// Control rather than Read, because Read would wait for another reader that is blocked in it.
+	// raw.Control, because raw.Read would wait as long as another goroutine is blocked in a read of the connection.
 	if err := raw.Control(func(fd uintptr) { state = peek(int(fd)) }); err != nil {
 		return Closed
 	}
 	return state
 }
 
-// peek returns the state of the socket with a file descriptor.
+// peek returns the state of the socket with the given file descriptor.
 func peek(fd int) State {
 	var buffer [1]byte
 	for {
