--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -2,11 +2,11 @@
 // graceful shutdown. An HTTP handler validates the requests of clients and submits them to an
 // event loop. The loop passes them to package policy and carries out the decisions over packages
 // upstream and discovery. Package node makes no balancing decision of its own, and only the
-// loop's goroutine calls the policy.Balancer. The balancer program is its caller.
+// loop's goroutine calls the policy.Balancer. cmd/balancer is the package's only caller.
 //
-// The event types list what the loop handles. requestState and attemptState document the state
-// transitions of requests and attempts, shutdown.run the order of the shutdown steps. If the
-// listener fails, the node logs "accepting connections failed" and shuts down gracefully.
+// The types that implement event list what the loop handles. requestState and attemptState document
+// the state transitions of requests and attempts, and shutdown.run documents the order of the shutdown
+// steps. If the listener fails, the node logs "accepting connections failed" and shuts down gracefully.
 package node
 
 import (
@@ -25,17 +25,18 @@
 )
 
 const (
-	// baseDescriptors are the file descriptors for standard streams, runtime, listener and discovery.
+	// baseDescriptors is the number of file descriptors set aside for the standard streams, the Go runtime, the
+	// listener and discovery.
 	baseDescriptors = 24
-	// upstreamShare is the fraction of the remaining descriptors that is available for connections to servers.
-	// Client connections get the larger part because some of them are unused or idle.
+	// upstreamShare is the fraction of the remaining descriptors that connections to servers may use. The larger part
+	// is for client connections, because some of them are unused or idle.
 	upstreamShare = 0.45
-	// reserveDivisor determines how many of the remaining descriptors are reserved for clients over the connection
-	// limit, whose requests are rejected: one in reserveDivisor.
+	// reserveDivisor determines the number of descriptors that are reserved for client connections over the limit,
+	// whose requests are rejected: the remaining descriptors divided by reserveDivisor.
 	reserveDivisor = 20
 )
 
-// Node is one load balancer node. Listen creates it, Run serves.
+// Node is one load balancer node. Listen creates it, and Run serves requests.
 type Node struct {
 	cfg       *config.Config
 	listener  net.Listener
@@ -66,7 +67,7 @@
 // called concurrently with itself.
 func (n *Node) SetDiscoveryAddress(addr string) { n.discovery.SetAddress(addr) }
 
-// Run serves until ctx ends or the listener fails. It then shuts down gracefully, completing all accepted
+// Run serves requests until ctx ends or the listener fails. It then shuts down gracefully, completing all accepted
 // requests. It returns an error if the listener failed.
 func (n *Node) Run(ctx context.Context) error {
 	defer func() { _ = n.listener.Close() }() // already closed, unless Run failed early
@@ -91,7 +92,7 @@
 // service holds the components of a running node and their goroutines.
 type service struct {
 	cfg         *config.Config
-	listener    *downstream.Listener // admits client connections within the limits
+	listener    *downstream.Listener // accepts client connections within the limits
 	discovery   *discovery.Client
 	pool        *upstream.Pool
 	loop        *loop
@@ -144,7 +145,7 @@
 	}
 }
 
-// stop closes the remaining connections, cancels the background goroutines and waits for them. Serve must have
+// stop closes the remaining connections, cancels the background goroutines and waits for them. server.Serve must have
 // returned. Handler goroutines are not waited for: they return once their connections are closed and the loop has
 // ended. After a graceful shutdown, each request has its final response unless its client does not read it.
 func (s *service) stop(cancelBackground context.CancelFunc) {
@@ -155,9 +156,9 @@
 
 // connectionLimits are the maximum numbers of open connections.
 type connectionLimits struct {
-	upstream   int // to servers
-	downstream int // from clients
-	reserve    int // from clients over the downstream limit
+	upstream   int // connections to servers
+	downstream int // client connections whose requests are served
+	reserve    int // further client connections, whose requests are rejected
 }
 
 // divideDescriptors divides the file descriptors of a node among its upstream and downstream connections.
