--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -12,7 +12,7 @@
 	"calicohinge/policy"
 )
 
-// errClientDisconnected is returned for a request without a final response, whose client has disconnected.
+// errClientDisconnected is returned in place of a final response if the client has disconnected.
 var errClientDisconnected = errors.New("client disconnected")
 
 // loop is the event loop that drives the balancer. Its goroutine handles events one at a time, and only this
@@ -22,13 +22,13 @@
 	queue      *eventQueue
 	endpoints  *discoveryHandler
 	pool       *upstream.Pool
-	retryAfter time.Duration // Retry-After of rejections after termination
+	retryAfter time.Duration // value of Retry-After in rejections after termination
 
 	// The fields below are used only in run's goroutine.
 	balancer   *policy.Balancer
 	host       *policyHost
 	requests   *requestTable
-	terminated bool // new requests are rejected at once
+	terminated bool // whether terminate was called, so that new requests are rejected at once
 }
 
 // newLoop returns a loop. The loop and all its attempts end with ctx.
@@ -81,8 +81,8 @@
 	}
 }
 
-// handle handles an event and the events that policyHost defers meanwhile. The time that is passed to an event is the
-// time at which its handling starts, not when it was posted or deferred.
+// handle handles an event and the events that policyHost defers meanwhile. Each event is handled with the time at which
+// its handling starts, not the time at which it was posted or deferred.
 func (l *loop) handle(next event) {
 	for ; next != nil; next = l.queue.popDeferred() {
 		next.handle(l, l.clock.now())
@@ -153,8 +153,8 @@
 	l.release(req)
 }
 
-// expireDeadline reports a timeout for each attempt in flight at the request's deadline, upon which the balancer
-// completes the request.
+// expireDeadline reports a timeout for each attempt in flight at the request's deadline. The balancer then completes
+// the request.
 func (l *loop) expireDeadline(now time.Duration, req *request) {
 	for index := range req.attempts {
 		l.reportOutcome(now, req, index, upstream.Result{Status: policy.Timeout})
@@ -162,7 +162,7 @@
 }
 
 // receiveOutcome reports the outcome of an attempt. If the attempt was not sent because the client had disconnected,
-// the clientDisconnected event may still be queued, so that the request is completed first.
+// the clientDisconnected event may still be queued. The request is therefore completed before the outcome is reported.
 func (l *loop) receiveOutcome(now time.Duration, req *request, index int, result upstream.Result) {
 	if result.ClientDisconnected {
 		l.completeDisconnected(now, req)
@@ -170,7 +170,8 @@
 	l.reportOutcome(now, req, index, result)
 }
 
-// expireKeyRetention revokes an attempt that still waits for a connection when its idempotency key may have expired.
+// expireKeyRetention revokes an attempt that still waits for a connection when servers may have discarded its
+// idempotency key.
 func (l *loop) expireKeyRetention(now time.Duration, req *request, index int) {
 	if req.attempts[index].revoke() {
 		l.reportOutcome(now, req, index, upstream.Result{Status: policy.NotSent})
@@ -204,7 +205,7 @@
 // fireTimer reports to the balancer that the timer which it requested with the given token has fired.
 func (l *loop) fireTimer(now time.Duration, token uint64) { l.balancer.Timer(now, token) }
 
-// updateEndpoints applies an update of the endpoint list. The pool is updated before the balancer, so that it knows
+// updateEndpoints applies an update of the endpoint list. The pool is updated before the balancer, so that it has
 // the address of each server that the balancer selects. Attempts that must no longer reach their servers are revoked
 // before the balancer is updated, but their outcomes are reported afterwards, so that retries use the new list.
 func (l *loop) updateEndpoints(now time.Duration, update endpointsUpdated) {
@@ -215,8 +216,8 @@
 	}
 }
 
-// reportWatchFailure reports a failed watch to the balancer, which requests the next one before notifiedAt: from then
-// on the node counts as notified of the changes that it has missed.
+// reportWatchFailure reports a failed watch to the balancer. From notifiedAt on, the node counts as notified of the
+// changes that it has missed, so the balancer requests the next watch before that time.
 func (l *loop) reportWatchFailure(now, notifiedAt time.Duration) {
 	l.balancer.WatchFailed(now, notifiedAt)
 }
