--- a/internal/node/handler.go
+++ b/internal/node/handler.go
@@ -13,7 +13,8 @@
 )
 
 const (
-	maxHeaderBytes = 16 << 10 // of the request line and header fields
+	// maxHeaderBytes limits the size of the request line and the header fields of a request.
+	maxHeaderBytes = 16 << 10
 	// readTimeout limits how long a client may take to send a request, measured from the start of the connection
 	// or from the first byte of the request. It does not depend on the request's deadline. A client that sends an
 	// incomplete request has to be disconnected within 3 s of connecting.
@@ -34,9 +35,9 @@
 	parser        requestParser
 	loop          *loop
 	conns         *downstream.Conns
-	shuttingDown  atomic.Bool  // health checks fail
-	draining      atomic.Bool  // each response closes its connection
-	lastRequestAt atomic.Int64 // time.Duration on the node's clock: when a request was last accepted
+	shuttingDown  atomic.Bool  // whether health checks fail
+	draining      atomic.Bool  // whether each response closes its connection
+	lastRequestAt atomic.Int64 // time at which a request was last accepted, as a time.Duration on the node's clock
 	activeIDs     requestIDs   // X-Request-IDs of requests without a final response
 	stats         requestStats
 }
@@ -155,8 +156,8 @@
 	}
 	h.lastRequestAt.Store(int64(h.loop.clock.now()))
 	controller := http.NewResponseController(w)
-	// net/http keeps reading from the connection to detect a disconnect, and would take the expiry of the
-	// request's read deadline for one. The error is ignored: a broken connection is detected elsewhere.
+	// net/http keeps reading from the connection to detect a disconnect, and would mistake the expiry of
+	// the request's read deadline for a disconnect. The error is ignored: a broken connection is detected elsewhere.
 	_ = controller.SetReadDeadline(time.Time{})
 	final, err := h.loop.submit(r.Context(), parsed)
 	h.activeIDs.remove(id)
@@ -175,8 +176,8 @@
 	writeResponse(w, final)
 }
 
-// withinQuietPeriod reports whether less than the quiet period has passed since the later of the given time, which
-// is on the node's clock, and the last accepted request.
+// withinQuietPeriod reports whether the quiet period has not passed yet. It starts at the given time on the node's
+// clock, and anew with each request that is accepted later.
 func (h *handler) withinQuietPeriod(at time.Duration) bool {
 	last := time.Duration(h.lastRequestAt.Load())
 	return h.loop.clock.now()-max(at, last) < quietPeriod
