--- a/internal/node/forwarded_request.go
+++ b/internal/node/forwarded_request.go
@@ -16,8 +16,8 @@
 	// maxResponseReadTimeout is the upper bound of the response read timeout, which covers the time from the first
 	// byte of a server's response to the last.
 	maxResponseReadTimeout = 150 * time.Millisecond
-	// responseReadDivisor limits the response read timeout to a fraction of the latency objective, so that a retry
-	// after an incomplete response can still meet the objective.
+	// responseReadDivisor limits the response read timeout to half of the latency objective, so that a retry after an
+	// incomplete response can still meet the objective.
 	responseReadDivisor = 2
 )
 
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -18,8 +18,8 @@
 type request struct {
 	upstream.Request
 	class, tenant int           // indexes into the lists in policy.Settings
-	costHint      time.Duration // 0: unknown
-	deadline      time.Duration // on the node's clock: when the final response is due
+	costHint      time.Duration // the client's estimate of the work; 0 if unknown
+	deadline      time.Duration // time on the node's clock at which the final response is due
 	client        clientConn
 	completion    chan completion // has capacity 1, so that the loop never blocks when it sends the only completion
 
@@ -27,7 +27,7 @@
 	id            policy.RequestID
 	state         requestState
 	attempts      []*attempt
-	inFlight      int // attempts in state attemptInFlight
+	inFlight      int // number of attempts in state attemptInFlight
 	deadlineTimer *time.Timer
 }
 
@@ -42,7 +42,7 @@
 type attempt struct {
 	call      *upstream.Call
 	server    policy.ServerID
-	startedAt time.Duration // on the node's clock
+	startedAt time.Duration // time on the node's clock
 	state     attemptState
 	timer     *time.Timer // ends or revokes the attempt before the request's deadline; may be nil
 }
--- a/internal/node/request_table.go
+++ b/internal/node/request_table.go
@@ -25,7 +25,7 @@
 	return t.lastID
 }
 
-// add adds a request, which has its ID from newID.
+// add adds a request whose ID is from newID.
 func (t *requestTable) add(req *request) { t.byID[req.id] = req }
 
 // get returns the request with the given ID, or nil if the table has none.
@@ -37,7 +37,7 @@
 // attemptRef identifies an attempt.
 type attemptRef struct {
 	request *request
-	index   int // in request.attempts
+	index   int // index in request.attempts
 }
 
 // revokeAttemptsTo revokes the attempts to the given servers that still wait for a connection, and returns them.
--- a/internal/node/response.go
+++ b/internal/node/response.go
@@ -12,7 +12,7 @@
 	status     int
 	header     http.Header   // end-to-end header fields
 	body       []byte        // complete: responses are not streamed
-	retryAfter time.Duration // 0: no Retry-After
+	retryAfter time.Duration // value of Retry-After; 0 omits the header field
 }
 
 // writeResponse writes a final response to w.
