--- a/internal/node/rejection.go
+++ b/internal/node/rejection.go
@@ -21,7 +21,7 @@
 
 // writeRejection writes the response to a request that is not forwarded. An err that is not a *rejectionError stands
 // for a body that could not be read. The connection is closed after the response if the request has a body, since
-// the rest of it is not read, and for versions before HTTP/1.1.
+// the rest of the body is not read, or if its version is older than HTTP/1.1.
 func writeRejection(w http.ResponseWriter, r *http.Request, err error) {
 	rejection, ok := errors.AsType[*rejectionError](err)
 	if !ok {
--- a/internal/node/request_parser.go
+++ b/internal/node/request_parser.go
@@ -11,8 +11,10 @@
 )
 
 const (
-	maxIDLength   = 128 // of an X-Request-ID, in bytes
-	maxNumberBits = 31  // of integers in header fields
+	// maxIDLength is the maximum length of an X-Request-ID in bytes.
+	maxIDLength = 128
+	// maxNumberBits is the maximum size of an integer in a header field.
+	maxNumberBits = 31
 	// responseMargin is how long before the client's deadline the final response is due. It allows for the network
 	// latency of the request and the response.
 	responseMargin = 10 * time.Millisecond
@@ -59,8 +61,8 @@
 	}, nil
 }
 
-// timeInQueue returns how long a request may have waited at most for its connection to be accepted. The client's
-// timeout includes this time.
+// timeInQueue returns the longest time for which a request may have waited until its connection was accepted. The
+// client's timeout includes this time.
 func timeInQueue(r *http.Request) time.Duration {
 	if conn := clientConnection(r); conn != nil {
 		return conn.QueueTime()
