--- a/internal/node/host.go
+++ b/internal/node/host.go
@@ -11,8 +11,8 @@
 )
 
 // policyHost implements policy.Host: it carries out the balancer's decisions. The balancer calls its methods in the
-// loop's goroutine, from within its own methods. They report results by deferred events, which the loop handles after
-// the current one.
+// loop's goroutine, from within its own methods. The methods of policyHost report results by deferred events, which the
+// loop handles after the current event.
 type policyHost struct {
 	clock       *clock
 	queue       *eventQueue
@@ -56,8 +56,9 @@
 }
 
 // limitToKeyRetention prevents a retry of a request with an idempotency key from being sent once servers may have
-// discarded the key. The retention of the key counts from the first attempt that may have been executed. Any attempt
-// from that one on may be the first to get a connection, so all of them get the same write deadline.
+// discarded the key. The retention of the key counts from the first attempt that may have been executed. That
+// attempt or any later attempt may be the first to get a connection, so all of these attempts have the same write
+// deadline.
 func (h *policyHost) limitToKeyRetention(req *request, index int) {
 	class := &h.classes[req.class]
 	first := slices.IndexFunc(req.attempts, func(a *attempt) bool { return a.state != attemptNotExecuted })
