--- a/internal/node/transitions.go
+++ b/internal/node/transitions.go
@@ -29,7 +29,7 @@
 //	transition  from       to                 caller and condition
 //	start       -          in flight, unsent  policyHost.Send
 //	send        unsent     sent               upstream.Pool.Send, just before the first byte
-//	revoke      unsent     revoked            request.complete: the client waits no longer
+//	revoke      unsent     revoked            request.complete: the client no longer waits
 //	                                          loop.expireKeyRetention: servers may have discarded the
 //	                                          idempotency key
 //	                                          loop.updateEndpoints: the server was removed, is
@@ -102,6 +102,5 @@
 	return true
 }
 
-// revoke prevents an attempt from being sent. It returns false if the first byte may have been written already, or
-// if the attempt was revoked before.
+// revoke prevents an attempt from being sent. It returns false if the attempt was sent or revoked before.
 func (a *attempt) revoke() bool { return a.call.Revoke() }
