--- a/internal/node/event_queue.go
+++ b/internal/node/event_queue.go
@@ -5,7 +5,7 @@
 
 // eventQueue holds events until the loop handles them. Other goroutines post events. The methods of policyHost are
 // called by the balancer and must not call it in turn: they defer events, which the loop handles after the current
-// one.
+// event.
 type eventQueue struct {
 	posted   chan event
 	done     <-chan struct{} // closed when the loop ends
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -35,7 +35,7 @@
 // policyHost.Cancel, and by policyHost.Send for an attempt that must not be sent.
 type outcomeReceived struct {
 	request *request
-	index   int // in request.attempts
+	index   int // index in request.attempts
 	result  upstream.Result
 }
 
@@ -46,7 +46,7 @@
 // keyRetentionExpired is posted by an attempt's timer when servers may have discarded the request's idempotency key.
 type keyRetentionExpired struct {
 	request *request
-	index   int // in request.attempts; this attempt must not be sent any more
+	index   int // index of the attempt in request.attempts; the attempt must not be sent any more
 }
 
 func (e keyRetentionExpired) handle(l *loop, now time.Duration) {
@@ -74,7 +74,7 @@
 
 // watchFailed is posted by discoveryHandler.WatchFailed.
 type watchFailed struct {
-	notifiedAt time.Duration // on the node's clock: when the node counts as notified of the missed changes
+	notifiedAt time.Duration // time on the node's clock from which the node counts as notified of the missed changes
 }
 
 func (e watchFailed) handle(l *loop, now time.Duration) { l.reportWatchFailure(now, e.notifiedAt) }
