--- a/internal/node/clock.go
+++ b/internal/node/clock.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// clockOffset is the reading of a node's clock at its creation. It keeps the start time of a server process that is
-// somewhat older than the node positive, since to the balancer a start time of 0 or less means "long ago".
+// clockOffset is the reading of a node's clock at its creation. A server process that started less than clockOffset
+// before the node therefore has a positive start time. The balancer treats a start time of 0 or less as "long ago".
 const clockOffset = time.Hour
 
 // clock is a node's monotonic clock. All times that are passed to and from package policy are readings of it.
