--- a/internal/node/discovery_handler.go
+++ b/internal/node/discovery_handler.go
@@ -16,7 +16,7 @@
 	queue         *eventQueue
 	processStarts *processstart.Registry
 	zones         map[string]int // indexes of the configured zones, by name
-	synced        atomic.Bool    // the node has received an endpoint list; safe for any goroutine
+	synced        atomic.Bool    // whether the node has received an endpoint list; used by several goroutines
 }
 
 // UpdateEndpoints implements discovery.Handler. It skips endpoints without an ID, and ready endpoints without an
