--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -11,20 +11,20 @@
 	"calicohinge/internal/config"
 )
 
-// The platform kills a node some time after SIGTERM: after the longest deadline of any class, at most maxDeadlineWait,
-// plus killDelay.
+// After SIGTERM, the platform waits for the longest deadline of any class, but no longer than maxDeadlineWait, and then
+// for killDelay. If the node still runs, the platform kills it.
 const (
 	maxDeadlineWait = 3 * time.Second
 	killDelay       = 700 * time.Millisecond
 	// killMargin is the time between the end of the grace period and the kill. It allows for a pause of the
-	// process of 150 ms and for the writing of the last responses.
+	// process of 150 ms and for writing the last responses.
 	killMargin = 250 * time.Millisecond
 )
 
 // The durations of the shutdown phases.
 const (
-	// quietPeriod is how long the platform may still assign clients to a node after its health checks fail. The node
-	// starts draining early once it has accepted no request for that long.
+	// quietPeriod is how long the platform may still assign clients to a node after its health checks fail. Once the
+	// node has accepted no request for that long, it starts draining without waiting for the drain period.
 	quietPeriod = 500 * time.Millisecond
 	// quietPollInterval is the interval at which the node checks whether the quiet period has passed.
 	quietPollInterval = 10 * time.Millisecond
@@ -33,8 +33,8 @@
 	// terminationPeriod is the last part of the drain period, in which the node stops accepting connections and
 	// completes every request at once.
 	terminationPeriod = 50 * time.Millisecond
-	// writePeriod is how long after the grace period the last responses may still be written, which takes time if
-	// a client does not read. It is short enough for the node to exit before it is killed.
+	// writePeriod is how long after the grace period the last responses may still be written. Writing takes that long
+	// if a client does not read. The period is short enough for the node to exit before it is killed.
 	writePeriod = killMargin / 2
 	// minWritePeriod is the minimum time for writing the last responses, even if the process was paused and the
 	// write period has passed.
@@ -58,7 +58,7 @@
 	startTime    time.Time
 	startOnClock time.Duration // startTime on the node's clock
 	deadline     time.Time     // end of the grace period
-	terminated   bool          // terminateRequests has taken effect
+	terminated   bool          // whether terminateRequests has terminated the requests
 }
 
 // shutdown shuts down gracefully: it completes the accepted requests and closes all connections within the grace
@@ -161,8 +161,8 @@
 	s.conns.Shutdown(limitCtx)
 }
 
-// withWritePeriod returns a context for one of the last steps, which ends with the write period. It lasts at least for
-// minWritePeriod, so that a step that starts late is not skipped.
+// withWritePeriod returns a context for one of the last steps. The context ends with the write period but lasts at
+// least for minWritePeriod, so that a step that starts late is not skipped.
 func (s *shutdown) withWritePeriod(ctx context.Context) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(ctx, max(minWritePeriod, time.Until(s.deadline.Add(writePeriod))))
 }
