--- a/internal/node/stats.go
+++ b/internal/node/stats.go
@@ -6,13 +6,13 @@
 	"sync/atomic"
 )
 
-// requestStats counts the requests that a node has completed since its start, by result.
+// requestStats counts the requests since the node's start by result.
 type requestStats struct {
-	served       atomic.Int64 // with the response of a server
-	rejected     atomic.Int64 // with 503
-	failed       atomic.Int64 // with 502
-	invalid      atomic.Int64 // not forwarded: they broke a rule and got a 4xx or 505
-	disconnected atomic.Int64 // without a response, since the client had disconnected
+	served       atomic.Int64 // requests that got the response of a server
+	rejected     atomic.Int64 // requests that got status 503
+	failed       atomic.Int64 // requests that got status 502
+	invalid      atomic.Int64 // invalid requests, which are not forwarded and get a 4xx status or 505
+	disconnected atomic.Int64 // requests without a response, since the client had disconnected
 }
 
 // countFinal counts a request by the status of its final response.
