--- a/internal/processstart/registry.go
+++ b/internal/processstart/registry.go
@@ -1,6 +1,6 @@
 // Package processstart estimates when the server processes in the endpoint list started, on the node's monotonic
 // clock. Discovery reports start times by the wall clock of the server's machine. Package policy needs them on
-// the clock of its events, to know which servers are warming up.
+// the clock of its events, to determine which servers are warming up.
 //
 // A Registry records the processes and their estimated starts; its estimator converts between the clocks. Package
 // node calls it with each update of the endpoint list, from one goroutine. A process keeps its estimated start
@@ -23,7 +23,7 @@
 }
 
 // Registry holds the estimated start of each process in the endpoint list. It estimates a start only once, when
-// the process is first listed, because package policy takes a changed start for a restart. It is not safe for
+// the process is first listed, because package policy treats a changed start as a restart. It is not safe for
 // concurrent use.
 type Registry struct {
 	estimator estimator
@@ -35,15 +35,15 @@
 
 // process is a server process, as identified by its server and its start time.
 type process struct {
-	startedAt  time.Time     // by the wall clock of its machine
-	start      time.Duration // estimated, on the node's clock; 0: long ago
+	startedAt  time.Time     // start by the wall clock of the server's machine
+	start      time.Duration // estimated start on the node's clock; 0 means long ago
 	lastUpdate uint32        // number of the last update that contained it
 }
 
 // removedProcess is a process that is no longer listed.
 type removedProcess struct {
 	process
-	removedAt time.Duration // on the node's clock
+	removedAt time.Duration // time of the removal on the node's clock
 }
 
 // NewRegistry returns an empty registry. The origin is the wall time at which the node's clock was 0. Processes
