--- a/internal/processstart/estimator.go
+++ b/internal/processstart/estimator.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// minReadyPerWarmingUp limits the fraction of a node's first list that may be warming up by the servers' clock
-	// for the node to use that clock. The limit is a quarter because package policy needs three quarters of the
-	// servers to be warm to learn the load of a warm server.
+	// minReadyPerWarmingUp is the minimum number of ready servers in a node's first list per server that is warming
+	// up by the servers' clock. With fewer, the estimates do not use that clock. The minimum is 4 because package
+	// policy determines the load of a warm server only if three quarters of the servers are warm.
 	minReadyPerWarmingUp = 4
 	// maxAge limits ages by the servers' clock, so that they cannot overflow. No process runs that long.
 	maxAge = 100 * 365 * 24 * time.Hour
@@ -18,7 +18,7 @@
 
 // estimator estimates the start of a process on the node's monotonic clock. The wall clocks of the node's machine
 // and of the servers' machines may be wrong from the beginning or be stepped later. A process whose age is
-// overestimated could be overloaded while it warms up. The estimate is therefore the minimum of three ages, each
+// overestimated could be overloaded while it warms up. The estimate therefore uses the lowest of three ages, each
 // of which may be wrong:
 //
 //   - the age by the wall clock of the node's machine;
@@ -27,13 +27,13 @@
 type estimator struct {
 	origin            time.Time     // wall time at which the node's clock was 0
 	slowStartDuration time.Duration // how long a process takes to warm up
-	lastResponseAt    time.Duration // when discovery last responded, on the node's clock; 0: not yet
+	lastResponseAt    time.Duration // time of discovery's last response on the node's clock; 0 if there was none
 
-	serverOrigin   time.Time // the servers' wall time at which the node's clock was 0; zero: unknown
+	serverOrigin   time.Time // the servers' wall time at which the node's clock was 0; the zero time if unknown
 	useServerClock bool      // whether estimates for the current update use the servers' clock
 }
 
-// newEstimator returns an estimator that does not know the servers' clock yet. It strips the monotonic reading
+// newEstimator returns an estimator for which the servers' clock is still unknown. It strips the monotonic reading
 // from origin, so that differences from origin are differences of wall time.
 func newEstimator(origin time.Time, slowStartDuration time.Duration) estimator {
 	return estimator{origin: origin.Round(0), slowStartDuration: slowStartDuration}
@@ -67,9 +67,9 @@
 
 // ageByWallClock returns the age of a process by the wall clock of the node's machine. That clock may have been
 // stepped since the node started, alone or together with those of all machines. One age follows from the current
-// wall time, another from the wall time at the node's start and the time since on the monotonic clock.
-// ageByWallClock returns the lower one. It ignores a negative age, which is impossible, and returns 0 if both are
-// negative.
+// wall time, another from the wall time at the node's start and the time elapsed since then on the monotonic
+// clock. ageByWallClock returns the lower of the two. It ignores a negative age, which is impossible, and returns 0
+// if both are negative.
 func (e *estimator) ageByWallClock(startedAt time.Time, now Moment) time.Duration {
 	byStartupClock := now.Clock - startedAt.Sub(e.origin)
 	byCurrentClock := now.Wall.Round(0).Sub(startedAt)
@@ -104,9 +104,10 @@
 	return now + min(e.serverOrigin.Sub(startedAt), maxAge)
 }
 
-// fewAreWarmingUp reports whether few servers of a node's first list are warming up by the servers' clock. If many
-// appear to be, the servers may all have been restarted at about the same time, and that may be long ago. The node
-// would then shed load without need, so it relies on its wall clock alone, which is nearly always right.
+// fewAreWarmingUp reports whether few servers of a node's first list are warming up by the servers' clock. That clock
+// is inferred from the newest start, so servers that were all restarted at about the same time seem to be warming up
+// even if the restart was long ago. The node would then shed load without need. If many servers seem to be warming up,
+// the estimates therefore use the wall clock of the node's machine alone, which is nearly always right.
 func (e *estimator) fewAreWarmingUp(list []endpoint.Endpoint, now time.Duration) bool {
 	ready, warmingUp := 0, 0
 	for i := range list {
