--- a/internal/simproto/decode.go
+++ b/internal/simproto/decode.go
@@ -42,19 +42,21 @@
 	)
 	settings, ok := b.tailItems(rec, settingsOffset, 1)
 	if !ok {
-		return fmt.Errorf("settings outside the tail: offset %d", rec.uint32(settingsOffset))
+		return fmt.Errorf("settings at offset %d must lie within the tail of %d bytes",
+			rec.uint32(settingsOffset), len(b.tail))
 	}
 	event.Seed = rec.uint64(seedOffset)
 	event.Settings = settings
 	return nil
 }
 
-// checkPeerMessage returns an error if the message lies outside the frame. It does not decode the
+// checkPeerMessage returns an error if the message lies outside the tail. It does not decode the
 // message, because instances ignore messages from their peers.
 func (b *Batch) checkPeerMessage(rec record) error {
 	const messageOffset = 5
 	if _, ok := b.tailItems(rec, messageOffset, 1); !ok {
-		return fmt.Errorf("message outside the tail: offset %d", rec.uint32(messageOffset))
+		return fmt.Errorf("message at offset %d must lie within the tail of %d bytes",
+			rec.uint32(messageOffset), len(b.tail))
 	}
 	return nil
 }
--- a/internal/simproto/decode_endpoints.go
+++ b/internal/simproto/decode_endpoints.go
@@ -16,11 +16,12 @@
 	event.WatchFailed = code == updateWatchFailed
 	kind, isUpdate := code.policyKind()
 	if !isUpdate && !event.WatchFailed {
-		return fmt.Errorf("unknown kind of update: %d", code)
+		return fmt.Errorf("kind of update is %d, must be at most %d", code, updateWatchFailed)
 	}
 	items, ok := b.tailItems(rec, endpointsOffset, endpointSize)
 	if !ok {
-		return fmt.Errorf("endpoints outside the tail: offset %d", rec.uint32(endpointsOffset))
+		return fmt.Errorf("endpoints at offset %d must lie within the tail of %d bytes",
+			rec.uint32(endpointsOffset), len(b.tail))
 	}
 	event.Kind = kind
 	event.Endpoints = event.Endpoints[:0] // keeps the capacity
@@ -45,11 +46,11 @@
 	)
 	state, ok := stateCode(rec[stateOffset]).policyState()
 	if !ok {
-		return policy.Endpoint{}, fmt.Errorf("unknown server state: %d", rec[stateOffset])
+		return policy.Endpoint{}, fmt.Errorf("server state is %d, must be at most %d", rec[stateOffset], stateDraining)
 	}
 	weight := rec.float32(weightOffset)
 	if !(weight >= 0) || math.IsInf(weight, 1) { // !(weight >= 0) is true for NaN too
-		return policy.Endpoint{}, fmt.Errorf("server weight out of range: %v", weight)
+		return policy.Endpoint{}, fmt.Errorf("server weight is %v, must be finite and at least 0", weight)
 	}
 	startedAt, err := rec.duration(startTimeOffset, "server start time")
 	if err != nil {
--- a/internal/simproto/reader.go
+++ b/internal/simproto/reader.go
@@ -9,6 +9,7 @@
 )
 
 const (
+	// readBufferSize is the size of the input buffer in bytes.
 	readBufferSize = 1 << 16
 	// bodyChunkSize is the number of bytes by which the body buffer grows ahead of the input.
 	// Growing it step by step ties memory use to the bytes that arrive, and not to the size
@@ -65,7 +66,7 @@
 	if err := r.readBody(int(size)); err != nil {
 		return nil, r.formatError(fmt.Errorf("read body: %w", err))
 	}
-	now, err := header.duration(batchTimeOffset, "clock")
+	now, err := header.duration(batchTimeOffset, "batch time")
 	if err != nil {
 		return nil, r.formatError(err)
 	}
--- a/internal/simproto/record.go
+++ b/internal/simproto/record.go
@@ -17,14 +17,14 @@
 // Offsets of the fields that several kinds of event and action have in common.
 const (
 	codeOffset      = 0
-	requestIDOffset = 1 // in records about a request
-	instanceOffset  = 1 // in records that select an instance
+	requestIDOffset = 1 // offset of the request ID in records about a request
+	instanceOffset  = 1 // offset of the instance number in records that select an instance
 )
 
 // Sizes of the parts of a value, in bytes.
 const (
-	addressSize    = 4 // a server's address; its port follows
-	tailOffsetSize = 4 // an offset in the tail; the number of items follows
+	addressSize    = 4 // size of a server's address, which is followed by the port
+	tailOffsetSize = 4 // size of an offset in the tail, which is followed by the number of items
 )
 
 // record holds the bytes of a header, an event, an action or an endpoint. Field offsets count
@@ -44,7 +44,7 @@
 	value := r.float64(offset)
 	duration, ok := milliseconds.ToDuration(value)
 	if !ok {
-		return 0, fmt.Errorf("%s out of range: %v ms", field, value)
+		return 0, fmt.Errorf("%s is %v ms, must be a time of less than 73 years", field, value)
 	}
 	return duration, nil
 }
