--- a/internal/simproto/encode.go
+++ b/internal/simproto/encode.go
@@ -149,7 +149,7 @@
 	header.putUint32(replyCountOffset, r.count)
 	header.putUint32(replyBodySizeOffset, uint32(len(r.frame)-replyHeaderSize+len(r.tail)))
 	header.putUint32(replyBatchOffset, batch)
-	// A bufio.Writer remembers its first error, and Flush returns it.
+	// The errors are ignored: after a failed write, Flush returns the error.
 	_, _ = w.Write(r.frame)
 	_, _ = w.Write(r.tail)
 	if err := w.Flush(); err != nil {
--- a/internal/simproto/event.go
+++ b/internal/simproto/event.go
@@ -17,7 +17,7 @@
 	EventStreamStarted      EventCode = 4  // the response to an attempt of a streaming class has started
 	EventOutcome            EventCode = 5  // an attempt has ended
 	EventClientDisconnected EventCode = 6  // a client has disconnected, or its final response is overdue
-	EventTimer              EventCode = 7  // a timer has expired
+	EventTimer              EventCode = 7  // a timer has fired
 	EventProbeResult        EventCode = 8  // a health check has ended
 	EventPeerMessage        EventCode = 9  // another instance has sent a message
 	EventStop               EventCode = 10 // the instance has been terminated
--- a/internal/simproto/simproto.go
+++ b/internal/simproto/simproto.go
@@ -19,6 +19,6 @@
 	maxBodySize     = 1 << 30 // a header that claims a longer body is malformed
 )
 
-// noInstance is the value of Reply.contextInstance while the reply has no context record. It is not
-// an instance number: those have 16 bits and are not negative.
+// noInstance is the value of Reply.contextInstance while the reply has no context record. It differs
+// from every instance number, since these are unsigned 16-bit integers.
 const noInstance = -1
