--- a/cmd/simadapter/adapter.go
+++ b/cmd/simadapter/adapter.go
@@ -14,7 +14,7 @@
 
 // errNoInstance is the cause of the *simproto.FormatError for an event that requires an open
 // instance when none is selected.
-var errNoInstance = errors.New("the selected instance is not open")
+var errNoInstance = errors.New("no open instance is selected")
 
 // adapter passes the events of each batch to the instances and collects their actions in a reply.
 // The buffers of the reply are all that the instances share.
@@ -30,7 +30,7 @@
 }
 
 // handleBatch passes the events of a batch to the selected instances and replaces the reply with
-// their actions. It returns a *simproto.FormatError if an event is malformed or no instance can
+// their actions. It returns a *simproto.FormatError if an event is malformed or no instance may
 // receive it.
 func (a *adapter) handleBatch(batch *simproto.Batch) error {
 	a.reply.Reset()
@@ -60,8 +60,8 @@
 	a.reply.SelectInstance(instance)
 }
 
-// mayReceive reports whether the selected instance can receive an event. An instance that is not
-// open can receive only the event that opens it.
+// mayReceive reports whether the selected instance may receive an event. An instance that is not
+// open may receive only the event that opens it.
 func (a *adapter) mayReceive(code simproto.EventCode) bool {
 	return code == simproto.EventOpen || a.instances[a.selected] != nil
 }
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -17,7 +17,8 @@
 const (
 	// gcPercent trades memory for time: the live heap is small, and the simulator's time
 	// measurements include garbage collection.
-	gcPercent       = 800
+	gcPercent = 800
+	// writeBufferSize is the size of the output buffer in bytes.
 	writeBufferSize = 1 << 16
 )
 
