--- a/internal/netdial/netdial.go
+++ b/internal/netdial/netdial.go
@@ -23,7 +23,7 @@
 // Func opens a connection, as net.Dialer.DialContext does.
 type Func func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Repeat returns a dial function that retries dial after a transient error. It gives up after maxAttempts, after an
+// Repeat returns a dial function that retries dial after a transient error. It stops after maxAttempts, after an
 // error that is not transient, or when ctx ends, and then returns the last error of dial.
 func Repeat(dial Func) Func {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
