--- a/internal/processstart/estimator.go
+++ b/internal/processstart/estimator.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// minReadyPerWarmingUp is the minimum number of ready servers in a node's first list per server that is warming
-	// up by the servers' clock. With fewer, the estimates do not use that clock. The minimum is 4 because package
-	// policy determines the load of a warm server only if three quarters of the servers are warm.
+	// minReadyPerWarmingUp is how many ready servers a node's first list must have for each server that is warming up
+	// by the servers' clock. Otherwise, the estimates do not use that clock. The number is 4 because package policy
+	// determines the load of a warm server only if three quarters of the servers are warm.
 	minReadyPerWarmingUp = 4
 	// maxAge limits ages by the servers' clock, so that they cannot overflow. No process runs that long.
 	maxAge = 100 * 365 * 24 * time.Hour
@@ -86,8 +86,8 @@
 
 // inferServerClock infers the servers' wall time from their start times: no process starts after it is listed.
 // The inferred time lags by the age that the newest process had when it was listed, so that all ages are too low
-// by as much. If the clock of one server's machine is ahead, the inferred time is ahead too, and from then on only
-// the other two ages limit the estimates.
+// by the same amount. If the clock of one server's machine is ahead, the inferred time is ahead too, and from then
+// on only the other two ages limit the estimates.
 func (e *estimator) inferServerClock(list []endpoint.Endpoint, now time.Duration) {
 	for i := range list {
 		if list[i].StartedAt.IsZero() {
