--- a/internal/simproto/encode.go
+++ b/internal/simproto/encode.go
@@ -68,7 +68,7 @@
 }
 
 // appendRecord appends a record in which only the code is set. The returned record is valid
-// until the next one is appended.
+// until the next record is appended.
 func (r *Reply) appendRecord(code actionCode) record {
 	var emptyRecord [actionSize]byte
 	r.frame = append(r.frame, emptyRecord[:]...)
@@ -126,7 +126,7 @@
 func (r *Reply) WatchEndpoints() {
 	const (
 		subscribeOffset = 1
-		subscribe       = 1 // 0 unsubscribes
+		subscribe       = 1 // subscribes to the endpoint list; 0 unsubscribes
 	)
 	r.appendAction(actionWatchEndpoints)[subscribeOffset] = subscribe
 }
--- a/internal/simproto/event.go
+++ b/internal/simproto/event.go
@@ -48,8 +48,8 @@
 // Event is a decoded event record. A field is valid only for the codes that its comment names.
 type Event struct {
 	Code     EventCode
-	Instance uint16 // EventInstance
-	Seed     uint64 // EventOpen
+	Instance uint16 // EventInstance: number of the selected instance
+	Seed     uint64 // EventOpen: seed of the instance's random choices
 	Settings []byte // EventOpen: JSON, valid until the next Reader.Read
 	// EventEndpoints: the update, valid until the next event is decoded into this Event. If
 	// WatchFailed is set, there is no update: a watch of the endpoint list has failed.
