--- a/cmd/simadapter/adapter.go
+++ b/cmd/simadapter/adapter.go
@@ -34,7 +34,7 @@
 // receive it.
 func (a *adapter) handleBatch(batch *simproto.Batch) error {
 	a.reply.Reset()
-	instanceSelected := false // each batch must select an instance anew
+	instanceSelected := false // each batch must select its instance again
 	for i := range batch.Count {
 		event := &a.event
 		if err := batch.Event(i, event); err != nil {
