--- a/internal/node/transitions.go
+++ b/internal/node/transitions.go
@@ -16,15 +16,15 @@
 type requestState uint8
 
 const (
-	requestNew       requestState = iota // the loop has not handled it yet
-	requestActive                        // its client waits for the final response
-	requestCompleted                     // it has a final response, or its client has disconnected
-	requestReleased                      // neither the loop nor the balancer holds it any longer
+	requestNew       requestState = iota // the loop has not handled the request yet
+	requestActive                        // the client waits for the final response
+	requestCompleted                     // there is a final response, or the client has disconnected
+	requestReleased                      // neither the loop nor the balancer holds the request any longer
 )
 
-// attemptState is the state of an attempt towards the balancer. An attempt in flight also has the state of its
-// upstream.Call: unsent while the attempt waits for a connection, then sent or revoked. The goroutine that carries
-// out the attempt may change that state.
+// attemptState is the state of an attempt: in flight, or ended and whether a server may have executed the request. An
+// attempt in flight also has the state of its upstream.Call: unsent while the attempt waits for a connection, then sent
+// or revoked. The goroutine that carries out the attempt may change that state.
 //
 //	transition  from       to                 caller and condition
 //	start       -          in flight, unsent  policyHost.Send
@@ -40,7 +40,7 @@
 type attemptState uint8
 
 const (
-	attemptInFlight      attemptState = iota // without an outcome
+	attemptInFlight      attemptState = iota // no outcome yet
 	attemptMaybeExecuted                     // ended; a server may have executed the request
 	attemptNotExecuted                       // ended; the server has not executed the request
 )
