--- a/internal/node/handler.go
+++ b/internal/node/handler.go
@@ -177,7 +177,7 @@
 }
 
 // withinQuietPeriod reports whether the quiet period has not passed yet. It starts at the given time on the node's
-// clock, and anew with each request that is accepted later.
+// clock, and again with each request that is accepted later.
 func (h *handler) withinQuietPeriod(at time.Duration) bool {
 	last := time.Duration(h.lastRequestAt.Load())
 	return h.loop.clock.now()-max(at, last) < quietPeriod
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -81,8 +81,8 @@
 	}
 }
 
-// handle handles an event and the events that policyHost defers meanwhile. Each event is handled with the time at which
-// its handling starts, not the time at which it was posted or deferred.
+// handle handles an event and then all events that policyHost has deferred. Each event is handled with the time at
+// which its handling starts, not the time at which it was posted or deferred.
 func (l *loop) handle(next event) {
 	for ; next != nil; next = l.queue.popDeferred() {
 		next.handle(l, l.clock.now())
@@ -178,7 +178,7 @@
 	}
 }
 
-// reportOutcome reports the first outcome of an attempt to the balancer and ignores later ones. A successful outcome
+// reportOutcome reports the first outcome of an attempt to the balancer and ignores later outcomes. A successful outcome
 // completes the request.
 func (l *loop) reportOutcome(now time.Duration, req *request, index int, result upstream.Result) {
 	if !req.endAttempt(index, result.Status) {
--- a/internal/node/response.go
+++ b/internal/node/response.go
@@ -27,8 +27,8 @@
 	_, _ = w.Write(final.body) // the client may have disconnected
 }
 
-// writeText writes a response of one line of plain text. Like every response, it has a Content-Length: without one,
-// it would not be complete before the handler returns.
+// writeText writes a response of one line of plain text. Like every response, it has a Content-Length. Otherwise, the
+// response would not be complete before the handler returns.
 func writeText(w http.ResponseWriter, status int, text string) {
 	header := http.Header{"Content-Type": {"text/plain; charset=utf-8"}, "X-Content-Type-Options": {"nosniff"}}
 	writeResponse(w, response{status: status, header: header, body: []byte(text + "\n")})
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -122,7 +122,7 @@
 	s.conns.Drain(limitCtx)
 }
 
-// terminateRequests completes all active requests and makes the node reject later ones. It has no effect if no
+// terminateRequests completes all active requests and makes the node reject later requests. It has no effect if no
 // connection is open, or if the requests were terminated before.
 func (s *shutdown) terminateRequests() {
 	if s.terminated || s.conns.Open() == 0 {
