--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -178,8 +178,8 @@
 	}
 }
 
-// reportOutcome reports the first outcome of an attempt to the balancer and ignores later outcomes. A successful outcome
-// completes the request.
+// reportOutcome reports the first outcome of an attempt to the balancer and ignores later outcomes. A successful
+// outcome completes the request.
 func (l *loop) reportOutcome(now time.Duration, req *request, index int, result upstream.Result) {
 	if !req.endAttempt(index, result.Status) {
 		return
