--- a/internal/config/translator.go
+++ b/internal/config/translator.go
@@ -14,8 +14,8 @@
 	err error
 }
 
-// fail records an error about the value of a key, unless an earlier error is already recorded.
-func (t *translator) fail(key string, value any, allowed string) {
+// recordError records an error about the value of a key, unless an earlier error is already recorded.
+func (t *translator) recordError(key string, value any, allowed string) {
 	if t.err == nil {
 		t.err = &Error{Key: joinKeys(settingsKey, key), Value: value, Allowed: allowed}
 	}
@@ -28,7 +28,7 @@
 	}
 	duration, ok := milliseconds.ToDuration(*ms)
 	if !ok {
-		t.fail(key, *ms, "a time of less than 73 years, in milliseconds")
+		t.recordError(key, *ms, "a time of less than 73 years, in milliseconds")
 		return
 	}
 	*field = duration
@@ -43,7 +43,7 @@
 		return policy.IdempotentWithKey
 	case "side_effect", "":
 	default:
-		t.fail(key, value, `"pure", "token" or "side_effect"`)
+		t.recordError(key, value, `"pure", "token" or "side_effect"`)
 	}
 	return policy.NotIdempotent
 }
@@ -58,7 +58,7 @@
 		return policy.KeyScopeZone
 	case "cell", "":
 	default:
-		t.fail(key, value, `"all", "zone" or "cell"`)
+		t.recordError(key, value, `"all", "zone" or "cell"`)
 	}
 	return policy.KeyScopeCell
 }
@@ -70,7 +70,7 @@
 		return true
 	case "pushed", "":
 	default:
-		t.fail("RegistryMode", value, `"pushed" or "on_request"`)
+		t.recordError("RegistryMode", value, `"pushed" or "on_request"`)
 	}
 	return false
 }
