--- a/internal/processstart/registry.go
+++ b/internal/processstart/registry.go
@@ -35,9 +35,9 @@
 
 // process is a server process, as identified by its server and its start time.
 type process struct {
-	startedAt  time.Time     // start by the wall clock of the server's machine
-	start      time.Duration // estimated start on the node's clock; 0 means long ago
-	lastUpdate uint32        // number of the last update that contained it
+	startedAt      time.Time     // start by the wall clock of the server's machine
+	estimatedStart time.Duration // time on the node's clock; 0 means long ago
+	lastUpdate     uint32        // number of the last update that contained it
 }
 
 // removedProcess is a process that is no longer listed.
@@ -81,7 +81,7 @@
 func (r *Registry) updateProcess(e *endpoint.Endpoint, now Moment) time.Duration {
 	p, found := r.find(e)
 	if !found {
-		p = process{startedAt: e.StartedAt, start: r.estimator.estimate(e.StartedAt, now)}
+		p = process{startedAt: e.StartedAt, estimatedStart: r.estimator.estimate(e.StartedAt, now)}
 	}
 	p.lastUpdate = r.updates
 	delete(r.removed, e.ID)
@@ -90,7 +90,7 @@
 	} else {
 		r.listed[e.ID] = p
 	}
-	return p.start
+	return p.estimatedStart
 }
 
 // find returns the record of an endpoint's process if the process is listed or was removed recently.
