--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -41,8 +41,9 @@
 	minWritePeriod = 100 * time.Millisecond
 )
 
-// shutdownGracePeriod returns the grace period of a shutdown. Requests that are still active near its end are rejected
-// or failed, since the platform would kill the node before they complete.
+// shutdownGracePeriod returns the grace period of a shutdown, which ends killMargin before the platform kills the node.
+// Requests that are still active near its end are rejected or failed, since the node would be killed before they
+// complete.
 func shutdownGracePeriod(cfg *config.Config) time.Duration {
 	longest := time.Duration(0)
 	for _, class := range cfg.Policy.Classes {
