--- a/cmd/simadapter/adapter.go
+++ b/cmd/simadapter/adapter.go
@@ -14,7 +14,7 @@
 
 // errNoInstance is the cause of the *simproto.FormatError for an event that requires an open
 // instance when none is selected.
-var errNoInstance = errors.New("the selected instance is not open")
+var errNoInstance = errors.New("no open instance is selected")
 
 // adapter passes the events of each batch to the instances and collects their actions in a reply.
 // The buffers of the reply are all that the instances share.
@@ -30,11 +30,11 @@
 }
 
 // handleBatch passes the events of a batch to the selected instances and replaces the reply with
-// their actions. It returns a *simproto.FormatError if an event is malformed or no instance can
+// their actions. It returns a *simproto.FormatError if an event is malformed or no instance may
 // receive it.
 func (a *adapter) handleBatch(batch *simproto.Batch) error {
 	a.reply.Reset()
-	instanceSelected := false // each batch must select an instance anew
+	instanceSelected := false // each batch must select its instance again
 	for i := range batch.Count {
 		event := &a.event
 		if err := batch.Event(i, event); err != nil {
@@ -45,7 +45,7 @@
 			instanceSelected = true
 			continue
 		}
-		if !instanceSelected || !a.accepts(event.Code) {
+		if !instanceSelected || !a.mayReceive(event.Code) {
 			return &simproto.FormatError{
 				Batch: batch.Number, Record: i, Err: fmt.Errorf("event %q: %w", event.Code, errNoInstance),
 			}
@@ -60,9 +60,9 @@
 	a.reply.SelectInstance(instance)
 }
 
-// accepts reports whether the selected instance can receive an event. An instance that is not
-// open can receive only the event that opens it.
-func (a *adapter) accepts(code simproto.EventCode) bool {
+// mayReceive reports whether the selected instance may receive an event. An instance that is not
+// open may receive only the event that opens it.
+func (a *adapter) mayReceive(code simproto.EventCode) bool {
 	return code == simproto.EventOpen || a.instances[a.selected] != nil
 }
 
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -30,9 +30,9 @@
 	Name           string // name of the node, used in logs only
 	Listen         string // address at which the node accepts client connections
 	Discovery      string // address of the discovery service
-	Seed           uint64
+	Seed           uint64 // seed of the balancer's random choices
 	Limits         Limits
-	CachedList     endpoint.List // endpoint list used until discovery has sent one
+	CachedList     endpoint.List // endpoint list used until discovery has sent its list
 	Policy         policy.Settings
 	Classes        map[string]int // class name to index in Policy.Classes
 	Tenants        map[string]int // tenant name to index in Policy.Tenants
--- a/internal/netdial/netdial.go
+++ b/internal/netdial/netdial.go
@@ -23,7 +23,7 @@
 // Func opens a connection, as net.Dialer.DialContext does.
 type Func func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Repeat returns a dial function that retries dial after a transient error. It gives up after maxAttempts, after an
+// Repeat returns a dial function that retries dial after a transient error. It stops after maxAttempts, after an
 // error that is not transient, or when ctx ends, and then returns the last error of dial.
 func Repeat(dial Func) Func {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -37,7 +37,7 @@
 }
 
 // IsLocalFailure reports whether only this machine can have caused a dial to fail, according to socket(2) and
-// connect(2). It returns false for an unreachable address, which the peer may have caused.
+// connect(2). It returns false for an unreachable network or host, which the peer may have caused.
 func IsLocalFailure(err error) bool {
 	return syserror.IsShortage(err) || errors.Is(err, syscall.EADDRNOTAVAIL) ||
 		errors.Is(err, syscall.EADDRINUSE) || errors.Is(err, syscall.ENETDOWN)
--- a/internal/processstart/estimator.go
+++ b/internal/processstart/estimator.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// minReadyPerWarmingUp limits the fraction of a node's first list that may be warming up by the servers' clock
-	// for the node to use that clock. The limit is a quarter because package policy needs three quarters of the
-	// servers to be warm to learn the load of a warm server.
+	// minReadyPerWarmingUp is how many ready servers a node's first list must have for each server that is warming up
+	// by the servers' clock. Otherwise, the estimates do not use that clock. The number is 4 because package policy
+	// determines the load of a warm server only if three quarters of the servers are warm.
 	minReadyPerWarmingUp = 4
 	// maxAge limits ages by the servers' clock, so that they cannot overflow. No process runs that long.
 	maxAge = 100 * 365 * 24 * time.Hour
@@ -18,7 +18,7 @@
 
 // estimator estimates the start of a process on the node's monotonic clock. The wall clocks of the node's machine
 // and of the servers' machines may be wrong from the beginning or be stepped later. A process whose age is
-// overestimated could be overloaded while it warms up. The estimate is therefore the minimum of three ages, each
+// overestimated could be overloaded while it warms up. The estimate therefore uses the lowest of three ages, each
 // of which may be wrong:
 //
 //   - the age by the wall clock of the node's machine;
@@ -27,13 +27,13 @@
 type estimator struct {
 	origin            time.Time     // wall time at which the node's clock was 0
 	slowStartDuration time.Duration // how long a process takes to warm up
-	lastResponseAt    time.Duration // when discovery last responded, on the node's clock; 0: not yet
+	lastResponseAt    time.Duration // time of discovery's last response on the node's clock; 0 if there was none
 
-	serverOrigin   time.Time // the servers' wall time at which the node's clock was 0; zero: unknown
+	serverOrigin   time.Time // the servers' wall time at which the node's clock was 0; the zero time if unknown
 	useServerClock bool      // whether estimates for the current update use the servers' clock
 }
 
-// newEstimator returns an estimator that does not know the servers' clock yet. It strips the monotonic reading
+// newEstimator returns an estimator for which the servers' clock is still unknown. It strips the monotonic reading
 // from origin, so that differences from origin are differences of wall time.
 func newEstimator(origin time.Time, slowStartDuration time.Duration) estimator {
 	return estimator{origin: origin.Round(0), slowStartDuration: slowStartDuration}
@@ -45,7 +45,7 @@
 // observe updates the servers' clock from the endpoints of an update and decides whether the estimates for that
 // update use it: always once discovery has responded, before that only if few servers are warming up.
 func (e *estimator) observe(list []endpoint.Endpoint, now time.Duration) {
-	e.learnServerClock(list, now)
+	e.inferServerClock(list, now)
 	e.useServerClock = e.lastResponseAt > 0 || e.fewAreWarmingUp(list, now)
 }
 
@@ -67,9 +67,9 @@
 
 // ageByWallClock returns the age of a process by the wall clock of the node's machine. That clock may have been
 // stepped since the node started, alone or together with those of all machines. One age follows from the current
-// wall time, another from the wall time at the node's start and the time since on the monotonic clock.
-// ageByWallClock returns the lower one. It ignores a negative age, which is impossible, and returns 0 if both are
-// negative.
+// wall time, another from the wall time at the node's start and the time elapsed since then on the monotonic
+// clock. ageByWallClock returns the lower of the two. It ignores a negative age, which is impossible, and returns 0
+// if both are negative.
 func (e *estimator) ageByWallClock(startedAt time.Time, now Moment) time.Duration {
 	byStartupClock := now.Clock - startedAt.Sub(e.origin)
 	byCurrentClock := now.Wall.Round(0).Sub(startedAt)
@@ -84,11 +84,11 @@
 	return min(byStartupClock, byCurrentClock)
 }
 
-// learnServerClock infers the servers' wall time from their start times: no process starts after it is listed.
+// inferServerClock infers the servers' wall time from their start times: no process starts after it is listed.
 // The inferred time lags by the age that the newest process had when it was listed, so that all ages are too low
-// by as much. If the clock of one server's machine is ahead, the inferred time is ahead too, and from then on only
-// the other two ages limit the estimates.
-func (e *estimator) learnServerClock(list []endpoint.Endpoint, now time.Duration) {
+// by the same amount. If the clock of one server's machine is ahead, the inferred time is ahead too, and from then
+// on only the other two ages limit the estimates.
+func (e *estimator) inferServerClock(list []endpoint.Endpoint, now time.Duration) {
 	for i := range list {
 		if list[i].StartedAt.IsZero() {
 			continue
@@ -104,9 +104,10 @@
 	return now + min(e.serverOrigin.Sub(startedAt), maxAge)
 }
 
-// fewAreWarmingUp reports whether few servers of a node's first list are warming up by the servers' clock. If many
-// appear to be, the servers may all have been restarted at about the same time, and that may be long ago. The node
-// would then shed load without need, so it relies on its wall clock alone, which is nearly always right.
+// fewAreWarmingUp reports whether few servers of a node's first list are warming up by the servers' clock. That clock
+// is inferred from the newest start, so servers that were all restarted at about the same time seem to be warming up
+// even if the restart was long ago. The node would then shed load without need. If many servers seem to be warming up,
+// the estimates therefore use the wall clock of the node's machine alone, which is nearly always right.
 func (e *estimator) fewAreWarmingUp(list []endpoint.Endpoint, now time.Duration) bool {
 	ready, warmingUp := 0, 0
 	for i := range list {
