--- a/policy/circuit_breaker.go
+++ b/policy/circuit_breaker.go
@@ -49,14 +49,14 @@
 // isTrial reports whether an attempt is the trial of a half-open breaker.
 func (c *circuitBreaker) isTrial(a *attempt) bool { return c.state == breakerHalfOpen && c.trial == a }
 
-// acceptsTrial reports whether the next attempt of a request may be the trial. An attempt of a request that
+// permitsTrial reports whether the next attempt of a request may be the trial. An attempt of a request that
 // is not idempotent may be the trial only if the trial is overdue.
-func (c *circuitBreaker) acceptsTrial(now time.Duration, idempotency Idempotency) bool {
-	return c.awaitsTrial() && (idempotency != NotIdempotent || c.trialOverdue(now))
+func (c *circuitBreaker) permitsTrial(now time.Duration, idempotency Idempotency) bool {
+	return c.awaitsTrial() && (idempotency != NotIdempotent || c.isTrialOverdue(now))
 }
 
-// trialOverdue reports whether a breaker has been half-open for longer than its open duration.
-func (c *circuitBreaker) trialOverdue(now time.Duration) bool {
+// isTrialOverdue reports whether a breaker has been half-open for longer than its open duration.
+func (c *circuitBreaker) isTrialOverdue(now time.Duration) bool {
 	return now > c.halfOpenAt+c.openDuration
 }
 
@@ -111,9 +111,9 @@
 	c.halfOpenAt = now + jitter.Proportional(random, c.openDuration, jitterShare)
 }
 
-// reachedThreshold reports whether the consecutive failures, the last one with the given status, open a
+// shouldOpen reports whether the consecutive failures, the last one with the given status, open a
 // closed breaker. A missing response or connection is stronger evidence of a fault than a fast error.
-func (c *circuitBreaker) reachedThreshold(status Status, regime *samplingRegime, failureRate float64) bool {
+func (c *circuitBreaker) shouldOpen(status Status, regime *samplingRegime, failureRate float64) bool {
 	failures := len(c.failures)
 	if (status == Timeout || status == ConnectFailed) && failures >= regime.noResponseThreshold {
 		return true
--- a/policy/circuit_breaker_test.go
+++ b/policy/circuit_breaker_test.go
@@ -158,7 +158,7 @@
 		t.Fatal("abandonTrial of an attempt that is not the trial ended the trial")
 	}
 	breaker.abandonTrial(first)
-	if !breaker.acceptsTrial(time.Hour, Idempotent) {
+	if !breaker.permitsTrial(time.Hour, Idempotent) {
 		t.Error("acceptsTrial after the trial was abandoned: false, want true")
 	}
 }
--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -96,17 +96,17 @@
 	b.candidates.reset()
 	work := request.baselineLatency()
 	for _, s := range b.subset.servers {
-		if s.breaker.state == breakerOpen || request.hasTried(s) || !b.retry.permits(now, request, s) {
+		if s.breaker.state == breakerOpen || request.hasTried(s) || !b.retry.permitsAttempt(now, request, s) {
 			continue
 		}
 		b.slowStart.refillBudget(now, s, work, &b.subset, &b.arrivals)
-		if !b.slowStart.admits(now, s) {
+		if !b.slowStart.permitsAttempt(now, s) {
 			continue
 		}
 		share := s.capacityShare(&b.settings.Rules, now)
 		if s.breaker.state == breakerClosed && b.limiter.hasCapacity(s, share, b.subset.nodesPerServer) {
 			b.candidates.closed = append(b.candidates.closed, s)
-		} else if s.breaker.acceptsTrial(now, request.class.Idempotency) {
+		} else if s.breaker.permitsTrial(now, request.class.Idempotency) {
 			b.candidates.trial = s
 			return
 		}
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -78,8 +78,8 @@
 		return false
 	}
 	failureRate := server.score.failureRateBefore(len(breaker.failures), b.means)
-	return breaker.reachedThreshold(status, &b.subset.regime, failureRate) &&
-		(status != Timeout || b.subset.mayEjectAnother())
+	return breaker.shouldOpen(status, &b.subset.regime, failureRate) &&
+		(status != Timeout || b.subset.permitsEjection())
 }
 
 // handleUnresponsiveAttempts records unresponsive attempts as failures and, if permitted, hedges the request.
--- a/policy/periodic_check.go
+++ b/policy/periodic_check.go
@@ -62,7 +62,7 @@
 		b.handleUnresponsiveAttempts(now, request)
 	case now >= request.deadline:
 		b.rejectOrFail(request)
-	case request.backoffOver(now):
+	case request.isRetryDue(now):
 		request.endBackoff()
 		b.queue.add(request)
 	}
--- a/policy/request.go
+++ b/policy/request.go
@@ -87,8 +87,8 @@
 // startBackoff delays the next attempt until the given time.
 func (r *request) startBackoff(until time.Duration) { r.retryAt = until }
 
-// backoffOver reports whether a backoff was started and its time is over.
-func (r *request) backoffOver(now time.Duration) bool { return r.retryAt > 0 && now >= r.retryAt }
+// isRetryDue reports whether a backoff was started and its time is over.
+func (r *request) isRetryDue(now time.Duration) bool { return r.retryAt > 0 && now >= r.retryAt }
 
 // endBackoff clears the backoff of a retry that is due.
 func (r *request) endBackoff() { r.retryAt = 0 }
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -34,7 +34,7 @@
 func (p *retryPolicy) attemptsExhausted(at time.Duration, request *request) bool {
 	executed := request.firstPossiblyExecuted()
 	return len(request.attempts) >= p.limits.MaxAttempts ||
-		executed != nil && !request.class.mayRepeatAfter(at-executed.sentAt)
+		executed != nil && !request.class.permitsRepeatAfter(at-executed.sentAt)
 }
 
 // permitsRetryAt reports whether a retry at the given time is permitted and its response, expected after the
@@ -43,23 +43,23 @@
 	return !p.attemptsExhausted(at, request) && at+latency <= request.retryDeadline()
 }
 
-// permits reports whether a request may have an attempt at a server now. It is checked before every attempt
+// permitsAttempt reports whether a request may have an attempt at a server now. It is checked before every attempt
 // and enforces deadlines, limits and idempotency.
-func (p *retryPolicy) permits(now time.Duration, request *request, server *server) bool {
+func (p *retryPolicy) permitsAttempt(now time.Duration, request *request, server *server) bool {
 	if request.completed || request.streaming || now >= request.deadline || server.State != Ready ||
 		p.attemptsExhausted(now, request) {
 		return false
 	}
 	for i := range request.attempts {
-		if a := &request.attempts[i]; !a.notExecuted && !p.mayFollowExecuted(request, a, server) {
+		if a := &request.attempts[i]; !a.notExecuted && !p.permitsAttemptAfter(request, a, server) {
 			return false
 		}
 	}
 	return true
 }
 
-// mayFollowExecuted reports whether an attempt at a server may follow one that may have been executed.
-func (p *retryPolicy) mayFollowExecuted(request *request, earlier *attempt, server *server) bool {
+// permitsAttemptAfter reports whether an attempt at a server may follow one that may have been executed.
+func (p *retryPolicy) permitsAttemptAfter(request *request, earlier *attempt, server *server) bool {
 	return (!earlier.inFlight || p.limits.Hedging) &&
 		(request.class.Idempotency != IdempotentWithKey || request.class.sharesKeyScope(earlier, server))
 }
@@ -78,9 +78,9 @@
 	return r.objectiveDeadline
 }
 
-// mayRepeatAfter reports whether a request may be executed again. The age is that of its first attempt that
+// permitsRepeatAfter reports whether a request may be executed again. The age is that of its first attempt that
 // may have been executed.
-func (c *requestClass) mayRepeatAfter(age time.Duration) bool {
+func (c *requestClass) permitsRepeatAfter(age time.Duration) bool {
 	return c.Idempotency == Idempotent || c.Idempotency == IdempotentWithKey && age < c.KeyRetention
 }
 
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -130,12 +130,12 @@
 	record := h.balancer.requests.add(Request{ID: 9, Timeout: time.Second}, &h.balancer.classes[0])
 	record.deadline = h.now + time.Second
 	s := h.balancer.endpoints.ready[0]
-	if !h.balancer.retry.permits(h.now, record, s) {
+	if !h.balancer.retry.permitsAttempt(h.now, record, s) {
 		t.Fatal("permits returned false for a ready server, want true")
 	}
 	for _, state := range []EndpointState{Draining, Removed} {
 		s.State = state
-		if h.balancer.retry.permits(h.now, record, s) {
+		if h.balancer.retry.permitsAttempt(h.now, record, s) {
 			t.Errorf("permits returned true for a server in state %v, want false", state)
 		}
 	}
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -51,8 +51,8 @@
 	return rules.SlowStartShare + gained/rules.SlowStartDuration.Seconds()
 }
 
-// admits reports whether a server is warm or has budget left.
-func (s *slowStart) admits(now time.Duration, server *server) bool {
+// permitsAttempt reports whether a server is warm or has budget left.
+func (s *slowStart) permitsAttempt(now time.Duration, server *server) bool {
 	return server.capacityShare(&s.rules, now) >= 1 || server.budget.work > 0
 }
 
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -22,7 +22,7 @@
 				t.Error("no sends to a server that is warming up, want at least one")
 			}
 			record := h.balancer.requests.byID[h.request(0)]
-			if !h.balancer.retry.permits(h.now, record, s) || !h.balancer.slowStart.admits(h.now, s) {
+			if !h.balancer.retry.permitsAttempt(h.now, record, s) || !h.balancer.slowStart.permitsAttempt(h.now, s) {
 				t.Error("no attempt permitted at a server that is warm, want one whatever its slow start budget")
 			}
 		})
@@ -48,7 +48,7 @@
 	for start := h.now; h.now < start+rules.SlowStartDuration; h.now += ms {
 		work := baseline + 0.001
 		h.balancer.slowStart.refillBudget(h.now, s, work, &h.balancer.subset, &h.balancer.arrivals)
-		if h.balancer.slowStart.admits(h.now, s) {
+		if h.balancer.slowStart.permitsAttempt(h.now, s) {
 			s.budget.work -= work
 			sends = append(sends, h.now)
 		}
@@ -87,7 +87,7 @@
 		for ; wait < 10*time.Second; wait += 10 * ms {
 			now, warming := time.Hour+wait, balancer.endpoints.byID[1]
 			balancer.slowStart.refillBudget(now, warming, work, &balancer.subset, &balancer.arrivals)
-			if balancer.slowStart.admits(now, warming) {
+			if balancer.slowStart.permitsAttempt(now, warming) {
 				break
 			}
 		}
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -88,8 +88,8 @@
 // allEjected reports whether no server may get a request, as of the last refresh.
 func (s *subset) allEjected() bool { return s.closed+s.awaitingTrial == 0 }
 
-// mayEjectAnother reports whether at most half of the subset is ejected after another breaker opens.
-func (s *subset) mayEjectAnother() bool {
+// permitsEjection reports whether at most half of the subset is ejected after another breaker opens.
+func (s *subset) permitsEjection() bool {
 	ejected := 0
 	for _, server := range s.servers {
 		if server.breaker.state != breakerClosed {
