--- a/policy/circuit_breaker.go
+++ b/policy/circuit_breaker.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	failureThreshold     = 5                // consecutive failures that open a breaker unless expected
-	maxFailureThreshold  = 12               // consecutive failures that open a breaker in any case
-	runSignificanceLevel = 1e-5             // probability above which consecutive failures are expected
-	failureWindow        = 60 * time.Second // time within which consecutive failures count
-	initialOpenDuration  = 2 * time.Second  // how long a breaker stays open; doubles with each failed trial
-	maxOpenDuration      = 30 * time.Second
+	failureThreshold         = 5                // consecutive failures that open a breaker unless expected
+	maxFailureThreshold      = 12               // consecutive failures that open a breaker in any case
+	failureSignificanceLevel = 1e-5             // probability above which consecutive failures are expected
+	failureWindow            = 60 * time.Second // time within which consecutive failures count
+	initialOpenDuration      = 2 * time.Second  // how long a breaker stays open; doubles with each failed trial
+	maxOpenDuration          = 30 * time.Second
 )
 
 type breakerState uint8
@@ -118,13 +118,13 @@
 	if (status == Timeout || status == ConnectFailed) && failures >= regime.noResponseThreshold {
 		return true
 	}
-	return failures >= failureThreshold && !c.explainedByFailureRate(failureRate)
+	return failures >= failureThreshold && !c.failuresPlausibleAt(failureRate)
 }
 
-// explainedByFailureRate reports whether the consecutive failures are plausible at the failure rate that
+// failuresPlausibleAt reports whether the consecutive failures are plausible at the failure rate that
 // preceded them. The score then directs requests away from the server, whereas an open breaker would lose the
 // requests that it still serves.
-func (c *circuitBreaker) explainedByFailureRate(failureRate float64) bool {
+func (c *circuitBreaker) failuresPlausibleAt(failureRate float64) bool {
 	failures := len(c.failures)
-	return failures < maxFailureThreshold && math.Pow(failureRate, float64(failures)) > runSignificanceLevel
+	return failures < maxFailureThreshold && math.Pow(failureRate, float64(failures)) > failureSignificanceLevel
 }
--- a/policy/circuit_breaker_test.go
+++ b/policy/circuit_breaker_test.go
@@ -159,6 +159,6 @@
 	}
 	breaker.abandonTrial(first)
 	if !breaker.permitsTrial(time.Hour, Idempotent) {
-		t.Error("acceptsTrial after the trial was abandoned: false, want true")
+		t.Error("permitsTrial after the trial was abandoned: false, want true")
 	}
 }
--- a/policy/concurrency_limit.go
+++ b/policy/concurrency_limit.go
@@ -14,7 +14,7 @@
 	initialIncreaseFactor = 6.0   // multiplies the increase until the first congestion
 	limitDecrease         = 0.1   // per smoothed latency and unit of congestion above the target
 	peakDeviations        = 2     // standard deviations by which attempts in flight may exceed the limit
-	unloadedPerServer     = 3     // attempts per server over all nodes; the fleet is lightly loaded up to it
+	lightLoadPerServer    = 3     // attempts per server over all nodes; the fleet is lightly loaded up to it
 
 	knownGoodTimeConstant    = time.Minute            // of the decay of knownGoodLimit under congestion
 	meanInFlightTimeConstant = time.Second            // of the mean number of attempts in flight
@@ -23,12 +23,12 @@
 
 // concurrencyLimiter limits the attempts in flight of this node.
 type concurrencyLimiter struct {
-	inFlight       int     // attempts of this node, without unresponsive ones
-	meanInFlight   float64 // exponential moving average of inFlight
-	limit          float64 // attempts of all nodes per server; may be below 1
-	knownGoodLimit float64 // highest recent limit without congestion
-	congestionSeen bool    // ends the fast initial growth of the limit
-	adjustedAt     time.Duration
+	inFlight           int     // attempts of this node, without unresponsive ones
+	meanInFlight       float64 // exponential moving average of inFlight
+	limit              float64 // attempts of all nodes per server; may be below 1
+	knownGoodLimit     float64 // highest recent limit without congestion
+	congestionDetected bool    // ends the fast initial growth of the limit
+	adjustedAt         time.Duration
 }
 
 func newConcurrencyLimiter(nodes int) concurrencyLimiter {
@@ -38,7 +38,7 @@
 // startAttempt counts an attempt and records whether its server is unloaded. It must be called before
 // server.startAttempt, because the server is no longer idle afterwards.
 func (l *concurrencyLimiter) startAttempt(a *attempt, subset *subset) {
-	a.unloaded = l.serverUnloaded(a.server, subset)
+	a.unloaded = l.isUnloaded(a.server, subset)
 	l.inFlight++
 }
 
@@ -83,8 +83,8 @@
 	l.adjustedAt = now
 	excessCongestion := latency.congestion - targetCongestion
 	switch {
-	case excessCongestion > 0 && !l.congestionSeen:
-		l.congestionSeen = true
+	case excessCongestion > 0 && !l.congestionDetected:
+		l.congestionDetected = true
 		l.limit *= regime.firstCongestionFactor
 		l.knownGoodLimit = l.limit
 	case excessCongestion > 0:
@@ -105,7 +105,7 @@
 // increase raises the limit for a number of smoothed latencies without congestion. With an additive increase,
 // the limits of nodes that share servers converge.
 func (l *concurrencyLimiter) increase(elapsedLatencies float64, regime *samplingRegime) {
-	if !l.congestionSeen {
+	if !l.congestionDetected {
 		elapsedLatencies *= initialIncreaseFactor
 	}
 	if regime.additiveIncrease {
@@ -116,8 +116,8 @@
 	l.knownGoodLimit = max(l.knownGoodLimit, l.limit)
 }
 
-// hasCapacity reports whether a server with the given share of its full capacity may get another attempt.
-func (l *concurrencyLimiter) hasCapacity(server *server, capacityShare, nodesPerServer float64) bool {
+// serverHasCapacity reports whether a server with the given share of its full capacity may get another attempt.
+func (l *concurrencyLimiter) serverHasCapacity(server *server, capacityShare, nodesPerServer float64) bool {
 	limit := math.Round(l.limit / nodesPerServer)
 	return float64(len(server.inFlight)+1) <= max(1, limit*capacityShare)
 }
@@ -127,7 +127,7 @@
 // average out. The limit therefore applies to the mean number of attempts in flight, and the peaks have a
 // bound of their own. A request of high priority is exempt from the limit on the mean.
 func (l *concurrencyLimiter) nodeHasCapacity(request *request, subset *subset, arrivals *arrivalStats) bool {
-	limit := l.limit / subset.nodesPerServer * float64(subset.closed)
+	limit := l.limit / subset.nodesPerServer * float64(subset.closedBreakers)
 	next := float64(l.inFlight + 1)
 	if !subset.regime.limitAppliesToMean {
 		return next <= max(1, limit)
@@ -136,9 +136,9 @@
 	return (l.meanInFlight < limit || arrivals.isHighPriority(request)) && next <= maxPeak
 }
 
-// serverUnloaded reports whether a server is idle and the fleet lightly loaded, as estimated from this node's
+// isUnloaded reports whether a server is idle and the fleet lightly loaded, as estimated from this node's
 // attempts.
-func (l *concurrencyLimiter) serverUnloaded(server *server, subset *subset) bool {
+func (l *concurrencyLimiter) isUnloaded(server *server, subset *subset) bool {
 	inFlightOfAllNodes := float64(l.inFlight) * subset.nodesPerServer
-	return len(server.inFlight) == 0 && inFlightOfAllNodes <= unloadedPerServer*float64(len(subset.servers))
+	return len(server.inFlight) == 0 && inFlightOfAllNodes <= lightLoadPerServer*float64(len(subset.servers))
 }
--- a/policy/concurrency_limit_test.go
+++ b/policy/concurrency_limit_test.go
@@ -44,7 +44,7 @@
 // few requests while all servers are slow.
 func TestLimitDecreasesUnderCongestionToNearTheKnownGoodLimit(t *testing.T) {
 	h, balancer := newLimiterHarness(t)
-	balancer.limiter.congestionSeen, balancer.limiter.limit, balancer.limiter.knownGoodLimit = true, 8, 4
+	balancer.limiter.congestionDetected, balancer.limiter.limit, balancer.limiter.knownGoodLimit = true, 8, 4
 	adjustLimitFor(balancer, h.now, 5*time.Second, 1)
 	if balancer.limiter.limit >= 8 {
 		t.Fatalf("limit %v after 5 s of congestion, want less than 8", balancer.limiter.limit)
@@ -59,8 +59,8 @@
 // before.
 func TestUndersampledNodeLimitFallsToOneAttemptPerServer(t *testing.T) {
 	h, balancer := newLimiterHarness(t)
-	balancer.limiter.congestionSeen, balancer.limiter.limit, balancer.limiter.knownGoodLimit = true, 8, 8
-	balancer.subset.setNodesPerServer(2 * undersampledAbove)
+	balancer.limiter.congestionDetected, balancer.limiter.limit, balancer.limiter.knownGoodLimit = true, 8, 8
+	balancer.subset.setNodesPerServer(2 * maxWellSampledNodesPerServer)
 	adjustLimitFor(balancer, h.now, 10*time.Second, 1)
 	if balancer.limiter.limit > 1 {
 		t.Fatalf("limit %v after 10 s of congestion, want at most one attempt per server", balancer.limiter.limit)
@@ -71,7 +71,7 @@
 func TestFirstCongestionReducesTheLimitAtOnce(t *testing.T) {
 	h, balancer := newLimiterHarness(t)
 	balancer.limiter.limit = 10
-	balancer.subset.setNodesPerServer(2 * undersampledAbove)
+	balancer.subset.setNodesPerServer(2 * maxWellSampledNodesPerServer)
 	adjustLimitFor(balancer, h.now, 10*ms, 1)
 	if balancer.limiter.limit > 7 {
 		t.Fatalf("limit %v after the first congestion at a limit of 10, want at most 7", balancer.limiter.limit)
@@ -85,7 +85,7 @@
 	for _, limit := range []float64{0.5, 4} {
 		h := newUndersampledHarness(t)
 		limiter := &h.balancer.limiter
-		limiter.congestionSeen, limiter.limit, limiter.knownGoodLimit = true, limit, limit
+		limiter.congestionDetected, limiter.limit, limiter.knownGoodLimit = true, limit, limit
 		limiter.adjustedAt = time.Hour
 		h.balancer.queue.waiting = append(h.balancer.queue.waiting, &request{})
 		nodes = append(nodes, h.balancer)
--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -104,7 +104,7 @@
 			continue
 		}
 		share := s.capacityShare(&b.settings.Rules, now)
-		if s.breaker.state == breakerClosed && b.limiter.hasCapacity(s, share, b.subset.nodesPerServer) {
+		if s.breaker.state == breakerClosed && b.limiter.serverHasCapacity(s, share, b.subset.nodesPerServer) {
 			b.candidates.closed = append(b.candidates.closed, s)
 		} else if s.breaker.permitsTrial(now, request.class.Idempotency) {
 			b.candidates.trial = s
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -249,8 +249,8 @@
 func (h *harness) raiseMeanInFlightAboveLimit() {
 	h.balancer.refresh(h.now)
 	limiter, subset := &h.balancer.limiter, &h.balancer.subset
-	limiter.limit, limiter.knownGoodLimit, limiter.congestionSeen = 1, 1, true
-	limiter.meanInFlight = 2 * limiter.limit / subset.nodesPerServer * float64(subset.closed)
+	limiter.limit, limiter.knownGoodLimit, limiter.congestionDetected = 1, 1, true
+	limiter.meanInFlight = 2 * limiter.limit / subset.nodesPerServer * float64(subset.closedBreakers)
 }
 
 // recordBreakerFailures records failed attempts with the given status for the circuit breaker of a server, all at the
@@ -272,7 +272,7 @@
 func (h *harness) succeedRequestsOlderThan(age time.Duration) {
 	for id := range h.lastID {
 		record := h.balancer.requests.byID[id]
-		if record == nil || len(record.attempts) == 0 || h.now-record.attempts[0].sentAt < age {
+		if record == nil || len(record.attempts) == 0 || h.now-record.attempts[0].startedAt < age {
 			continue
 		}
 		for i := range record.attempts {
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -130,7 +130,7 @@
 	}
 	classBaseline := class.baseline.Value() * request.relativeWork()
 	logRatio := math.Log(max(seconds, minLatency.Seconds()) / classBaseline)
-	serverBaseline := &attempt.server.baseline
+	serverBaseline := &attempt.server.baselineLogRatio
 	if attempt.unloaded && congestion < targetCongestion {
 		// The more nodes use the server, the more likely their load affects the sample.
 		serverBaseline.AddWithPrior(logRatio, nodesPerServer)
--- a/policy/latency_test.go
+++ b/policy/latency_test.go
@@ -62,7 +62,7 @@
 			if changed := class.baseline.Value() != baseline; changed != tc.unloaded {
 				t.Errorf("record of a latency of 50 ms changed the class's baseline: %v, want %v", changed, tc.unloaded)
 			}
-			if changed := s.baseline.Samples() > 0; changed != tc.unloaded {
+			if changed := s.baselineLogRatio.Samples() > 0; changed != tc.unloaded {
 				t.Errorf("record of a latency of 50 ms changed the server's baseline: %v, want %v", changed, tc.unloaded)
 			}
 		})
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -8,7 +8,7 @@
 // server has restarted since the attempt started.
 func (b *Balancer) recordOutcome(now time.Duration, request *request, attempt *attempt, outcome Outcome) {
 	server := attempt.server
-	if attempt.sentAt < server.StartedAt {
+	if attempt.startedAt < server.StartedAt {
 		return
 	}
 	switch outcome.Status {
--- a/policy/outcome_test.go
+++ b/policy/outcome_test.go
@@ -16,7 +16,7 @@
 	slowLatency := record.expectedLatency(2 * undersampled().slowResponseMultiple)
 
 	for range failureThreshold {
-		a := &attempt{server: s, request: record, sentAt: h.now}
+		a := &attempt{server: s, request: record, startedAt: h.now}
 		h.balancer.recordOutcome(h.now, record, a, Outcome{Status: OK, Latency: slowLatency})
 	}
 
@@ -53,7 +53,7 @@
 				t.Fatalf("%d nodes: breaker %v after %d timeouts, want closed until %d",
 					tc.nodes, s.breaker.state, i, tc.wantTimeouts)
 			}
-			a := &attempt{server: s, request: record, sentAt: h.now}
+			a := &attempt{server: s, request: record, startedAt: h.now}
 			h.balancer.recordOutcome(h.now, record, a, Outcome{Status: Timeout, Latency: timeout})
 		}
 		if s.breaker.state != breakerOpen {
--- a/policy/request.go
+++ b/policy/request.go
@@ -18,7 +18,7 @@
 	server       *server
 	request      *request
 	zone, cell   int
-	sentAt       time.Duration
+	startedAt    time.Duration
 	inFlight     bool
 	notExecuted  bool // known not to have been executed
 	unloaded     bool // the server was idle and the fleet lightly loaded at its start
@@ -28,8 +28,8 @@
 // isUnresponsive reports whether an attempt in flight has far exceeded the expected latency and its server
 // has responded to no attempt since it started. It is false for an attempt already marked as unresponsive.
 func (a *attempt) isUnresponsive(now, expectedLatency time.Duration) bool {
-	return a.inFlight && !a.unresponsive && a.server.respondedAt < a.sentAt &&
-		float64(now-a.sentAt) > unresponsiveMultiple*float64(expectedLatency)
+	return a.inFlight && !a.unresponsive && a.server.respondedAt < a.startedAt &&
+		float64(now-a.startedAt) > unresponsiveMultiple*float64(expectedLatency)
 }
 
 // request is a client's request and the state of its attempts.
@@ -63,12 +63,12 @@
 // startAttempt adds an attempt in flight.
 func (r *request) startAttempt(now time.Duration, server *server) *attempt {
 	r.attempts = append(r.attempts, attempt{
-		server:   server,
-		request:  r,
-		zone:     server.Zone,
-		cell:     server.Cell,
-		sentAt:   now,
-		inFlight: true,
+		server:    server,
+		request:   r,
+		zone:      server.Zone,
+		cell:      server.Cell,
+		startedAt: now,
+		inFlight:  true,
 	})
 	r.inFlight++
 	return &r.attempts[len(r.attempts)-1]
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -34,7 +34,7 @@
 func (p *retryPolicy) attemptsExhausted(at time.Duration, request *request) bool {
 	executed := request.firstPossiblyExecuted()
 	return len(request.attempts) >= p.limits.MaxAttempts ||
-		executed != nil && !request.class.permitsRepeatAfter(at-executed.sentAt)
+		executed != nil && !request.class.permitsRepeatAfter(at-executed.startedAt)
 }
 
 // permitsRetryAt reports whether a retry at the given time is permitted and its response, expected after the
--- a/policy/retry_key_retention_test.go
+++ b/policy/retry_key_retention_test.go
@@ -15,7 +15,7 @@
 			record := h.balancer.requests.byID[id]
 			h.advance(20 * ms)
 			h.endAttempt(id, ServerError, 20*ms)
-			h.now = record.attempts[0].sentAt + after
+			h.now = record.attempts[0].startedAt + after
 			record.retryAt = h.now
 			h.balancer.periodicCheck(h.now)
 			h.advance(checkInterval)
--- a/policy/sampling_regime.go
+++ b/policy/sampling_regime.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// undersampledAbove is the number of nodes per server above which the requests of a single node are too small
-// a sample of the server's load.
-const undersampledAbove = 5.0
+// maxWellSampledNodesPerServer is the number of nodes per server above which the requests of a single node
+// are too small a sample of the server's load.
+const maxWellSampledNodesPerServer = 5.0
 
 // samplingRegime holds the parameters that differ between few and many nodes per server.
 type samplingRegime struct {
@@ -53,7 +53,7 @@
 // Its thresholds are therefore low and its adjustments large, and its limits converge to equal shares among
 // the nodes that share servers.
 func regimeFor(nodesPerServer float64) samplingRegime {
-	if nodesPerServer > undersampledAbove {
+	if nodesPerServer > maxWellSampledNodesPerServer {
 		return undersampled()
 	}
 	return wellSampled()
--- a/policy/sampling_regime_test.go
+++ b/policy/sampling_regime_test.go
@@ -8,8 +8,8 @@
 		want           samplingRegime
 	}{
 		{1, wellSampled()},
-		{undersampledAbove, wellSampled()},
-		{undersampledAbove + 0.01, undersampled()},
+		{maxWellSampledNodesPerServer, wellSampled()},
+		{maxWellSampledNodesPerServer + 0.01, undersampled()},
 		{80, undersampled()},
 	} {
 		if got := regimeFor(tc.nodesPerServer); got != tc.want {
--- a/policy/server.go
+++ b/policy/server.go
@@ -18,18 +18,18 @@
 	inFlight     []*attempt    // attempts of this node, oldest first
 	respondedAt  time.Duration // when it last responded
 
-	breaker  circuitBreaker
-	score    serverScore
-	baseline runningmean.Mean // mean log ratio of unloaded latencies to their class's baseline
-	budget   slowStartBudget
+	breaker          circuitBreaker
+	score            serverScore
+	baselineLogRatio runningmean.Mean // mean log ratio of unloaded latencies to their class's baseline
+	budget           slowStartBudget
 }
 
 func newServer(ringPosition uint64) *server {
 	return &server{
-		ringPosition: ringPosition,
-		breaker:      newCircuitBreaker(),
-		score:        newServerScore(),
-		baseline:     runningmean.New(maxServerSamples),
+		ringPosition:     ringPosition,
+		breaker:          newCircuitBreaker(),
+		score:            newServerScore(),
+		baselineLogRatio: runningmean.New(maxServerSamples),
 	}
 }
 
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -11,7 +11,7 @@
 
 const (
 	slowStartSafetyFactor = 0.8  // fraction of the estimated capacity that is used while warming up
-	burstWindows          = 0.25 // maximum unused budget, in overload windows
+	maxBurstWindows       = 0.25 // maximum unused budget, in overload windows
 	minWarmFraction       = 0.75 // fraction of the subset that must be warm to update warmServerWorkRate
 
 	warmServerWorkRateTimeConstant = 10 * time.Second // of the smoothing of warmServerWorkRate
@@ -100,7 +100,7 @@
 		rate = arrivals.rate.PerSecond(now) * work / float64(len(subset.servers))
 	}
 	rate *= share * slowStartSafetyFactor
-	burst := rate * s.rules.OverloadWindow.Seconds() * burstWindows
+	burst := rate * s.rules.OverloadWindow.Seconds() * maxBurstWindows
 	budget.work = min(budget.work+rate*(now-budget.updatedAt).Seconds(), burst)
 	budget.updatedAt = now
 }
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -22,7 +22,7 @@
 	updatedAt      time.Duration
 	stale          bool // the ready servers or their breakers have changed since updatedAt
 
-	closed, awaitingTrial int // number of servers by breaker state, as of the last refresh
+	closedBreakers, breakersAwaitingTrial int // number of servers by breaker state, as of the last refresh
 }
 
 func newSubset(settings *Settings) subset {
@@ -73,20 +73,20 @@
 
 // advanceBreakers turns the open breakers that are due half-open, and counts the servers by breaker state.
 func (s *subset) advanceBreakers(now time.Duration) {
-	s.closed, s.awaitingTrial = 0, 0
+	s.closedBreakers, s.breakersAwaitingTrial = 0, 0
 	for _, server := range s.servers {
 		server.breaker.advance(now)
 		switch {
 		case server.breaker.state == breakerClosed:
-			s.closed++
+			s.closedBreakers++
 		case server.breaker.awaitsTrial():
-			s.awaitingTrial++
+			s.breakersAwaitingTrial++
 		}
 	}
 }
 
 // allEjected reports whether no server may get a request, as of the last refresh.
-func (s *subset) allEjected() bool { return s.closed+s.awaitingTrial == 0 }
+func (s *subset) allEjected() bool { return s.closedBreakers+s.breakersAwaitingTrial == 0 }
 
 // permitsEjection reports whether at most half of the subset is ejected after another breaker opens.
 func (s *subset) permitsEjection() bool {
--- a/policy/validate.go
+++ b/policy/validate.go
@@ -73,21 +73,21 @@
 	}
 }
 
-func (c *Class) checks(path string) []check {
+func (c *Class) checks(prefix string) []check {
 	return []check{
-		{path + "Deadline", c.Deadline, c.Deadline > 0, "more than 0"},
-		checkDuration(path+"Objective", c.Objective),
-		checkNumber(path+"ObjectivePerWork", c.ObjectivePerWork),
-		checkShare(path+"LateFraction", c.LateFraction),
-		checkNumber(path+"PriorityWeight", c.PriorityWeight),
-		{path + "Idempotency", c.Idempotency, c.Idempotency <= NotIdempotent, "a defined Idempotency"},
-		{path + "KeyScope", c.KeyScope, c.KeyScope <= KeyScopeCell, "a defined KeyScope"},
-		checkDuration(path+"KeyRetention", c.KeyRetention),
+		{prefix + "Deadline", c.Deadline, c.Deadline > 0, "more than 0"},
+		checkDuration(prefix+"Objective", c.Objective),
+		checkNumber(prefix+"ObjectivePerWork", c.ObjectivePerWork),
+		checkShare(prefix+"LateFraction", c.LateFraction),
+		checkNumber(prefix+"PriorityWeight", c.PriorityWeight),
+		{prefix + "Idempotency", c.Idempotency, c.Idempotency <= NotIdempotent, "a defined Idempotency"},
+		{prefix + "KeyScope", c.KeyScope, c.KeyScope <= KeyScopeCell, "a defined KeyScope"},
+		checkDuration(prefix+"KeyRetention", c.KeyRetention),
 	}
 }
 
-func checkCount(field string, value, least int) check {
-	return check{field, value, value >= least, fmt.Sprintf("at least %d", least)}
+func checkCount(field string, value, minimum int) check {
+	return check{field, value, value >= minimum, fmt.Sprintf("at least %d", minimum)}
 }
 
 func checkDuration(field string, value time.Duration) check {
