--- a/policy/api.go
+++ b/policy/api.go
@@ -68,7 +68,7 @@
 // The values of Idempotency.
 const (
 	Idempotent        Idempotency = iota // may be executed any number of times
-	IdempotentWithKey                    // servers in KeyScope drop repeats for KeyRetention
+	IdempotentWithKey                    // servers of Class.KeyScope ignore repeats of a key for Class.KeyRetention
 	NotIdempotent                        // must be executed at most once
 )
 
@@ -91,12 +91,12 @@
 // Class configures a class of requests.
 type Class struct {
 	Deadline         time.Duration // total time that the client waits, over all attempts
-	Objective        time.Duration // latency objective: a response within it earns its full weight; 0: Deadline
+	Objective        time.Duration // latency objective: a response within it counts with its full weight; 0: Deadline
 	ObjectivePerWork float64       // multiple of Request.CostHint by which the objective is extended
-	LateFraction     float64       // fraction of the weight, 0 to 1, that a response after the objective earns
-	PriorityWeight   float64       // weight of one request; with Settings.WeightByWork, of a unit of work
+	LateFraction     float64       // fraction of its weight, 0 to 1, with which a response after the objective counts
+	PriorityWeight   float64       // weight of one request, or of a unit of work with Settings.WeightByWork
 	Idempotency      Idempotency
-	KeyScope         KeyScope      // with IdempotentWithKey
+	KeyScope         KeyScope      // with IdempotentWithKey: the servers that recognize a key
 	KeyRetention     time.Duration // with IdempotentWithKey: how long servers keep a key, from the first attempt
 	Streaming        bool          // the response is a stream; see Balancer.StreamStarted
 }
@@ -116,11 +116,11 @@
 
 // Rules holds the parameters of the rules that each node enforces independently.
 type Rules struct {
-	SlowStartShare    float64       // minimum fraction of its capacity, 0 to 1, that a starting server has
-	SlowStartDuration time.Duration // time after its start by which a server is warm
+	SlowStartShare    float64       // fraction of its full capacity, 0 to 1, that a server has at least when it starts
+	SlowStartDuration time.Duration // time from the start of a server until it is warm
 	OverloadMultiple  float64       // multiple of its current capacity above which a server that is warming up fails
-	OverloadWindow    time.Duration // time over which the work sent to such a server is measured
-	MaxPollInterval   time.Duration // with Settings.PollEndpoints: longest time between polls
+	OverloadWindow    time.Duration // time over which the work sent to a server that is warming up is measured
+	MaxPollInterval   time.Duration // with Settings.PollEndpoints: longest time between two polls
 	ResponseGrace     time.Duration // time after a client's deadline within which a final response still counts
 }
 
@@ -131,10 +131,10 @@
 	Zone              int // zone of this node
 	Classes           []Class
 	Tenants           []Tenant
-	OverQuotaFraction float64       // fraction of its weight that a request beyond its tenant's quota keeps
+	OverQuotaFraction float64       // factor that multiplies the weight of a request beyond its tenant's quota
 	WeightByWork      bool          // PriorityWeight is per unit of work instead of per request
-	PollEndpoints     bool          // the node polls or watches the endpoint list; otherwise it is pushed
-	Tick              time.Duration // longest delay before an event is handled, since events come in batches
+	PollEndpoints     bool          // the node polls or watches the endpoint list; otherwise updates are pushed to it
+	Tick              time.Duration // longest delay before an event is handled, because events come in batches
 	Limits            Limits
 	Rules             Rules
 }
@@ -162,7 +162,7 @@
 }
 
 // NotificationDeadline is the time after which a node is considered notified of a change of the endpoint
-// list. It starts when the discovery service knows of the change and is reachable. Failed calls do not
+// list. The time starts when the discovery service has the change and is reachable. Failed calls do not
 // extend it.
 const NotificationDeadline = 6 * time.Second
 
@@ -216,14 +216,14 @@
 	Attempt          int // index among the attempts of this request, from 0
 	Server           ServerID
 	Status           Status
-	RequestCompleted bool          // the client has received its final response, from this attempt or earlier
+	RequestCompleted bool          // the client has its final response, from this attempt or an earlier one
 	Latency          time.Duration // time since Host.Send
 }
 
 // Host carries out the actions of a Balancer. The Balancer calls it from within its own methods, and the
 // Host must not call back into the Balancer.
 type Host interface {
-	// Send starts an attempt, which ends after the timeout. If that is 0, the client's own timeout applies.
+	// Send starts an attempt, which ends after the timeout. With a timeout of 0, the client's own timeout applies.
 	Send(id RequestID, server ServerID, timeout time.Duration)
 	// Cancel cancels an attempt in flight. Its Outcome still follows.
 	Cancel(id RequestID, attempt int)
