--- a/policy/settings.go
+++ b/policy/settings.go
@@ -3,7 +3,7 @@
 import "time"
 
 // Defaults returns default settings: no retries, hedged requests or cancellations, and conservative rules
-// for polling and slow start. They have no classes, so Validate rejects them until the caller adds one.
+// for polling and slow start. They have no classes, so Validate rejects them until the caller adds a class.
 func Defaults() Settings {
 	return Settings{
 		Nodes:             1,
