--- a/policy/validate.go
+++ b/policy/validate.go
@@ -11,7 +11,7 @@
 // SettingError reports a setting whose value is invalid.
 type SettingError struct {
 	Field   string // path within Settings, such as "Limits.MaxAttempts" or "Classes[2].Deadline"
-	Value   any    // the invalid value; for Classes, their number
+	Value   any    // the invalid value; for Classes, the number of classes
 	Allowed string // the allowed values in words, such as "at least 1"
 }
 
@@ -30,7 +30,8 @@
 			return &SettingError{Field: c.field, Value: c.value, Allowed: c.allowed}
 		}
 	}
-	for i, t := range s.Tenants { // may be tens of thousands: valid ones allocate nothing
+	// There may be tens of thousands of tenants, so the validation of a valid tenant allocates nothing.
+	for i, t := range s.Tenants {
 		if !isFiniteNonNegative(t.QuotaPerS) {
 			return &SettingError{fmt.Sprintf("Tenants[%d].QuotaPerS", i), t.QuotaPerS, allowedNumber}
 		}
@@ -38,10 +39,10 @@
 	return nil
 }
 
-// allowedNumber describes the values that isFiniteNonNegative accepts.
+// allowedNumber is the text of SettingError.Allowed for a value that isFiniteNonNegative checks.
 const allowedNumber = "a finite number of at least 0"
 
-// isFiniteNonNegative also rejects NaN, for which every comparison is false.
+// isFiniteNonNegative reports whether a number is finite and at least 0. It is false for NaN.
 func isFiniteNonNegative(value float64) bool { return value >= 0 && !math.IsInf(value, 1) }
 
 // check is the result of validating one field.
@@ -73,6 +74,7 @@
 	}
 }
 
+// checks validates the fields of a class. The prefix is the path of the class, such as "Classes[2].".
 func (c *Class) checks(prefix string) []check {
 	return []check{
 		{prefix + "Deadline", c.Deadline, c.Deadline > 0, "more than 0"},
@@ -80,8 +82,8 @@
 		checkNumber(prefix+"ObjectivePerWork", c.ObjectivePerWork),
 		checkShare(prefix+"LateFraction", c.LateFraction),
 		checkNumber(prefix+"PriorityWeight", c.PriorityWeight),
-		{prefix + "Idempotency", c.Idempotency, c.Idempotency <= NotIdempotent, "a defined Idempotency"},
-		{prefix + "KeyScope", c.KeyScope, c.KeyScope <= KeyScopeCell, "a defined KeyScope"},
+		{prefix + "Idempotency", c.Idempotency, c.Idempotency <= NotIdempotent, "idempotent, idempotent with key or not idempotent"},
+		{prefix + "KeyScope", c.KeyScope, c.KeyScope <= KeyScopeCell, "all, zone or cell"},
 		checkDuration(prefix+"KeyRetention", c.KeyRetention),
 	}
 }
