--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -7,10 +7,11 @@
 	"time"
 )
 
-// maxAttemptsPerRequest caps Limits.MaxAttempts, because each request allocates space for all its attempts.
+// maxAttemptsPerRequest is the upper bound of Limits.MaxAttempts. Each request allocates space for all the
+// attempts that it may have.
 const maxAttemptsPerRequest = 16
 
-// Tokens of the timers.
+// Tokens of the timers that the Balancer sets.
 const (
 	timerCheck uint64 = iota // the periodic check
 	timerWatch               // the next watch or poll of the endpoint list
@@ -38,10 +39,10 @@
 	latency    latencyEstimator
 	limiter    concurrencyLimiter
 	slowStart  slowStart
-	candidates candidates // reused by selectServer
+	candidates candidates // of the latest selectServer call, which reuses the memory
 
-	refreshedAt  time.Duration
-	needsRefresh bool // refresh is due even if the time is still refreshedAt
+	refreshedAt  time.Duration // time of the last refresh
+	needsRefresh bool          // another refresh is due even at the time refreshedAt
 	checkTimer   checkTimer
 }
 
@@ -107,7 +108,7 @@
 }
 
 // StreamStarted handles the start of a response that is streamed to the client. The request gets no further
-// attempts, its others are cancelled if Limits.Cancel permits it, and its deadline no longer applies.
+// attempts, its other attempts are cancelled if Limits.Cancel permits it, and its deadline no longer applies.
 func (b *Balancer) StreamStarted(now time.Duration, id RequestID, index int) {
 	request, attempt := b.requests.findAttempt(id, index)
 	if request == nil {
@@ -118,7 +119,7 @@
 	b.cancelAttempts(request, attempt)
 }
 
-// ClientDisconnected completes a request whose client has disconnected and gets no final response.
+// ClientDisconnected completes a request whose client has disconnected. The request gets no final response.
 func (b *Balancer) ClientDisconnected(_ time.Duration, id RequestID) {
 	if request := b.requests.byID[id]; request != nil {
 		b.complete(request)
@@ -139,7 +140,7 @@
 	switch {
 	case outcome.RequestCompleted || outcome.Status == OK:
 		b.complete(request)
-	case request.completed: // earlier; this may be the outcome of its last attempt in flight
+	case request.completed: // completed before this outcome, which may end its last attempt in flight
 		b.requests.release(request)
 	case request.inFlight == 0:
 		b.scheduleRetry(now, request)
@@ -162,7 +163,7 @@
 }
 
 // WatchFailed handles the failure of a watch or poll of the endpoint list. The known list stays in use. The
-// node is considered notified of missed changes at the deadline, so the next call must be answered before.
+// node is considered notified of missed changes at the deadline, so the next call must be answered before the deadline.
 func (b *Balancer) WatchFailed(now, deadline time.Duration) {
 	b.host.SetTimer(now+b.watch.nextBackoff(deadline-now), timerWatch)
 }
