--- a/policy/periodic_check.go
+++ b/policy/periodic_check.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	checkInterval = 10 * time.Millisecond // of the periodic check; also the resolution of all deadlines
-	maxTime       = time.Duration(math.MaxInt64)
+	checkInterval = 10 * time.Millisecond        // time between periodic checks, and resolution of all deadlines
+	maxTime       = time.Duration(math.MaxInt64) // later than any event
 )
 
 // checkTimer is the timer of the periodic check.
 type checkTimer struct {
 	host Host
-	due  time.Duration // maxTime if no check is scheduled
+	due  time.Duration // time of the scheduled check; maxTime if there is none
 }
 
 func newCheckTimer(host Host) checkTimer { return checkTimer{host: host, due: maxTime} }
 
-// scheduleBy schedules the next check for the given time, unless it is due earlier.
+// scheduleBy schedules the next check for the given time, unless a check is scheduled for an earlier time.
 func (c *checkTimer) scheduleBy(at time.Duration) {
 	if at < c.due {
 		c.due = at
@@ -32,16 +32,18 @@
 // isDue reports whether the scheduled check is due.
 func (c *checkTimer) isDue(now time.Duration) bool { return now >= c.due }
 
-// clear removes the scheduled check before it runs.
+// clear removes the scheduled check, which is about to run.
 func (c *checkTimer) clear() { c.due = maxTime }
 
-// periodicCheck sheds load and checks every active request. The next check runs no later than the earliest
-// deadline, since ResponseGrace may be shorter than checkInterval.
+// periodicCheck sheds load, checks every active request and schedules the next check. That check runs after
+// checkInterval, or already at the earliest deadline of a request without an attempt in flight: up to
+// checkInterval after a deadline could be too late, because ResponseGrace may be shorter.
 func (b *Balancer) periodicCheck(now time.Duration) {
 	b.refresh(now)
 	b.shedLoad(now)
 	next := now + checkInterval
-	// Iterates backwards, because completing a request moves the last one, already checked, to its index.
+	// When a request completes, the last active request moves to its index. Iterating backwards, that request
+	// has already been checked.
 	for _, request := range slices.Backward(b.requests.active) {
 		b.checkRequest(now, request)
 		if !request.completed && request.inFlight == 0 {
@@ -57,7 +59,7 @@
 // checkRequest performs the actions that are due for an active request.
 func (b *Balancer) checkRequest(now time.Duration, request *request) {
 	switch {
-	case request.streaming: // its deadline no longer applies
+	case request.streaming: // the deadline no longer applies
 	case request.inFlight > 0:
 		b.handleUnresponsiveAttempts(now, request)
 	case now >= request.deadline:
