--- a/policy/validate.go
+++ b/policy/validate.go
@@ -82,7 +82,10 @@
 		checkNumber(prefix+"ObjectivePerWork", c.ObjectivePerWork),
 		checkShare(prefix+"LateFraction", c.LateFraction),
 		checkNumber(prefix+"PriorityWeight", c.PriorityWeight),
-		{prefix + "Idempotency", c.Idempotency, c.Idempotency <= NotIdempotent, "idempotent, idempotent with key or not idempotent"},
+		{
+			prefix + "Idempotency", c.Idempotency, c.Idempotency <= NotIdempotent,
+			"idempotent, idempotent with key or not idempotent",
+		},
 		{prefix + "KeyScope", c.KeyScope, c.KeyScope <= KeyScopeCell, "all, zone or cell"},
 		checkDuration(prefix+"KeyRetention", c.KeyRetention),
 	}
