--- a/policy/periodic_check.go
+++ b/policy/periodic_check.go
@@ -10,7 +10,7 @@
 
 const (
 	checkInterval = 10 * time.Millisecond        // time between periodic checks, and resolution of all deadlines
-	maxTime       = time.Duration(math.MaxInt64) // later than any event
+	maxTime       = time.Duration(math.MaxInt64) // later than the time of any event
 )
 
 // checkTimer is the timer of the periodic check.
@@ -35,9 +35,9 @@
 // clear removes the scheduled check, which is about to run.
 func (c *checkTimer) clear() { c.due = maxTime }
 
-// periodicCheck sheds load, checks every active request and schedules the next check. That check runs after
-// checkInterval, or already at the earliest deadline of a request without an attempt in flight: up to
-// checkInterval after a deadline could be too late, because ResponseGrace may be shorter.
+// periodicCheck sheds load, checks every active request and schedules the next check. The next check runs
+// after checkInterval, or earlier if a request without an attempt in flight has an earlier deadline: a check up to
+// checkInterval after that deadline could be too late, because ResponseGrace may be shorter.
 func (b *Balancer) periodicCheck(now time.Duration) {
 	b.refresh(now)
 	b.shedLoad(now)
