--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -39,7 +39,7 @@
 	latency    latencyEstimator
 	limiter    concurrencyLimiter
 	slowStart  slowStart
-	candidates candidates // of the latest selectServer call, which reuses the memory
+	candidates candidates // scratch space of selectServer, reused to avoid allocations
 
 	refreshedAt  time.Duration // time of the last refresh
 	needsRefresh bool          // another refresh is due even at the time refreshedAt
