--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -27,7 +27,7 @@
 		return
 	}
 	b.refresh(now)
-	noCapacity := false // for a first attempt; the requests behind it are then skipped
+	noCapacity := false // no server has capacity for a first attempt; the rest of the queue then waits
 	b.queue.removeFunc(func(request *request) bool {
 		if request.completed {
 			return true
@@ -40,8 +40,8 @@
 			b.rejectOrFail(request)
 			return true
 		}
-		// A first attempt may go to any ready server, so the requests behind it find no capacity either. A
-		// retry may be restricted to the scope of its idempotency key and does not block them.
+		// A first attempt may go to any ready server, so there is no capacity for the requests behind it either.
+		// A retry may be restricted to the scope of its idempotency key, so it does not block the requests behind it.
 		isFirstAttempt := len(request.attempts) == 0
 		noCapacity = noCapacity || isFirstAttempt
 		return false
@@ -59,8 +59,8 @@
 	return true
 }
 
-// shedLoad rejects or fails queued requests that cannot be served in time. It leaves completed requests in
-// the queue, from which dispatch removes them.
+// shedLoad rejects or fails queued requests that cannot be served in time. Completed requests stay in the
+// queue until dispatch removes them.
 func (b *Balancer) shedLoad(now time.Duration) {
 	b.queue.removeFunc(func(request *request) bool {
 		if request.completed || !b.shedder.shouldShed(now, request) {
@@ -90,7 +90,7 @@
 }
 
 // collectCandidates collects the servers that may get the next attempt. It stops at the first server whose
-// half-open breaker accepts the attempt as its trial. It also refills the slow start budgets of the servers
+// half-open breaker permits the attempt as its trial. It also refills the slow start budgets of the servers
 // that the retry policy permits.
 func (b *Balancer) collectCandidates(now time.Duration, request *request) {
 	b.candidates.reset()
@@ -161,8 +161,8 @@
 	b.requests.release(request)
 }
 
-// cancelAttempts cancels the attempts in flight of a request, if Limits.Cancel permits it. An attempt passed
-// as except is not cancelled; it may be nil.
+// cancelAttempts cancels the attempts in flight of a request other than the given exception, if Limits.Cancel
+// permits it. Without an exception, except is nil.
 func (b *Balancer) cancelAttempts(request *request, except *attempt) {
 	if !b.settings.Limits.Cancel {
 		return
