--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -18,13 +18,13 @@
 		b.recordFailure(now, attempt, outcome.Status)
 	case Timeout:
 		// A short timeout is the client's choice and not evidence against the server. The latency is
-		// compared with the baseline: the mean latency rises with congestion, until no timeout would
-		// count as a failure.
+		// compared with the baseline instead of the mean: the mean rises with congestion, until no
+		// timeout would count as a failure.
 		timeoutIsLong := request.relativeLatency(outcome.Latency) > unresponsiveMultiple
 		if timeoutIsLong && !attempt.unresponsive { // an unresponsive attempt has already been counted
 			b.recordFailure(now, attempt, Timeout)
 		}
-	case Rejected: // lowers the score, or a full server would be selected again
+	case Rejected: // counts in the score only; otherwise a full server would be selected again
 		server.score.recordFailure(now)
 	case Cancelled, NotSent: // no evidence about the server
 	}
@@ -53,7 +53,7 @@
 }
 
 // recordBreakerFailure records a failed attempt in the circuit breaker of its server. It opens the breaker if
-// the attempt was its trial or the consecutive failures eject the server.
+// the attempt was its trial or if shouldEject reports that the consecutive failures eject the server.
 func (b *Balancer) recordBreakerFailure(now time.Duration, attempt *attempt, status Status) {
 	server := attempt.server
 	breaker := &server.breaker
@@ -69,8 +69,8 @@
 	breaker.open(now, b.random)
 }
 
-// shouldEject reports whether the consecutive failures of a server, the last one with the given status, open
-// its closed breaker. Timeouts may be caused by a slowdown of all servers, so they open no further breaker
+// shouldEject reports whether the consecutive failures of a server, of which the last has the given status,
+// open its closed breaker. Timeouts may be caused by a slowdown of all servers, so a timeout opens no breaker
 // if more than half of the subset would then be ejected.
 func (b *Balancer) shouldEject(server *server, status Status) bool {
 	breaker := &server.breaker
