--- a/policy/endpoint_set.go
+++ b/policy/endpoint_set.go
@@ -9,20 +9,19 @@
 	"calicohinge/internal/hashring"
 )
 
-// endpointSet holds the servers of the endpoint list. It keeps a removed server while attempts are in flight
-// there.
+// endpointSet holds the servers of the endpoint list. A removed server is kept while it has attempts in flight.
 type endpointSet struct {
-	zone  int // of this node
+	zone  int // zone of this node
 	byID  map[ServerID]*server
-	ready []*server // sorted by ring position
+	ready []*server // servers in state Ready, sorted by ring position
 }
 
 func newEndpointSet(zone int) endpointSet {
 	return endpointSet{zone: zone, byID: map[ServerID]*server{}}
 }
 
-// update applies an update of the endpoint list. It returns the attempts that were in flight at servers which
-// have restarted. They no longer get a response.
+// update applies an update of the endpoint list. It returns the attempts that were in flight at servers that
+// have restarted. These attempts no longer get a response.
 func (e *endpointSet) update(kind UpdateKind, endpoints []Endpoint) []*attempt {
 	if kind != UpdateDelta {
 		e.markAllRemoved()
@@ -36,7 +35,7 @@
 }
 
 // updateEndpoint applies one entry of the list. If the server has restarted, it discards the measurements of
-// the previous process and returns the attempts in flight there.
+// the previous process and returns its attempts in flight.
 func (e *endpointSet) updateEndpoint(endpoint Endpoint) []*attempt {
 	var lost []*attempt
 	server := e.byID[endpoint.Server]
@@ -53,8 +52,8 @@
 	return lost
 }
 
-// markAllRemoved marks every server as removed before a complete list is applied. This includes draining
-// servers, because this list and all later ones may omit them.
+// markAllRemoved marks every server as removed before a list of all endpoints is applied. This includes
+// draining servers, because neither this list nor a later list has to contain them.
 func (e *endpointSet) markAllRemoved() {
 	for _, s := range e.byID {
 		s.State = Removed
@@ -62,7 +61,7 @@
 	e.ready = e.ready[:0]
 }
 
-// dropRemoved removes the servers that are no longer ready from the ready list and sorts it. It forgets
+// dropRemoved removes the servers that are no longer ready from the ready list and sorts the list. It deletes
 // removed servers without attempts in flight.
 func (e *endpointSet) dropRemoved() {
 	e.ready = slices.DeleteFunc(e.ready, func(s *server) bool { return s.State != Ready })
