--- a/policy/watch_schedule.go
+++ b/policy/watch_schedule.go
@@ -10,20 +10,20 @@
 )
 
 const (
-	initialWatchBackoff = 500 * time.Millisecond  // backoff after the first failed call; doubles
-	watchSpreadPerNode  = 60 * time.Millisecond   // for each node, added to the time over which calls spread
-	watchResponseTime   = 1500 * time.Millisecond // reserved for a response before the notification deadline
+	initialWatchBackoff = 500 * time.Millisecond  // backoff after the first failed call; doubles with each further failure
+	watchSpreadPerNode  = 60 * time.Millisecond   // time by which each node extends the spread of the calls of all nodes
+	watchResponseTime   = 1500 * time.Millisecond // time reserved for a response before the notification deadline
 
-	maxSpreadDivisor     = 2 // the first calls spread over at most half of MaxPollInterval
-	maxBackoffDivisor    = 4 // the backoff is limited to about a quarter of MaxPollInterval
-	remainingTimeDivisor = 2 // a delay may take half of the time left, even if a response may then be late
+	maxSpreadDivisor     = 2 // the first calls of all nodes spread over at most half of MaxPollInterval
+	maxBackoffDivisor    = 4 // the backoff is at most a quarter of MaxPollInterval plus initialWatchBackoff
+	remainingTimeDivisor = 2 // a delay may take half of the time to the notification deadline, even if a response may then be late
 )
 
 // watchSchedule determines when a node watches or polls the endpoint list.
 type watchSchedule struct {
 	spread          time.Duration // time over which the calls of all nodes spread
 	maxPollInterval time.Duration
-	backoff         time.Duration // delay before the next call after a failed one
+	backoff         time.Duration // delay before the next call after a failed call
 	random          *rand.Rand
 }
 
@@ -49,10 +49,10 @@
 	host.SetTimer(now+jitter.Full(w.random, spread), timerWatch)
 }
 
-// initialSpread returns the time over which nodes that start together spread their first calls. It is 0, for
-// an immediate call, without a cached list or if the spread would not exceed initialWatchBackoff, as with
-// few nodes. The discovery service may serve calls one after another, including abandoned ones. Simultaneous
-// calls of many nodes would therefore time out, and so would their retries.
+// initialSpread returns the time over which nodes that start together spread their first calls. The discovery
+// service may serve calls one after another, including abandoned calls. Simultaneous calls of many nodes would
+// therefore time out, and so would their retries. The result is 0, for an immediate call, if there is no cached
+// list or if the spread would not exceed initialWatchBackoff, as with few nodes.
 func (w *watchSchedule) initialSpread(cachedEndpoints int) time.Duration {
 	spread := min(w.spread, w.maxPollInterval/maxSpreadDivisor, NotificationDeadline-watchResponseTime)
 	if spread <= initialWatchBackoff || cachedEndpoints == 0 {
@@ -61,9 +61,9 @@
 	return spread
 }
 
-// nextBackoff returns the delay before the next call after a failed one, and doubles the backoff. The
-// notification deadline is remainingTime away, and the delay leaves time for a response before it, if
-// possible. The first delay has full jitter, so that nodes that lost the discovery service together do not
+// nextBackoff returns the delay before the next call after a failed call, and doubles the backoff. The
+// remaining time is the time to the notification deadline. If possible, the delay leaves time for a response
+// before that deadline. The first delay has full jitter, so that nodes that lost the discovery service together do not
 // retry together. Later delays have no jitter.
 func (w *watchSchedule) nextBackoff(remainingTime time.Duration) time.Duration {
 	longest := min(max(remainingTime-watchResponseTime, remainingTime/remainingTimeDivisor, 0),
