--- a/policy/watch_schedule.go
+++ b/policy/watch_schedule.go
@@ -10,13 +10,16 @@
 )
 
 const (
-	initialWatchBackoff = 500 * time.Millisecond  // backoff after the first failed call; doubles with each further failure
-	watchSpreadPerNode  = 60 * time.Millisecond   // time by which each node extends the spread of the calls of all nodes
+	initialWatchBackoff = 500 * time.Millisecond  // backoff after the first failed call; doubles with each failure
+	watchSpreadPerNode  = 60 * time.Millisecond   // time by which each node extends the spread of the calls
 	watchResponseTime   = 1500 * time.Millisecond // time reserved for a response before the notification deadline
 
-	maxSpreadDivisor     = 2 // the first calls of all nodes spread over at most half of MaxPollInterval
-	maxBackoffDivisor    = 4 // the backoff is at most a quarter of MaxPollInterval plus initialWatchBackoff
-	remainingTimeDivisor = 2 // a delay may take half of the time to the notification deadline, even if a response may then be late
+	maxSpreadDivisor  = 2 // the first calls of all nodes spread over at most half of MaxPollInterval
+	maxBackoffDivisor = 4 // the backoff is at most a quarter of MaxPollInterval plus initialWatchBackoff
+
+	// remainingTimeDivisor permits a delay of half of the time to the notification deadline, even if a response
+	// may then be late.
+	remainingTimeDivisor = 2
 )
 
 // watchSchedule determines when a node watches or polls the endpoint list.
