--- a/policy/server.go
+++ b/policy/server.go
@@ -13,14 +13,14 @@
 // its own field.
 type server struct {
 	Endpoint
-	sameZone     bool          // in the zone of this node
-	ringPosition uint64        // equal on all nodes; groups cells, which may be the scope of a key
-	inFlight     []*attempt    // attempts of this node, oldest first
-	respondedAt  time.Duration // when it last responded
+	sameZone     bool          // the server is in the zone of this node
+	ringPosition uint64        // the same on all nodes; adjacent for servers of a cell, a possible KeyScope
+	inFlight     []*attempt    // attempts of this node in flight, oldest first
+	respondedAt  time.Duration // time of the last call of recordSuccess
 
 	breaker          circuitBreaker
 	score            serverScore
-	baselineLogRatio runningmean.Mean // mean log ratio of unloaded latencies to their class's baseline
+	baselineLogRatio runningmean.Mean // mean logarithm of unloaded latency divided by the baseline of the class
 	budget           slowStartBudget
 }
 
@@ -33,7 +33,7 @@
 	}
 }
 
-// restart discards the measurements of the previous process and returns the attempts in flight there.
+// restart discards the measurements of the previous process and returns its attempts in flight.
 func (s *server) restart() []*attempt {
 	previous := *s
 	*s = *newServer(previous.ringPosition)
@@ -41,27 +41,27 @@
 	return previous.inFlight
 }
 
-// update applies an entry of the endpoint list. The zone is that of this node.
+// update applies an entry of the endpoint list. The given zone is the zone of this node.
 func (s *server) update(endpoint Endpoint, zone int) {
 	s.Endpoint = endpoint
 	s.sameZone = endpoint.Zone == zone
 }
 
-// startAttempt adds an attempt in flight, which becomes the trial if the breaker is half-open.
+// startAttempt adds an attempt in flight. It becomes the trial if the breaker is half-open.
 func (s *server) startAttempt(a *attempt) {
 	s.inFlight = append(s.inFlight, a)
 	s.breaker.startAttempt(a)
 }
 
-// endAttempt removes an attempt from those in flight. An attempt from before a restart of the server is not
-// among them.
+// endAttempt removes an attempt from the attempts in flight. It has no effect on an attempt that started before
+// the server restarted.
 func (s *server) endAttempt(a *attempt) {
 	if i := slices.Index(s.inFlight, a); i >= 0 {
 		s.inFlight = slices.Delete(s.inFlight, i, i+1)
 	}
 }
 
-// recordSuccess records that the server responded to an attempt.
+// recordSuccess records a successful response to an attempt, or the start of a streamed response.
 func (s *server) recordSuccess(now time.Duration, a *attempt) {
 	s.respondedAt = now
 	s.breaker.recordSuccess(now, a)
