--- a/policy/subset.go
+++ b/policy/subset.go
@@ -6,23 +6,25 @@
 import "time"
 
 const (
-	minSubsetSize         = 4               // in warm servers whose breaker is not open
-	subsetRequestInterval = time.Second / 4 // each server of the subset should get a request in this time
+	minSubsetSize         = 4               // minimum number of warm servers without an open breaker
+	subsetRequestInterval = time.Second / 4 // time in which each server of the subset should get a request
 )
 
 // subset is a contiguous section of the ring of ready servers. The subsets of all nodes cover the ring
 // evenly.
 type subset struct {
-	node, nodes    int
+	node, nodes    int // index of this node, and number of nodes
 	rules          Rules
 	servers        []*server
 	nodesPerServer float64        // mean number of nodes that use each server, at least 1
 	regime         samplingRegime // determined by nodesPerServer
-	targetSize     int            // as of the last update, in warm servers whose breaker is not open
-	updatedAt      time.Duration
-	stale          bool // the ready servers or their breakers have changed since updatedAt
+	targetSize     int            // number of warm servers without an open breaker to reach, as of the last update
+	updatedAt      time.Duration  // time of the last update
+	stale          bool           // the ready servers or their breakers have changed since updatedAt
 
-	closedBreakers, breakersAwaitingTrial int // number of servers by breaker state, as of the last refresh
+	// Numbers of servers as of the last refresh.
+	closedBreakers        int // servers with a closed breaker
+	breakersAwaitingTrial int // servers with a half-open breaker and no trial in flight
 }
 
 func newSubset(settings *Settings) subset {
@@ -51,7 +53,7 @@
 	}
 	s.stale, s.targetSize, s.updatedAt = false, targetSize, now
 	nodes, ready := float64(s.nodes), len(ring)
-	middle := float64(s.node) + 0.5 // of this node's section, in units of one section per node
+	middle := float64(s.node) + 0.5 // middle of this node's section of the ring, counted in sections from 0
 	start := int(middle / nodes * float64(ready))
 	s.fill(now, ring, start)
 	s.setNodesPerServer(max(1, nodes*float64(len(s.servers))/float64(max(1, ready))))
@@ -71,7 +73,8 @@
 	}
 }
 
-// advanceBreakers turns the open breakers that are due half-open, and counts the servers by breaker state.
+// advanceBreakers makes each open breaker half-open when its open duration is over, and counts the servers by
+// breaker state.
 func (s *subset) advanceBreakers(now time.Duration) {
 	s.closedBreakers, s.breakersAwaitingTrial = 0, 0
 	for _, server := range s.servers {
@@ -88,7 +91,7 @@
 // allEjected reports whether no server may get a request, as of the last refresh.
 func (s *subset) allEjected() bool { return s.closedBreakers+s.breakersAwaitingTrial == 0 }
 
-// permitsEjection reports whether at most half of the subset is ejected after another breaker opens.
+// permitsEjection reports whether at most half of the subset would be ejected if another breaker opened.
 func (s *subset) permitsEjection() bool {
 	ejected := 0
 	for _, server := range s.servers {
