--- a/policy/subset.go
+++ b/policy/subset.go
@@ -18,13 +18,13 @@
 	servers        []*server
 	nodesPerServer float64        // mean number of nodes that use each server, at least 1
 	regime         samplingRegime // determined by nodesPerServer
-	targetSize     int            // number of warm servers without an open breaker to reach, as of the last update
+	targetSize     int            // intended number of warm servers without an open breaker
 	updatedAt      time.Duration  // time of the last update
 	stale          bool           // the ready servers or their breakers have changed since updatedAt
 
-	// Numbers of servers as of the last refresh.
-	closedBreakers        int // servers with a closed breaker
-	breakersAwaitingTrial int // servers with a half-open breaker and no trial in flight
+	// closedBreakers and breakersAwaitingTrial are the numbers of servers with a closed breaker, and with a
+	// half-open breaker and no trial in flight, as of the last refresh.
+	closedBreakers, breakersAwaitingTrial int
 }
 
 func newSubset(settings *Settings) subset {
