--- a/policy/server.go
+++ b/policy/server.go
@@ -16,7 +16,7 @@
 	sameZone     bool          // the server is in the zone of this node
 	ringPosition uint64        // the same on all nodes; adjacent for servers of a cell, a possible KeyScope
 	inFlight     []*attempt    // attempts of this node in flight, oldest first
-	respondedAt  time.Duration // time of the last call of recordSuccess
+	respondedAt  time.Duration // time of the last recorded success
 
 	breaker          circuitBreaker
 	score            serverScore
