--- a/policy/sampling_regime.go
+++ b/policy/sampling_regime.go
@@ -15,8 +15,9 @@
 type samplingRegime struct {
 	// noResponseThreshold is the number of consecutive failures that open a breaker if the last of them is a
 	// timeout or a failed connection.
-	noResponseThreshold  int
-	slowResponseMultiple float64       // multiple of the baseline latency above which a response is a failure
+	noResponseThreshold int
+
+	slowResponseMultiple float64       // multiple of the baseline latency above which a response counts as a failure
 	maxOutcomeAge        time.Duration // age at which an outcome no longer counts for the scores
 
 	limitAppliesToMean    bool    // the node's limit applies to the mean number of attempts in flight
