--- a/policy/request.go
+++ b/policy/request.go
@@ -13,20 +13,21 @@
 // without an attempt by then is rejected, so that its client can retry it elsewhere.
 const queueingDeadlineDivisor = 2
 
-// attempt is an attempt of a request at a server. It keeps the server's zone and cell as of its start.
+// attempt is an attempt of a request at a server.
 type attempt struct {
 	server       *server
 	request      *request
-	zone, cell   int
+	zone, cell   int // zone and cell of the server when the attempt started
 	startedAt    time.Duration
 	inFlight     bool
 	notExecuted  bool // known not to have been executed
-	unloaded     bool // the server was idle and the fleet lightly loaded at its start
-	unresponsive bool // the concurrency limiter no longer counts it as in flight
+	unloaded     bool // the server was idle and the fleet lightly loaded when the attempt started
+	unresponsive bool // no longer counted as in flight by the concurrency limiter
 }
 
-// isUnresponsive reports whether an attempt in flight has far exceeded the expected latency and its server
-// has responded to no attempt since it started. It is false for an attempt already marked as unresponsive.
+// isUnresponsive reports whether an attempt in flight has taken more than unresponsiveMultiple times the
+// expected latency and its server has responded to no attempt since this attempt started. It is false for an
+// attempt already marked as unresponsive.
 func (a *attempt) isUnresponsive(now, expectedLatency time.Duration) bool {
 	return a.inFlight && !a.unresponsive && a.server.respondedAt < a.startedAt &&
 		float64(now-a.startedAt) > unresponsiveMultiple*float64(expectedLatency)
@@ -36,22 +37,22 @@
 type request struct {
 	Request
 	class             *requestClass
-	deadline          time.Duration       // for the client's final response
-	objectiveDeadline time.Duration       // for a response of full weight
-	queueingDeadline  time.Duration       // for the first attempt
+	deadline          time.Duration       // time by which the client needs its final response
+	objectiveDeadline time.Duration       // time up to which a response counts with its full weight
+	queueingDeadline  time.Duration       // time by which the first attempt has to start
 	weight            float64             // priority weight of a response within the objective
-	quota             *tokenbucket.Bucket // its tenant's bucket, if it took a token there; nil otherwise
+	quota             *tokenbucket.Bucket // bucket of the tenant from which the request took a token; nil if it took none
 	attempts          []attempt           // never reallocated, because servers hold pointers into it
 	inFlight          int                 // attempts in flight
 	retryAt           time.Duration       // end of the backoff; 0 if there is none
 	queued            bool                // in the admission queue
 	streaming         bool                // the response of an attempt is being streamed to the client
 	completed         bool                // no longer active
-	activeIndex       int                 // in requestTable.active
+	activeIndex       int                 // index of this request in requestTable.active
 }
 
 // setDeadlines sets the deadlines of a new request. Final responses may be handled up to one tick late.
-// ResponseGrace covers part of the tick, and the deadline is earlier by the rest of it.
+// ResponseGrace covers part of the tick, and the deadline is earlier by the rest of the tick.
 func (r *request) setDeadlines(now time.Duration, settings *Settings) {
 	timeout := min(r.Timeout, r.class.Deadline) - max(0, settings.Tick-settings.Rules.ResponseGrace)
 	r.deadline = now + max(0, timeout)
@@ -87,7 +88,7 @@
 // startBackoff delays the next attempt until the given time.
 func (r *request) startBackoff(until time.Duration) { r.retryAt = until }
 
-// isRetryDue reports whether a backoff was started and its time is over.
+// isRetryDue reports whether the request is in a backoff that ends now or has ended before.
 func (r *request) isRetryDue(now time.Duration) bool { return r.retryAt > 0 && now >= r.retryAt }
 
 // endBackoff clears the backoff of a retry that is due.
