--- a/policy/request_table.go
+++ b/policy/request_table.go
@@ -4,9 +4,9 @@
 // records of released requests.
 type requestTable struct {
 	byID        map[RequestID]*request
-	active      []*request // unordered; each request stores its index
-	free        []*request // records for reuse
-	maxAttempts int        // per request; the capacity of a record
+	active      []*request // unordered; request.activeIndex is the index of a request
+	free        []*request // records of released requests, for reuse
+	maxAttempts int        // number of attempts that each record has space for
 }
 
 func newRequestTable(maxAttempts int) requestTable {
@@ -34,7 +34,8 @@
 	return record
 }
 
-// findAttempt returns a request and its attempt with the given index, or nils if it is not in flight.
+// findAttempt returns a request and its attempt with the given index. Both are nil if the attempt is not in
+// flight.
 func (t *requestTable) findAttempt(id RequestID, index int) (*request, *attempt) {
 	request := t.byID[id]
 	if request == nil || index < 0 || index >= len(request.attempts) || !request.attempts[index].inFlight {
@@ -43,8 +44,8 @@
 	return request, &request.attempts[index]
 }
 
-// release completes a request, and releases it once no attempt is in flight. It is called when the request
-// completes and after each of its attempts that ends later.
+// release completes a request, and releases the request once no attempt is in flight. It is called when the
+// request completes, and again after each attempt of the request that ends later.
 func (t *requestTable) release(request *request) {
 	if !request.completed {
 		request.completed = true
@@ -55,7 +56,7 @@
 	}
 	if request.inFlight == 0 && t.byID[request.ID] == request {
 		delete(t.byID, request.ID)
-		if !request.queued { // otherwise the queue still refers to the record
+		if !request.queued { // the queue still refers to the record of a queued request
 			t.free = append(t.free, request)
 		}
 	}
