--- a/policy/quota.go
+++ b/policy/quota.go
@@ -10,8 +10,8 @@
 
 // tenantQuotas holds this node's share of each tenant's quota.
 type tenantQuotas struct {
-	buckets           []tokenbucket.Bucket // by tenant
-	overQuotaFraction float64
+	buckets           []tokenbucket.Bucket // one bucket per tenant, in the order of Settings.Tenants
+	overQuotaFraction float64              // Settings.OverQuotaFraction
 }
 
 func newTenantQuotas(settings *Settings) tenantQuotas {
@@ -22,8 +22,8 @@
 	return quotas
 }
 
-// charge takes a token from the tenant's quota. If there is none, the request keeps only a fraction of its
-// weight.
+// charge takes a token from the tenant's quota. If no token is left, it multiplies the request's weight by
+// overQuotaFraction.
 func (q *tenantQuotas) charge(now time.Duration, request *request) {
 	if request.Tenant < 0 || request.Tenant >= len(q.buckets) {
 		return
@@ -35,8 +35,8 @@
 	}
 }
 
-// refund returns the token of a request that completes unserved, because its client retries it. Otherwise
-// such requests would exhaust the small share of a quota that an undersampled node has.
+// refund returns the token of a request that completes unserved, because its client retries the request.
+// Otherwise such requests would exhaust the share of a quota that an undersampled node has, which is small.
 func (q *tenantQuotas) refund(request *request) {
 	if request.quota != nil {
 		request.quota.Return()
