--- a/policy/admission.go
+++ b/policy/admission.go
@@ -7,7 +7,8 @@
 	"sort"
 )
 
-// admissionQueue holds the requests waiting for capacity, sorted by precedes. Each is marked as queued.
+// admissionQueue holds the requests waiting for capacity, sorted by precedes. Each of
+// these requests is marked as queued.
 type admissionQueue struct{ waiting []*request }
 
 // add inserts a request in sorted order.
@@ -17,8 +18,8 @@
 	request.queued = true
 }
 
-// markRemoved clears the queued mark of a request. A function passed to removeFunc calls it before it sends,
-// rejects or fails the request. Afterwards, requestTable may reuse the record as soon as the request is
+// markRemoved clears the queued mark of a request. A function passed to removeFunc must call it before it
+// sends, rejects or fails the request. From then on, requestTable may reuse the record as soon as the request is
 // released.
 func (q *admissionQueue) markRemoved(request *request) { request.queued = false }
 
@@ -27,7 +28,8 @@
 	q.waiting = slices.DeleteFunc(q.waiting, remove)
 }
 
-// precedes reports whether a queued request is served before another.
+// precedes reports whether a queued request is served before another: if its weight per unit of work is higher,
+// or if both weights are equal and its objective deadline is earlier.
 func (r *request) precedes(other *request) bool {
 	x, y := r.weightPerWork(), other.weightPerWork()
 	return x > y || (x == y && r.objectiveDeadline < other.objectiveDeadline)
