--- a/policy/load_shedding.go
+++ b/policy/load_shedding.go
@@ -15,8 +15,8 @@
 	means    *outcomeMeans
 }
 
-// shouldShed reports whether to shed a queued request: it may have no further attempt, its queueing deadline
-// has passed and no attempt may have been executed, or its response would be late.
+// shouldShed reports whether to shed a queued request: if no further attempt is permitted, if its queueing
+// deadline has passed and none of its attempts can have been executed, or if its response would be late.
 func (l *loadShedder) shouldShed(now time.Duration, request *request) bool {
 	return l.retry.attemptsExhausted(now, request) ||
 		now >= request.queueingDeadline && !request.mayHaveBeenExecuted() ||
@@ -33,9 +33,9 @@
 	return now+required > deadline
 }
 
-// servingDeadline returns the time by which a queued request must be served: its deadline or its objective.
-// On an undersampled node, which rarely has capacity, a late response of high weight may earn more than
-// another response within its objective.
+// servingDeadline returns the time by which a queued request must be served: its deadline or its objective
+// deadline. On an undersampled node, which rarely has capacity, a late response of high weight may count more
+// than another response within its objective.
 func (l *loadShedder) servingDeadline(request *request) time.Duration {
 	lateWeight := request.weight * request.class.LateFraction
 	if l.regime.queuesPastObjective && lateWeight >= l.arrivals.meanWeight(request.class) {
