--- a/policy/request.go
+++ b/policy/request.go
@@ -41,7 +41,7 @@
 	objectiveDeadline time.Duration       // time up to which a response counts with its full weight
 	queueingDeadline  time.Duration       // time by which the first attempt has to start
 	weight            float64             // priority weight of a response within the objective
-	quota             *tokenbucket.Bucket // bucket of the tenant from which the request took a token; nil if it took none
+	quota             *tokenbucket.Bucket // bucket that the request took a token from; nil if it took none
 	attempts          []attempt           // never reallocated, because servers hold pointers into it
 	inFlight          int                 // attempts in flight
 	retryAt           time.Duration       // end of the backoff; 0 if there is none
