--- a/policy/selection.go
+++ b/policy/selection.go
@@ -6,14 +6,14 @@
 
 // candidates are the servers that may get the next attempt of a request.
 type candidates struct {
-	closed []*server // with a closed breaker and capacity
-	trial  *server   // with a half-open breaker that accepts the attempt as its trial; or nil
+	closed []*server // servers with a closed breaker and capacity
+	trial  *server   // server whose half-open breaker permits the attempt as its trial; nil if there is none
 }
 
 // reset removes all candidates.
 func (c *candidates) reset() { c.closed, c.trial = c.closed[:0], nil }
 
-// best returns the best server with a closed breaker. There must be at least one.
+// best returns the best server with a closed breaker. There must be at least one such server.
 func (c *candidates) best() *server {
 	best := c.closed[0]
 	for _, s := range c.closed[1:] {
@@ -34,9 +34,9 @@
 	return betterServer(c.closed[i], c.closed[j])
 }
 
-// betterServer returns the server with the higher score. If the scores are within scoreTieMargin, the one
-// with fewer attempts in flight wins. If these are equal too, a server in this node's zone wins, and
-// otherwise x.
+// betterServer returns the server with the higher score. If the scores differ by at most scoreTieMargin, it
+// returns the server with fewer attempts in flight. If these are equal too, it returns the server in this
+// node's zone, or x if both or neither of the servers are in that zone.
 func betterServer(x, y *server) *server {
 	switch {
 	case x.score.value > y.score.value+scoreTieMargin:
