--- a/policy/score.go
+++ b/policy/score.go
@@ -10,13 +10,13 @@
 
 const (
 	outcomesPerServer      = 100  // number of latest outcomes that determine the score
-	priorOutcomes          = 3.0  // weight of the means of the subset, in outcomes
+	priorOutcomes          = 3.0  // number of outcomes that the means of the subset count as
 	successWeight          = 0.7  // weight of the success rate in the score
 	latencyWeight          = 0.3  // weight of the latency in the score
-	minHighestLatency      = 1e-9 // multiple of the baseline; keeps the score finite
-	scoreTieMargin         = 0.1  // score difference up to which the attempts in flight decide
-	initialSuccessRate     = 1.0  // without any outcome
-	initialRelativeLatency = 1.0  // without any outcome; multiple of the baseline
+	minHighestLatency      = 1e-9 // lower bound of the highest latency, as a multiple of the baseline; keeps scores finite
+	scoreTieMargin         = 0.1  // difference of two scores up to which the attempts in flight decide
+	initialSuccessRate     = 1.0  // mean success rate before the first outcome
+	initialRelativeLatency = 1.0  // mean latency before the first response, as a multiple of the baseline
 )
 
 // serverScore is the score of a server and the outcomes that determine it.
@@ -38,8 +38,8 @@
 
 func (s *serverScore) recordFailure(now time.Duration) { s.outcomes.AddFailure(now) }
 
-// estimate computes the success rate and the relative latency. The means of the subset serve as a prior with
-// the weight of priorOutcomes outcomes, so a server without outcomes gets the means.
+// estimate computes the success rate and the relative latency. The means of the subset count as priorOutcomes
+// additional outcomes, so the estimates for a server without outcomes are the means.
 func (s *serverScore) estimate(means outcomeMeans) {
 	outcomes, successes := float64(s.outcomes.Len()), float64(s.outcomes.Successes())
 	s.successRate = (successes + priorOutcomes*means.successRate) / (outcomes + priorOutcomes)
@@ -47,8 +47,8 @@
 	s.relativeLatency = latencySum / (successes + priorOutcomes)
 }
 
-// updateValue computes the score as a weighted sum of two values from 0 to 1: the success rate, and
-// 1 - latency / highest latency.
+// updateValue computes the score as a weighted sum of the success rate and a latency score. The latency score
+// decreases linearly from 1 at latency 0 to 0 at the highest latency.
 func (s *serverScore) updateValue(highestLatency float64) {
 	highest := max(highestLatency, s.relativeLatency, minHighestLatency)
 	s.value = successWeight*s.successRate + latencyWeight*(1-s.relativeLatency/highest)
@@ -62,7 +62,7 @@
 	return (earlierFailures + priorOutcomes*(1-means.successRate)) / (earlierOutcomes + priorOutcomes)
 }
 
-// outcomeMeans holds the means over all servers of the subset. Without outcomes, they keep their previous
+// outcomeMeans holds the means over all servers of the subset. Without outcomes, the means keep their previous
 // values.
 type outcomeMeans struct{ successRate, relativeLatency float64 }
 
@@ -70,7 +70,7 @@
 	return outcomeMeans{successRate: initialSuccessRate, relativeLatency: initialRelativeLatency}
 }
 
-// update removes the expired outcomes of the servers and computes the means of the rest.
+// update removes the expired outcomes of the servers and computes the means of the remaining outcomes.
 func (m *outcomeMeans) update(now time.Duration, servers []*server, maxAge time.Duration) {
 	outcomes, successes, latencySum := 0, 0, 0.0
 	for _, s := range servers {
@@ -87,8 +87,8 @@
 	}
 }
 
-// updateScores computes the scores of the servers. Latencies are relative to the highest one among the
-// servers with closed breakers.
+// updateScores computes the scores of the servers. The highest latency is the highest latency of the servers
+// with closed breakers.
 func (m *outcomeMeans) updateScores(servers []*server) {
 	highest := 0.0
 	for _, s := range servers {
