--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	slowStartSafetyFactor = 0.8  // fraction of the estimated capacity that is used while warming up
-	maxBurstWindows       = 0.25 // maximum unused budget, in overload windows
+	slowStartSafetyFactor = 0.8  // fraction of the estimated capacity that is used of a server that is warming up
+	maxBurstWindows       = 0.25 // largest unused budget, as a multiple of the budget of one OverloadWindow
 	minWarmFraction       = 0.75 // fraction of the subset that must be warm to update warmServerWorkRate
 
-	warmServerWorkRateTimeConstant = 10 * time.Second // of the smoothing of warmServerWorkRate
+	warmServerWorkRateTimeConstant = 10 * time.Second // time constant that smooths warmServerWorkRate
 )
 
 // slowStart limits the work that this node sends to servers that are warming up.
@@ -22,14 +22,14 @@
 	nodes              int
 	rules              Rules
 	random             *rand.Rand
-	sentWork           decayrate.Meter // work of this node's attempts, as their baseline latencies
-	warmServerWorkRate float64         // work per second that all nodes send to a warm server; 0: unknown
+	sentWork           decayrate.Meter // rate of the work of this node's attempts; the work is their baseline latency
+	warmServerWorkRate float64         // seconds of work per second that all nodes send to a warm server; 0: unknown
 }
 
 // slowStartBudget is the work that this node may send to a server that is warming up.
 type slowStartBudget struct {
-	work      float64 // seconds; negative after an attempt that exceeded the budget
-	updatedAt time.Duration
+	work      float64       // remaining work in seconds; negative after an attempt that exceeded the budget
+	updatedAt time.Duration // time of the last refill; 0 for a new budget
 }
 
 func newSlowStart(settings *Settings, random *rand.Rand) slowStart {
@@ -41,7 +41,8 @@
 	}
 }
 
-// capacityShare returns the minimum fraction of full capacity that a server has. It is 1 for a warm server.
+// capacityShare returns the fraction of its full capacity that a server has at least. The fraction rises
+// linearly from SlowStartShare when the server starts to 1 when it is warm.
 func (s *server) capacityShare(rules *Rules, now time.Duration) float64 {
 	age := now - s.StartedAt
 	if s.StartedAt <= 0 || age >= rules.SlowStartDuration {
@@ -64,7 +65,7 @@
 }
 
 // updateWarmServerWorkRate adds the current rate to the smoothed rate, weighted by the time since the last
-// call. The rate does not change while less than minWarmFraction of the subset is warm.
+// call. The smoothed rate does not change while less than minWarmFraction of the subset is warm.
 func (s *slowStart) updateWarmServerWorkRate(now, elapsed time.Duration, subset *subset, readyServers int) {
 	warm := 0
 	for _, server := range subset.servers {
@@ -81,8 +82,8 @@
 }
 
 // refillBudget adds to the budget of a server that is warming up, before a request of the given work in
-// seconds. A node does not see the attempts of other nodes, so the budget grows at this node's share of the
-// rate that would overload the server. The initial budget is a random debt of up to one request, because
+// seconds. The attempts of other nodes are unknown, so the budget grows at this node's share of the rate that
+// would overload the server, reduced by slowStartSafetyFactor. The initial budget is a random debt of up to one request, because
 // simultaneous attempts of all nodes could overload the server.
 func (s *slowStart) refillBudget(
 	now time.Duration, server *server, work float64, subset *subset, arrivals *arrivalStats,
@@ -96,7 +97,7 @@
 		*budget = slowStartBudget{work: -work * s.random.Float64(), updatedAt: now}
 	}
 	rate := s.warmServerWorkRate / subset.nodesPerServer * s.rules.OverloadMultiple
-	if s.warmServerWorkRate == 0 { // unknown: a new node whose servers are warming up knows only its arrivals
+	if s.warmServerWorkRate == 0 { // unknown on a new node whose servers are warming up; only the arrivals are known
 		rate = arrivals.rate.PerSecond(now) * work / float64(len(subset.servers))
 	}
 	rate *= share * slowStartSafetyFactor
