--- a/policy/score.go
+++ b/policy/score.go
@@ -13,7 +13,7 @@
 	priorOutcomes          = 3.0  // number of outcomes that the means of the subset count as
 	successWeight          = 0.7  // weight of the success rate in the score
 	latencyWeight          = 0.3  // weight of the latency in the score
-	minHighestLatency      = 1e-9 // lower bound of the highest latency, as a multiple of the baseline; keeps scores finite
+	minHighestLatency      = 1e-9 // lower bound of the highest latency, multiple of the baseline; keeps scores finite
 	scoreTieMargin         = 0.1  // difference of two scores up to which the attempts in flight decide
 	initialSuccessRate     = 1.0  // mean success rate before the first outcome
 	initialRelativeLatency = 1.0  // mean latency before the first response, as a multiple of the baseline
