--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	slowStartSafetyFactor = 0.8  // fraction of the estimated capacity that is used of a server that is warming up
+	slowStartSafetyFactor = 0.8  // used fraction of the estimated capacity of a server that is warming up
 	maxBurstWindows       = 0.25 // largest unused budget, as a multiple of the budget of one OverloadWindow
 	minWarmFraction       = 0.75 // fraction of the subset that must be warm to update warmServerWorkRate
 
@@ -22,7 +22,7 @@
 	nodes              int
 	rules              Rules
 	random             *rand.Rand
-	sentWork           decayrate.Meter // rate of the work of this node's attempts; the work is their baseline latency
+	sentWork           decayrate.Meter // work that this node sends per second, as baseline latencies in seconds
 	warmServerWorkRate float64         // seconds of work per second that all nodes send to a warm server; 0: unknown
 }
 
@@ -83,8 +83,8 @@
 
 // refillBudget adds to the budget of a server that is warming up, before a request of the given work in
 // seconds. The attempts of other nodes are unknown, so the budget grows at this node's share of the rate that
-// would overload the server, reduced by slowStartSafetyFactor. The initial budget is a random debt of up to one request, because
-// simultaneous attempts of all nodes could overload the server.
+// would overload the server, times slowStartSafetyFactor. The initial budget is a random debt of up to one
+// request, because simultaneous attempts of all nodes could overload the server.
 func (s *slowStart) refillBudget(
 	now time.Duration, server *server, work float64, subset *subset, arrivals *arrivalStats,
 ) {
