--- a/policy/concurrency_limit.go
+++ b/policy/concurrency_limit.go
@@ -8,27 +8,30 @@
 )
 
 const (
-	initialLimit          = 3     // attempts per server, over all nodes
-	targetCongestion      = 0.3   // log ratio of latency to baseline that the limit is adjusted towards
-	limitIncrease         = 0.025 // per smoothed latency, while requests are queued
-	initialIncreaseFactor = 6.0   // multiplies the increase until the first congestion
-	limitDecrease         = 0.1   // per smoothed latency and unit of congestion above the target
+	// targetCongestion is the congestion that the limit is adjusted towards. Congestion is the natural logarithm of
+	// latency divided by baseline, so the target is a latency of about 1.35 times the baseline.
+	targetCongestion = 0.3
+
+	initialLimit          = 3     // initial limit on the attempts of all nodes per server
+	limitIncrease         = 0.025 // increase of the limit per smoothed latency, while requests are queued
+	initialIncreaseFactor = 6.0   // factor that multiplies the increase until the first congestion
+	limitDecrease         = 0.1   // fraction of the limit, per smoothed latency and unit of congestion above the target
 	peakDeviations        = 2     // standard deviations by which attempts in flight may exceed the limit
-	lightLoadPerServer    = 3     // attempts per server over all nodes; the fleet is lightly loaded up to it
+	lightLoadPerServer    = 3     // attempts of all nodes per server up to which the fleet is lightly loaded
 
-	knownGoodTimeConstant    = time.Minute            // of the decay of knownGoodLimit under congestion
-	meanInFlightTimeConstant = time.Second            // of the mean number of attempts in flight
+	knownGoodTimeConstant    = time.Minute            // time constant of the decay of knownGoodLimit under congestion
+	meanInFlightTimeConstant = time.Second            // time constant of the mean number of attempts in flight
 	maxAdjustInterval        = 100 * time.Millisecond // longest time that one adjustment accounts for
 )
 
 // concurrencyLimiter limits the attempts in flight of this node.
 type concurrencyLimiter struct {
-	inFlight           int     // attempts of this node, without unresponsive ones
-	meanInFlight       float64 // exponential moving average of inFlight
-	limit              float64 // attempts of all nodes per server; may be below 1
-	knownGoodLimit     float64 // highest recent limit without congestion
-	congestionDetected bool    // ends the fast initial growth of the limit
-	adjustedAt         time.Duration
+	inFlight           int           // attempts of this node in flight, without unresponsive attempts
+	meanInFlight       float64       // exponential moving average of inFlight
+	limit              float64       // limit on the attempts of all nodes per server; may be below 1
+	knownGoodLimit     float64       // highest recent limit without congestion
+	congestionDetected bool          // true from the first congestion, which ends the fast initial growth of the limit
+	adjustedAt         time.Duration // time of the last adjustment
 }
 
 func newConcurrencyLimiter(nodes int) concurrencyLimiter {
@@ -72,9 +75,9 @@
 	l.meanInFlight += (float64(l.inFlight) - l.meanInFlight) * weight
 }
 
-// adjust adapts the limit on each response. Congestion above the target decreases it; otherwise it increases
-// if requests are queued. The change is proportional to the time since the last response, in smoothed
-// latencies: a change takes effect after one latency, so faster steps would oscillate.
+// adjust adapts the limit on each response. Congestion above the target decreases the limit; without it, the
+// limit increases if requests are queued. The change is proportional to the time since the last response, measured in
+// smoothed latencies: a change takes effect after one latency, so faster changes would oscillate.
 func (l *concurrencyLimiter) adjust(
 	now time.Duration, latency *latencyEstimator, regime *samplingRegime, waiting int,
 ) {
@@ -95,15 +98,15 @@
 	}
 }
 
-// decrease lowers the limit for congestion above the target over a number of smoothed latencies.
+// decrease lowers the limit in proportion to the congestion above the target and to the time in smoothed latencies.
 func (l *concurrencyLimiter) decrease(excessCongestion, elapsedLatencies float64, regime *samplingRegime) {
 	floor := max(regime.minLimit, regime.knownGoodLimitFraction*l.knownGoodLimit)
 	l.limit = max(floor,
 		l.limit*(1-limitDecrease*min(excessCongestion, regime.maxExcessCongestion)*elapsedLatencies))
 }
 
-// increase raises the limit for a number of smoothed latencies without congestion. With an additive increase,
-// the limits of nodes that share servers converge.
+// increase raises the limit in proportion to the time in smoothed latencies. With an additive increase, the limits
+// of nodes that share servers converge.
 func (l *concurrencyLimiter) increase(elapsedLatencies float64, regime *samplingRegime) {
 	if !l.congestionDetected {
 		elapsedLatencies *= initialIncreaseFactor
@@ -116,16 +119,17 @@
 	l.knownGoodLimit = max(l.knownGoodLimit, l.limit)
 }
 
-// serverHasCapacity reports whether a server with the given share of its full capacity may get another attempt.
+// serverHasCapacity reports whether a server with the given share of its full capacity may get another attempt of
+// this node. An idle server always may.
 func (l *concurrencyLimiter) serverHasCapacity(server *server, capacityShare, nodesPerServer float64) bool {
 	limit := math.Round(l.limit / nodesPerServer)
 	return float64(len(server.inFlight)+1) <= max(1, limit*capacityShare)
 }
 
-// nodeHasCapacity reports whether the node may have another attempt in flight. An undersampled node has a
-// limit of a few attempts, which random peaks of its arrivals often exceed. Over many nodes, such peaks
-// average out. The limit therefore applies to the mean number of attempts in flight, and the peaks have a
-// bound of their own. A request of high priority is exempt from the limit on the mean.
+// nodeHasCapacity reports whether the node may have another attempt in flight. The limit of
+// an undersampled node is a few attempts, and random peaks of its arrivals often exceed the limit. Over many
+// nodes, such peaks average out. The limit therefore applies to the mean number of attempts in flight, and the
+// peaks have a bound of their own. A request of high priority is exempt from the limit on the mean.
 func (l *concurrencyLimiter) nodeHasCapacity(request *request, subset *subset, arrivals *arrivalStats) bool {
 	limit := l.limit / subset.nodesPerServer * float64(subset.closedBreakers)
 	next := float64(l.inFlight + 1)
