--- a/policy/latency.go
+++ b/policy/latency.go
@@ -12,30 +12,30 @@
 
 const (
 	maxLatencySamples   = 400 // samples over which a class's latencies are averaged
-	startupSamples      = 12  // accepted for a class's baseline despite congestion, to correct the guess
+	startupSamples      = 12  // first samples of a class's baseline, accepted despite congestion to correct its guess
 	maxServerSamples    = 16  // samples over which a server's baseline is averaged
 	maxCostHintSamples  = 64  // samples over which a class's cost hints are averaged
 	latencySmoothing    = 64  // responses over which the latency is smoothed
 	congestionSmoothing = 32  // responses over which the congestion is smoothed
 
-	minRelativeWork = 0.25 // bounds the relative work, because cost hints are rough estimates
-	maxRelativeWork = 4    // likewise
+	minRelativeWork = 0.25 // lower bound of the relative work, because cost hints are rough estimates
+	maxRelativeWork = 4    // upper bound of the relative work, because cost hints are rough estimates
 
-	initialBaselineFraction = 1.0 / 4              // of a class's latency objective
-	maxBaselineCongestion   = targetCongestion / 2 // below which a sample counts for a class's baseline
-	baselineCapDivisor      = 3                    // a sample counts as at most a third of the objective
+	initialBaselineFraction = 1.0 / 4              // guessed baseline as a fraction of the latency objective
+	maxBaselineCongestion   = targetCongestion / 2 // congestion below which a sample counts for a class's baseline
+	baselineCapDivisor      = 3                    // samples of a class's baseline are capped at a third of the objective
 
-	minBaseline = time.Millisecond       // keeps multiples of the baseline finite
-	minLatency  = 100 * time.Microsecond // keeps logarithms finite
+	minBaseline = time.Millisecond       // added to each baseline latency; keeps multiples of the baseline finite
+	minLatency  = 100 * time.Microsecond // lower bound of a latency whose logarithm is taken; keeps logarithms finite
 )
 
 // requestClass is a class and the measurements of its requests, in seconds.
 type requestClass struct {
 	Class                         // Objective is never 0
 	baseline     runningmean.Mean // latency of an unloaded request of mean work
-	workEstimate runningmean.Mean // latency of all served requests; 1 with Settings.WeightByWork
-	costHint     runningmean.Mean
-	weightByWork bool // Settings.WeightByWork
+	workEstimate runningmean.Mean // latency of all served requests; constant 1 with Settings.WeightByWork
+	costHint     runningmean.Mean // cost hint of the requests that have a hint
+	weightByWork bool             // Settings.WeightByWork
 }
 
 func newRequestClass(class Class, settings *Settings) requestClass {
@@ -63,23 +63,23 @@
 	}
 }
 
-// recordWork records the latency of any response, in seconds. Unloaded responses alone would be too rare in a
-// busy fleet.
+// recordWork records the latency of a response, in seconds, for the estimate of the work. All responses count,
+// because unloaded responses are too rare in a busy fleet.
 func (c *requestClass) recordWork(latency float64) {
 	if !c.weightByWork {
 		c.workEstimate.Add(latency)
 	}
 }
 
-// recordUnloaded records the latency of an unloaded request, in seconds and scaled to mean work. It caps the
-// latency, because latencies close to the objective are outliers that would hide congestion.
+// recordUnloaded records the latency of an unloaded request, in seconds and scaled to mean work. The
+// latency is capped, because latencies close to the objective are outliers that would hide congestion.
 func (c *requestClass) recordUnloaded(latency, congestion float64) {
 	if c.baseline.Samples() < startupSamples || congestion < maxBaselineCongestion {
 		c.baseline.Add(min(latency, c.Objective.Seconds()/baselineCapDivisor))
 	}
 }
 
-// relativeWork returns the request's work as a multiple of its class's mean. It is 1 without a cost hint.
+// relativeWork returns the request's work as a multiple of the mean of its class. It is 1 without a cost hint.
 func (r *request) relativeWork() float64 {
 	mean := r.class.costHint.Value()
 	if r.CostHint <= 0 || mean <= 0 {
@@ -105,8 +105,8 @@
 
 // latencyEstimator estimates latency and congestion over all requests that this node sends.
 type latencyEstimator struct {
-	smoothed   float64 // seconds
-	congestion float64 // smoothed log ratio of latency to the baseline at the same server
+	smoothed   float64 // smoothed latency in seconds
+	congestion float64 // smoothed logarithm of latency divided by the baseline at the same server
 }
 
 // newLatencyEstimator returns an estimator whose latency is initially the guessed baseline of the class.
@@ -132,7 +132,7 @@
 	logRatio := math.Log(max(seconds, minLatency.Seconds()) / classBaseline)
 	serverBaseline := &attempt.server.baselineLogRatio
 	if attempt.unloaded && congestion < targetCongestion {
-		// The more nodes use the server, the more likely their load affects the sample.
+		// The more nodes use the server, the more likely their load affects the sample, which then counts less.
 		serverBaseline.AddWithPrior(logRatio, nodesPerServer)
 	}
 	e.congestion += (logRatio - serverBaseline.Value() - congestion) / congestionSmoothing
