--- a/policy/retry.go
+++ b/policy/retry.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	initialBackoffShare  = 1.0 / 16 // of the class's objective; doubles with each attempt
-	maxBackoff           = 30 * time.Second
-	jitterShare          = 0.2 // of a delay, in either direction; lets doubled delays still grow
-	unresponsiveMultiple = 4.0 // of the expected latency; an attempt without a response is then unresponsive
+	initialBackoffShare  = 1.0 / 16         // first backoff as a fraction of the class's objective; doubles with each attempt
+	maxBackoff           = 30 * time.Second // longest backoff, without jitter
+	jitterShare          = 0.2              // jitter as a fraction of the delay, in either direction; lets doubled delays still grow
+	unresponsiveMultiple = 4.0              // multiple of the expected latency after which an attempt is unresponsive
 )
 
 // retryPolicy determines which attempts a request may have, and when.
@@ -29,8 +29,8 @@
 	return jitter.Proportional(p.random, backoff, jitterShare)
 }
 
-// attemptsExhausted reports whether a request may have no attempt from the given time on: it has had all of
-// its attempts, or it may have been executed and must not be repeated.
+// attemptsExhausted reports whether no further attempt is permitted from the given time on: the request has had
+// all of its attempts, or it may have been executed and must not be executed again.
 func (p *retryPolicy) attemptsExhausted(at time.Duration, request *request) bool {
 	executed := request.firstPossiblyExecuted()
 	return len(request.attempts) >= p.limits.MaxAttempts ||
@@ -38,13 +38,13 @@
 }
 
 // permitsRetryAt reports whether a retry at the given time is permitted and its response, expected after the
-// given latency, still earns weight.
+// given latency, still counts.
 func (p *retryPolicy) permitsRetryAt(at time.Duration, request *request, latency time.Duration) bool {
 	return !p.attemptsExhausted(at, request) && at+latency <= request.retryDeadline()
 }
 
-// permitsAttempt reports whether a request may have an attempt at a server now. It is checked before every attempt
-// and enforces deadlines, limits and idempotency.
+// permitsAttempt reports whether a request may have an attempt at a server now. It is called before every
+// attempt and enforces deadlines, limits and idempotency.
 func (p *retryPolicy) permitsAttempt(now time.Duration, request *request, server *server) bool {
 	if request.completed || request.streaming || now >= request.deadline || server.State != Ready ||
 		p.attemptsExhausted(now, request) {
@@ -58,7 +58,8 @@
 	return true
 }
 
-// permitsAttemptAfter reports whether an attempt at a server may follow one that may have been executed.
+// permitsAttemptAfter reports whether an attempt at a server may follow an earlier attempt that may have been
+// executed.
 func (p *retryPolicy) permitsAttemptAfter(request *request, earlier *attempt, server *server) bool {
 	return (!earlier.inFlight || p.limits.Hedging) &&
 		(request.class.Idempotency != IdempotentWithKey || request.class.sharesKeyScope(earlier, server))
@@ -70,7 +71,7 @@
 	return request.inFlight == 1 && p.limits.Hedging && now+latency <= request.objectiveDeadline
 }
 
-// retryDeadline returns the time after which a response earns no weight.
+// retryDeadline returns the time after which a response no longer counts.
 func (r *request) retryDeadline() time.Duration {
 	if r.class.LateFraction > 0 {
 		return r.deadline
@@ -78,8 +79,8 @@
 	return r.objectiveDeadline
 }
 
-// permitsRepeatAfter reports whether a request may be executed again. The age is that of its first attempt that
-// may have been executed.
+// permitsRepeatAfter reports whether a request may be executed again. The age is the time since the start of the
+// first attempt that may have been executed.
 func (c *requestClass) permitsRepeatAfter(age time.Duration) bool {
 	return c.Idempotency == Idempotent || c.Idempotency == IdempotentWithKey && age < c.KeyRetention
 }
