--- a/policy/retry.go
+++ b/policy/retry.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	initialBackoffShare  = 1.0 / 16         // first backoff as a fraction of the class's objective; doubles with each attempt
+	initialBackoffShare  = 1.0 / 16         // fraction of the class's objective; doubles with each attempt
 	maxBackoff           = 30 * time.Second // longest backoff, without jitter
-	jitterShare          = 0.2              // jitter as a fraction of the delay, in either direction; lets doubled delays still grow
+	jitterShare          = 0.2              // fraction of a delay, in either direction; doubled delays still grow
 	unresponsiveMultiple = 4.0              // multiple of the expected latency after which an attempt is unresponsive
 )
 
