--- a/policy/admission.go
+++ b/policy/admission.go
@@ -19,8 +19,8 @@
 }
 
 // markRemoved clears the queued mark of a request. A function passed to removeFunc must call it before it
-// sends, rejects or fails the request. From then on, requestTable may reuse the record as soon as the request is
-// released.
+// sends, rejects or fails the request. From then on, requestTable may reuse the record as soon as the
+// request is released.
 func (q *admissionQueue) markRemoved(request *request) { request.queued = false }
 
 // removeFunc calls the function for each request in order and removes those for which it returns true.
@@ -28,8 +28,8 @@
 	q.waiting = slices.DeleteFunc(q.waiting, remove)
 }
 
-// precedes reports whether a queued request is served before another: if its weight per unit of work is higher,
-// or if both weights are equal and its objective deadline is earlier.
+// precedes reports whether a queued request is served before another: if its weight per unit of work is
+// higher, or if both weights are equal and its objective deadline is earlier.
 func (r *request) precedes(other *request) bool {
 	x, y := r.weightPerWork(), other.weightPerWork()
 	return x > y || (x == y && r.objectiveDeadline < other.objectiveDeadline)
--- a/policy/api.go
+++ b/policy/api.go
@@ -68,7 +68,7 @@
 // The values of Idempotency.
 const (
 	Idempotent        Idempotency = iota // may be executed any number of times
-	IdempotentWithKey                    // servers of Class.KeyScope ignore repeats of a key for Class.KeyRetention
+	IdempotentWithKey                    // the servers of KeyScope ignore repeats of a key for KeyRetention
 	NotIdempotent                        // must be executed at most once
 )
 
@@ -91,9 +91,9 @@
 // Class configures a class of requests.
 type Class struct {
 	Deadline         time.Duration // total time that the client waits, over all attempts
-	Objective        time.Duration // latency objective: a response within it counts with its full weight; 0: Deadline
+	Objective        time.Duration // latency objective, within which a response counts in full; 0: Deadline
 	ObjectivePerWork float64       // multiple of Request.CostHint by which the objective is extended
-	LateFraction     float64       // fraction of its weight, 0 to 1, with which a response after the objective counts
+	LateFraction     float64       // fraction of its weight, 0 to 1, with which a late response counts
 	PriorityWeight   float64       // weight of one request, or of a unit of work with Settings.WeightByWork
 	Idempotency      Idempotency
 	KeyScope         KeyScope      // with IdempotentWithKey: the servers that recognize a key
@@ -116,9 +116,9 @@
 
 // Rules holds the parameters of the rules that each node enforces independently.
 type Rules struct {
-	SlowStartShare    float64       // fraction of its full capacity, 0 to 1, that a server has at least when it starts
+	SlowStartShare    float64       // minimum fraction of its capacity, 0 to 1, that a server has at its start
 	SlowStartDuration time.Duration // time from the start of a server until it is warm
-	OverloadMultiple  float64       // multiple of its current capacity above which a server that is warming up fails
+	OverloadMultiple  float64       // multiple of the current capacity above which a server that is warming up fails
 	OverloadWindow    time.Duration // time over which the work sent to a server that is warming up is measured
 	MaxPollInterval   time.Duration // with Settings.PollEndpoints: longest time between two polls
 	ResponseGrace     time.Duration // time after a client's deadline within which a final response still counts
@@ -133,7 +133,7 @@
 	Tenants           []Tenant
 	OverQuotaFraction float64       // factor that multiplies the weight of a request beyond its tenant's quota
 	WeightByWork      bool          // PriorityWeight is per unit of work instead of per request
-	PollEndpoints     bool          // the node polls or watches the endpoint list; otherwise updates are pushed to it
+	PollEndpoints     bool          // the node polls or watches the endpoint list; otherwise updates are pushed
 	Tick              time.Duration // longest delay before an event is handled, because events come in batches
 	Limits            Limits
 	Rules             Rules
@@ -223,7 +223,7 @@
 // Host carries out the actions of a Balancer. The Balancer calls it from within its own methods, and the
 // Host must not call back into the Balancer.
 type Host interface {
-	// Send starts an attempt, which ends after the timeout. With a timeout of 0, the client's own timeout applies.
+	// Send starts an attempt, which ends after the timeout. If the timeout is 0, the client's own applies.
 	Send(id RequestID, server ServerID, timeout time.Duration)
 	// Cancel cancels an attempt in flight. Its Outcome still follows.
 	Cancel(id RequestID, attempt int)
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -108,7 +108,8 @@
 }
 
 // StreamStarted handles the start of a response that is streamed to the client. The request gets no further
-// attempts, its other attempts are cancelled if Limits.Cancel permits it, and its deadline no longer applies.
+// attempts, its other attempts are cancelled if Limits.Cancel permits it, and its deadline no longer
+// applies.
 func (b *Balancer) StreamStarted(now time.Duration, id RequestID, index int) {
 	request, attempt := b.requests.findAttempt(id, index)
 	if request == nil {
@@ -163,7 +164,8 @@
 }
 
 // WatchFailed handles the failure of a watch or poll of the endpoint list. The known list stays in use. The
-// node is considered notified of missed changes at the deadline, so the next call must be answered before the deadline.
+// node is considered notified of missed changes at the deadline, so the next call must be answered before
+// the deadline.
 func (b *Balancer) WatchFailed(now, deadline time.Duration) {
 	b.host.SetTimer(now+b.watch.nextBackoff(deadline-now), timerWatch)
 }
--- a/policy/circuit_breaker.go
+++ b/policy/circuit_breaker.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	failureThreshold         = 5                // consecutive failures that open a breaker unless they are plausible
-	maxFailureThreshold      = 12               // consecutive failures that open a breaker even if they are plausible
-	failureSignificanceLevel = 1e-5             // probability of a series of failures above which it is plausible
+	failureThreshold         = 5                // consecutive failures that open a breaker unless plausible
+	maxFailureThreshold      = 12               // consecutive failures that open a breaker even if plausible
+	failureSignificanceLevel = 1e-5             // probability above which consecutive failures are plausible
 	failureWindow            = 60 * time.Second // age up to which a consecutive failure counts
-	initialOpenDuration      = 2 * time.Second  // how long a breaker first stays open; doubles with each failed trial
+	initialOpenDuration      = 2 * time.Second  // first open duration; doubles with each failed trial
 	maxOpenDuration          = 30 * time.Second // upper bound of the doubled open duration, without jitter
 )
 
@@ -36,7 +36,7 @@
 	failures     []time.Duration // times of the consecutive failures, without those older than failureWindow
 	openDuration time.Duration   // how long the breaker stays open the next time
 	halfOpenAt   time.Duration   // when an open breaker becomes half-open
-	trial        *attempt        // attempt in flight as the trial; nil while a half-open breaker awaits its trial
+	trial        *attempt        // attempt in flight; nil while a half-open breaker awaits its trial
 }
 
 func newCircuitBreaker() circuitBreaker {
@@ -111,8 +111,8 @@
 	c.halfOpenAt = now + jitter.Proportional(random, c.openDuration, jitterShare)
 }
 
-// shouldOpen reports whether the consecutive failures, of which the last has the given status, open a closed
-// breaker. A missing response or connection is stronger evidence of a fault than a fast error.
+// shouldOpen reports whether the consecutive failures, of which the last has the given status, open a
+// closed breaker. A missing response or connection is stronger evidence of a fault than a fast error.
 func (c *circuitBreaker) shouldOpen(status Status, regime *samplingRegime, failureRate float64) bool {
 	failures := len(c.failures)
 	if (status == Timeout || status == ConnectFailed) && failures >= regime.noResponseThreshold {
@@ -121,10 +121,12 @@
 	return failures >= failureThreshold && !c.failuresPlausibleAt(failureRate)
 }
 
-// failuresPlausibleAt reports whether the consecutive failures are plausible at the failure rate before them:
-// the probability of that many failures in a row exceeds failureSignificanceLevel. The score then directs
-// requests away from the server, whereas an open breaker would lose the requests that the server still serves.
+// failuresPlausibleAt reports whether the consecutive failures are plausible at the failure rate before
+// them: the probability of that many failures in a row exceeds failureSignificanceLevel. An open breaker
+// would then lose the requests that the server still serves, whereas the score only directs requests to
+// other servers.
 func (c *circuitBreaker) failuresPlausibleAt(failureRate float64) bool {
 	failures := len(c.failures)
-	return failures < maxFailureThreshold && math.Pow(failureRate, float64(failures)) > failureSignificanceLevel
+	return failures < maxFailureThreshold &&
+		math.Pow(failureRate, float64(failures)) > failureSignificanceLevel
 }
--- a/policy/concurrency_limit.go
+++ b/policy/concurrency_limit.go
@@ -8,19 +8,26 @@
 )
 
 const (
-	// targetCongestion is the congestion that the limit is adjusted towards. Congestion is the natural logarithm of
-	// latency divided by baseline, so the target is a latency of about 1.35 times the baseline.
+	initialLimit = 3 // initial limit on the attempts of all nodes per server
+
+	// targetCongestion is the congestion that the limit is adjusted towards. Congestion is the natural
+	// logarithm of latency over baseline, so the target is a latency of about 1.35 times the baseline.
 	targetCongestion = 0.3
 
-	initialLimit          = 3     // initial limit on the attempts of all nodes per server
-	limitIncrease         = 0.025 // increase of the limit per smoothed latency, while requests are queued
-	initialIncreaseFactor = 6.0   // factor that multiplies the increase until the first congestion
-	limitDecrease         = 0.1   // fraction of the limit, per smoothed latency and unit of congestion above the target
-	peakDeviations        = 2     // standard deviations by which attempts in flight may exceed the limit
-	lightLoadPerServer    = 3     // attempts of all nodes per server up to which the fleet is lightly loaded
+	// limitIncrease is the increase of the limit per smoothed latency while requests are queued: a number of
+	// attempts if the regime has an additive increase, and a fraction of the limit otherwise.
+	limitIncrease         = 0.025
+	initialIncreaseFactor = 6.0 // factor that multiplies the increase until the first congestion
+
+	// limitDecrease is the decrease of the limit, as a fraction of it, per smoothed latency and unit of
+	// congestion above the target.
+	limitDecrease = 0.1
+
+	peakDeviations     = 2 // standard deviations by which attempts in flight may exceed the limit
+	lightLoadPerServer = 3 // attempts of all nodes per server up to which the fleet is lightly loaded
 
-	knownGoodTimeConstant    = time.Minute            // time constant of the decay of knownGoodLimit under congestion
-	meanInFlightTimeConstant = time.Second            // time constant of the mean number of attempts in flight
+	knownGoodTimeConstant    = time.Minute            // time constant of knownGoodLimit's decay in congestion
+	meanInFlightTimeConstant = time.Second            // time constant of meanInFlight
 	maxAdjustInterval        = 100 * time.Millisecond // longest time that one adjustment accounts for
 )
 
@@ -30,7 +37,7 @@
 	meanInFlight       float64       // exponential moving average of inFlight
 	limit              float64       // limit on the attempts of all nodes per server; may be below 1
 	knownGoodLimit     float64       // highest recent limit without congestion
-	congestionDetected bool          // true from the first congestion, which ends the fast initial growth of the limit
+	congestionDetected bool          // true from the first congestion; the limit then no longer grows fast
 	adjustedAt         time.Duration // time of the last adjustment
 }
 
@@ -75,9 +82,10 @@
 	l.meanInFlight += (float64(l.inFlight) - l.meanInFlight) * weight
 }
 
-// adjust adapts the limit on each response. Congestion above the target decreases the limit; without it, the
-// limit increases if requests are queued. The change is proportional to the time since the last response, measured in
-// smoothed latencies: a change takes effect after one latency, so faster changes would oscillate.
+// adjust adapts the limit on each response. Congestion above the target decreases the limit. Otherwise, the
+// limit increases if requests are queued. The change is proportional to the time since the last
+// response, measured in smoothed latencies: a change takes effect after one latency, so faster changes
+// would oscillate.
 func (l *concurrencyLimiter) adjust(
 	now time.Duration, latency *latencyEstimator, regime *samplingRegime, waiting int,
 ) {
@@ -98,15 +106,16 @@
 	}
 }
 
-// decrease lowers the limit in proportion to the congestion above the target and to the time in smoothed latencies.
+// decrease lowers the limit in proportion to the congestion above the target and to the time in smoothed
+// latencies.
 func (l *concurrencyLimiter) decrease(excessCongestion, elapsedLatencies float64, regime *samplingRegime) {
 	floor := max(regime.minLimit, regime.knownGoodLimitFraction*l.knownGoodLimit)
 	l.limit = max(floor,
 		l.limit*(1-limitDecrease*min(excessCongestion, regime.maxExcessCongestion)*elapsedLatencies))
 }
 
-// increase raises the limit in proportion to the time in smoothed latencies. With an additive increase, the limits
-// of nodes that share servers converge.
+// increase raises the limit in proportion to the time in smoothed latencies. With an additive increase, the
+// limits of nodes that share servers converge.
 func (l *concurrencyLimiter) increase(elapsedLatencies float64, regime *samplingRegime) {
 	if !l.congestionDetected {
 		elapsedLatencies *= initialIncreaseFactor
@@ -119,17 +128,17 @@
 	l.knownGoodLimit = max(l.knownGoodLimit, l.limit)
 }
 
-// serverHasCapacity reports whether a server with the given share of its full capacity may get another attempt of
-// this node. An idle server always may.
+// serverHasCapacity reports whether a server with the given share of its full capacity may get another
+// attempt of this node. An idle server always may.
 func (l *concurrencyLimiter) serverHasCapacity(server *server, capacityShare, nodesPerServer float64) bool {
 	limit := math.Round(l.limit / nodesPerServer)
 	return float64(len(server.inFlight)+1) <= max(1, limit*capacityShare)
 }
 
-// nodeHasCapacity reports whether the node may have another attempt in flight. The limit of
-// an undersampled node is a few attempts, and random peaks of its arrivals often exceed the limit. Over many
-// nodes, such peaks average out. The limit therefore applies to the mean number of attempts in flight, and the
-// peaks have a bound of their own. A request of high priority is exempt from the limit on the mean.
+// nodeHasCapacity reports whether the node may have another attempt in flight. The limit of an undersampled
+// node is a few attempts, and random peaks of its arrivals often exceed the limit. Over many nodes, such
+// peaks average out. The limit therefore applies to the mean number of attempts in flight, and the peaks
+// have a bound of their own. A request of high priority is exempt from the limit on the mean.
 func (l *concurrencyLimiter) nodeHasCapacity(request *request, subset *subset, arrivals *arrivalStats) bool {
 	limit := l.limit / subset.nodesPerServer * float64(subset.closedBreakers)
 	next := float64(l.inFlight + 1)
--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -40,8 +40,8 @@
 			b.rejectOrFail(request)
 			return true
 		}
-		// A first attempt may go to any ready server, so there is no capacity for the requests behind it either.
-		// A retry may be restricted to the scope of its idempotency key, so it does not block the requests behind it.
+		// A first attempt may go to any ready server, so there is no capacity for later requests either.
+		// A retry may be restricted to the scope of its idempotency key, so it does not block them.
 		isFirstAttempt := len(request.attempts) == 0
 		noCapacity = noCapacity || isFirstAttempt
 		return false
@@ -104,7 +104,8 @@
 			continue
 		}
 		share := s.capacityShare(&b.settings.Rules, now)
-		if s.breaker.state == breakerClosed && b.limiter.serverHasCapacity(s, share, b.subset.nodesPerServer) {
+		if s.breaker.state == breakerClosed &&
+			b.limiter.serverHasCapacity(s, share, b.subset.nodesPerServer) {
 			b.candidates.closed = append(b.candidates.closed, s)
 		} else if s.breaker.permitsTrial(now, request.class.Idempotency) {
 			b.candidates.trial = s
@@ -161,8 +162,8 @@
 	b.requests.release(request)
 }
 
-// cancelAttempts cancels the attempts in flight of a request other than the given exception, if Limits.Cancel
-// permits it. Without an exception, except is nil.
+// cancelAttempts cancels the attempts in flight of a request other than the given exception, if
+// Limits.Cancel permits it. Without an exception, except is nil.
 func (b *Balancer) cancelAttempts(request *request, except *attempt) {
 	if !b.settings.Limits.Cancel {
 		return
--- a/policy/endpoint_set.go
+++ b/policy/endpoint_set.go
@@ -9,7 +9,7 @@
 	"calicohinge/internal/hashring"
 )
 
-// endpointSet holds the servers of the endpoint list. A removed server is kept while it has attempts in flight.
+// endpointSet holds the servers of the endpoint list. A removed server stays while it has attempts in flight.
 type endpointSet struct {
 	zone  int // zone of this node
 	byID  map[ServerID]*server
@@ -20,8 +20,8 @@
 	return endpointSet{zone: zone, byID: map[ServerID]*server{}}
 }
 
-// update applies an update of the endpoint list. It returns the attempts that were in flight at servers that
-// have restarted. These attempts no longer get a response.
+// update applies an update of the endpoint list. It returns the attempts that were in flight at servers
+// that have restarted. These attempts no longer get a response.
 func (e *endpointSet) update(kind UpdateKind, endpoints []Endpoint) []*attempt {
 	if kind != UpdateDelta {
 		e.markAllRemoved()
@@ -34,8 +34,8 @@
 	return lost
 }
 
-// updateEndpoint applies one entry of the list. If the server has restarted, it discards the measurements of
-// the previous process and returns its attempts in flight.
+// updateEndpoint applies one entry of the list. If the server has restarted, it discards the measurements
+// of the previous process and returns its attempts in flight.
 func (e *endpointSet) updateEndpoint(endpoint Endpoint) []*attempt {
 	var lost []*attempt
 	server := e.byID[endpoint.Server]
@@ -61,8 +61,8 @@
 	e.ready = e.ready[:0]
 }
 
-// dropRemoved removes the servers that are no longer ready from the ready list and sorts the list. It deletes
-// removed servers without attempts in flight.
+// dropRemoved removes the servers that are no longer ready from the ready list and sorts the list. It
+// deletes removed servers without attempts in flight.
 func (e *endpointSet) dropRemoved() {
 	e.ready = slices.DeleteFunc(e.ready, func(s *server) bool { return s.State != Ready })
 	slices.SortFunc(e.ready, func(x, y *server) int { return cmp.Compare(x.ringPosition, y.ringPosition) })
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -11,22 +11,26 @@
 )
 
 const (
-	maxLatencySamples   = 400 // samples over which a class's latencies are averaged
-	startupSamples      = 12  // first samples of a class's baseline, accepted despite congestion to correct its guess
-	maxServerSamples    = 16  // samples over which a server's baseline is averaged
-	maxCostHintSamples  = 64  // samples over which a class's cost hints are averaged
-	latencySmoothing    = 64  // responses over which the latency is smoothed
-	congestionSmoothing = 32  // responses over which the congestion is smoothed
+	maxLatencySamples = 400 // samples over which a class's latencies are averaged
+
+	// startupSamples is the number of first samples that count for a class's baseline despite congestion, to
+	// correct the guessed baseline.
+	startupSamples = 12
+
+	maxServerSamples    = 16 // samples over which a server's baseline is averaged
+	maxCostHintSamples  = 64 // samples over which a class's cost hints are averaged
+	latencySmoothing    = 64 // responses over which the latency is smoothed
+	congestionSmoothing = 32 // responses over which the congestion is smoothed
 
 	minRelativeWork = 0.25 // lower bound of the relative work, because cost hints are rough estimates
 	maxRelativeWork = 4    // upper bound of the relative work, because cost hints are rough estimates
 
-	initialBaselineFraction = 1.0 / 4              // guessed baseline as a fraction of the latency objective
-	maxBaselineCongestion   = targetCongestion / 2 // congestion below which a sample counts for a class's baseline
-	baselineCapDivisor      = 3                    // samples of a class's baseline are capped at a third of the objective
+	initialBaselineFraction = 1.0 / 4              // guessed baseline of a class, fraction of its objective
+	maxBaselineCongestion   = targetCongestion / 2 // congestion below which class baselines are updated
+	baselineCapDivisor      = 3                    // caps samples at a third of the class's objective
 
-	minBaseline = time.Millisecond       // added to each baseline latency; keeps multiples of the baseline finite
-	minLatency  = 100 * time.Microsecond // lower bound of a latency whose logarithm is taken; keeps logarithms finite
+	minBaseline = time.Millisecond       // added to every baseline; keeps multiples of the baseline finite
+	minLatency  = 100 * time.Microsecond // lower bound of a latency in a logarithm; keeps it finite
 )
 
 // requestClass is a class and the measurements of its requests, in seconds.
@@ -63,8 +67,8 @@
 	}
 }
 
-// recordWork records the latency of a response, in seconds, for the estimate of the work. All responses count,
-// because unloaded responses are too rare in a busy fleet.
+// recordWork records the latency of a response, in seconds, for the estimate of the work. All responses
+// count, because unloaded responses are too rare in a busy fleet.
 func (c *requestClass) recordWork(latency float64) {
 	if !c.weightByWork {
 		c.workEstimate.Add(latency)
@@ -79,7 +83,7 @@
 	}
 }
 
-// relativeWork returns the request's work as a multiple of the mean of its class. It is 1 without a cost hint.
+// relativeWork returns the request's work as a multiple of its class's mean. It is 1 without a cost hint.
 func (r *request) relativeWork() float64 {
 	mean := r.class.costHint.Value()
 	if r.CostHint <= 0 || mean <= 0 {
@@ -132,7 +136,7 @@
 	logRatio := math.Log(max(seconds, minLatency.Seconds()) / classBaseline)
 	serverBaseline := &attempt.server.baselineLogRatio
 	if attempt.unloaded && congestion < targetCongestion {
-		// The more nodes use the server, the more likely their load affects the sample, which then counts less.
+		// A sample counts less the more nodes use the server, because their load may affect the sample.
 		serverBaseline.AddWithPrior(logRatio, nodesPerServer)
 	}
 	e.congestion += (logRatio - serverBaseline.Value() - congestion) / congestionSmoothing
--- a/policy/load_shedding.go
+++ b/policy/load_shedding.go
@@ -34,8 +34,8 @@
 }
 
 // servingDeadline returns the time by which a queued request must be served: its deadline or its objective
-// deadline. On an undersampled node, which rarely has capacity, a late response of high weight may count more
-// than another response within its objective.
+// deadline. On an undersampled node, which rarely has capacity, a late response of high weight may count
+// more than another response within its objective.
 func (l *loadShedder) servingDeadline(request *request) time.Duration {
 	lateWeight := request.weight * request.class.LateFraction
 	if l.regime.queuesPastObjective && lateWeight >= l.arrivals.meanWeight(request.class) {
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -52,8 +52,8 @@
 	b.recordBreakerFailure(now, attempt, status)
 }
 
-// recordBreakerFailure records a failed attempt in the circuit breaker of its server. It opens the breaker if
-// the attempt was its trial or if shouldEject reports that the consecutive failures eject the server.
+// recordBreakerFailure records a failed attempt in the circuit breaker of its server. It opens the breaker
+// if the attempt was its trial or if shouldEject reports that the consecutive failures eject the server.
 func (b *Balancer) recordBreakerFailure(now time.Duration, attempt *attempt, status Status) {
 	server := attempt.server
 	breaker := &server.breaker
@@ -70,8 +70,8 @@
 }
 
 // shouldEject reports whether the consecutive failures of a server, of which the last has the given status,
-// open its closed breaker. Timeouts may be caused by a slowdown of all servers, so a timeout opens no breaker
-// if more than half of the subset would then be ejected.
+// open its closed breaker. Timeouts may be caused by a slowdown of all servers, so a timeout opens no
+// breaker if more than half of the subset would then be ejected.
 func (b *Balancer) shouldEject(server *server, status Status) bool {
 	breaker := &server.breaker
 	if breaker.state != breakerClosed {
--- a/policy/periodic_check.go
+++ b/policy/periodic_check.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	checkInterval = 10 * time.Millisecond        // time between periodic checks, and resolution of all deadlines
+	checkInterval = 10 * time.Millisecond        // time between periodic checks; resolution of all deadlines
 	maxTime       = time.Duration(math.MaxInt64) // later than the time of any event
 )
 
@@ -36,14 +36,14 @@
 func (c *checkTimer) clear() { c.due = maxTime }
 
 // periodicCheck sheds load, checks every active request and schedules the next check. The next check runs
-// after checkInterval, or earlier if a request without an attempt in flight has an earlier deadline: a check up to
-// checkInterval after that deadline could be too late, because ResponseGrace may be shorter.
+// after checkInterval, or earlier if a request without an attempt in flight has an earlier deadline: a
+// check up to checkInterval after that deadline could be too late, because ResponseGrace may be shorter.
 func (b *Balancer) periodicCheck(now time.Duration) {
 	b.refresh(now)
 	b.shedLoad(now)
 	next := now + checkInterval
-	// When a request completes, the last active request moves to its index. Iterating backwards, that request
-	// has already been checked.
+	// When a request completes, the last active request moves to its index. Iterating backwards, that
+	// request has already been checked.
 	for _, request := range slices.Backward(b.requests.active) {
 		b.checkRequest(now, request)
 		if !request.completed && request.inFlight == 0 {
--- a/policy/request.go
+++ b/policy/request.go
@@ -26,8 +26,8 @@
 }
 
 // isUnresponsive reports whether an attempt in flight has taken more than unresponsiveMultiple times the
-// expected latency and its server has responded to no attempt since this attempt started. It is false for an
-// attempt already marked as unresponsive.
+// expected latency and its server has responded to no attempt since this attempt started. It is false for
+// an attempt already marked as unresponsive.
 func (a *attempt) isUnresponsive(now, expectedLatency time.Duration) bool {
 	return a.inFlight && !a.unresponsive && a.server.respondedAt < a.startedAt &&
 		float64(now-a.startedAt) > unresponsiveMultiple*float64(expectedLatency)
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -10,10 +10,11 @@
 )
 
 const (
-	initialBackoffShare  = 1.0 / 16         // fraction of the class's objective; doubles with each attempt
-	maxBackoff           = 30 * time.Second // longest backoff, without jitter
-	jitterShare          = 0.2              // fraction of a delay, in either direction; doubled delays still grow
-	unresponsiveMultiple = 4.0              // multiple of the expected latency after which an attempt is unresponsive
+	initialBackoffShare = 1.0 / 16         // first backoff, as a fraction of the objective; doubles each time
+	maxBackoff          = 30 * time.Second // longest backoff, without jitter
+
+	jitterShare          = 0.2 // fraction of a delay, in either direction; lets doubled delays still grow
+	unresponsiveMultiple = 4.0 // multiple of the expected latency after which an attempt is unresponsive
 )
 
 // retryPolicy determines which attempts a request may have, and when.
@@ -29,16 +30,16 @@
 	return jitter.Proportional(p.random, backoff, jitterShare)
 }
 
-// attemptsExhausted reports whether no further attempt is permitted from the given time on: the request has had
-// all of its attempts, or it may have been executed and must not be executed again.
+// attemptsExhausted reports whether no further attempt is permitted from the given time on: the request has
+// had all of its attempts, or it may have been executed and must not be executed again.
 func (p *retryPolicy) attemptsExhausted(at time.Duration, request *request) bool {
 	executed := request.firstPossiblyExecuted()
 	return len(request.attempts) >= p.limits.MaxAttempts ||
 		executed != nil && !request.class.permitsRepeatAfter(at-executed.startedAt)
 }
 
-// permitsRetryAt reports whether a retry at the given time is permitted and its response, expected after the
-// given latency, still counts.
+// permitsRetryAt reports whether a retry at the given time is permitted and its response, expected after
+// the given latency, still counts.
 func (p *retryPolicy) permitsRetryAt(at time.Duration, request *request, latency time.Duration) bool {
 	return !p.attemptsExhausted(at, request) && at+latency <= request.retryDeadline()
 }
@@ -58,8 +59,8 @@
 	return true
 }
 
-// permitsAttemptAfter reports whether an attempt at a server may follow an earlier attempt that may have been
-// executed.
+// permitsAttemptAfter reports whether an attempt at a server may follow an earlier attempt that may have
+// been executed.
 func (p *retryPolicy) permitsAttemptAfter(request *request, earlier *attempt, server *server) bool {
 	return (!earlier.inFlight || p.limits.Hedging) &&
 		(request.class.Idempotency != IdempotentWithKey || request.class.sharesKeyScope(earlier, server))
@@ -79,8 +80,8 @@
 	return r.objectiveDeadline
 }
 
-// permitsRepeatAfter reports whether a request may be executed again. The age is the time since the start of the
-// first attempt that may have been executed.
+// permitsRepeatAfter reports whether a request may be executed again. The age is the time since the start
+// of the first attempt that may have been executed.
 func (c *requestClass) permitsRepeatAfter(age time.Duration) bool {
 	return c.Idempotency == Idempotent || c.Idempotency == IdempotentWithKey && age < c.KeyRetention
 }
--- a/policy/sampling_regime.go
+++ b/policy/sampling_regime.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// maxWellSampledNodesPerServer is the largest number of nodes per server at which the requests of a single node
-// are a sufficient sample of the server's load.
+// maxWellSampledNodesPerServer is the largest number of nodes per server at which the requests of a single
+// node are a sufficient sample of the server's load.
 const maxWellSampledNodesPerServer = 5.0
 
 // samplingRegime holds the parameters that differ between few and many nodes per server.
 type samplingRegime struct {
-	// noResponseThreshold is the number of consecutive failures that open a breaker if the last of them is a
-	// timeout or a failed connection.
+	// noResponseThreshold is the number of consecutive failures that open a breaker if the last of them is
+	// a timeout or a failed connection.
 	noResponseThreshold int
 
-	slowResponseMultiple float64       // multiple of the baseline latency above which a response counts as a failure
+	slowResponseMultiple float64       // multiple of the baseline latency; slower responses count as failures
 	maxOutcomeAge        time.Duration // age at which an outcome no longer counts for the scores
 
 	limitAppliesToMean    bool    // the node's limit applies to the mean number of attempts in flight
@@ -26,7 +26,7 @@
 	maxExcessCongestion   float64 // upper bound of the congestion above the target in one adjustment
 	minLimit              float64 // minimum concurrency limit, in attempts of all nodes per server
 
-	// knownGoodLimitFraction is the fraction of knownGoodLimit below which congestion does not reduce the limit.
+	// knownGoodLimitFraction is the fraction of knownGoodLimit below which congestion reduces no limit.
 	knownGoodLimitFraction float64
 
 	queuesPastObjective bool    // a request of high weight may be queued past its latency objective
@@ -54,9 +54,9 @@
 //	expected latencies left to the objective   1                      2.5
 //	an unserved request returns its token      no                     yes
 //
-// An undersampled node rarely uses each server and cannot measure the congestion that the other nodes cause.
-// Its thresholds are therefore low and its adjustments large, and its limits converge to equal shares among
-// the nodes that share servers.
+// An undersampled node rarely uses each server and cannot measure the congestion that the other nodes
+// cause. Its thresholds are therefore low and its adjustments large, and its limits converge to equal
+// shares among the nodes that share servers.
 func regimeFor(nodesPerServer float64) samplingRegime {
 	if nodesPerServer > maxWellSampledNodesPerServer {
 		return undersampled()
--- a/policy/score.go
+++ b/policy/score.go
@@ -13,7 +13,7 @@
 	priorOutcomes          = 3.0  // number of outcomes that the means of the subset count as
 	successWeight          = 0.7  // weight of the success rate in the score
 	latencyWeight          = 0.3  // weight of the latency in the score
-	minHighestLatency      = 1e-9 // lower bound of the highest latency, multiple of the baseline; keeps scores finite
+	minHighestLatency      = 1e-9 // lower bound of the highest relative latency; keeps scores finite
 	scoreTieMargin         = 0.1  // difference of two scores up to which the attempts in flight decide
 	initialSuccessRate     = 1.0  // mean success rate before the first outcome
 	initialRelativeLatency = 1.0  // mean latency before the first response, as a multiple of the baseline
@@ -38,8 +38,8 @@
 
 func (s *serverScore) recordFailure(now time.Duration) { s.outcomes.AddFailure(now) }
 
-// estimate computes the success rate and the relative latency. The means of the subset count as priorOutcomes
-// additional outcomes, so the estimates for a server without outcomes are the means.
+// estimate computes the success rate and the relative latency. The means of the subset count as
+// priorOutcomes additional outcomes, so the estimates for a server without outcomes are the means.
 func (s *serverScore) estimate(means outcomeMeans) {
 	outcomes, successes := float64(s.outcomes.Len()), float64(s.outcomes.Successes())
 	s.successRate = (successes + priorOutcomes*means.successRate) / (outcomes + priorOutcomes)
@@ -47,8 +47,8 @@
 	s.relativeLatency = latencySum / (successes + priorOutcomes)
 }
 
-// updateValue computes the score as a weighted sum of the success rate and a latency score. The latency score
-// decreases linearly from 1 at latency 0 to 0 at the highest latency.
+// updateValue computes the score as a weighted sum of the success rate and a latency score. The latency
+// score decreases linearly from 1 at latency 0 to 0 at the highest latency.
 func (s *serverScore) updateValue(highestLatency float64) {
 	highest := max(highestLatency, s.relativeLatency, minHighestLatency)
 	s.value = successWeight*s.successRate + latencyWeight*(1-s.relativeLatency/highest)
@@ -62,8 +62,8 @@
 	return (earlierFailures + priorOutcomes*(1-means.successRate)) / (earlierOutcomes + priorOutcomes)
 }
 
-// outcomeMeans holds the means over all servers of the subset. Without outcomes, the means keep their previous
-// values.
+// outcomeMeans holds the means over all servers of the subset. Without outcomes, the means keep their
+// previous values.
 type outcomeMeans struct{ successRate, relativeLatency float64 }
 
 func newOutcomeMeans() outcomeMeans {
@@ -87,8 +87,8 @@
 	}
 }
 
-// updateScores computes the scores of the servers. The highest latency is the highest latency of the servers
-// with closed breakers.
+// updateScores computes the scores of the servers. Each latency is compared with the highest latency
+// among the servers with closed breakers.
 func (m *outcomeMeans) updateScores(servers []*server) {
 	highest := 0.0
 	for _, s := range servers {
--- a/policy/server.go
+++ b/policy/server.go
@@ -20,7 +20,7 @@
 
 	breaker          circuitBreaker
 	score            serverScore
-	baselineLogRatio runningmean.Mean // mean logarithm of unloaded latency divided by the baseline of the class
+	baselineLogRatio runningmean.Mean // mean logarithm of unloaded latency over the baseline of its class
 	budget           slowStartBudget
 }
 
@@ -53,8 +53,8 @@
 	s.breaker.startAttempt(a)
 }
 
-// endAttempt removes an attempt from the attempts in flight. It has no effect on an attempt that started before
-// the server restarted.
+// endAttempt removes an attempt from the attempts in flight. It has no effect on an attempt that started
+// before the server restarted.
 func (s *server) endAttempt(a *attempt) {
 	if i := slices.Index(s.inFlight, a); i >= 0 {
 		s.inFlight = slices.Delete(s.inFlight, i, i+1)
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -22,8 +22,8 @@
 	nodes              int
 	rules              Rules
 	random             *rand.Rand
-	sentWork           decayrate.Meter // work that this node sends per second, as baseline latencies in seconds
-	warmServerWorkRate float64         // seconds of work per second that all nodes send to a warm server; 0: unknown
+	sentWork           decayrate.Meter // work sent by this node per second, as baseline latencies in seconds
+	warmServerWorkRate float64         // work per second that all nodes send to a warm server; 0: unknown
 }
 
 // slowStartBudget is the work that this node may send to a server that is warming up.
@@ -82,9 +82,9 @@
 }
 
 // refillBudget adds to the budget of a server that is warming up, before a request of the given work in
-// seconds. The attempts of other nodes are unknown, so the budget grows at this node's share of the rate that
-// would overload the server, times slowStartSafetyFactor. The initial budget is a random debt of up to one
-// request, because simultaneous attempts of all nodes could overload the server.
+// seconds. The attempts of other nodes are unknown, so the budget grows at this node's share of the rate
+// that would overload the server, times slowStartSafetyFactor. The initial budget is a random debt of up to
+// one request, because simultaneous attempts of all nodes could overload the server.
 func (s *slowStart) refillBudget(
 	now time.Duration, server *server, work float64, subset *subset, arrivals *arrivalStats,
 ) {
@@ -97,7 +97,7 @@
 		*budget = slowStartBudget{work: -work * s.random.Float64(), updatedAt: now}
 	}
 	rate := s.warmServerWorkRate / subset.nodesPerServer * s.rules.OverloadMultiple
-	if s.warmServerWorkRate == 0 { // unknown on a new node whose servers are warming up; only the arrivals are known
+	if s.warmServerWorkRate == 0 { // a new node whose servers are warming up has measured only its arrivals
 		rate = arrivals.rate.PerSecond(now) * work / float64(len(subset.servers))
 	}
 	rate *= share * slowStartSafetyFactor
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// advanceBreakers makes each open breaker half-open when its open duration is over, and counts the servers by
-// breaker state.
+// advanceBreakers makes each open breaker half-open when its open duration is over, and counts the servers
+// by breaker state.
 func (s *subset) advanceBreakers(now time.Duration) {
 	s.closedBreakers, s.breakersAwaitingTrial = 0, 0
 	for _, server := range s.servers {
