--- a/policy/admission.go
+++ b/policy/admission.go
@@ -7,8 +7,8 @@
 	"sort"
 )
 
-// admissionQueue holds the requests waiting for capacity, sorted by precedes. Each of these
-// requests is marked as queued.
+// admissionQueue holds the requests waiting for capacity, sorted by precedes. Each request
+// in the queue is marked as queued.
 type admissionQueue struct{ waiting []*request }
 
 // add inserts a request in sorted order.
--- a/policy/api.go
+++ b/policy/api.go
@@ -39,7 +39,7 @@
 // queue. Dispatch first refreshes the subset, the scores, the circuit breakers and the concurrency limit, at
 // most once per timestamp. For each queued request it then collects the candidates: the servers of the
 // subset for which the circuit breaker, the retry policy, the slow start budget and the concurrency limit
-// permit an attempt. It sends the request to one of them or leaves it in the queue.
+// permit an attempt. It sends the request to one of the candidates or leaves it in the queue.
 //
 // An outcome first updates the server's score, its circuit breaker, the latency estimates and the
 // concurrency limit. Then it completes the request or starts the backoff before a retry. Dispatch follows,
@@ -146,7 +146,7 @@
 const (
 	Removed  EndpointState = iota // no longer listed
 	Ready                         // takes requests
-	Draining                      // completes its requests and accepts no new ones
+	Draining                      // completes its requests and accepts no new requests
 )
 
 func (s EndpointState) String() string { return enumName(s, "removed", "ready", "draining") }
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -87,7 +87,7 @@
 }
 
 // Request handles the arrival of a client's request. It rejects a request of an unknown class and ignores
-// one whose ID is already in use.
+// a request whose ID is already in use.
 func (b *Balancer) Request(now time.Duration, arrival Request) {
 	if b.requests.byID[arrival.ID] != nil {
 		return
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -31,7 +31,8 @@
 	server.breaker.abandonTrial(attempt)
 }
 
-// recordResponse records a successful response. The circuit breaker counts a very slow one as a failure.
+// recordResponse records a successful response. The circuit breaker counts a very slow response as a
+// failure.
 func (b *Balancer) recordResponse(
 	now time.Duration, request *request, attempt *attempt, latency time.Duration,
 ) {
--- a/policy/sampling_regime.go
+++ b/policy/sampling_regime.go
@@ -26,7 +26,8 @@
 	maxExcessCongestion   float64 // upper bound of the congestion above the target in one adjustment
 	minLimit              float64 // minimum concurrency limit, in attempts of all nodes per server
 
-	// knownGoodLimitFraction is the fraction of knownGoodLimit below which congestion reduces no limit.
+	// knownGoodLimitFraction is the fraction of knownGoodLimit below which congestion does not reduce the
+	// limit.
 	knownGoodLimitFraction float64
 
 	queuesPastObjective bool    // a request of high weight may be queued past its latency objective
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -60,7 +60,7 @@
 }
 
 // fill takes servers along the ring until targetSize is reached. A server that is warming up counts as its
-// share of full capacity, and one with an open breaker does not count.
+// share of full capacity, and a server with an open breaker does not count.
 func (s *subset) fill(now time.Duration, ring []*server, start int) {
 	s.servers = s.servers[:0]
 	remaining := float64(s.targetSize)
