--- a/policy/circuit_breaker.go
+++ b/policy/circuit_breaker.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	failureThreshold     = 5                // consecutive failures that open a breaker unless expected
-	maxFailureThreshold  = 12               // consecutive failures that open a breaker in any case
-	runSignificanceLevel = 1e-5             // probability above which consecutive failures are expected
-	failureWindow        = 60 * time.Second // time within which consecutive failures count
-	initialOpenDuration  = 2 * time.Second  // how long a breaker stays open; doubles with each failed trial
-	maxOpenDuration      = 30 * time.Second
+	failureThreshold         = 5                // consecutive failures that open a breaker unless plausible
+	maxFailureThreshold      = 12               // consecutive failures that open a breaker even if plausible
+	failureSignificanceLevel = 1e-5             // probability above which consecutive failures are plausible
+	failureWindow            = 60 * time.Second // age up to which a consecutive failure counts
+	initialOpenDuration      = 2 * time.Second  // first open duration; doubles with each failed trial
+	maxOpenDuration          = 30 * time.Second // upper bound of the doubled open duration, without jitter
 )
 
 type breakerState uint8
@@ -33,10 +33,10 @@
 // circuitBreaker is the circuit breaker of one server. Only a half-open breaker has a trial.
 type circuitBreaker struct {
 	state        breakerState
-	failures     []time.Duration // times of the consecutive failures within failureWindow
+	failures     []time.Duration // times of the consecutive failures, without those older than failureWindow
 	openDuration time.Duration   // how long the breaker stays open the next time
 	halfOpenAt   time.Duration   // when an open breaker becomes half-open
-	trial        *attempt        // attempt in flight; nil while a half-open breaker awaits one
+	trial        *attempt        // attempt in flight; nil while a half-open breaker awaits its trial
 }
 
 func newCircuitBreaker() circuitBreaker {
@@ -49,18 +49,18 @@
 // isTrial reports whether an attempt is the trial of a half-open breaker.
 func (c *circuitBreaker) isTrial(a *attempt) bool { return c.state == breakerHalfOpen && c.trial == a }
 
-// acceptsTrial reports whether the next attempt of a request may be the trial. An attempt of a request that
+// permitsTrial reports whether the next attempt of a request may be the trial. An attempt of a request that
 // is not idempotent may be the trial only if the trial is overdue.
-func (c *circuitBreaker) acceptsTrial(now time.Duration, idempotency Idempotency) bool {
-	return c.awaitsTrial() && (idempotency != NotIdempotent || c.trialOverdue(now))
+func (c *circuitBreaker) permitsTrial(now time.Duration, idempotency Idempotency) bool {
+	return c.awaitsTrial() && (idempotency != NotIdempotent || c.isTrialOverdue(now))
 }
 
-// trialOverdue reports whether a breaker has been half-open for longer than its open duration.
-func (c *circuitBreaker) trialOverdue(now time.Duration) bool {
+// isTrialOverdue reports whether a breaker has been half-open for longer than its open duration.
+func (c *circuitBreaker) isTrialOverdue(now time.Duration) bool {
 	return now > c.halfOpenAt+c.openDuration
 }
 
-// advance makes an open breaker half-open when its time is up.
+// advance makes an open breaker half-open when its open duration is over.
 func (c *circuitBreaker) advance(now time.Duration) {
 	if c.state == breakerOpen && now >= c.halfOpenAt {
 		c.state, c.trial = breakerHalfOpen, nil
@@ -111,20 +111,22 @@
 	c.halfOpenAt = now + jitter.Proportional(random, c.openDuration, jitterShare)
 }
 
-// reachedThreshold reports whether the consecutive failures, the last one with the given status, open a
+// shouldOpen reports whether the consecutive failures, of which the last has the given status, open a
 // closed breaker. A missing response or connection is stronger evidence of a fault than a fast error.
-func (c *circuitBreaker) reachedThreshold(status Status, regime *samplingRegime, failureRate float64) bool {
+func (c *circuitBreaker) shouldOpen(status Status, regime *samplingRegime, failureRate float64) bool {
 	failures := len(c.failures)
 	if (status == Timeout || status == ConnectFailed) && failures >= regime.noResponseThreshold {
 		return true
 	}
-	return failures >= failureThreshold && !c.explainedByFailureRate(failureRate)
+	return failures >= failureThreshold && !c.failuresPlausibleAt(failureRate)
 }
 
-// explainedByFailureRate reports whether the consecutive failures are plausible at the failure rate that
-// preceded them. The score then directs requests away from the server, whereas an open breaker would lose the
-// requests that it still serves.
-func (c *circuitBreaker) explainedByFailureRate(failureRate float64) bool {
+// failuresPlausibleAt reports whether the consecutive failures are plausible at the failure rate before
+// them: the probability of that many failures in a row exceeds failureSignificanceLevel. An open breaker
+// would then lose the requests that the server still serves, whereas the score only directs requests to
+// other servers.
+func (c *circuitBreaker) failuresPlausibleAt(failureRate float64) bool {
 	failures := len(c.failures)
-	return failures < maxFailureThreshold && math.Pow(failureRate, float64(failures)) > runSignificanceLevel
+	return failures < maxFailureThreshold &&
+		math.Pow(failureRate, float64(failures)) > failureSignificanceLevel
 }
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -8,7 +8,7 @@
 // server has restarted since the attempt started.
 func (b *Balancer) recordOutcome(now time.Duration, request *request, attempt *attempt, outcome Outcome) {
 	server := attempt.server
-	if attempt.sentAt < server.StartedAt {
+	if attempt.startedAt < server.StartedAt {
 		return
 	}
 	switch outcome.Status {
@@ -18,20 +18,21 @@
 		b.recordFailure(now, attempt, outcome.Status)
 	case Timeout:
 		// A short timeout is the client's choice and not evidence against the server. The latency is
-		// compared with the baseline: the mean latency rises with congestion, until no timeout would
-		// count as a failure.
+		// compared with the baseline instead of the mean: the mean rises with congestion, until no
+		// timeout would count as a failure.
 		timeoutIsLong := request.relativeLatency(outcome.Latency) > unresponsiveMultiple
 		if timeoutIsLong && !attempt.unresponsive { // an unresponsive attempt has already been counted
 			b.recordFailure(now, attempt, Timeout)
 		}
-	case Rejected: // lowers the score, or a full server would be selected again
+	case Rejected: // counts in the score only; otherwise a full server would be selected again
 		server.score.recordFailure(now)
 	case Cancelled, NotSent: // no evidence about the server
 	}
 	server.breaker.abandonTrial(attempt)
 }
 
-// recordResponse records a successful response. The circuit breaker counts a very slow one as a failure.
+// recordResponse records a successful response. The circuit breaker counts a very slow response as a
+// failure.
 func (b *Balancer) recordResponse(
 	now time.Duration, request *request, attempt *attempt, latency time.Duration,
 ) {
@@ -52,8 +53,8 @@
 	b.recordBreakerFailure(now, attempt, status)
 }
 
-// recordBreakerFailure records a failed attempt in the circuit breaker of its server. It opens the breaker if
-// the attempt was its trial or the consecutive failures eject the server.
+// recordBreakerFailure records a failed attempt in the circuit breaker of its server. It opens the breaker
+// if the attempt was its trial or if shouldEject reports that the consecutive failures eject the server.
 func (b *Balancer) recordBreakerFailure(now time.Duration, attempt *attempt, status Status) {
 	server := attempt.server
 	breaker := &server.breaker
@@ -69,17 +70,17 @@
 	breaker.open(now, b.random)
 }
 
-// shouldEject reports whether the consecutive failures of a server, the last one with the given status, open
-// its closed breaker. Timeouts may be caused by a slowdown of all servers, so they open no further breaker
-// if more than half of the subset would then be ejected.
+// shouldEject reports whether the consecutive failures of a server, of which the last has the given status,
+// open its closed breaker. Timeouts may be caused by a slowdown of all servers, so a timeout opens no
+// breaker if more than half of the subset would then be ejected.
 func (b *Balancer) shouldEject(server *server, status Status) bool {
 	breaker := &server.breaker
 	if breaker.state != breakerClosed {
 		return false
 	}
 	failureRate := server.score.failureRateBefore(len(breaker.failures), b.means)
-	return breaker.reachedThreshold(status, &b.subset.regime, failureRate) &&
-		(status != Timeout || b.subset.mayEjectAnother())
+	return breaker.shouldOpen(status, &b.subset.regime, failureRate) &&
+		(status != Timeout || b.subset.permitsEjection())
 }
 
 // handleUnresponsiveAttempts records unresponsive attempts as failures and, if permitted, hedges the request.
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -6,23 +6,25 @@
 import "time"
 
 const (
-	minSubsetSize         = 4               // in warm servers whose breaker is not open
-	subsetRequestInterval = time.Second / 4 // each server of the subset should get a request in this time
+	minSubsetSize         = 4               // minimum number of warm servers without an open breaker
+	subsetRequestInterval = time.Second / 4 // time in which each server of the subset should get a request
 )
 
 // subset is a contiguous section of the ring of ready servers. The subsets of all nodes cover the ring
 // evenly.
 type subset struct {
-	node, nodes    int
+	node, nodes    int // index of this node, and number of nodes
 	rules          Rules
 	servers        []*server
 	nodesPerServer float64        // mean number of nodes that use each server, at least 1
 	regime         samplingRegime // determined by nodesPerServer
-	targetSize     int            // as of the last update, in warm servers whose breaker is not open
-	updatedAt      time.Duration
-	stale          bool // the ready servers or their breakers have changed since updatedAt
+	targetSize     int            // intended number of warm servers without an open breaker
+	updatedAt      time.Duration  // time of the last update
+	stale          bool           // the ready servers or their breakers have changed since updatedAt
 
-	closed, awaitingTrial int // number of servers by breaker state, as of the last refresh
+	// closedBreakers and breakersAwaitingTrial are the numbers of servers with a closed breaker, and with a
+	// half-open breaker and no trial in flight, as of the last refresh.
+	closedBreakers, breakersAwaitingTrial int
 }
 
 func newSubset(settings *Settings) subset {
@@ -51,14 +53,14 @@
 	}
 	s.stale, s.targetSize, s.updatedAt = false, targetSize, now
 	nodes, ready := float64(s.nodes), len(ring)
-	middle := float64(s.node) + 0.5 // of this node's section, in units of one section per node
+	middle := float64(s.node) + 0.5 // middle of this node's section of the ring, counted in sections from 0
 	start := int(middle / nodes * float64(ready))
 	s.fill(now, ring, start)
 	s.setNodesPerServer(max(1, nodes*float64(len(s.servers))/float64(max(1, ready))))
 }
 
 // fill takes servers along the ring until targetSize is reached. A server that is warming up counts as its
-// share of full capacity, and one with an open breaker does not count.
+// share of full capacity, and a server with an open breaker does not count.
 func (s *subset) fill(now time.Duration, ring []*server, start int) {
 	s.servers = s.servers[:0]
 	remaining := float64(s.targetSize)
@@ -71,25 +73,26 @@
 	}
 }
 
-// advanceBreakers turns the open breakers that are due half-open, and counts the servers by breaker state.
+// advanceBreakers makes each open breaker half-open when its open duration is over, and counts the servers
+// by breaker state.
 func (s *subset) advanceBreakers(now time.Duration) {
-	s.closed, s.awaitingTrial = 0, 0
+	s.closedBreakers, s.breakersAwaitingTrial = 0, 0
 	for _, server := range s.servers {
 		server.breaker.advance(now)
 		switch {
 		case server.breaker.state == breakerClosed:
-			s.closed++
+			s.closedBreakers++
 		case server.breaker.awaitsTrial():
-			s.awaitingTrial++
+			s.breakersAwaitingTrial++
 		}
 	}
 }
 
 // allEjected reports whether no server may get a request, as of the last refresh.
-func (s *subset) allEjected() bool { return s.closed+s.awaitingTrial == 0 }
+func (s *subset) allEjected() bool { return s.closedBreakers+s.breakersAwaitingTrial == 0 }
 
-// mayEjectAnother reports whether at most half of the subset is ejected after another breaker opens.
-func (s *subset) mayEjectAnother() bool {
+// permitsEjection reports whether at most half of the subset would be ejected if another breaker opened.
+func (s *subset) permitsEjection() bool {
 	ejected := 0
 	for _, server := range s.servers {
 		if server.breaker.state != breakerClosed {
