--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -14,8 +14,9 @@
 // WaitTimeout bounds each wait for an event that a test expects. A test that passes never waits that long.
 const WaitTimeout = 20 * time.Second
 
-// AddressChangeDeadline is the time after SIGHUP at which a node is considered notified of the endpoint list at
-// a new address of the discovery service. The operators' contract sets it.
+// AddressChangeDeadline is the notification deadline after a SIGHUP that changes the address of the discovery
+// service: after this time, a node is considered notified of the endpoint list at the new address. The operators'
+// contract sets it.
 const AddressChangeDeadline = 4 * time.Second
 
 // Wait returns the next value of a channel. It fails the test after WaitTimeout; the description completes the
@@ -31,7 +32,7 @@
 	}
 }
 
-// pollInterval is the pause between two checks of a condition. It is short compared with what tests wait for.
+// pollInterval is the pause between two checks of a condition. It is short compared with the waits in tests.
 const pollInterval = time.Millisecond
 
 // Until waits until a condition holds. It fails the test after WaitTimeout, with a message as in Wait.
