--- a/internal/testkit/handlers.go
+++ b/internal/testkit/handlers.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// OK is a handler that responds with status 200.
+// OK is a handler that responds with status 200 and the body "done".
 func OK(w http.ResponseWriter, _ *http.Request) {
 	_, _ = io.WriteString(w, "done") // the client may have disconnected
 }
@@ -55,12 +55,12 @@
 	_ = conn.Close() // the connection is closed even if Close fails
 }
 
-// LongPoll blocks a call for the endpoint list for the wait that its query requests. It returns earlier if
-// changed is closed or the client disconnects.
+// LongPoll blocks a call to discovery for the time that the query requests with wait_ms. It returns earlier if
+// changed is closed or the client disconnects. A call without wait_ms is not blocked.
 func LongPoll(r *http.Request, changed <-chan struct{}) {
 	wait, err := time.ParseDuration(r.URL.Query().Get("wait_ms") + "ms")
 	if err != nil {
-		return // the call requests no wait
+		return // the query has no valid wait_ms
 	}
 	select {
 	case <-changed:
