--- a/internal/testkit/backend.go
+++ b/internal/testkit/backend.go
@@ -16,7 +16,7 @@
 // Backend is an HTTP server that records the requests that it receives.
 type Backend struct {
 	*httptest.Server
-	Requests chan *http.Request // the received requests; their bodies can be read from memory
+	Requests chan *http.Request // the received requests, with their bodies in memory
 }
 
 // NewBackend starts a server that records each request and then calls handle. It stops at the end of the test.
@@ -31,7 +31,7 @@
 		r.Body = io.NopCloser(bytes.NewReader(body))
 		select {
 		case backend.Requests <- r:
-		default: // the channel is full: no test may read it, and the handler must not block
+		default: // the channel is full; some tests do not read it, and the handler must not block
 		}
 		handle(w, r)
 	}))
@@ -57,10 +57,10 @@
 // Address returns the host and port on which the server listens.
 func (b *Backend) Address() string { return b.Listener.Addr().String() }
 
-// Endpoint returns an entry of an endpoint list for the server, which is ready.
+// Endpoint returns an entry of an endpoint list that describes the server as ready.
 func (b *Backend) Endpoint(id string) endpointjson.Endpoint { return readyEndpoint(id, b.Address()) }
 
-// readyEndpoint returns an entry of an endpoint list for a ready server.
+// readyEndpoint returns an entry of an endpoint list that describes the server at an address as ready.
 func readyEndpoint(id, address string) endpointjson.Endpoint {
 	return endpointjson.Endpoint{InstanceID: id, Address: address, Zone: "a", Lifecycle: "Ready", Weight: 1}
 }
