--- a/internal/testkit/listener.go
+++ b/internal/testkit/listener.go
@@ -11,11 +11,11 @@
 )
 
 // hostCount is the number of loopback hosts that newLoopbackHost has returned.
-var hostCount atomic.Uint32 //nolint:gochecknoglobals // the tests of a process share it, so that each host is new
+var hostCount atomic.Uint32 //nolint:gochecknoglobals // all tests of a process share the count: each host must be new
 
 // newLoopbackHost returns a loopback host that it has not returned before in this process. A node may continue to
-// call a fake service that has stopped, and its calls must not arrive at another one. The second octet depends on
-// the process ID, which separates most test processes that run at the same time.
+// call a fake service that has stopped, and these calls must not arrive at another fake service. The second octet
+// depends on the process ID, which separates most test processes that run at the same time.
 func newLoopbackHost() string {
 	const firstOctet, octets = 16, 111
 	number := hostCount.Add(1)
@@ -58,7 +58,7 @@
 		if err != nil {
 			return
 		}
-		defer func() { _ = conn.Close() }() // its goroutine may have closed it already
+		defer func() { _ = conn.Close() }() // serve may have closed the connection already
 		go serve(conn)
 	}
 }
@@ -70,6 +70,6 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = listener.Close() }() // it has no connections
+	defer func() { _ = listener.Close() }() // no connection has been accepted
 	return listener.Addr().String()
 }
