--- a/internal/testkit/listener_test.go
+++ b/internal/testkit/listener_test.go
@@ -11,18 +11,18 @@
 func TestReservedAddrRefusesConnectionsUntilListen(t *testing.T) {
 	reserved := ReserveAddr(t)
 	if _, err := net.Dial("tcp", reserved.Address); !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Fatalf("dial of %s before Listen returned %v, want %v", reserved.Address, err, syscall.ECONNREFUSED)
+		t.Fatalf("dial of %s before Listen returned error %v, want %v", reserved.Address, err, syscall.ECONNREFUSED)
 	}
 	listener, err := reserved.Listen()
 	if err != nil {
-		t.Fatalf("Listen on %s returned %v, want no error", reserved.Address, err)
+		t.Fatalf("Listen on %s returned error %v, want a listener", reserved.Address, err)
 	}
 	defer func() { _ = listener.Close() }() // errors do not matter after the test
 	conn, err := net.Dial("tcp", reserved.Address)
 	if err != nil {
-		t.Fatalf("dial of %s after Listen returned %v, want a connection", reserved.Address, err)
+		t.Fatalf("dial of %s after Listen returned error %v, want a connection", reserved.Address, err)
 	}
-	_ = conn.Close() // it carried no data
+	_ = conn.Close() // no data was sent
 }
 
 func TestScriptedServerClosesConnectionsAtEndOfTest(t *testing.T) {
@@ -31,7 +31,7 @@
 		server := NewScriptedServer(t, "", KeepAlive)
 		var err error
 		if conn, err = net.Dial("tcp", server.Address); err != nil {
-			t.Fatalf("dial of the server returned %v, want a connection", err)
+			t.Fatalf("dial of the server returned error %v, want a connection", err)
 		}
 		Wait(t, server.Conns, "the server to accept the connection")
 	})
@@ -42,12 +42,12 @@
 		ended <- err
 	}()
 	if err := Wait(t, ended, "the server to close the connection"); err == nil {
-		t.Error("Read on the connection returned a byte after the end of the server's test, want an error")
+		t.Error("Read on the connection after the end of the server's test returned a byte, want an error")
 	}
 }
 
-// A node may continue to call a fake discovery service or server that has stopped. If a fake of another test got
-// the same host, it would receive these calls and attribute them to the node of its own test.
+// A node may continue to call a fake discovery service or server that has stopped. If another test started a fake
+// service at the same host, that test would take these calls for calls of its own node.
 func TestHostsAreNotReused(t *testing.T) {
 	seen := map[string]bool{}
 	for range 10 {
@@ -58,7 +58,7 @@
 		} {
 			host, _, err := net.SplitHostPort(address)
 			if err != nil {
-				t.Fatalf("SplitHostPort(%q) returned %v, want a host", address, err)
+				t.Fatalf("SplitHostPort(%q) returned error %v, want a host", address, err)
 			}
 			if seen[host] {
 				t.Fatalf("host %s of address %s was used before, want a new host", host, address)
