--- a/internal/testkit/registry.go
+++ b/internal/testkit/registry.go
@@ -35,7 +35,7 @@
 		endpoints: endpoints, changed: make(chan struct{}), Queries: make(chan string, maxRecordedCalls),
 	}
 	registry.Server = NewServer(t, registry)
-	t.Cleanup(func() { registry.update(func() {}) }) // completes pending watches: Close waits for them
+	t.Cleanup(func() { registry.update(func() {}) }) // completes the pending watches, for which Close would wait
 	return registry
 }
 
@@ -60,16 +60,16 @@
 	r.update(func() { r.endpoints = endpoints })
 }
 
-// SetEndpointsAndWait replaces the endpoint list and waits until a node has applied it. The node starts its next
-// watch, from the new generation, only after that.
+// SetEndpointsAndWait replaces the endpoint list and waits until a node has applied it, which the node's next watch
+// shows: its query has the new generation.
 func (r *Registry) SetEndpointsAndWait(t *testing.T, endpoints ...endpointjson.Endpoint) {
 	t.Helper()
 	r.SetEndpoints(endpoints...)
 	r.mu.Lock()
 	after := fmt.Sprintf("after=%d&", r.generation)
 	r.mu.Unlock()
-	Until(t, "a watch with the query "+after, func() bool {
-		return strings.HasPrefix(Wait(t, r.Queries, "a call with the query "+after), after)
+	Until(t, "a watch with a query that starts with "+after, func() bool {
+		return strings.HasPrefix(Wait(t, r.Queries, "a call with a query that starts with "+after), after)
 	})
 }
 
@@ -90,8 +90,8 @@
 	_ = json.NewEncoder(w).Encode(list) // the client may have disconnected
 }
 
-// awaitChange blocks a watch until the generation is later than the one in its query, or until the wait that it
-// requests is over. It does not block while calls fail.
+// awaitChange blocks a watch until the list has a later generation than the query names, or until the requested
+// wait is over. It does not block other calls, nor any call while calls fail.
 func (r *Registry) awaitChange(request *http.Request) {
 	after, err := strconv.Atoi(request.URL.Query().Get("after"))
 	isWatch := err == nil
