--- a/internal/testkit/scripted_discovery.go
+++ b/internal/testkit/scripted_discovery.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Values for ScriptedDiscovery.Responses that are not bodies.
+// Values of ScriptedDiscovery.Responses that are not the body of a response.
 const (
 	ResponseReset       = "reset" // the connection is closed without a response
 	ResponseUnavailable = "down"  // the response has status 503
