--- a/internal/testkit/machine.go
+++ b/internal/testkit/machine.go
@@ -10,7 +10,8 @@
 
 // Machine is an HTTP service on a machine that can be cut off by a network partition. During the partition, open
 // connections stay open but carry no data, and the system drops the packets that would open new connections. When
-// the partition ends, the calls that were in progress when it began are reset, and later calls get a response.
+// the partition ends, calls that were in progress at its start are reset, and calls that were sent during the
+// partition get their responses.
 type Machine struct {
 	Address string
 
@@ -23,7 +24,7 @@
 	changed     chan struct{} // closed and replaced whenever a partition begins or ends
 	fillers     []net.Conn    // connections that fill the accept queue during a partition
 
-	pendingAccept chan struct{} // closed when the pending Accept returns; nil: none is pending
+	pendingAccept chan struct{} // closed when the pending Accept returns; nil if no Accept is pending
 }
 
 // Response is the response to a call to a Machine.
@@ -60,8 +61,8 @@
 	})
 }
 
-// ServeHTTP implements http.Handler. A call that was in progress when a partition began is reset when the
-// partition ends. A call that arrived during the partition gets its response then.
+// ServeHTTP implements http.Handler. When a partition ends, a call that was in progress at its start is reset, and
+// a call that arrived during the partition gets its response.
 func (m *Machine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	startEpoch, _ := m.awaitReachable(r)
 	response := m.respond(r)
@@ -78,8 +79,8 @@
 	_, _ = io.WriteString(w, response.Body) // the client may have disconnected
 }
 
-// awaitReachable waits until the machine is reachable and returns its epoch and true. It returns false if the
-// client disconnects first.
+// awaitReachable waits until the machine is reachable, and returns the epoch and true. If the client disconnects
+// first, it returns false.
 func (m *Machine) awaitReachable(r *http.Request) (int, bool) {
 	for {
 		m.mu.Lock()
