--- a/internal/testkit/machine_partition.go
+++ b/internal/testkit/machine_partition.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Partition cuts the machine off from the network. When it returns, attempts to connect hang.
+// Partition cuts the machine off from the network. After Partition has returned, attempts to connect time out.
 func (m *Machine) Partition(tb testing.TB) {
 	tb.Helper()
 	m.beginPartition()
@@ -44,7 +44,7 @@
 	m.partitioned = false
 	m.epoch++
 	for _, conn := range m.fillers {
-		_ = conn.Close() // it carried no data
+		_ = conn.Close() // no data was sent
 	}
 	m.fillers = nil
 	m.signalChange()
@@ -58,7 +58,7 @@
 
 // awaitPendingAccept waits until no Accept is pending or the partition ends. An Accept that was pending when the
 // partition began takes one more connection from the accept queue, which frees a place for another connection. An
-// Accept that is called during the partition waits for its end first.
+// Accept that is called during the partition takes no connection until the partition ends.
 func (m *Machine) awaitPendingAccept() {
 	m.mu.Lock()
 	pending, changed, partitioned := m.pendingAccept, m.changed, m.partitioned
@@ -83,7 +83,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !m.partitioned {
-		_ = conn.Close() // it carried no data
+		_ = conn.Close() // no data was sent
 		return false
 	}
 	m.fillers = append(m.fillers, conn)
