--- a/internal/testkit/machine_test.go
+++ b/internal/testkit/machine_test.go
@@ -17,7 +17,7 @@
 		if err != nil {
 			return err.Error()
 		}
-		defer func() { _ = response.Body.Close() }() // it has been read
+		defer func() { _ = response.Body.Close() }() // the body has been read
 		body, err := io.ReadAll(response.Body)
 		if err != nil {
 			return err.Error()
@@ -40,11 +40,11 @@
 	}
 }
 
-// gatedListener delays Accept until the gate is open, like a listener whose goroutine is scheduled late.
+// gatedListener delays Accept until gate is closed, like a listener whose goroutine is scheduled late.
 type gatedListener struct {
 	net.Listener
 	called   chan<- struct{} // receives a value when Accept is called
-	gate     <-chan struct{} // open once it is closed
+	gate     <-chan struct{} // closed by the test to let Accept continue
 	returned chan<- struct{} // receives a value when Accept returns
 }
 
@@ -64,8 +64,8 @@
 	}
 }
 
-// An Accept that is pending when a partition begins takes a connection from the accept queue later. The place
-// that this frees must not let a client connect to the machine during the partition.
+// An Accept that is pending when a partition begins takes a connection from the accept queue later. A client must
+// not be able to connect to the machine by way of the freed place in the queue.
 func TestPendingAcceptDoesNotEndPartition(t *testing.T) {
 	listener := Listen(t)
 	machine := &Machine{
@@ -78,6 +78,6 @@
 	machine.Partition(t)
 	Wait(t, returned, "the return of the pending Accept")
 	if _, err := net.DialTimeout("tcp", machine.Address, connectTimeout); !IsTimeout(err) {
-		t.Errorf("dial after the pending Accept returned error %v, want a timeout", err)
+		t.Errorf("dial after the return of the pending Accept: got error %v, want a timeout", err)
 	}
 }
