--- a/internal/testkit/stuck_server.go
+++ b/internal/testkit/stuck_server.go
@@ -8,12 +8,12 @@
 	"calicohinge/internal/endpointjson"
 )
 
-// connectTimeout bounds an attempt to connect to a listener whose backlog may be full. If it is not full, the
-// connection is established immediately, because it uses the loopback interface.
+// connectTimeout bounds an attempt to connect to a listener whose backlog may be full. As long as the backlog is not
+// full, a connection over the loopback interface is established immediately.
 const connectTimeout = 100 * time.Millisecond
 
 // failuresUntilFull is the number of consecutive failures to connect after which a backlog is considered full. A
-// single one may also fail because the process was paused.
+// single attempt may also fail because the process was paused.
 const failuresUntilFull = 3
 
 // fillBacklog calls open until the backlog is full. Each call opens a connection and returns false if that fails.
@@ -65,7 +65,7 @@
 	go serveUntilClosed(s.Listener, func(conn net.Conn) {
 		defer func() { _ = conn.Close() }() // the client may have closed it already
 		first := make([]byte, maxReportedBytes)
-		if n, _ := conn.Read(first); n > 0 { // 0 if the client disconnected without sending
+		if n, _ := conn.Read(first); n > 0 { // n is 0 if the client disconnected without sending
 			received <- string(first[:n])
 		}
 	})
