--- a/cmd/balancer/harness_test.go
+++ b/cmd/balancer/harness_test.go
@@ -34,7 +34,8 @@
 // baseSettings are the settings that the tests start from: one class and one zone. settingsWith adds keys to them.
 const baseSettings = `{"Classes": [{"Name": "pay", "Effect": "side_effect", "DeadlineMs": 8000}], "Zones": ["a"]}`
 
-// settingsWith returns baseSettings with further keys ahead of its own. They are JSON members without the braces.
+// settingsWith returns baseSettings with further keys ahead of its own. The argument has the keys and their values as
+// JSON, without the enclosing braces.
 func settingsWith(keys string) json.RawMessage {
 	return json.RawMessage("{" + keys + ", " + strings.TrimPrefix(baseSettings, "{"))
 }
@@ -60,7 +61,7 @@
 	return balancertest.NewConfigFile(tb, text)
 }
 
-// startServer starts an HTTP server and returns its address. The server stops at the end of the test.
+// startServer starts an HTTP server, which stops at the end of the test, and returns its address.
 func startServer(tb testing.TB, handle http.HandlerFunc) string {
 	tb.Helper()
 	return testkit.NewServer(tb, handle).Listener.Addr().String()
