--- a/cmd/balancer/client_test.go
+++ b/cmd/balancer/client_test.go
@@ -60,13 +60,13 @@
 	// unusedConnsClosedFrom is how long after SIGTERM a process starts to close connections that have not carried
 	// a request. It is the end of the grace period.
 	unusedConnsClosedFrom = shutdownClassDeadline + 450*time.Millisecond
-	// newConnGrace is how long a process keeps a new connection open at least, even after the grace period.
+	// newConnGrace is the minimum time for which a process keeps a new connection open, even after the grace period.
 	newConnGrace = 50 * time.Millisecond
 )
 
-// loadClient sends requests one after another. Once its connection is established, a request must get a complete
-// response. The exception is a request that is sent while the process closes the connection. It may get no response
-// at all, but never a part of one, in two cases:
+// loadClient sends requests one after another. Each request on an established connection must get a complete response.
+// The exception is a request that is sent while the process closes the connection. In two cases such a request may get
+// no response, but never an incomplete response:
 //   - The connection has carried an earlier request, so that the process may close it as idle.
 //   - The process is closing unused connections, and the client was paused, so that it sent its first request
 //     more than newConnGrace after it connected.
@@ -79,11 +79,11 @@
 	conn        net.Conn // nil: the next request needs a new connection
 	reader      *bufio.Reader
 	sent        int           // number of requests sent
-	connectedAt time.Time     // when conn was established
-	unusedFor   time.Duration // from connectedAt until the latest request was written
+	connectedAt time.Time     // time at which conn was established
+	unusedFor   time.Duration // time from connectedAt until the latest request was written
 }
 
-// loadResult counts the requests of clients by how they ended.
+// loadResult counts the requests of one or more clients by their results.
 type loadResult struct {
 	responses int
 	lost      []*lostRequestError
@@ -94,25 +94,25 @@
 	unusedConnsClosed int
 }
 
-// lostRequestError is the error of a request that got no complete response although it had to get one.
+// lostRequestError reports a request that had to get a complete response and did not get it.
 type lostRequestError struct {
 	client          string
 	number          int           // 1 is the client's first request
-	sentAfterSignal time.Duration // from SIGTERM until it was sent; negative: sent before SIGTERM
+	sentAfterSignal time.Duration // time from SIGTERM until the request was sent; negative if sent before SIGTERM
 	connReused      bool          // the connection had carried an earlier request
 	responseBegan   bool          // at least one byte of the response arrived
 	err             error
 }
 
 func (e *lostRequestError) Error() string {
-	return fmt.Sprintf("request %d of client %s, sent %v after SIGTERM, on a reused connection %v: %v, want a response",
+	return fmt.Sprintf("request %d of client %s (sent %v after SIGTERM, connection reused: %v): %v, want a response",
 		e.number, e.client, e.sentAfterSignal.Round(time.Millisecond), e.connReused, e.err)
 }
 
 func (e *lostRequestError) Unwrap() error { return e.err }
 
-// sendUntilRefused sends requests until the process refuses connections. sinceSignal returns the time since SIGTERM,
-// negative before.
+// sendUntilRefused sends requests until the process refuses connections. sinceSignal returns the time since SIGTERM, or
+// a negative time before SIGTERM.
 func (c *loadClient) sendUntilRefused(sinceSignal func() time.Duration) loadResult {
 	var result loadResult
 	for {
@@ -143,7 +143,7 @@
 	}
 }
 
-// sendUntilStopped sends requests until stopped is set. It fails the test for each one without a response.
+// sendUntilStopped sends requests until stopped is set. It reports a test error for each request without a response.
 func (c *loadClient) sendUntilStopped(t *testing.T, stopped *atomic.Bool) {
 	t.Helper()
 	for !stopped.Load() {
