--- a/cmd/balancer/discovery_stub_test.go
+++ b/cmd/balancer/discovery_stub_test.go
@@ -13,7 +13,7 @@
 	"calicohinge/internal/testkit"
 )
 
-// maxQueuedCalls is how many calls may wait at a discoveryStub, and how many watches it can report unread.
+// maxQueuedCalls is the number of calls that may wait at a discoveryStub, and the capacity of discoveryStub.watches.
 const maxQueuedCalls = 1 << 16
 
 // outage is a period during which a discovery service is unavailable.
@@ -44,15 +44,15 @@
 }
 
 // discoveryStub is a discovery service whose endpoint list never changes and which may be overloaded. After its outage
-// it handles the calls for the snapshot one at a time. Each call takes timePerCall, even if its client has abandoned
-// it.
+// it handles calls for the snapshot one at a time. Each of these calls takes timePerCall, even if the node has
+// abandoned the call.
 type discoveryStub struct {
 	t           *testing.T
 	list        endpointjson.List
 	outage      outage
 	timePerCall time.Duration
-	queue       chan chan struct{} // has a channel for each waiting call, which is closed when the call is handled
-	watches     chan string        // receives the address at which each watch arrives; its node has the list
+	queue       chan chan struct{} // contains a channel per waiting call, which is closed when the call is handled
+	watches     chan string        // receives the address of each watch, which shows that the node has the list
 }
 
 // newDiscoveryStub returns a discovery service that has no address yet. It handles calls until the end of the test.
@@ -95,8 +95,8 @@
 		return
 	}
 	server := &http.Server{Handler: d}
-	context.AfterFunc(d.t.Context(), func() { _ = server.Close() }) // the test is over
-	go func() { _ = server.Serve(listener) }()                      // ends with the server's Close
+	context.AfterFunc(d.t.Context(), func() { _ = server.Close() }) // errors do not matter after the test
+	go func() { _ = server.Serve(listener) }()                      // returns when the server is closed
 }
 
 // serveAfterOutage accepts calls once the outage has ended. Until then the reserved address refuses connections.
@@ -148,7 +148,7 @@
 func (d *discoveryStub) holdWatch(w http.ResponseWriter, r *http.Request) {
 	wait, err := time.ParseDuration(r.URL.Query().Get("wait_ms") + "ms")
 	if err != nil {
-		d.t.Errorf("watch with the query %q: %v", r.URL.RawQuery, err)
+		d.t.Errorf("wait_ms in the watch query %q: %v", r.URL.RawQuery, err)
 	}
 	select {
 	case <-time.After(wait):
