--- a/cmd/balancer/readiness_test.go
+++ b/cmd/balancer/readiness_test.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// readinessDeadline is the operators' requirement: 90 % of restarted processes are ready within it.
+	// readinessDeadline is the time within which, by the operators' contract, 90 % of restarted processes are ready.
 	readinessDeadline = 10 * time.Second
-	// readinessTimeout limits the wait for a process. It is also the recorded time of a process that was not ready
-	// by then.
+	// readinessTimeout limits the wait for a process to be ready. It is also the time that is recorded for a process
+	// that was not ready by then.
 	readinessTimeout = 14 * time.Second
 )
 
@@ -24,11 +24,11 @@
 	known          endpointjson.List // the cached endpoint list in the configuration; if empty, there is none
 	outageDuration time.Duration     // how long discovery is unavailable, from the restart on
 	outage         outageKind
-	timePerCall    time.Duration // of the discovery service, which handles one call at a time
+	timePerCall    time.Duration // how long discovery takes for each call; it handles one call at a time
 }
 
-// Many processes are restarted at once while discovery is down or overloaded. 90 % of them must be ready within
-// readinessDeadline, with a cached endpoint list and without one.
+// If many processes are restarted at once while discovery is down or overloaded, 90 % of them must still be ready
+// within readinessDeadline, with or without a cached endpoint list.
 func TestRestartedProcessesAreReadyInTime(t *testing.T) {
 	program, processes := balancertest.Build(t), flagValue[int](processesFlag)
 	list, empty := snapshotOf(2, slices.Repeat([]string{refusingAddr}, 200)...), endpointjson.List{}
@@ -52,7 +52,7 @@
 					len(times), times[len(times)/2].Round(time.Millisecond), readyAfter.Round(time.Millisecond),
 					times[len(times)-1].Round(time.Millisecond), readinessTimeout)
 				if readyAfter > readinessDeadline {
-					t.Errorf("90 %% of %d restarted processes are ready after %v, want %v at most",
+					t.Errorf("90th percentile of the time to readiness of %d processes: got %v, want %v at most",
 						len(times), readyAfter, readinessDeadline)
 				}
 			})
@@ -66,7 +66,7 @@
 	return times[count-1]
 }
 
-// measureRestarts starts processes at once and returns the times after which they were ready, sorted.
+// measureRestarts starts processes at once and returns their times to readiness, sorted.
 func measureRestarts(t *testing.T, program string, processes int, mode string, c restartCase) []time.Duration {
 	t.Helper()
 	list := snapshotOf(2, slices.Repeat([]string{refusingAddr}, 200)...)
