--- a/cmd/balancer/configuration_test.go
+++ b/cmd/balancer/configuration_test.go
@@ -8,7 +8,6 @@
 	"calicohinge/internal/balancertest"
 )
 
-// For each invalid configuration run must return an error that fits in one log line.
 func TestBadConfigurationIsReportedInOneLine(t *testing.T) {
 	for name, text := range map[string]string{
 		"empty file":               ``,
