--- a/cmd/balancer/logging_test.go
+++ b/cmd/balancer/logging_test.go
@@ -10,8 +10,8 @@
 	"calicohinge/internal/testkit"
 )
 
-// The log is a pipe whose reader has exited (writes fail) or has stopped reading (writes block). The process must
-// still serve requests, and exit without an error after SIGTERM.
+// Writes to the log pipe fail if its reader has exited, and block if the reader has stopped reading. In both cases the
+// process must still serve requests, and exit without an error after SIGTERM.
 func TestNodeServesWhenItsLogPipeIsClosedOrFull(t *testing.T) {
 	program := balancertest.Build(t)
 	for name, breakPipe := range map[string]func(t *testing.T, reader, writer *os.File){
@@ -24,7 +24,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer func() { _ = reader.Close() }() // fails if breakPipe has closed it
+			defer func() { _ = reader.Close() }() // breakPipe may have closed the reader already
 			breakPipe(t, reader, writer)
 			testServingWithLogPipe(t, program, writer)
 		})
@@ -49,7 +49,7 @@
 	}
 	balancertest.Signal(t, command.Process.Pid, syscall.SIGTERM)
 	if err := command.Wait(); err != nil {
-		t.Errorf("the process exited after SIGTERM with %v, want status 0", err)
+		t.Errorf("exit of the process after SIGTERM: got %v, want status 0", err)
 	}
 }
 
