--- a/cmd/balancer/signals_test.go
+++ b/cmd/balancer/signals_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// A request is at a server when SIGTERM arrives. It must still get its response, and run must return without an error.
+// A request that is at a server when SIGTERM arrives must still get its response, and run must return without an error.
 func TestActiveRequestsGetAResponseAfterSIGTERM(t *testing.T) {
 	respond := make(chan struct{})
 	server := testkit.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
@@ -65,14 +65,14 @@
 }
 
 // Each SIGHUP must make the node use the discovery address in the configuration file. If the file is invalid, the
-// node must log it and keep the old address. On SIGHUP the file takes precedence over BALANCER_DISCOVERY, since the
-// environment cannot change while the program runs.
+// node must log the error and keep the old address. On SIGHUP the file takes precedence over BALANCER_DISCOVERY, since
+// the environment cannot change while the program runs.
 func TestSIGHUPChangesDiscoveryAddressAndSurvivesBadFiles(t *testing.T) {
 	calls := make(chan string, 1000)
 	expectCall := func(name string) {
 		t.Helper()
 		if got := testkit.Wait(t, calls, "a call to "+name); got != name {
-			t.Fatalf("the node called the discovery service %q, want %q", got, name)
+			t.Fatalf("the node called the discovery service named %q, want %q", got, name)
 		}
 	}
 	first := startNamedDiscovery(t, "first", calls)
@@ -96,7 +96,7 @@
 			line = testkit.Wait(t, logged, "a log line after SIGHUP with an invalid file")
 		}
 		if !strings.Contains(line, "keeping the old one") {
-			t.Errorf("SIGHUP with the configuration %q logged %q, want %q in it", text, line, "keeping the old one")
+			t.Errorf("SIGHUP with the configuration %q logged %q, want a line with %q", text, line, "keeping the old one")
 		}
 	}
 	file.Replace(t, configText(startNamedDiscovery(t, "fourth", calls)))
