--- a/cmd/balancer/address_change_test.go
+++ b/cmd/balancer/address_change_test.go
@@ -14,9 +14,9 @@
 // hangupInterval is the time between two SIGHUPs.
 const hangupInterval = 300 * time.Millisecond
 
-// SIGHUP gives a node a new address of the discovery service, once or several times in a row. The service handles one
-// call at a time and takes a long time for each, so that a call which the node abandons delays the next one. The node
-// must still have the list from the last address within testkit.AddressChangeDeadline of the first SIGHUP.
+// A slow discovery service handles one call at a time, including the calls that a node has abandoned, so that each
+// abandoned call delays the next call. Even if several SIGHUPs in a row change the discovery address, the node must
+// have the list from the last address within testkit.AddressChangeDeadline of the first SIGHUP.
 func TestNewDiscoveryAddressIsFollowedInTimeDespiteSlowCalls(t *testing.T) {
 	program := balancertest.Build(t)
 	for _, mode := range discoveryModes() {
@@ -38,11 +38,11 @@
 	program     string
 	mode        string
 	hangups     int
-	timePerCall time.Duration // of the discovery service at the new addresses
+	timePerCall time.Duration // how long the discovery service at the new addresses takes for each call
 }
 
-// run sends the SIGHUPs and measures the time until the node watches for changes at the last address, which shows that
-// it has the list.
+// run sends the SIGHUPs and measures the time until the node watches the list at the last address, which shows that the
+// node has this list.
 func (c addressChangeCase) run(t *testing.T) {
 	t.Helper()
 	service := newDiscoveryStub(t, snapshotOf(2, refusingAddr), noOutage(), c.timePerCall)
@@ -74,7 +74,7 @@
 	took := time.Since(firstHangup)
 	t.Logf("the node had the list %v after the first SIGHUP", took.Round(time.Millisecond))
 	if took > testkit.AddressChangeDeadline {
-		t.Errorf("the node had the list from the last of %d new discovery addresses %v after the first SIGHUP, "+
-			"want %v at most", c.hangups, took, testkit.AddressChangeDeadline)
+		t.Errorf("time from the first SIGHUP until the node had the list from the last of %d new discovery addresses: "+
+			"got %v, want %v at most", c.hangups, took, testkit.AddressChangeDeadline)
 	}
 }
