--- a/cmd/balancer/descriptor_shortage_test.go
+++ b/cmd/balancer/descriptor_shortage_test.go
@@ -16,8 +16,8 @@
 	// shortageDuration is how long a process cannot open descriptors. It is shorter than classDeadline, so that the
 	// requests can be served afterwards.
 	shortageDuration = 300 * time.Millisecond
-	// exhaustedDescriptorLimit is a limit below the number of descriptors that any process has open, so that it can
-	// open no more.
+	// exhaustedDescriptorLimit is lower than the number of descriptors that every process under test has open. With
+	// this limit a process can open no more descriptors.
 	exhaustedDescriptorLimit = 3
 )
 
@@ -43,8 +43,8 @@
 	return previous
 }
 
-// For a while a process can open no descriptors, so that accept and socket fail. Requests on new and on existing
-// connections must still be served, even if SIGTERM arrives during the shortage.
+// While a process can open no descriptors, accept and socket fail. Requests on new and on existing connections must
+// still be served after such a shortage, even if SIGTERM arrives during the shortage.
 func TestRequestsSurviveADescriptorShortage(t *testing.T) {
 	program := balancertest.Build(t)
 	for name, signal := range map[string]unix.Signal{"serving": 0, "shutting down": unix.SIGTERM} {
@@ -55,9 +55,9 @@
 	}
 }
 
-// testDescriptorShortage sets the descriptor limit of a process below what it has open, sends the process a signal (0
-// for none), and sends requests on a new connection and on an existing one. The limit is raised again after
-// shortageDuration.
+// testDescriptorShortage sets the descriptor limit of a process to exhaustedDescriptorLimit and restores it after
+// shortageDuration. Meanwhile it sends a signal (0 for none) to the process, and requests on a new connection and on an
+// existing connection.
 func testDescriptorShortage(t *testing.T, program string, signal unix.Signal) {
 	t.Helper()
 	server := testkit.NewBackend(t, testkit.OK)
@@ -83,10 +83,10 @@
 	expectServed(t, node, node.dial())
 	timeoutMs, err := strconv.Atoi(testkit.Wait(t, server.Requests, "the next request").Header.Get("X-Timeout-Ms"))
 	if limit := (classDeadline - shortageDuration).Milliseconds(); err != nil || int64(timeoutMs) > limit {
-		t.Errorf("the server received X-Timeout-Ms %d (%v), want %d at most", timeoutMs, err, limit)
+		t.Errorf("X-Timeout-Ms at the server: got %d (error %v), want %d at most", timeoutMs, err, limit)
 	}
 	if took := time.Since(began); took < shortageDuration {
-		t.Errorf("a new connection got its response after %v, want %v at least: there was no shortage",
+		t.Errorf("time to the response on a new connection: got %v, want %v at least, the length of the shortage",
 			took, shortageDuration)
 	}
 	expectServed(t, node, oldConn)
@@ -96,12 +96,12 @@
 func expectServed(t *testing.T, node *nodeProcess, conn net.Conn) {
 	t.Helper()
 	if body, err := node.request(conn); body != "done" {
-		t.Errorf("request %d got the response %q, %v; want %q", node.requests, body, err, "done")
+		t.Errorf("response to request %d: got %q (error %v), want %q", node.requests, body, err, "done")
 	}
 }
 
-// SIGHUP arrives while the process can open no descriptors, and so cannot open its configuration file. The new
-// configuration must take effect once it can.
+// A process that can open no descriptors when SIGHUP arrives cannot read its configuration file. The new configuration
+// must take effect once the process can open descriptors again.
 func TestSIGHUPSurvivesADescriptorShortage(t *testing.T) {
 	t.Parallel()
 	calls := make(chan string, 1000)
@@ -109,12 +109,12 @@
 		"discovery": startNamedDiscovery(t, "first", calls), "settings": testkit.JSON(baseSettings),
 	}, balancertest.Build(t))
 	if name := testkit.Wait(t, calls, "a call to a discovery service"); name != "first" {
-		t.Fatalf("the node called the discovery service %q, want %q", name, "first")
+		t.Fatalf("the node called the discovery service named %q, want %q", name, "first")
 	}
 	process.ConfigFile.Replace(t, configText(startNamedDiscovery(t, "second", calls)))
 	previous := mustSetDescriptorLimit(t, process.PID, exhaustedDescriptorLimit)
 	balancertest.Signal(t, process.PID, unix.SIGHUP)
-	time.Sleep(shortageDuration / 3) // shorter than the time for which the node retries to open the file
+	time.Sleep(shortageDuration / 3) // shorter than the time for which the node retries opening the file
 	mustSetDescriptorLimit(t, process.PID, previous)
 	for name := ""; name != "second"; {
 		name = testkit.Wait(t, calls, "a call to the second discovery service")
