--- a/cmd/balancer/discovery_partition_test.go
+++ b/cmd/balancer/discovery_partition_test.go
@@ -11,9 +11,9 @@
 	"calicohinge/policy"
 )
 
-// A network partition cuts off the machine of the discovery service, and a server starts to drain meanwhile. The node's
-// watch is unresponsive and its connection attempts time out. Once the partition ends, the node must be notified of the
-// new list within the notification deadline, however long the partition lasted.
+// While a network partition cuts off discovery, the node's watch is unresponsive and its attempts to connect time out.
+// However long this lasts, the node must be notified of a new list within the notification deadline after the end of
+// the partition.
 func TestDiscoveryIsFollowedAfterANetworkPartition(t *testing.T) {
 	program := balancertest.Build(t)
 	for _, mode := range discoveryModes() {
@@ -26,7 +26,8 @@
 	}
 }
 
-// testPartition cuts off the discovery service for a time and measures how long after that the node has the new list.
+// testPartition cuts off the discovery service and changes the endpoint list meanwhile: one server starts to drain and
+// another is added. It measures the time from the end of the partition until the node has the new list.
 func testPartition(t *testing.T, program, mode string, duration time.Duration) {
 	t.Helper()
 	firstServer, secondServer := testkit.NewBackend(t, testkit.OK), testkit.NewBackend(t, testkit.OK)
@@ -56,7 +57,7 @@
 	took := time.Since(healed)
 	t.Logf("the node had the new list %v after the partition", took.Round(time.Millisecond))
 	if took > policy.NotificationDeadline {
-		t.Errorf("the node had the new list %v after a partition of %v, want %v at most",
-			took, duration, policy.NotificationDeadline)
+		t.Errorf("time from the end of a partition of %v until the node had the new list: got %v, want %v at most",
+			duration, took, policy.NotificationDeadline)
 	}
 }
