--- a/cmd/balancer/idle_clients_test.go
+++ b/cmd/balancer/idle_clients_test.go
@@ -34,7 +34,7 @@
 	if err != nil {
 		n.t.Fatal(err)
 	}
-	n.t.Cleanup(func() { _ = conn.Close() }) // fails if the caller has closed it
+	n.t.Cleanup(func() { _ = conn.Close() }) // the caller may have closed the connection already
 	return conn
 }
 
@@ -67,47 +67,47 @@
 	n.peakDescriptors = max(n.peakDescriptors, len(slices.DeleteFunc(open, n.isInherited)))
 }
 
-// isInherited reports whether the process has inherited a descriptor from the test process. The numbers from
-// descriptorLimit on are inherited ones, since the process itself cannot open them.
+// isInherited reports whether the process has inherited a descriptor from the test process. The process itself cannot
+// open a descriptor with a number of descriptorLimit or more, so that such a descriptor is inherited.
 func (n *nodeProcess) isInherited(entry os.DirEntry) bool {
 	fd, err := strconv.Atoi(entry.Name())
 	return err != nil || fd >= n.descriptorLimit
 }
 
-// openIdleConnections opens connections that stay idle. Every second one first carries a request, which may fail.
+// openIdleConnections opens connections that stay idle. Every second connection first carries a request.
 func (n *nodeProcess) openIdleConnections(connections int) {
 	n.t.Helper()
 	for i := range connections {
 		conn := n.dial()
 		if i%2 == 0 {
-			_, _ = n.request(conn) // during the outage a request may fail; the connection stays open
+			_, _ = n.request(conn) // the request may fail during the outage; the connection stays open
 		}
 		n.countDescriptors()
 	}
 }
 
-// awaitNewList sends requests until a server of the list that discovery serves after its outage responds. This must
-// happen within the notification deadline. After that, only servers of this list may respond.
+// awaitNewList is called when the outage of discovery ends. It sends requests until a server of the new list responds,
+// which must happen within the notification deadline. From then on, only servers of the new list may respond.
 func (n *nodeProcess) awaitNewList() {
 	n.t.Helper()
 	const furtherRequests = 20
 	outageEnded := time.Now()
 	for body := n.requestOnce(); body != "new"; body = n.requestOnce() {
 		if time.Since(outageEnded) > policy.NotificationDeadline {
-			n.t.Fatalf("response %v after the outage is %q, want %q from a server of the new list",
+			n.t.Fatalf("response %v after the outage: got %q, want %q from a server of the new list",
 				time.Since(outageEnded), body, "new")
 		}
 	}
 	for range furtherRequests {
 		if body := n.requestOnce(); body != "new" {
-			n.t.Fatalf("response with the new list in use is %q, want %q", body, "new")
+			n.t.Fatalf("response after the first from a server of the new list: got %q, want %q", body, "new")
 		}
 	}
 }
 
-// During an outage of discovery, idle clients open more connections than the process may have. The process must keep
-// descriptors free within both the configured limit and that of the system. Without a free descriptor it could call
-// neither discovery nor its servers; after the outage it must use the new list and serve requests.
+// If idle clients took up all descriptors of a process, it could call neither discovery nor its servers. The process
+// must keep descriptors free within both the configured limit and the system's limit, so that it uses the new list and
+// serves requests after an outage of discovery.
 func TestIdleClientsDoNotExhaustDescriptors(t *testing.T) {
 	program := balancertest.Build(t)
 	for _, c := range []struct {
@@ -129,7 +129,7 @@
 			node.awaitNewList()
 			t.Logf("at most %d descriptors were open", node.peakDescriptors)
 			if node.peakDescriptors >= c.descriptorLimit {
-				t.Errorf("%d descriptors were open at the peak, want fewer than the limit of %d",
+				t.Errorf("peak number of open descriptors: got %d, want fewer than the limit of %d",
 					node.peakDescriptors, c.descriptorLimit)
 			}
 		})
