--- a/cmd/balancer/shutdown_test.go
+++ b/cmd/balancer/shutdown_test.go
@@ -23,8 +23,8 @@
 	// shutdown short: the grace period is only 450 ms longer.
 	shutdownClassDeadline = 200 * time.Millisecond
 	// earliestExit is the minimum time between SIGTERM and the exit of a process under load. The grace period is
-	// shutdownClassDeadline plus 450 ms. The process serves as usual until 300 ms before its end, and from then on
-	// exits as soon as no connection is open.
+	// shutdownClassDeadline plus 450 ms. The process serves as usual until 300 ms before the end of the grace period.
+	// From then on it exits as soon as no connection is open.
 	earliestExit = shutdownClassDeadline + 150*time.Millisecond
 	// shutdownClients is the number of clients that send requests concurrently.
 	shutdownClients = 24
@@ -115,25 +115,25 @@
 	t.Logf("%d responses, %d requests lost, %d connections reset in the accept queue, %d unused connections closed",
 		r.responses, len(r.lost), r.resetInQueue, r.unusedConnsClosed)
 	if limit := maxResetInQueue(t); r.resetInQueue > limit {
-		t.Errorf("%d connections were reset in the accept queue, want %d at most", r.resetInQueue, limit)
+		t.Errorf("connections reset in the accept queue: got %d, want %d at most", r.resetInQueue, limit)
 	}
 	const shown = 5
 	for _, err := range r.lost[:min(shown, len(r.lost))] {
 		t.Error(err)
 	}
 	if r.exit.err != nil || r.exit.after < earliestExit {
-		t.Errorf("the process exited %v after SIGTERM with the error %v, want %v at least and no error",
-			r.exit.after, r.exit.err, earliestExit)
+		t.Errorf("exit of the process: got error %v %v after SIGTERM, want no error and %v at least",
+			r.exit.err, r.exit.after, earliestExit)
 	}
 	if r.responses == 0 {
-		t.Error("the clients got 0 responses, want at least 1")
+		t.Error("responses to all clients: got 0, want 1 at least")
 	}
 }
 
-// maxResetInQueue returns how many connections may be reset in the accept queue. If the system supports socket filters,
-// it is 0: the process uses a filter to refuse handshakes before its last accept. Without a filter, a connection can be
-// established between the last accept and the close of the listener, whatever the order of system calls. On a busy
-// machine this may happen to each client once.
+// maxResetInQueue returns how many connections may be reset in the accept queue. The number is 0 if the system supports
+// socket filters: the process uses a filter to refuse handshakes before its last accept. Without a filter, a connection
+// can be established between the last accept and the close of the listener, whatever the order of system calls. On a
+// busy machine this may happen to each client once.
 func maxResetInQueue(t *testing.T) int {
 	t.Helper()
 	raw, err := testkit.Listen(t).(*net.TCPListener).SyscallConn()
@@ -161,8 +161,8 @@
 	shutDownUnderLoad(t, balancertest.Build(t), func(int) {}).check(t)
 }
 
-// The process is paused around each step of its shutdown for 150 ms, the longest pause that the operators' requirements
-// allow.
+// A pause of the process must not lose requests at any step of the shutdown. Each pause lasts 150 ms, the longest time
+// that the operators' contract allows.
 func TestEveryRequestGetsAResponseFromAPausedProcess(t *testing.T) {
 	const pause = 150 * time.Millisecond
 	program := balancertest.Build(t)
@@ -180,8 +180,8 @@
 	}
 }
 
-// The process can open no descriptors for a while, at several points of its shutdown. At one of them it accepts the
-// last connections.
+// A descriptor shortage must not lose requests at any step of the shutdown. One of the shortages falls on the last
+// accept.
 func TestEveryRequestGetsAResponseDuringADescriptorShortage(t *testing.T) {
 	const shortage = 100 * time.Millisecond
 	program := balancertest.Build(t)
@@ -197,7 +197,7 @@
 	}
 }
 
-// exhaustDescriptors prevents a process from opening descriptors for a time. The process may exit in that time;
+// exhaustDescriptors prevents a process from opening descriptors for a time. The process may exit during the shortage;
 // shutdownResult.check reports an exit that is too early.
 func exhaustDescriptors(t *testing.T, pid int, duration time.Duration) {
 	t.Helper()
