--- a/cmd/balancer/soak_test.go
+++ b/cmd/balancer/soak_test.go
@@ -14,10 +14,13 @@
 	soakSeedFlag = "soak-seed"
 )
 
-// Real processes run under the faults that a seed determines, and every rule must hold. Wall clocks are wrong and
-// stepped. Discovery is unresponsive, failing or slow, and its address changes. Servers drain, are removed, restart,
-// and become unresponsive. Nodes are paused and restarted while clients keep sending on open connections. To run a
-// failed seed again, use -soak-seed with -soak-runs=1.
+// Every rule of the soak must hold for real processes under the faults that a seed determines:
+//   - Wall clocks are wrong or stepped.
+//   - Discovery is unresponsive, failing or slow, or its address changes.
+//   - Servers drain, are removed, restart or become unresponsive.
+//   - Nodes are paused or restarted while clients keep sending on open connections.
+//
+// To run a failed seed again, use -soak-seed with -soak-runs=1.
 func TestSoak(t *testing.T) {
 	program := balancertest.BuildInstrumented(t)
 	first := flagValue[int](soakSeedFlag)
