--- a/cmd/balancer/wall_clock_test.go
+++ b/cmd/balancer/wall_clock_test.go
@@ -14,18 +14,18 @@
 )
 
 const (
-	warmServers             = 7                      // servers in the list before the new one
+	warmServers             = 7                      // number of servers in the list before the new server
 	slowStartShare          = 0.1                    // fraction of an equal share at the start of slow start
-	slowStartTime           = 9 * time.Second        // until the new server is warm
-	measurementTime         = 800 * time.Millisecond // from the start of the new server; its requests are counted
-	slowStartClients        = 4
+	slowStartTime           = 9 * time.Second        // time from the start of the new server until it is warm
+	measurementTime         = 800 * time.Millisecond // how long requests are counted from the start of the new server
+	slowStartClients        = 4                      // number of clients that send requests concurrently
 	loadTimeBeforeStart     = 500 * time.Millisecond // how long the clients send before the new server starts
-	slowStartRequestTimeout = 200 * time.Millisecond // of each request
+	slowStartRequestTimeout = 200 * time.Millisecond // timeout of each request
 )
 
-// The wall clock of a node's machine is wrong, and a server starts after the node. A server's start time is given in
-// wall-clock time, so the node might take a new server for a warm one. The server must get no more requests than slow
-// start allows, whatever the error of the clock.
+// The endpoint list gives a server's start time in wall-clock time, so that a node with a wrong wall clock could
+// consider a new server warm. The new server must get no more requests than slow start allows, whatever the error of
+// the clock.
 func TestSlowStartIsIndependentOfTheWallClock(t *testing.T) {
 	program := balancertest.BuildInstrumented(t)
 	for _, ahead := range []time.Duration{
@@ -38,7 +38,7 @@
 	}
 }
 
-// testSlowStart starts a node whose wall clock is ahead by some time, and checks which share of the requests a new
+// testSlowStart starts a node whose wall clock is ahead by some time, and checks the share of the requests that a new
 // server gets within measurementTime.
 func testSlowStart(t *testing.T, program string, ahead time.Duration) {
 	t.Helper()
@@ -64,15 +64,15 @@
 	received, total := servers.counts[warmServers].Load(), servers.total()-before
 	stopClients()
 
-	// An equal share is one in warmServers+1. Of it, the new server may get the fraction that slow start has reached
-	// at the end of the measurement.
+	// An equal share of the requests is 1/(warmServers+1). The new server may get at most the fraction of this share
+	// that slow start has reached at the end of the measurement.
 	share := float64(received) / float64(total)
 	capacityShare := slowStartShare + (1-slowStartShare)*measurementTime.Seconds()/slowStartTime.Seconds()
 	maxShare := capacityShare / (warmServers + 1)
 	t.Logf("the new server got %d of %d requests, a share of %.4f; want %.4f at most", received, total, share, maxShare)
 	if share > maxShare {
-		t.Errorf("with a clock ahead by %v the new server got %.4f of the requests in its first %v, want %.4f at most",
-			ahead, share, measurementTime, maxShare)
+		t.Errorf("new server's share of the requests in its first %v with a clock ahead by %v: got %.4f, want %.4f at most",
+			measurementTime, ahead, share, maxShare)
 	}
 }
 
@@ -91,9 +91,9 @@
 	}
 }
 
-// countingServers are servers that count the requests they receive.
+// countingServers are servers that count the requests that they receive.
 type countingServers struct {
-	counts    []atomic.Int64 // one for each endpoint
+	counts    []atomic.Int64 // number of received requests per endpoint, in the order of endpoints
 	endpoints []endpointjson.Endpoint
 }
 
@@ -111,7 +111,7 @@
 	return servers
 }
 
-// total returns how many requests all servers have received.
+// total returns the number of requests that all servers together have received.
 func (s *countingServers) total() int64 {
 	sum := int64(0)
 	for i := range s.counts {
