--- a/cmd/balancer/watched_list_test.go
+++ b/cmd/balancer/watched_list_test.go
@@ -36,8 +36,8 @@
 	w.changed = make(chan struct{})
 }
 
-// respond returns the response to a call: the list. A call that names the list's generation is a watch. It waits for a
-// newer list, but no longer than it requests.
+// respond responds to a call with the list. A call that names the list's generation is a watch: respond first waits for
+// a newer list, for the time that the watch requests at most.
 func (w *watchedList) respond(r *http.Request) testkit.Response {
 	after := r.URL.Query().Get("after")
 	w.callGenerations <- after
