--- a/cmd/balancer/benchmark_test.go
+++ b/cmd/balancer/benchmark_test.go
@@ -103,7 +103,7 @@
 			for id := next.Add(1); id <= int64(b.N); id = next.Add(1) {
 				status, err := sendRequest(conn, reader, id)
 				if err != nil {
-					b.Errorf("request %d: %v", id, err)
+					b.Errorf("request %d: error %v, want a response", id, err)
 					return
 				}
 				if status == http.StatusOK {
@@ -136,7 +136,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	const userField, systemField = 11, 12 // utime and stime, counted after the program's name in parentheses
+	const userField, systemField = 11, 12 // indexes of utime and stime among the fields after the "(program name)"
 	fields := strings.Fields(string(text[strings.LastIndexByte(string(text), ')')+1:]))
 	ticks := 0
 	for _, field := range []int{userField, systemField} {
