--- a/docs/pages_test.go
+++ b/docs/pages_test.go
@@ -38,10 +38,10 @@
 	return found
 }
 
-// sources is the content of the repository's Go files that pages may name.
+// sources contains the names and texts of the repository's Go files that pages may refer to.
 type sources struct {
 	declared map[string]bool // names outside of tests: "package", "Name", "package.Name" and "Type.member"
-	tests    map[string]bool // the functions of test files, with tests and benchmarks among them
+	tests    map[string]bool // the functions of test files, including tests and benchmarks
 	literals []string        // the string literals outside of tests
 }
 
@@ -90,7 +90,7 @@
 	}
 }
 
-// addNode adds the names that a syntax node of a package declares, or the string literal that it is.
+// addNode adds the names that a syntax node of a package declares, or the text of the node if it is a string literal.
 func (s *sources) addNode(pkg string, node ast.Node) {
 	switch n := node.(type) {
 	case *ast.FuncDecl:
@@ -109,7 +109,7 @@
 	}
 }
 
-// qualifier returns what qualifies a function's name on a page: the type of the receiver, or the package.
+// qualifier returns the prefix of a function's qualified name: the type of the receiver, or the package.
 func qualifier(pkg string, function *ast.FuncDecl) string {
 	if function.Recv == nil {
 		return pkg
@@ -233,7 +233,7 @@
 			message := strings.TrimPrefix(strings.TrimSuffix(quoted[1], " ..."), "balancer: ")
 			for part := range strings.SplitSeq(message, " N:") {
 				if !code.hasLiteral(strings.Trim(part, ": ")) {
-					t.Errorf("the log line %q has %q, which no string literal of the code contains", quoted[1], part)
+					t.Errorf("log line %q: no string literal of the code contains its part %q", quoted[1], part)
 				}
 			}
 		}
