--- a/internal/soak/check/check_test.go
+++ b/internal/soak/check/check_test.go
@@ -59,7 +59,7 @@
 
 // Each case records a request with attempts and expects the violation of one rule, or none.
 func TestInvalidAttemptsAreReported(t *testing.T) {
-	// The notification deadline of 6 s and the drain grace of 1 s, with the tolerances.
+	// The sum of the notification deadline (6 s), the drain grace (1 s) and the tolerances.
 	const drainLimit = 7*time.Second + socketSlack + pauseSlack
 	for name, c := range map[string]struct {
 		record   func(r *testRun)
