--- a/internal/wireformat/examples_test.go
+++ b/internal/wireformat/examples_test.go
@@ -36,10 +36,10 @@
 	}
 }
 
-// localRequest is a request that the node answers itself.
+// localRequest is a request to which the node responds without a server.
 type localRequest struct{ name, request, response string }
 
-// textResponse returns a response with a one-line body. The given headers precede those that all such responses
+// textResponse returns a response with a one-line body. The given headers precede the headers that all such responses
 // have.
 func textResponse(status, headers, line string) string {
 	return status + "\r\n" + headers + "Content-Length: " + strconv.Itoa(len(line)+1) +
