--- a/internal/wireformat/wireformat_test.go
+++ b/internal/wireformat/wireformat_test.go
@@ -20,7 +20,7 @@
 	"time"
 )
 
-// waitTimeout limits each wait, so that a failing test ends. It does not delay a passing test.
+// waitTimeout limits each wait, so that a failing test ends. A passing test does not wait that long.
 const waitTimeout = 20 * time.Second
 
 // buildProgram builds the program in cmd/name and returns the path of the executable.
@@ -30,7 +30,7 @@
 	build := exec.CommandContext(t.Context(), "go", "build", "-ldflags=-linkmode=external", "-o", path, "../../cmd/"+name)
 	build.Env = append(os.Environ(), "CGO_ENABLED=1")
 	if output, err := build.CombinedOutput(); err != nil {
-		t.Fatalf("%v\n%s", err, output)
+		t.Fatalf("go build of cmd/%s: %v\n%s", name, err, output)
 	}
 	return path
 }
@@ -68,7 +68,7 @@
 	return server
 }
 
-// serve reads requests from a connection and writes the responses until the connection ends.
+// serve reads requests from a connection and writes the responses until the client closes the connection.
 func (s *scriptedServer) serve(conn net.Conn, pending <-chan string) {
 	defer func() { _ = conn.Close() }() // the connection is no longer used
 	reader := bufio.NewReader(conn)
@@ -213,7 +213,7 @@
 	}
 }
 
-// checkEqual reports an error that quotes both texts if they differ.
+// checkEqual reports a test error that quotes both texts if they differ.
 func checkEqual(t *testing.T, name, got, want string) {
 	t.Helper()
 	if got != want {
@@ -267,14 +267,14 @@
 			checkEqual(t, "third call", discovery.nextRequest(t), "GET /registry/instances?after=9&wait_ms=3000"+headers)
 			waitUntilReady(t, address)
 			sendRequest(t, address, "GET /read HTTP/1.1\r\nHost: n\r\nX-Request-ID: r1\r\nX-Tenant-Id: acme\r\nX-Timeout-Ms: 8000\r\n\r\n")
-			if !strings.HasPrefix(server.nextRequest(t), "GET /read HTTP/1.1\r\n") {
-				t.Error("the ready server received a different request, want GET /read")
+			if got := server.nextRequest(t); !strings.HasPrefix(got, "GET /read HTTP/1.1\r\n") {
+				t.Errorf("request at the ready server: got %q, want GET /read", got)
 			}
 		})
 	}
 }
 
-// The node takes its endpoint list from the configuration, where it has the same format as from discovery.
+// The node takes its endpoint list from the configuration, in which the list has the same format as from discovery.
 func TestRequestsAndResponsesKeepWireFormat(t *testing.T) {
 	program := buildProgram(t, "balancer")
 	const response = "HTTP/1.1 200 OK\r\nContent-Type: text/x\r\nX-Server: s-1\r\nConnection: keep-alive\r\nContent-Length: 2\r\n\r\nok"
@@ -306,13 +306,13 @@
 		cmd.Env = append(os.Environ(), "BALANCER_CONFIG="+path)
 		output, err := cmd.CombinedOutput()
 		if err == nil {
-			t.Errorf("%s %s is accepted, want an error", c.key, c.value)
+			t.Errorf("balancer with the configuration value %s %s exited with status 0, want an error", c.key, c.value)
 		}
 		checkEqual(t, c.key+" "+c.value, strings.ReplaceAll(string(output), path, "FILE"), c.message+"\n")
 	}
 }
 
-// configuration returns a configuration that is valid except for the value.
+// configuration returns a configuration that is valid except for v.
 func (v invalidValue) configuration(t *testing.T) map[string]any {
 	t.Helper()
 	values := map[string]any{}
@@ -338,7 +338,7 @@
 	var output, stderr bytes.Buffer
 	cmd.Stdout, cmd.Stderr = &output, &stderr
 	if err := cmd.Run(); err != nil {
-		t.Fatalf("%v: %s", err, stderr.Bytes())
+		t.Fatalf("simadapter: %v\n%s", err, stderr.Bytes())
 	}
 	checkEqual(t, "replies", formatReplies(output.Bytes()), simulatorReplies)
 }
