--- a/cmd/balancer/benchmark_test.go
+++ b/cmd/balancer/benchmark_test.go
@@ -1,7 +1,7 @@
 package main
 
 // The benchmarks measure a node that runs as a process: its processor time per request, and its memory with a large
-// fleet of servers. With -baseline BINARY they alternate between this version and another one in the same run:
+// fleet of servers. With -baseline BINARY they alternate between this version and another version in the same run:
 //
 //	go test -run '^$' -bench . -benchtime 20000x ./cmd/balancer -baseline /path/to/balancer
 
