--- a/cmd/balancer/descriptor_shortage_test.go
+++ b/cmd/balancer/descriptor_shortage_test.go
@@ -21,8 +21,8 @@
 	exhaustedDescriptorLimit = 3
 )
 
-// setDescriptorLimit sets the soft limit of descriptors (RLIMIT_NOFILE) of a process and returns the previous one. The
-// error is ESRCH if the process has exited.
+// setDescriptorLimit sets the soft limit of descriptors (RLIMIT_NOFILE) of a process and returns the previous limit.
+// The error is ESRCH if the process has exited.
 func setDescriptorLimit(pid int, descriptors uint64) (uint64, error) {
 	var limit unix.Rlimit
 	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, nil, &limit); err != nil {
