--- a/cmd/balancer/discovery_partition_test.go
+++ b/cmd/balancer/discovery_partition_test.go
@@ -27,7 +27,7 @@
 }
 
 // testPartition cuts off the discovery service and changes the endpoint list meanwhile: one server starts to drain and
-// another is added. It measures the time from the end of the partition until the node has the new list.
+// another server is added. It measures the time from the end of the partition until the node has the new list.
 func testPartition(t *testing.T, program, mode string, duration time.Duration) {
 	t.Helper()
 	firstServer, secondServer := testkit.NewBackend(t, testkit.OK), testkit.NewBackend(t, testkit.OK)
