--- a/cmd/balancer/idle_clients_test.go
+++ b/cmd/balancer/idle_clients_test.go
@@ -100,7 +100,7 @@
 	}
 	for range furtherRequests {
 		if body := n.requestOnce(); body != "new" {
-			n.t.Fatalf("response after the first from a server of the new list: got %q, want %q", body, "new")
+			n.t.Fatalf("response with the new list in use: got %q, want %q", body, "new")
 		}
 	}
 }
