--- a/cmd/balancer/shutdown_test.go
+++ b/cmd/balancer/shutdown_test.go
@@ -36,7 +36,7 @@
 	exit processExit
 }
 
-// processExit is how and when a process exited.
+// processExit describes how and when a process exited.
 type processExit struct {
 	err   error
 	after time.Duration // time since SIGTERM
@@ -122,7 +122,7 @@
 		t.Error(err)
 	}
 	if r.exit.err != nil || r.exit.after < earliestExit {
-		t.Errorf("exit of the process: got error %v %v after SIGTERM, want no error and %v at least",
+		t.Errorf("exit of the process after SIGTERM: got error %v after %v, want no error after %v at least",
 			r.exit.err, r.exit.after, earliestExit)
 	}
 	if r.responses == 0 {
@@ -155,8 +155,8 @@
 	return shutdownClients
 }
 
-// Clients send requests on new and reused connections until their connections are refused. Each request on an
-// established connection must get a complete response; loadClient lists the exceptions.
+// Until the process refuses connections, each request on an established connection must get a complete response,
+// whether the connection is new or reused. The comment of loadClient lists the exceptions.
 func TestEveryRequestGetsAResponseUntilTheProcessExits(t *testing.T) {
 	shutDownUnderLoad(t, balancertest.Build(t), func(int) {}).check(t)
 }
