--- a/internal/wireformat/wireformat_test.go
+++ b/internal/wireformat/wireformat_test.go
@@ -228,8 +228,7 @@
 	{"Name": "notify", "Effect": "side_effect", "DeadlineMs": 8000}]}`
 
 // endpointListJSON returns an endpoint list in the format of discovery. Its first server has the given address and
-// is the only one that is ready. The list also holds unknown keys and an unknown lifecycle, which the node must
-// accept.
+// is the only ready server. The list also contains unknown keys and an unknown lifecycle, which the node must accept.
 func endpointListJSON(generation int, reset bool, server string) string {
 	return `{
   "generation": ` + strconv.Itoa(generation) + `,
