--- a/internal/wireformat/invalid_values_test.go
+++ b/internal/wireformat/invalid_values_test.go
@@ -4,7 +4,7 @@
 // FILE stands for the path of the configuration file.
 type invalidValue struct {
 	key     string // key in the configuration file; empty if value holds a key of the settings
-	value   string // JSON value of key, or an object whose key replaces the one in valid settings
+	value   string // JSON value of key; if key is empty, an object whose members replace those of valid settings
 	message string
 }
 
