--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -20,8 +20,8 @@
 	"calicohinge/internal/testkit"
 )
 
-// settingsJSON is the "settings" object of the configuration file in most tests. It contains an unknown setting, which
-// the node must ignore.
+// settingsJSON is the "settings" object of the configuration file in most tests. It contains an unknown setting, Novel,
+// which the node must ignore.
 const settingsJSON = `{
 	"Accounts": [{"Name": "acme", "QuotaPerS": 1000}],
 	"Classes": [
@@ -34,9 +34,9 @@
 
 // Indexes of the classes in settingsJSON.
 const (
-	classRead = iota // idempotent
-	classPush        // idempotent with a key
-	classPay         // not idempotent
+	classRead = iota // requests are idempotent
+	classPush        // requests are idempotent with a key
+	classPay         // requests are not idempotent
 )
 
 // classNames returns the names of the classes in the order of their indexes.
@@ -71,11 +71,12 @@
 	return cfg
 }
 
-// withDeadlines returns a change to the configuration: all classes get a deadline, and three quarters of it as their
-// latency objective.
+// withDeadlines returns a change to the configuration that sets the deadline of all classes, and their latency
+// objective to three quarters of the deadline.
 func withDeadlines(ms int) func(file map[string]any) { return withDeadlinesAndObjectives(ms, ms*3/4) }
 
-// withDeadlinesAndObjectives returns a change to the configuration: all classes get a deadline and a latency objective.
+// withDeadlinesAndObjectives returns a change to the configuration that sets the deadline and the latency objective of
+// all classes.
 func withDeadlinesAndObjectives(deadlineMs, objectiveMs int) func(file map[string]any) {
 	return func(file map[string]any) {
 		text := strings.ReplaceAll(settingsJSON, `"DeadlineMs": 8000, "PromiseMs": 6000`,
@@ -138,8 +139,8 @@
 	return n
 }
 
-// fewSockets is the smallest number of sockets that a configuration may have. It permits 20 client connections and a
-// reserve of 2.
+// fewSockets is the smallest number of sockets that a configuration may have. It permits 20 client connections and
+// a reserve of 2 more, whose requests are rejected.
 const fewSockets = 64
 
 // startNodeWithFewSockets starts a node with few sockets. It closes the connections that the readiness check has left
@@ -176,7 +177,7 @@
 func (n *testNode) awaitExit() {
 	n.t.Helper()
 	if err := testkit.Wait(n.t, n.runResult, "Run to return"); err != nil {
-		n.t.Errorf("Run returned error %v, want nil", err)
+		n.t.Errorf("Run() = %v, want nil", err)
 	}
 }
 
@@ -219,7 +220,7 @@
 	defer closeQuietly(resp.Body)
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		n.t.Fatalf("%s %s: reading the response body: %v after %d bytes", r.Method, r.URL, err, len(body))
+		n.t.Fatalf("reading the response body of %s %s: error %v after %d bytes", r.Method, r.URL, err, len(body))
 	}
 	return clientResponse{resp.StatusCode, resp.Header, string(body), time.Since(began)}
 }
