--- a/internal/node/harness_client_test.go
+++ b/internal/node/harness_client_test.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// readResponse reads the status line and header of a response. The connection must not carry another response yet: its
-// bytes could be lost in the read buffer.
+// readResponse reads the status line and header of a response. The node must not have sent a further response yet:
+// bytes of that response could be lost in the read buffer.
 func (n *testNode) readResponse(nc net.Conn) *http.Response {
 	n.t.Helper()
 	resp, err := http.ReadResponse(bufio.NewReader(nc), nil)
@@ -95,20 +95,20 @@
 	for {
 		resp, err := http.ReadResponse(reader, nil)
 		if testkit.IsTimeout(err) {
-			n.t.Fatalf("%.100q: the connection is still open after %d responses, want it closed", text, len(statuses))
+			n.t.Fatalf("sending %.100q: connection still open after %d responses, want it closed", text, len(statuses))
 		}
 		if err != nil {
 			return statuses
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); testkit.IsTimeout(err) {
-			n.t.Fatalf("%.100q: response %d, with status %d, does not end", text, len(statuses)+1, resp.StatusCode)
+			n.t.Fatalf("sending %.100q: response %d, with status %d, does not end", text, len(statuses)+1, resp.StatusCode)
 		}
 		statuses = append(statuses, resp.StatusCode)
 	}
 }
 
 // statusWithRedial sends a request on a new connection and returns the status of the response. Like most clients, it
-// sends the request again on another connection if the first one fails.
+// tries another connection if the first connection fails.
 func (n *testNode) statusWithRedial() (int, error) {
 	status, err := n.statusOnNewConn()
 	if err != nil {
@@ -138,7 +138,7 @@
 }
 
 // wantRequestsServed sends requests one after another and fails the test for each that does not get status 200. The
-// failure message contains when, which says at which point of the test they are sent.
+// failure message contains when: the point of the test at which the requests are sent.
 func (n *testNode) wantRequestsServed(requests int, when string) {
 	n.t.Helper()
 	for range requests {
@@ -166,7 +166,7 @@
 		case 2:
 			r := n.newRequest("read")
 			sendRequest(nc, r)
-			if resp, err := http.ReadResponse(bufio.NewReader(nc), r); err == nil { // otherwise it was evicted
+			if resp, err := http.ReadResponse(bufio.NewReader(nc), r); err == nil { // on an error, the connection was evicted
 				discard(resp.Body)
 			}
 		}
