--- a/internal/node/harness_discovery_test.go
+++ b/internal/node/harness_discovery_test.go
@@ -56,7 +56,7 @@
 	return string(text)
 }
 
-// draining returns the endpoint of a server that drains.
+// draining returns a copy of an endpoint, with the lifecycle of a server that drains.
 func draining(e endpointjson.Endpoint) endpointjson.Endpoint {
 	e.Lifecycle = "Terminating"
 	return e
@@ -68,14 +68,14 @@
 	t.Helper()
 	query := call.URL.RawQuery
 	if !strings.HasPrefix(query, want) || want == "" && query != "" {
-		t.Errorf("discovery was called with query %q, want prefix %q (\"\": no query)", query, want)
+		t.Errorf("call to discovery: query %q, want prefix %q (\"\" for no query)", query, want)
 	}
 }
 
-// wantWatchQuery waits for the next call to a registry and fails the test unless its query contains the wanted text.
+// wantWatchQuery waits for the next call to discovery and fails the test unless the query contains the wanted text.
 func wantWatchQuery(t *testing.T, registry *testkit.Registry, want string) {
 	t.Helper()
 	if query := testkit.Wait(t, registry.Queries, "the next call to discovery"); !strings.Contains(query, want) {
-		t.Errorf("discovery was called with query %q, want %q in it", query, want)
+		t.Errorf("next call to discovery: query %q, want it to contain %q", query, want)
 	}
 }
