--- a/internal/node/harness_handler_test.go
+++ b/internal/node/harness_handler_test.go
@@ -53,7 +53,7 @@
 		s.conns.Store(nc.RemoteAddr().String(), nc)
 		s.handler.conns.ConnState(nc, state)
 	}
-	go func() { _ = srv.Serve(s.handler.conns.Listener(listener)) }() // returns when srv is closed
+	go func() { _ = srv.Serve(s.handler.conns.Listener(listener)) }() // Serve returns when srv is closed
 	closeAtTestEnd(t, srv)
 	return s
 }
@@ -68,7 +68,7 @@
 	return &testLoop{loop: l, t: t}
 }
 
-// sendOnNewConn sends a request of a class on a new connection, with the following bytes in the same write.
+// sendOnNewConn sends a request of a class on a new connection. The same write sends the bytes in following.
 func (s *testHandler) sendOnNewConn(class, following string) *net.TCPConn {
 	s.t.Helper()
 	nc := s.dial().(*net.TCPConn)
