--- a/internal/node/harness_loop_test.go
+++ b/internal/node/harness_loop_test.go
@@ -66,7 +66,7 @@
 	}
 }
 
-// reportEndpoints reports an update of the endpoint list to the loop, like the discovery client.
+// reportEndpoints reports an update of the endpoint list to the loop, as the discovery client does.
 func (l *testLoop) reportEndpoints(kind policy.UpdateKind, list ...endpointjson.Endpoint) {
 	l.endpoints.UpdateEndpoints(kind, endpointjson.TranslateAll(list))
 }
@@ -79,8 +79,8 @@
 	}
 }
 
-// submitAsync submits a request and returns a channel that receives its response. If the request completes without one,
-// the channel receives the zero response.
+// submitAsync submits a request and returns a channel that receives its response. If the request completes without a
+// response, the channel receives the zero value.
 func (l *testLoop) submitAsync(ctx context.Context, r *request) <-chan response {
 	done := make(chan response, 1)
 	go func() {
@@ -157,15 +157,15 @@
 // lastRequest returns the request that arrived last. The loop must be paused.
 func (l *testLoop) lastRequest() *request { return l.requests.get(l.requests.lastID) }
 
-// advanceClock moves the node's clock forward past every backoff and past the delay of a hedged request. It then
-// fires a timer of the balancer, so that the balancer starts the attempts that have fallen due. It must run in the
-// loop.
+// advanceClock moves the node's clock forward past every backoff and past the delay of a hedged request. It then fires
+// a timer of the balancer, so that the balancer starts the attempts that are due. It must run in the loop's goroutine.
 func (l *testLoop) advanceClock(time.Duration) {
 	l.clock.origin = l.clock.origin.Add(-200 * time.Second)
 	l.balancer.Timer(l.clock.now(), 0)
 }
 
-// countStartedAttempts returns how many attempts of the requests have been permitted to write their first byte.
+// countStartedAttempts returns how many attempts of the requests have been sent. An attempt counts as sent once it may
+// have written its first byte.
 func countStartedAttempts(requests ...*request) int {
 	started := 0
 	for _, r := range requests {
