--- a/internal/node/connection_limits_test.go
+++ b/internal/node/connection_limits_test.go
@@ -14,8 +14,8 @@
 	"calicohinge/internal/upstream"
 )
 
-// Clients open more connections than the limit and send nothing or an incomplete request. Other clients are still
-// served, and the node closes the connections without a request.
+// Connections without a complete request must not use up the limit on client connections. The node evicts such
+// connections, so that other clients are served.
 func TestConnectionsWithoutARequestAreEvicted(t *testing.T) {
 	n := startNodeWithFewSockets(t, testkit.NewBackend(t, testkit.OK).Endpoint("s-0"))
 	var flood []net.Conn
@@ -33,14 +33,13 @@
 	}
 	for i, nc := range flood {
 		if _, err := io.Copy(io.Discard, nc); testkit.IsTimeout(err) {
-			t.Fatalf("connection %d has no request and is still open after %v, want it closed", i, testkit.WaitTimeout)
+			t.Fatalf("connection %d, without a request: still open after %v, want it closed", i, testkit.WaitTimeout)
 		}
 	}
 }
 
-// Idle connections of clients that have made one request are evicted as soon as a new client needs one. If a
-// connection had to be idle for some seconds first, new clients would queue up behind each other until all of them
-// had disconnected.
+// Idle connections of clients that have made one request are evicted as soon as a new client needs a connection. If a
+// connection had to be idle for some seconds first, new clients would queue for connections until they disconnected.
 func TestIdleConnectionsAreEvictedAtOnce(t *testing.T) {
 	n := startNodeWithFewSockets(t, testkit.NewBackend(t, testkit.OK).Endpoint("s-0"))
 	startTime := time.Now()
@@ -50,7 +49,7 @@
 		}
 	}
 	if took := time.Since(startTime); took > testkit.WaitTimeout/2 {
-		t.Errorf("200 requests on new connections took %v, want at most %v: idle connections are evicted too late",
+		t.Errorf("requests of 200 new clients, while all others are idle: took %v, want at most %v",
 			took, testkit.WaitTimeout/2)
 	}
 }
@@ -72,7 +71,7 @@
 	rejected := n.requestUntilRejected()
 
 	if !rejected.Close || rejected.Header.Get("Retry-After") == "" {
-		t.Errorf("rejection of a further client: Connection: close %v, header %v; want true and a Retry-After",
+		t.Errorf("rejection of a further client: Close = %v, header %v; want Close = true and a Retry-After",
 			rejected.Close, rejected.Header)
 	}
 	server.unblock()
@@ -83,7 +82,7 @@
 	}
 }
 
-// requestUntilRejected makes requests, each on a new connection, until one is rejected, and returns its response.
+// requestUntilRejected makes requests, each on a new connection, until a request is rejected. It returns the rejection.
 func (n *testNode) requestUntilRejected() *http.Response {
 	n.t.Helper()
 	var last *http.Response
@@ -112,8 +111,9 @@
 	}
 }
 
-// Many clients send invalid bytes, part of a request or hundreds of requests, and then disconnect or stay connected.
-// Other clients are still served. After all have disconnected, no connection is open and no request is active.
+// Clients that send invalid bytes, part of a request or hundreds of requests, and then disconnect or stay connected,
+// must not block other clients. Once all clients have disconnected, a connection that is still open or a request that is
+// still active would be leaked.
 func TestAbusiveClientsLeaveNoOpenConnections(t *testing.T) {
 	s := startHandler(t, testkit.NewBackend(t, testkit.OK).Endpoint("s-0"))
 	behaviors := []func(nc net.Conn){
@@ -143,8 +143,8 @@
 	}
 }
 
-// Requests in flight use all connections to servers that the node may open. A further request is served if a connection
-// becomes free before its deadline, and is rejected otherwise.
+// While requests in flight use all connections that the node may open to servers, a further request waits. It is served
+// if a connection becomes free before its deadline, and is rejected otherwise.
 func TestRequestsAtTheServerConnectionLimit(t *testing.T) {
 	t.Parallel()
 	for class, name := range classNames() {
@@ -163,7 +163,7 @@
 			l := startSaturatedLoop(t)
 			l.wantStatus(l.submitAsync(t.Context(), l.newFurtherRequest(class)), http.StatusServiceUnavailable)
 			if len(l.server.Requests) > 0 {
-				t.Errorf("a server received the further %s request, want it not sent", name)
+				t.Errorf("further requests that the server received: got %d, want 0", len(l.server.Requests))
 			}
 			l.server.unblock()
 			l.wantServedAfterwards(class)
@@ -174,14 +174,14 @@
 // saturatedLoop is a loop whose requests in flight use all connections to servers.
 type saturatedLoop struct {
 	*testLoop
-	server   *blockedBackend   // responds once it is opened
-	inFlight []<-chan response // of the requests in flight
+	server   *blockedBackend   // responds once it is unblocked
+	inFlight []<-chan response // responses to the requests in flight
 }
 
 // startSaturatedLoop starts a loop that may open 2 connections to servers, and sends a request on each.
 func startSaturatedLoop(t *testing.T) *saturatedLoop {
 	t.Helper()
-	const connections, servers = 2, 40 // enough servers that none is at its own limit
+	const connections, servers = 2, 40 // so many servers that none reaches its own limit
 	server := newBlockedBackend(t)
 	var list []endpointjson.Endpoint
 	for i := range servers {
@@ -196,7 +196,7 @@
 	return l
 }
 
-// newFurtherRequest returns a request with a deadline in 4 s, until which it can wait for a connection.
+// newFurtherRequest returns a request that can wait 4 s for a connection, until its deadline.
 func (l *saturatedLoop) newFurtherRequest(class int) *request {
 	further := l.newRequest(class, staysConnected)
 	further.deadline = l.clock.now() + 4*time.Second
