--- a/internal/node/disconnect_concurrency_test.go
+++ b/internal/node/disconnect_concurrency_test.go
@@ -10,8 +10,8 @@
 	"calicohinge/internal/testkit"
 )
 
-// concurrentClients is the number of clients that disconnect at the same time. It exceeds the free space that the tests
-// leave in the loop's event queue.
+// concurrentClients is the number of clients that disconnect at the same time. It exceeds the free space that
+// TestManyDisconnectsWithAFullEventQueue leaves in the loop's event queue.
 const concurrentClients = 300
 
 // sendOnNewConns sends concurrentClients requests, each on a new connection. It uses the given classes in turn.
@@ -24,7 +24,8 @@
 	return clients
 }
 
-// disconnectAll disconnects the clients with the given functions in turn, and waits until the node's sockets show it.
+// disconnectAll disconnects the clients with the given functions in turn, and waits until the node's sockets show that
+// all clients have disconnected.
 func (s *testHandler) disconnectAll(clients []*net.TCPConn, disconnects ...func(*net.TCPConn)) {
 	s.t.Helper()
 	for i, client := range clients {
@@ -35,13 +36,14 @@
 	}
 }
 
-// Hundreds of clients send requests while the loop is paused, and then disconnect. Some of the disconnect events fill
-// the event queue, and the others wait to be posted. No request is forwarded, and all are released.
+// If many clients disconnect at once, their disconnect events can fill the event queue, so that further events have to
+// wait for space. The loop handles the requests before any of these events. It must nevertheless forward no request of
+// a disconnected client, and must release all requests.
 func TestManyDisconnectsWithAFullEventQueue(t *testing.T) {
 	b := testkit.NewBackend(t, testkit.OK)
 	s := startHandler(t, b.Endpoint("s-0"), b.Endpoint("s-1"), b.Endpoint("s-2"), b.Endpoint("s-3"))
 	l := s.loop
-	l.awaitRequests(0, 0) // the loop has handled the endpoint list
+	l.awaitRequests(0, 0) // waits until the loop has handled the endpoint list
 	resume := l.pause()
 	clients := s.sendOnNewConns(classNames()...)
 	testkit.Until(t, "all requests to be in the event queue", func() bool {
@@ -63,14 +65,14 @@
 
 	s.awaitNoRequests()
 	if sent := countStartedAttempts(all...); len(all) != concurrentClients || sent > 0 || len(b.Requests) > 0 {
-		t.Errorf("%d requests reached the loop, want %d; %d attempts were sent and the servers received %d, want 0",
+		t.Errorf("requests in the loop: got %d, want %d; attempts sent: got %d, want 0; attempts received: got %d, want 0",
 			len(all), concurrentClients, sent, len(b.Requests))
 	}
 }
 
-// Hundreds of clients disconnect at once, while their requests are queued, in flight, in backoff or waiting for a
-// connection. Before the loop handles the first disconnect, the connections open, all retries become due and server
-// capacity becomes free. No further attempt is sent.
+// No attempt may be sent after its client has disconnected, whether the request is queued, in flight, in backoff or
+// waiting for a connection. Just before the loop handles the disconnects, connections open, retries become due and
+// server capacity becomes free, each of which could cause an attempt to be sent.
 func TestManyDisconnectsInMixedRequestStates(t *testing.T) {
 	t.Parallel()
 	servers := mixedServers{
@@ -96,7 +98,7 @@
 		t.Logf("requests by state: %v; attempts sent before the disconnects: %d; after them: %d started, %d sent",
 			stable.states, sentBefore, countAttempts(stable.requests)-attemptsBefore, sentLate)
 		if sentLate > 0 || len(stable.states) != 4 {
-			t.Errorf("%d attempts were sent after the disconnects, want 0; requests by state %v, want 4 states",
+			t.Errorf("attempts sent after the disconnects: got %d, want 0; requests by state: got %v, want 4 states",
 				sentLate, stable.states)
 		}
 	})
@@ -104,12 +106,12 @@
 
 // mixedServers are servers that fail in different ways.
 type mixedServers struct {
-	stuck        *testkit.StuckServer // accepts no connection
+	stuck        *testkit.StuckServer // accepts no connection until Admit is called
 	failing      *testkit.Backend     // responds with errors
 	unresponsive *testkit.Backend     // does not respond
 }
 
-// endpoints returns an endpoint list with count entries, which name the three servers in turn.
+// endpoints returns an endpoint list with count entries, which are the three servers in turn.
 func (m mixedServers) endpoints(count int) []endpointjson.Endpoint {
 	kinds := []func(string) endpointjson.Endpoint{m.stuck.Endpoint, m.failing.Endpoint, m.unresponsive.Endpoint}
 	var list []endpointjson.Endpoint
@@ -122,13 +124,13 @@
 // The states of a request, which its last attempt determines.
 const (
 	stateQueued     = "queued"     // there is no attempt yet
-	stateBackoff    = "backoff"    // the attempt has ended
-	stateConnecting = "connecting" // the attempt waits for its connection to the stuck server
-	stateInFlight   = "in flight"  // the attempt was sent to the unresponsive server
-	stateTransient  = "transient"  // any other: the attempt is about to change its state
+	stateBackoff    = "backoff"    // the last attempt has ended
+	stateConnecting = "connecting" // the last attempt waits for a connection to the stuck server
+	stateInFlight   = "in flight"  // the last attempt was sent to the unresponsive server
+	stateTransient  = "transient"  // the last attempt is about to change its state
 )
 
-// state returns the state of a request. The loop is paused.
+// state returns the state of a request. The loop must be paused.
 func (m mixedServers) state(l *testLoop, r *request) string {
 	state := stateQueued
 	for _, a := range r.attempts {
