--- a/internal/node/connection_limits_test.go
+++ b/internal/node/connection_limits_test.go
@@ -112,8 +112,8 @@
 }
 
 // Clients that send invalid bytes, part of a request or hundreds of requests, and then disconnect or stay connected,
-// must not block other clients. Once all clients have disconnected, a connection that is still open or a request that is
-// still active would be leaked.
+// must not block other clients. Once all clients have disconnected, a connection that is still open or a request that
+// is still active would be leaked.
 func TestAbusiveClientsLeaveNoOpenConnections(t *testing.T) {
 	s := startHandler(t, testkit.NewBackend(t, testkit.OK).Endpoint("s-0"))
 	behaviors := []func(nc net.Conn){
