--- a/internal/node/disconnect_race_test.go
+++ b/internal/node/disconnect_race_test.go
@@ -13,11 +13,11 @@
 	"calicohinge/policy"
 )
 
-// requestStage is a stage in the lifecycle of a request in which its client disconnects.
+// requestStage is a stage in the lifecycle of a request. The client disconnects when its request is in this stage.
 type requestStage struct {
 	class          string
-	handle         http.HandlerFunc                        // of both servers
-	otherRequests  int                                     // number of earlier requests, which use all capacity
+	handle         http.HandlerFunc                        // handler of both servers
+	otherRequests  int                                     // number of earlier requests, which use all server capacity
 	triggerAttempt func(s *testHandler, now time.Duration) // makes the balancer decide on the next attempt
 	sent           int                                     // number of attempts sent before the disconnect
 	inFlight       int                                     // number of attempts in flight at the disconnect
@@ -52,7 +52,7 @@
 
 // disconnectMode is a way in which a client disconnects.
 type disconnectMode struct {
-	extraBytes string // sent right after the request, in the same write
+	extraBytes string // bytes that the same write sends right after the request
 	disconnect func(nc *net.TCPConn)
 }
 
@@ -73,23 +73,23 @@
 	}
 }
 
-// A client disconnects just as the balancer decides on the next attempt of its request. Either the loop has handled the
-// disconnect, or only the socket shows it. In both cases no further attempt is sent and the request is released.
+// A client may disconnect just as the balancer decides on the next attempt of its request. Whether the loop has handled
+// the disconnect by then or only the socket shows it, no further attempt may be sent and the request must be released.
 //
-// A client that closes only its sending direction cannot be told from one that has closed the connection until
-// something is written to it. It counts as disconnected, and its connection is closed without a response.
+// A client that closes only its sending direction looks to the node as if it had closed the connection, until the node
+// writes to the connection. Such a client counts as disconnected: the node closes the connection without a response.
 func TestNoAttemptIsSentAfterADisconnect(t *testing.T) {
 	t.Parallel()
 	for stageName, stage := range requestStages() {
 		for modeName, mode := range disconnectModes() {
 			name := stageName + "/" + modeName
-			t.Run(name+"/event handled before the decision", func(t *testing.T) {
+			t.Run(name+"/disconnect handled before the decision", func(t *testing.T) {
 				t.Parallel()
 				s := startPausedAt(t, stage, mode)
 				s.disconnectBeforeDecision()
 				s.wantNoFurtherAttemptSent()
 			})
-			t.Run(name+"/event queued after the decision", func(t *testing.T) {
+			t.Run(name+"/disconnect queued after the decision", func(t *testing.T) {
 				t.Parallel()
 				s := startPausedAt(t, stage, mode)
 				s.disconnectAfterDecisionIsQueued()
@@ -106,8 +106,8 @@
 	mode             disconnectMode
 	client           *net.TCPConn
 	request          *request
-	lastID           policy.RequestID // of the loop's requests when it was paused
-	disconnectChecks chan bool        // receives the result of each check of the client before an attempt is written
+	lastID           policy.RequestID // latest request ID when the loop was paused
+	disconnectChecks chan bool        // results of the checks for a disconnect before an attempt is sent
 	resume           func()           // resumes the loop
 }
 
@@ -171,15 +171,15 @@
 	s.mode.disconnect(s.client)
 	s.awaitDisconnect(s.client)
 	s.resume()
-	if !testkit.Wait(s.t, s.disconnectChecks, "the check of the client before the attempt is written") {
-		s.t.Error("ClientDisconnected() = false just before the write, want true: the client has disconnected")
+	if !testkit.Wait(s.t, s.disconnectChecks, "the check for a disconnect before the attempt is sent") {
+		s.t.Error("ClientDisconnected() = false after a disconnect, just before the attempt is sent; want true")
 	}
 	testkit.Wait(s.t, nextPause.reached, "the loop to reach the pause after the decision")
 	nextPause.resume()
 }
 
-// wantNoFurtherAttemptSent fails the test unless the request is released without a response and without a further
-// attempt sent, and no other request has reached the loop.
+// wantNoFurtherAttemptSent fails the test unless the request is released with no response and no further attempt sent,
+// and no other request has reached the loop.
 func (s *pausedRequest) wantNoFurtherAttemptSent() {
 	s.t.Helper()
 	l, otherRequests := s.loop, s.stage.otherRequests
@@ -190,7 +190,7 @@
 	}
 	l.runInLoop(func() {
 		if sent := countStartedAttempts(s.request); sent != s.stage.sent || l.requests.lastID != s.lastID {
-			s.t.Errorf("%d attempts were sent, want %d; the last request ID is %d, want %d",
+			s.t.Errorf("attempts sent: got %d, want %d; latest request ID in the loop: got %d, want %d",
 				sent, s.stage.sent, l.requests.lastID, s.lastID)
 		}
 	})
