--- a/internal/node/disconnect_test.go
+++ b/internal/node/disconnect_test.go
@@ -12,7 +12,6 @@
 	"calicohinge/policy"
 )
 
-// The attempt of a request is cancelled when its client disconnects.
 func TestDisconnectCancelsTheAttempt(t *testing.T) {
 	cancelled := make(chan struct{}, 1)
 	b := testkit.NewBackend(t, testkit.Unresponsive(cancelled))
@@ -36,7 +35,8 @@
 	return l, server
 }
 
-// A client disconnects while its request is queued because the server has no free capacity. The request is never sent.
+// A request that is queued for lack of server capacity must not be sent when capacity becomes free if its client has
+// disconnected by then.
 func TestQueuedRequestIsNotSentAfterADisconnect(t *testing.T) {
 	l, server := startWithBusyServer(t)
 	ctx, disconnect := context.WithCancel(t.Context())
@@ -49,12 +49,12 @@
 	l.awaitRequests(0, 0)
 
 	if len(server.Requests) > 0 {
-		t.Error("the request of a client that disconnected was sent")
+		t.Error("the queued request was sent after its client disconnected, want it not sent")
 	}
 }
 
-// A client disconnects while its request is queued. The loop has no event for it yet when the server has capacity
-// again, but the state of the client's socket is checked just before the write, so the request is not sent.
+// Server capacity may become free after the client of a queued request has disconnected but before the loop gets the
+// disconnect event. The check of the client's socket just before the write must then keep the request from being sent.
 func TestQueuedRequestIsNotSentIfTheSocketShowsADisconnect(t *testing.T) {
 	l, server := startWithBusyServer(t)
 	client, c := acceptedConn(t, downstream.NewConns(downstreamConfig(5, 0)))
@@ -77,18 +77,20 @@
 	}
 	l.awaitRequests(0, 0)
 	if len(server.Requests) > 0 {
-		t.Error("the request of a client that disconnected was sent")
+		t.Error("the queued request was sent after its client disconnected, want it not sent")
 	}
 }
 
-// A client disconnects while its attempt waits for a connection. When the connection is open, nothing is written to it.
+// The connection that an attempt waits for may open after the client has disconnected but before net/http detects the
+// disconnect. Nothing may be written to the connection then.
 func TestAttemptWaitingForAConnectionIsNotSentAfterADisconnect(t *testing.T) {
 	t.Parallel()
 	stuck := testkit.NewStuckServer(t)
 	l := startLoop(t, stuck.Endpoint("s-0"))
 	ctx, disconnect := context.WithCancel(t.Context())
 	disconnected := func() bool { return ctx.Err() != nil }
-	l.submitAsync(context.Background(), l.newRequest(classPay, disconnected)) // net/http has not detected it yet
+	// The request's context does not end, as if net/http had not detected the disconnect yet.
+	l.submitAsync(context.Background(), l.newRequest(classPay, disconnected))
 	l.awaitRequests(1, 1)
 
 	disconnect()
@@ -100,7 +102,6 @@
 	}
 }
 
-// A client disconnects while its request waits for a retry. No second attempt is sent.
 func TestNoRetryAfterADisconnect(t *testing.T) {
 	servers := newBackendsFailingFirst(t, testkit.ServerError)
 	l := startLoop(t, servers[0].Endpoint("s-0"), servers[1].Endpoint("s-1"))
@@ -114,12 +115,12 @@
 	l.awaitRequests(0, 0)
 
 	if n := sent(); n != 1 {
-		t.Errorf("the servers received %d attempts, want 1 since the client disconnected after the first", n)
+		t.Errorf("attempts received by the servers: got %d, want 1, sent before the disconnect", n)
 	}
 }
 
-// A client sends further bytes after its request and then disconnects. net/http stops its background read at the first
-// byte and could not detect the disconnect: the node reads the bytes itself, and cancels the attempt.
+// If a client sends further bytes after its request, net/http stops its background read at the first of these bytes and
+// does not detect a later disconnect. The node must read the bytes itself to detect it, and cancel the attempt.
 func TestDisconnectAfterUnreadBytesCancelsTheAttempt(t *testing.T) {
 	cancelled := make(chan struct{}, 1)
 	b := testkit.NewBackend(t, testkit.Unresponsive(cancelled))
@@ -134,8 +135,8 @@
 	testkit.Wait(t, cancelled, "the attempt to be cancelled after the client sent 5000 bytes and disconnected")
 }
 
-// A client disconnects while its first or second attempt waits for a connection. The connection opens before the loop
-// handles the disconnect, but nothing is written to it.
+// The connection that a first or second attempt waits for may open after the client has disconnected but before the
+// loop handles the disconnect. Nothing may be written to the connection then.
 func TestLateConnectionIsNotUsedAfterADisconnect(t *testing.T) {
 	t.Parallel()
 	t.Run("first attempt", func(t *testing.T) {
@@ -159,7 +160,7 @@
 }
 
 // wantNotSentAfterDisconnect disconnects a client while an attempt waits for its connection to a stuck server, after
-// wantSent others were sent. It fails the test if the attempt is sent too.
+// wantSent earlier attempts of the same request were sent. It fails the test if the waiting attempt is sent too.
 func (s *testHandler) wantNotSentAfterDisconnect(client *net.TCPConn, stuck *testkit.StuckServer, wantSent int) {
 	s.t.Helper()
 	l := s.loop
@@ -174,12 +175,12 @@
 	s.awaitNoRequests()
 	attemptsSent := countStartedAttempts(r)
 	if len(r.attempts) != wantSent+1 || attemptsSent != wantSent || len(sent) > 0 {
-		s.t.Errorf("%d of %d attempts were sent and the stuck server received %d, want %d of %d and 0",
-			attemptsSent, len(r.attempts), len(sent), wantSent, wantSent+1)
+		s.t.Errorf("attempts sent: got %d of %d, want %d of %d; received by the stuck server: got %d, want 0",
+			attemptsSent, len(r.attempts), wantSent, wantSent+1, len(sent))
 	}
 }
 
-// A client disconnects after it has sent part of a request. The request reaches neither the loop nor a server.
+// If a client disconnects after it has sent only part of a request, neither the loop nor a server must get the request.
 func TestIncompleteRequestIsNeverForwarded(t *testing.T) {
 	b := testkit.NewBackend(t, testkit.OK)
 	s := startHandler(t, b.Endpoint("s-0"))
@@ -201,7 +202,7 @@
 				return c != nil && c.Closed()
 			})
 			if len(b.Requests) > 0 || s.loop.requests.lastID > 0 {
-				t.Errorf("client sent %s, connection %s: the server received %d requests and the loop %d, want 0",
+				t.Errorf("client sent %s, connection %s: got %d requests at the server and %d in the loop, want 0 and 0",
 					partName, disconnectName, len(b.Requests), s.loop.requests.lastID)
 			}
 		}
