--- a/internal/node/discovery_failure_test.go
+++ b/internal/node/discovery_failure_test.go
@@ -16,8 +16,9 @@
 	"calicohinge/policy"
 )
 
-// A watch becomes unresponsive or is reset. The node reopens it from its generation, before it counts as notified of
-// the changes that it has missed, and applies these changes. They arrive as indented JSON, which is valid too.
+// A node whose watch becomes unresponsive or is reset misses changes of the endpoint list. It must reopen the watch
+// from the generation of its list before the notification deadline of these changes, and apply the changes. Discovery
+// sends them here as indented JSON, which is valid too.
 func TestUnresponsiveOrResetWatchIsReopened(t *testing.T) {
 	t.Parallel()
 	for _, mode := range discoveryModes() {
@@ -45,7 +46,7 @@
 	fail(scripted)
 	reopened := testkit.Wait(t, scripted.Calls, "the reopened watch")
 	if took := time.Since(began); took >= policy.NotificationDeadline {
-		t.Errorf("watch reopened %v after its failure, want less than %v", took, policy.NotificationDeadline)
+		t.Errorf("reopening of the watch: got %v after its failure, want less than %v", took, policy.NotificationDeadline)
 	}
 	wantQueryPrefix(t, reopened, "after=3&")
 
@@ -60,9 +61,9 @@
 	n.wantStatus("read", http.StatusOK)
 }
 
-// The address of discovery changes during the first call, and again during a watch. Each time, the node requests the
-// complete list from the new address. It cancels the call to the previous address only once that list has arrived:
-// until then, a response from the previous address may be on its way, and the node would use it.
+// When the address of discovery changes, the node requests the complete list from the new address. It cancels the call
+// in flight to the previous address, whether the first call or a watch, only once that list has arrived: until then, a
+// response from the previous address may be on its way, and the node would use it.
 func TestDiscoveryAddressChangeCancelsCallInFlight(t *testing.T) {
 	for _, mode := range discoveryModes() {
 		t.Run(mode, func(t *testing.T) {
@@ -78,7 +79,7 @@
 			testkit.Wait(t, first.Context().Done(), "the cancellation of the first call")
 			watch := testkit.Wait(t, next.Calls, "the watch at the new address")
 
-			n.node.SetDiscoveryAddress(old.Address) // changes back during the watch
+			n.node.SetDiscoveryAddress(old.Address) // during the watch, back to the first address
 			wantQueryPrefix(t, testkit.Wait(t, old.Calls, "a call to the first address"), "")
 			wantCallInFlight(t, watch)
 			old.Responses <- `{"generation":2,"reset":true,"instances":[]}`
@@ -92,13 +93,13 @@
 func wantCallInFlight(t *testing.T, call *http.Request) {
 	t.Helper()
 	if err := call.Context().Err(); err != nil {
-		t.Errorf("the call to the previous address ended with %v, want it in flight until the new address sends a list", err)
+		t.Errorf("call to the previous address: ended with %v, want it in flight until the new address sends a list", err)
 	}
 }
 
-// The first calls to a new address of discovery are reset. The node counts as notified of the list at that address 4 s
-// after the change (testkit.AddressChangeDeadline). It must therefore retry sooner than after other failures, even in a
-// large fleet, where backoffs are long.
+// A node counts as notified of the list at a new address of discovery 4 s after the change
+// (testkit.AddressChangeDeadline). If the first calls to the new address fail, the node must therefore retry sooner
+// than after other failures, even in a large fleet, where backoffs are long.
 func TestNewDiscoveryAddressIsRetriedQuickly(t *testing.T) {
 	t.Parallel()
 	for _, mode := range discoveryModes() {
@@ -120,9 +121,9 @@
 				testkit.Wait(t, next.Calls, "a call to the new address")
 				next.Responses <- testkit.ResponseReset
 			}
-			testkit.Wait(t, next.Calls, "a call to the new address after failed ones")
+			testkit.Wait(t, next.Calls, "a call to the new address after failed calls")
 			if took := time.Since(began); took >= testkit.AddressChangeDeadline {
-				t.Errorf("fourth call to the new address %v after the change, want less than %v",
+				t.Errorf("fourth call to the new address: got %v after the change, want less than %v",
 					took, testkit.AddressChangeDeadline)
 			}
 			next.Responses <- `{"generation":1,"reset":true,"instances":[]}`
@@ -131,8 +132,8 @@
 	}
 }
 
-// A watch fails, and discovery recovers with a change of the list. The node calls again without further cause, from the
-// generation that it has, and applies the change.
+// After a failed watch, the node must call again without further cause, from the generation of its list. Otherwise it
+// would miss the change with which discovery recovers.
 func TestFailedWatchResumesAtItsGeneration(t *testing.T) {
 	t.Parallel()
 	for _, mode := range discoveryModes() {
@@ -157,13 +158,13 @@
 
 			n.wantStatus("read", http.StatusOK)
 			if sends := len(oldServer.Requests); sends > 0 {
-				t.Errorf("%d requests sent to the draining server, want none", sends)
+				t.Errorf("requests sent to the draining server: got %d, want 0", sends)
 			}
 		})
 	}
 }
 
-// callFailure makes the call that a node has in flight to discovery fail.
+// callFailure makes the node's call in flight to discovery fail.
 type callFailure func(*testNode, *testkit.ScriptedDiscovery)
 
 // callFailures returns the ways in which a call to discovery can fail, by name.
@@ -182,9 +183,9 @@
 	}
 }
 
-// Two calls to discovery in a row fail in the same way. The node counts as notified of changes
-// policy.NotificationDeadline after discovery can be reached again, so it must call again before that, even in a large
-// fleet, where a node polls rarely.
+// A node counts as notified of changes policy.NotificationDeadline after discovery can be reached again. After a first
+// and a second failed call, the node must therefore call again within that time, even in a large fleet, where a node
+// polls rarely.
 func TestFailedCallsAreRetriedBeforeTheNotificationDeadline(t *testing.T) {
 	for name, fail := range callFailures() {
 		t.Run(name, func(t *testing.T) {
@@ -204,15 +205,15 @@
 	for range 2 {
 		began := time.Now()
 		fail(n, scripted)
-		testkit.Wait(t, scripted.Calls, "a call after a failed one")
+		testkit.Wait(t, scripted.Calls, "a call after a failed call")
 		if took := time.Since(began); took >= policy.NotificationDeadline {
-			t.Errorf("next call %v after a failed one, want less than %v", took, policy.NotificationDeadline)
+			t.Errorf("next call to discovery: got %v after the failure, want less than %v", took, policy.NotificationDeadline)
 		}
 	}
 }
 
-// Connections to discovery are refused until it listens again. The node must then call before the notification
-// deadline, even in a large fleet, where a node polls rarely.
+// After discovery has refused connections and listens again, the node must call before the notification deadline, even
+// in a large fleet, where a node polls rarely.
 func TestRefusedCallsAreRetriedBeforeTheNotificationDeadline(t *testing.T) {
 	t.Parallel()
 	reserved := testkit.ReserveAddr(t)
@@ -220,7 +221,8 @@
 	client := discovery.New(discovery.Config{Address: reserved.Address, Poll: true})
 	l := newTestLoop(t, cfg, upstream.NewPool(upstreamConfig(cfg, 20)), client)
 	go client.Run(t.Context(), l.endpoints)
-	for range 5 { // no cached list, a refused call, a timer, a refused call, a timer
+	// These events are: no cached list, a refused call, a timer, a refused call, a timer.
+	for range 5 {
 		testkit.Wait(t, l.queue.posted, "the loop's next event").handle(l.loop, l.clock.now())
 	}
 
@@ -237,15 +239,15 @@
 	}
 	closeQuietly(nc)
 	if took := time.Since(began); took >= policy.NotificationDeadline {
-		t.Errorf("next call %v after discovery listens again, want less than %v", took, policy.NotificationDeadline)
+		t.Errorf("next call: got %v after discovery listens again, want less than %v", took, policy.NotificationDeadline)
 	}
 }
 
-// outage makes the calls of a node to discovery fail, beginning with the first one, and calls meanwhile during the
-// outage.
+// outage makes a node's calls to discovery fail, beginning with the first call, and runs the function meanwhile during
+// the outage.
 type outage func(t *testing.T, scripted *testkit.ScriptedDiscovery, meanwhile func())
 
-// failTwice returns an outage in which two calls get the given response, which is a failure.
+// failTwice returns an outage in which the first two calls get the given response, which must be a failure.
 func failTwice(response string) outage {
 	return func(t *testing.T, scripted *testkit.ScriptedDiscovery, meanwhile func()) {
 		t.Helper()
@@ -264,8 +266,9 @@
 	meanwhile()
 }
 
-// Idle clients use all client connections while discovery fails, and more clients connect when it recovers. The node
-// must apply the new list before the notification deadline and respond to all requests.
+// Idle clients that use all client connections during an outage of discovery, and further clients that connect when it
+// recovers, must not delay calls to discovery or requests: the node must apply the new list before the notification
+// deadline and respond to all requests.
 func TestNodeFollowsDiscoveryDuringAConnectionFlood(t *testing.T) {
 	t.Parallel()
 	for _, mode := range discoveryModes() {
@@ -297,8 +300,8 @@
 	fail(t, scripted, func() { idle = n.openFlood(90) })
 	n.wantRequestsServed(1, "during the outage of discovery")
 	n.awaitReadiness(http.StatusOK)
-	if open := countOpen(idle); open > 22 { // 20 connections and the reserve of 2
-		t.Errorf("%d idle client connections are open during the outage, want at most 22", open)
+	if open := countOpen(idle); open > 22 { // 20 client connections and the reserve of 2
+		t.Errorf("idle client connections open during the outage: got %d, want at most 22", open)
 	}
 
 	testkit.Wait(t, scripted.Calls, "the first call that succeeds")
@@ -316,7 +319,7 @@
 	scripted.Responses <- text
 	wantQueryPrefix(t, testkit.Wait(t, scripted.Calls, "the next watch"), "after=2&")
 	if took := time.Since(began); took > policy.NotificationDeadline {
-		t.Errorf("the new list was applied %v after discovery recovered, want at most %v", took, policy.NotificationDeadline)
+		t.Errorf("new list applied: got %v after discovery recovered, want at most %v", took, policy.NotificationDeadline)
 	}
 	clients.Wait()
 
@@ -324,6 +327,6 @@
 	n.openFlood(60)
 	n.wantRequestsServed(20, "after the recovery of discovery")
 	if len(oldServer.Requests) > 0 {
-		t.Errorf("%d requests sent to the draining server, want none", len(oldServer.Requests))
+		t.Errorf("requests sent to the draining server: got %d, want 0", len(oldServer.Requests))
 	}
 }
