--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -8,8 +8,8 @@
 	"calicohinge/internal/testkit"
 )
 
-// Discovery is down when the node starts: the node becomes ready once discovery has recovered. During a later outage it
-// continues to serve with its endpoint list.
+// A node that starts during an outage of discovery becomes ready once discovery has recovered. During a later outage,
+// the node continues to serve with its endpoint list.
 func TestNodeServesAfterAndDuringDiscoveryOutages(t *testing.T) {
 	server := testkit.NewBackend(t, testkit.OK)
 	registry := testkit.NewRegistry(t)
@@ -28,9 +28,9 @@
 	n.wantStatus("read", http.StatusOK)
 }
 
-// The address of discovery changes several times, as it does after SIGHUP. Each time, the watch at the previous
-// address ends and the node requests the complete list from the new address, whatever generation it has. The node
-// serves and stays ready throughout, even while a new address does not respond.
+// After a change of the address of discovery, as by SIGHUP, the node must end the watch at the previous address and
+// request the complete list from the new address, since the generation of its list comes from the previous address. The
+// node must serve and stay ready throughout, even while nothing listens at the new address.
 func TestNodeFollowsDiscoveryToANewAddress(t *testing.T) {
 	oldServer, newServer := testkit.NewBackend(t, testkit.OK), testkit.NewBackend(t, testkit.OK)
 	old := testkit.NewRegistry(t, oldServer.Endpoint("s-a"))
@@ -41,7 +41,7 @@
 		<-old.Queries
 	}
 
-	n.node.SetDiscoveryAddress(testkit.FreeAddr(t)) // nothing listens there
+	n.node.SetDiscoveryAddress(testkit.FreeAddr(t)) // nothing listens at this address
 	n.wantStatus("read", http.StatusOK)
 	n.node.SetDiscoveryAddress(next.Listener.Addr().String())
 	if query := testkit.Wait(t, next.Queries, "the first call to the new address"); query != "" {
@@ -53,7 +53,8 @@
 	takeRequests(oldServer)
 	n.wantStatus("read", http.StatusOK)
 	if len(oldServer.Requests) > 0 || len(newServer.Requests) == 0 {
-		t.Errorf("%d requests sent to the server of the old list and %d to that of the new one, want 0 and at least 1",
+		t.Errorf("requests sent: got %d to the server of the old list and %d to the server of the new list, "+
+			"want 0 and at least 1",
 			len(oldServer.Requests), len(newServer.Requests))
 	}
 	next.SetEndpointsAndWait(t)
@@ -69,7 +70,7 @@
 	n.wantStatus("read", http.StatusOK)
 }
 
-// Discovery is down when the node starts. The node becomes ready, serves with the cached endpoint list, and calls
+// A node that starts during an outage of discovery becomes ready and serves with the cached endpoint list. It calls
 // discovery from the generation of that list.
 func TestCachedEndpointListIsUsedDuringAnOutage(t *testing.T) {
 	server := testkit.NewBackend(t, testkit.OK)
@@ -93,7 +94,8 @@
 	wantWatchQuery(t, registry, "after=0")
 }
 
-// In polling mode, the balancer requests each call to discovery. The node gets the list and serves.
+// In polling mode, the balancer requests each call to discovery. A node that did not make these calls would get no
+// endpoint list.
 func TestPollingNodeGetsTheEndpointList(t *testing.T) {
 	server := testkit.NewBackend(t, testkit.OK)
 	n := startReadyNodeWithConfig(t, server.Endpoint("s-0"), func(file map[string]any) {
