--- a/internal/node/endpoints_test.go
+++ b/internal/node/endpoints_test.go
@@ -24,7 +24,7 @@
 		}
 	}
 	if len(drainingServer.Requests) != 0 || len(otherServer.Requests) != 20 {
-		t.Errorf("%d requests sent to the draining server and %d to the other one, want 0 and 20",
+		t.Errorf("requests sent: got %d to the draining server and %d to the other server, want 0 and 20",
 			len(drainingServer.Requests), len(otherServer.Requests))
 	}
 	registry.SetEndpointsAndWait(t, drainingEndpoint) // no other server is left
@@ -39,14 +39,14 @@
 	registry.SetEndpointsAndWait(t, newServer.Endpoint("s-0"))
 	n.do(n.newRequest("read"))
 	if len(oldServer.Requests) != 1 || len(newServer.Requests) != 1 {
-		t.Errorf("%d requests sent to the old address and %d to the new one, want 1 and 1",
+		t.Errorf("requests sent: got %d to the old address and %d to the new address, want 1 and 1",
 			len(oldServer.Requests), len(newServer.Requests))
 	}
 }
 
-// The node is notified that a server drains, was removed or has restarted while an attempt waits for a connection to
-// that server. The attempt is revoked, so that nothing is sent on the connection, and the request goes to another
-// server.
+// If the node is notified that a server drains, was removed or has restarted, an attempt that waits for a connection to
+// that server must be revoked. Otherwise the attempt would be sent when the connection opens. The request then goes to
+// another server, or to the restarted server.
 func TestEndpointChangeRevokesAttemptsThatAwaitAConnection(t *testing.T) {
 	t.Parallel()
 	for name, change := range map[string]func(server endpointjson.Endpoint) []endpointjson.Endpoint{
@@ -71,7 +71,7 @@
 			}
 		})
 	}
-	t.Run("restarted", func(t *testing.T) { // the server may be selected again and get a request
+	t.Run("restarted", func(t *testing.T) { // the restarted server may be selected again and get the request
 		t.Parallel()
 		l, stuck, done := startWithStuckAttempt(t)
 		restarted := stuck.Endpoint("s-0")
@@ -109,7 +109,7 @@
 	})
 }
 
-// The node is notified that a server drains while a request waits for its retry. The retry goes to another server.
+// A retry must not go to a server that has started to drain while the request waited for the retry.
 func TestRetryAvoidsADrainingServer(t *testing.T) {
 	failing := testkit.NewBackend(t, testkit.ServerError)
 	drainingServer, other := testkit.NewBackend(t, testkit.OK), testkit.NewBackend(t, testkit.OK)
@@ -123,12 +123,12 @@
 
 	l.wantStatus(done, http.StatusOK)
 	if sends := len(drainingServer.Requests); sends > 0 {
-		t.Errorf("%d requests sent to the draining server, want none", sends)
+		t.Errorf("requests sent to the draining server: got %d, want 0", sends)
 	}
 }
 
-// Discovery may send malformed lists, and lists with malformed endpoints. The node calls again after a malformed
-// list, and uses the valid endpoints of a list that also has malformed ones.
+// Discovery may send malformed lists, and lists with malformed endpoints. The node must call again after a malformed
+// list, and must use the valid endpoints of a list that also has malformed endpoints.
 func TestMalformedEndpointListsAreSkipped(t *testing.T) {
 	valid := testkit.NewBackend(t, testkit.OK)
 	n, scripted := startWithScriptedDiscovery(t, "pushed", nil)
@@ -156,13 +156,13 @@
 	startedAt := time.Now().Add(-3 * time.Second).Round(0)
 	first := clockStart(startedAt)
 	if age := l.clock.now() - first; age < 2900*time.Millisecond || age > 3*time.Second+testkit.WaitTimeout {
-		t.Errorf("a server that started 3 s ago has age %v on the node's clock, want from 2.9 s to %v",
+		t.Errorf("age on the node's clock of a server that started 3s ago: got %v, want 2.9s to %v",
 			age, 3*time.Second+testkit.WaitTimeout)
 	}
 	if second := clockStart(startedAt); second != first {
-		t.Errorf("start on the node's clock: %v in the first list, %v in the second; want the same", first, second)
+		t.Errorf("start on the node's clock: got %v for the first list and %v for the second, want the same", first, second)
 	}
 	if got := clockStart(time.Time{}); got != 0 {
-		t.Errorf("start on the node's clock of a server without a start time: %v, want 0", got)
+		t.Errorf("start on the node's clock of a server without a start time: got %v, want 0", got)
 	}
 }
