--- a/internal/node/forwarding_test.go
+++ b/internal/node/forwarding_test.go
@@ -14,13 +14,13 @@
 	"calicohinge/internal/testkit"
 )
 
-// forwardedMessage holds what a test compares of a request or response before and after it is forwarded.
+// forwardedMessage holds the parts of a request or response that a test compares before and after forwarding.
 type forwardedMessage struct {
 	startLine, body string            // startLine: method and target of a request, status of a response
-	header          map[string]string // "": the field must be missing
+	header          map[string]string // values by field name, "" for a missing field
 }
 
-// headerValues returns the values of the named header fields, with "" for each that is missing.
+// headerValues returns the values of the named header fields, with "" for each missing field.
 func headerValues(header http.Header, names ...string) map[string]string {
 	fields := map[string]string{}
 	for _, name := range names {
@@ -41,7 +41,7 @@
 	sent := n.newRequest("push")
 	sent.Header.Set("Connection", "X-Hop")
 	sent.Header.Set("X-Hop", "1")
-	sent.Header.Set("User-Agent", "") // net/http sends no User-Agent, and the node must not add its own
+	sent.Header.Set("User-Agent", "") // "" makes net/http send no User-Agent, and the node must not add one
 
 	response := n.do(sent)
 	got := testkit.Wait(t, b.Requests, "the server to receive the request")
@@ -55,7 +55,7 @@
 	}
 	endToEnd := []string{"X-Request-ID", "Idempotency-Key", "X-Tenant-Id", "User-Agent"}
 	wantRequest := forwardedMessage{"POST /push?obj=7f3a%2F9c&z", `{"x":1}`, headerValues(sent.Header, endToEnd...)}
-	wantRequest.header["X-Hop"] = "" // hop-by-hop, since Connection names it
+	wantRequest.header["X-Hop"] = "" // X-Hop is hop-by-hop, since Connection names it
 	body, _ := io.ReadAll(got.Body)
 	gotRequest := forwardedMessage{
 		got.Method + " " + got.RequestURI, string(body), headerValues(got.Header, append(endToEnd, "X-Hop")...),
@@ -69,8 +69,8 @@
 	}
 }
 
-// The server closes each connection after a response that does not announce the close. A request that was written to
-// a closed connection would fail if its class is not idempotent, since it may not be retried.
+// A server may close an idle connection without having announced the close in a response. A request that is not
+// idempotent would fail if it was written to the closed connection, since it may not be retried.
 func TestClosedIdleConnectionIsNotReused(t *testing.T) {
 	closed := make(chan struct{}, 10)
 	b := testkit.NewBackend(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -91,9 +91,9 @@
 	}
 }
 
-// The node closes a connection after a response that the client has not read yet. If the client has sent further bytes
-// or sends them now, an immediate close would reset the connection and the client would lose part of the response. So
-// the node ends only its sending direction, and closes the connection when the client has closed it.
+// If a client has sent further bytes after its request, or sends them while it still reads the response, an immediate
+// close by the node would reset the connection and the client would lose part of the response. After the last response,
+// the node must therefore close only its sending direction, and close the connection when the client has closed it.
 func TestResponseIsDeliveredBeforeTheConnectionCloses(t *testing.T) {
 	text := strings.Repeat("x", maxBodyBytes)
 	b := testkit.NewBackend(t, func(w http.ResponseWriter, _ *http.Request) { send(w, text) })
@@ -118,7 +118,7 @@
 			send(nc, c.afterResponseStart)
 			resp, err := http.ReadResponse(in, nil)
 			if err != nil || !resp.Close {
-				t.Fatalf("response %+v, error %v; want a response with Connection: close", resp, err)
+				t.Fatalf("reading the response: got %+v, error %v; want a response with Connection: close", resp, err)
 			}
 			if body, err := io.ReadAll(resp.Body); string(body) != text {
 				t.Errorf("the client received %d bytes of the body, error %v; want the %d bytes that the server sent",
@@ -131,8 +131,8 @@
 	}
 }
 
-// A client sends its request and reads its response one byte at a time. The node serves it in full, serves another
-// client in the meantime, and keeps neither connection open after the clients have closed theirs.
+// A client that sends its request and reads its response one byte at a time must get the complete response, and must
+// not block another client. The node must keep neither connection open after both clients have disconnected.
 func TestByteByByteClientIsServed(t *testing.T) {
 	text := strings.Repeat("x", maxBodyBytes)
 	b := testkit.NewBackend(t, func(w http.ResponseWriter, _ *http.Request) { send(w, text) })
@@ -157,7 +157,8 @@
 	s.awaitNoConns()
 }
 
-// Each pipelined request gets a response: the connection does not count as idle between them.
+// A connection must not count as idle between pipelined requests: the node could close it before all of these requests
+// have responses.
 func TestPipelinedRequestsGetResponses(t *testing.T) {
 	n, _ := startReadyNode(t, testkit.NewBackend(t, testkit.OK))
 	nc := n.dial()
@@ -181,7 +182,7 @@
 // the response of a server that takes longer.
 func TestReadTimeoutDoesNotLimitTheWaitForTheResponse(t *testing.T) {
 	b := testkit.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
-		time.Sleep(readTimeout + 200*time.Millisecond) // must exceed the read timeout
+		time.Sleep(readTimeout + 200*time.Millisecond)
 		testkit.OK(w, r)
 	})
 	n, _ := startReadyNode(t, b)
