--- a/internal/node/key_retention_test.go
+++ b/internal/node/key_retention_test.go
@@ -11,18 +11,18 @@
 	"calicohinge/policy"
 )
 
-// retentionCase describes a request with two attempts. The connection of one of them opens late.
+// retentionCase describes a request with two attempts. The connection for one of these attempts opens late.
 type retentionCase struct {
 	class         int
 	firstStatus   policy.Status // outcome of the first attempt; Cancelled if it is still in flight
 	expiresFirst  bool          // the key's retention ends before the late connection opens
 	lateAttempt   int           // index of the attempt whose connection opens late
-	wantLateSends int           // how often that attempt is sent
+	wantLateSends int           // number of times that the late attempt is sent
 }
 
-// The connection for an attempt opens before or after the end of the idempotency key's retention. After the end,
-// servers may have discarded the key and would execute the request again. No attempt may therefore be sent then, not
-// even the first one, if another attempt may have been executed.
+// After the end of an idempotency key's retention, servers may have discarded the key and would execute the request
+// again. An attempt whose connection opens after that end must therefore not be sent if another attempt may have been
+// executed. This also applies to the first attempt, if the request has been hedged.
 func TestAttemptsRespectTheKeyRetention(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]retentionCase{
@@ -64,7 +64,7 @@
 		}
 		l.host.Send(r.id, servers[1], 0)
 	})
-	testkit.Until(t, "the end of the key's retention", func() bool { // the test is about attempts after it
+	testkit.Until(t, "the end of the key's retention", func() bool { // the late connection must open after that end
 		return !c.expiresFirst || l.clock.now() >= r.attempts[0].startedAt+retention
 	})
 	sent := stuck.Admit()
@@ -72,6 +72,6 @@
 	description := fmt.Sprintf("the outcome of attempt %d", c.lateAttempt)
 	l.awaitInLoop(description, func() bool { return r.attempts[c.lateAttempt].state != attemptInFlight })
 	if len(sent) != c.wantLateSends {
-		t.Errorf("attempt %d was sent %d times, want %d", c.lateAttempt, len(sent), c.wantLateSends)
+		t.Errorf("number of times that attempt %d was sent: got %d, want %d", c.lateAttempt, len(sent), c.wantLateSends)
 	}
 }
