--- a/internal/node/retry_test.go
+++ b/internal/node/retry_test.go
@@ -14,8 +14,8 @@
 	"calicohinge/policy"
 )
 
-// After a failed attempt, a request is retried only if a second execution does no harm or the server has promised that
-// it has not executed the request. A retry keeps the request ID and the idempotency key.
+// After a failed attempt, a request is retried only if a second execution does no harm or the response says that the
+// server has not executed the request. A retry keeps the request ID and the idempotency key.
 func TestOnlyRequestsThatMayBeExecutedAgainAreRetried(t *testing.T) {
 	for _, c := range []struct {
 		name, class string
@@ -41,7 +41,7 @@
 				wantSameHeaders(t, req, got, "X-Request-ID", "Idempotency-Key")
 			}
 			if status != c.wantStatus || len(attempts) != c.wantSent {
-				t.Fatalf("%s request: status %d after %d attempts, want %d after %d",
+				t.Fatalf("request of class %s: status %d after %d attempts, want %d after %d",
 					c.class, status, len(attempts), c.wantStatus, c.wantSent)
 			}
 		})
@@ -67,8 +67,8 @@
 	}
 }
 
-// If a server becomes unresponsive, a hedged request is sent to the other one. Once that is served, the first attempt
-// is cancelled, which closes its connection.
+// If a server becomes unresponsive, a hedged request is sent to the other server. Once the hedged request is served,
+// the first attempt is cancelled, which closes its connection.
 func TestHedgedRequestSucceedsIfTheFirstServerIsUnresponsive(t *testing.T) {
 	cancelled := make(chan struct{}, 1)
 	var ignoreNext atomic.Bool // the server that gets the next request does not respond to it
@@ -81,7 +81,7 @@
 	}
 	server1, server2 := testkit.NewBackend(t, handle), testkit.NewBackend(t, handle)
 	n, _ := startReadyNode(t, server1, server2)
-	for range 50 { // teaches the balancer the baseline latency
+	for range 50 { // the balancer estimates the baseline latency from these requests
 		n.do(n.newRequest("push"))
 	}
 	ignoreNext.Store(true)
@@ -112,7 +112,7 @@
 			return
 		}
 	}
-	t.Error("none of 10 push requests with a timeout of 8s was rejected within 1s")
+	t.Error("push requests with a timeout of 8s that were rejected within 1s: got 0 of 10, want at least 1")
 }
 
 // wantRejectionWithRetryAfter makes a request and fails the test unless it is rejected with a Retry-After of at most
@@ -121,11 +121,11 @@
 	n.t.Helper()
 	rejection := n.do(r)
 	if rejection.status != http.StatusServiceUnavailable {
-		n.t.Fatalf("%s: status %d, want 503", r.URL.Path, rejection.status)
+		n.t.Fatalf("request to %s: status %d, want 503", r.URL.Path, rejection.status)
 	}
 	retryAfter := rejection.header.Get("Retry-After")
 	if seconds, err := strconv.ParseFloat(retryAfter, 64); err != nil || seconds <= 0 || seconds > 0.6 {
-		n.t.Errorf("%s: Retry-After %q, want more than 0 and at most 0.6", r.URL.Path, retryAfter)
+		n.t.Errorf("request to %s: Retry-After %q, want more than 0 and at most 0.6", r.URL.Path, retryAfter)
 	}
 	return rejection
 }
@@ -149,8 +149,8 @@
 	}
 }
 
-// The response to the first attempt, or to the first two, is truncated. A request that may be executed again is
-// retried at another server, any other request fails, and no client gets a truncated response.
+// No client may get a truncated response. After one truncated response, or two in a row, a request that may be executed
+// again is retried at another server. Any other request fails.
 func TestTruncatedResponsesAreRetriedIfPermitted(t *testing.T) {
 	t.Parallel()
 	const complete = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
@@ -182,7 +182,7 @@
 // testTruncatedResponse sends requests of each class while truncate handles the next one or two attempts.
 func testTruncatedResponse(t *testing.T, truncate http.HandlerFunc) {
 	t.Helper()
-	var truncations atomic.Int32 // number of the next attempts whose response is truncated
+	var truncations atomic.Int32 // number of further attempts whose response is truncated
 	handle := func(w http.ResponseWriter, r *http.Request) {
 		if truncations.Add(-1) >= 0 {
 			truncate(w, r)
@@ -202,22 +202,22 @@
 		resp := n.do(n.newRequest(c.class))
 		sent := len(takeRequests(servers...))
 		if resp.status != c.wantStatus || sent != c.wantSent || (resp.status == 200 && resp.body != "done") {
-			t.Errorf("%s request with %d truncated responses: status %d, body %q after %d attempts; "+
+			t.Errorf("request of class %s with %d truncated responses: status %d, body %q after %d attempts; "+
 				"want %d after %d, and body \"done\" with status 200",
 				c.class, c.truncations, resp.status, resp.body, sent, c.wantStatus, c.wantSent)
 		}
 	}
 }
 
-// A response without a length is complete once the server closes the connection. It is forwarded without a retry, for
-// every class. After a reset it would be incomplete.
+// A response without a length is complete once the server closes the connection without a reset. The node forwards it
+// without a retry, for every class.
 func TestResponseWithoutLengthIsForwarded(t *testing.T) {
 	server := testkit.NewBackend(t, writeAndClose("HTTP/1.1 200 OK\r\n\r\nall of it", closeWithFIN))
 	n, _ := startReadyNode(t, server)
 	for _, class := range classNames() {
 		resp := n.do(n.newRequest(class))
 		if resp.status != http.StatusOK || resp.body != "all of it" {
-			t.Errorf("%s request: status %d, body %q; want 200 and \"all of it\"", class, resp.status, resp.body)
+			t.Errorf("request of class %s: status %d, body %q; want 200 and \"all of it\"", class, resp.status, resp.body)
 		}
 	}
 	if sent := len(server.Requests); sent != 3 {
@@ -225,8 +225,8 @@
 	}
 }
 
-// A server closes a pooled connection instead of responding to a request. No part of the node may resend a request that
-// is not idempotent, although another server could take it.
+// If a server closes a pooled connection instead of responding to a request that is not idempotent, no part of the node
+// may resend the request, even if another server has capacity: the first server may have executed the request.
 func TestNonIdempotentRequestIsNotResentAfterAClose(t *testing.T) {
 	var served atomic.Bool
 	handle := func(w http.ResponseWriter, r *http.Request) {
@@ -244,7 +244,7 @@
 	testkit.Until(t, "the connection to return to the pool", func() bool { return l.pool.Stats().Idle() == 1 })
 
 	done := l.submitAsync(t.Context(), l.newRequest(classPay, staysConnected))
-	l.reportEndpoints(policy.UpdateDelta, other.Endpoint("s-1")) // could take a second attempt
+	l.reportEndpoints(policy.UpdateDelta, other.Endpoint("s-1")) // the other server has capacity for a second attempt
 
 	l.wantStatus(done, http.StatusBadGateway)
 	l.awaitRequests(0, 0)
