--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -14,8 +14,8 @@
 	"calicohinge/internal/testkit"
 )
 
-// The platform sends SIGKILL 0.7 s after the longest deadline of any class, of which it counts at most 3 s. The grace
-// period must end less than 0.3 s before that.
+// After SIGTERM, the platform waits for the longest deadline of any class, but no longer than 3 s, and then for 0.7 s
+// before it kills the node. The grace period must end before the kill, but by less than 0.3 s.
 func TestShutdownGracePeriodEndsBeforeTheKill(t *testing.T) {
 	for deadline, kill := range map[int]time.Duration{
 		160: 860 * time.Millisecond, 3000: 3700 * time.Millisecond, 60000: 3700 * time.Millisecond,
@@ -53,7 +53,7 @@
 }
 
 // The clients of a node that shuts down may have no other node. They are served on their connections until the drain
-// period starts, shortly before the node has to exit. A request that is active then still gets a response.
+// period starts, shortly before the node has to exit. A request that is active at that time still gets a response.
 func TestShutdownServesClientsUntilTheDrainPeriod(t *testing.T) {
 	b := testkit.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/pay" {
@@ -89,7 +89,7 @@
 
 // wantServedUntil sends one request after another on a connection until end. It fails the test unless each is served
 // and the connection stays open. It ignores a failure after drainStart: if the test process is paused, a request that
-// it sends before end may arrive in the drain period.
+// is sent before end may arrive in the drain period.
 func (n *testNode) wantServedUntil(nc net.Conn, end, drainStart time.Time) {
 	n.t.Helper()
 	for time.Now().Before(end) {
@@ -140,7 +140,7 @@
 	n.awaitExit()
 }
 
-// A shutdown starts while requests are queued, waiting for a connection or in flight. Each gets its final response
+// Requests that are queued, waiting for a connection or in flight when a shutdown starts get their final responses
 // before the kill.
 func TestShutdownCompletesRequestsInEveryState(t *testing.T) {
 	t.Parallel()
@@ -148,7 +148,7 @@
 	b := testkit.NewBackend(t, testkit.Unresponsive(make(chan struct{}, 10)))
 	for name, c := range map[string]struct {
 		server          endpointjson.Endpoint
-		earlierRequests int // number of requests sent before, which use the server's capacity
+		earlierRequests int // number of earlier requests, which use the server's capacity
 	}{
 		"queued":                   {b.Endpoint("s-0"), 5},
 		"waiting for a connection": {stuck.Endpoint("s-0"), 0},
@@ -181,7 +181,7 @@
 func wantBeforeKill(t *testing.T, shutdownStart time.Time) {
 	t.Helper()
 	if took := time.Since(shutdownStart); took >= maxDeadlineWait+killDelay {
-		t.Errorf("the last response came %v after the start of the shutdown, want less than %v, when the node is killed",
+		t.Errorf("last response: got %v after the start of the shutdown, want it before the kill at %v",
 			took, maxDeadlineWait+killDelay)
 	}
 }
@@ -208,7 +208,8 @@
 	return clients
 }
 
-// A shutdown starts while a node has read only part of a request. The request is served once the rest has arrived.
+// A request that the node has read only in part when a shutdown starts must be served once the rest has arrived.
+// http.Server.Shutdown would drop it.
 func TestShutdownServesARequestThatIsBeingRead(t *testing.T) {
 	t.Parallel()
 	n, _ := startReadyNode(t, testkit.NewBackend(t, testkit.OK))
@@ -224,8 +225,8 @@
 	}
 }
 
-// The listener fails while a request is in flight. The request gets its response, further requests are served on open
-// connections, and Run returns the listener's error.
+// If the listener fails, requests in flight get their responses, further requests are served on open connections, and
+// Run returns the listener's error.
 func TestListenerFailureStartsAGracefulShutdown(t *testing.T) {
 	t.Parallel()
 	server := newBlockedBackend(t)
@@ -247,8 +248,8 @@
 	}
 }
 
-// Clients send their first requests on open connections after the shutdown has terminated all other requests. The new
-// requests are rejected with a response and not dropped.
+// After a shutdown has terminated all requests, clients may send their first requests on connections that are already
+// open. These requests must be rejected with a response and not dropped.
 func TestTerminationRejectsRequestsOnUnusedConnections(t *testing.T) {
 	t.Parallel()
 	b := testkit.NewBackend(t, testkit.Unresponsive(make(chan struct{}, 1)))
@@ -262,8 +263,8 @@
 	}
 
 	n.stop()
-	// A dial during the close of the listener may lose its first packet. The timeout ends it before the system sends
-	// the packet again.
+	// A dial during the close of the listener may lose its first packet. The timeout ends the dial before the system
+	// sends the packet again.
 	const probeTimeout = 10 * time.Millisecond
 	testkit.Until(t, "the listener to be closed", func() bool {
 		conn, err := net.DialTimeout("tcp", n.addr, probeTimeout)
@@ -281,13 +282,13 @@
 	}
 }
 
-// A shutdown starts while all connections, including the reserve, are in use and further clients wait for admission
-// with their requests. Each request gets a response before the kill.
+// If all connections, including the reserve, are in use when a shutdown starts, further clients wait for admission with
+// their requests. Each of these requests, too, must get a response before the kill.
 func TestShutdownRespondsToClientsWaitingForAdmission(t *testing.T) {
 	t.Parallel()
 	b := testkit.NewBackend(t, testkit.Unresponsive(make(chan struct{}, 100)))
 	n := startNodeWithFewSockets(t, b.Endpoint("s-0"))
-	const requests = 40 // one per connection: more connections than divideDescriptors grants to clients
+	const requests = 40 // one per connection, which are more connections than divideDescriptors permits to clients
 	clients := n.sendLongRequests(requests)
 	shutdownStart := time.Now()
 	n.stop()
@@ -305,7 +306,7 @@
 	l.terminateAll()
 	final, err := l.submit(t.Context(), l.newRequest(classPay, staysConnected))
 	if err != nil || final.status != http.StatusServiceUnavailable || len(b.Requests) > 0 {
-		t.Errorf("submit() after termination = %+v, %v with %d attempts sent; want status 503, no error and no attempt",
+		t.Errorf("submit() after termination = %+v, %v with %d attempts sent; want status 503, nil and no attempt",
 			final, err, len(b.Requests))
 	}
 }
