--- a/internal/node/validation_test.go
+++ b/internal/node/validation_test.go
@@ -47,7 +47,7 @@
 			c.change(r)
 			resp := n.do(r)
 			if resp.status != c.status || resp.body == "" || len(resp.body) > 100 {
-				t.Errorf("%s request: status %d, want %d; body %q, want 1 to 100 bytes",
+				t.Errorf("request of class %s: status %d, want %d; body %q, want 1 to 100 bytes",
 					c.class, resp.status, c.status, resp.body)
 			}
 		})
@@ -59,13 +59,13 @@
 func (n *testNode) wantNoneForwarded(server *testkit.Backend) {
 	n.t.Helper()
 	if len(server.Requests) != 0 {
-		n.t.Errorf("the server received %d requests, want none", len(server.Requests))
+		n.t.Errorf("requests that the server received: got %d, want 0", len(server.Requests))
 	}
 	n.wantStatus("read", http.StatusOK)
 }
 
-// A request with the X-Request-ID of an active request is rejected, and the active one is not affected. The ID may be
-// used again once that request has completed.
+// A request with the X-Request-ID of an active request is rejected, and the active request is not affected. The ID may
+// be used again once the active request has completed.
 func TestDuplicateRequestIDIsRejected(t *testing.T) {
 	server := newBlockedBackend(t)
 	n, _ := startReadyNode(t, server.Backend)
@@ -77,17 +77,17 @@
 	second.Header.Set("X-Request-ID", first.Header.Get("X-Request-ID"))
 
 	if resp := n.do(second); resp.status != http.StatusConflict {
-		t.Errorf("second request with the ID of an active one: status %d, want 409", resp.status)
+		t.Errorf("request with the ID of an active request: status %d, want 409", resp.status)
 	}
 	server.unblock()
 	if resp := testkit.Wait(t, done, "the response to the first request"); resp.status != http.StatusOK {
 		t.Errorf("first request: status %d, want 200", resp.status)
 	}
 	if len(server.Requests) != 0 {
-		t.Errorf("the server received %d further requests, want none", len(server.Requests))
+		t.Errorf("further requests that the server received: got %d, want 0", len(server.Requests))
 	}
 	if resp := n.do(second); resp.status != http.StatusOK {
-		t.Errorf("request with the ID of a completed one: status %d, want 200", resp.status)
+		t.Errorf("request with the ID of a completed request: status %d, want 200", resp.status)
 	}
 }
 
@@ -162,7 +162,7 @@
 			startTime := time.Now()
 			got := n.sendRaw(c.text)
 			if !slices.Equal(got, c.want) {
-				t.Errorf("statuses of the responses %v, want %v", got, c.want)
+				t.Errorf("statuses of the responses: got %v, want %v", got, c.want)
 			}
 			t.Logf("the node closed the connection after %v", time.Since(startTime))
 		})
@@ -170,8 +170,8 @@
 	t.Cleanup(func() { n.wantNoneForwarded(b) })
 }
 
-// The response read timeout is at most half of the latency objective. With a short objective, a response that never
-// ends would otherwise leave no time for a retry.
+// The response read timeout must not exceed half of the latency objective. With a short objective, a response that
+// never ends would otherwise leave no time for a retry.
 func TestResponseReadTimeoutLeavesTimeForARetry(t *testing.T) {
 	for objective, want := range map[int]time.Duration{60: 30 * time.Millisecond, 2000: maxResponseReadTimeout} {
 		cfg := testConfig(t, testkit.NewRegistry(t), withDeadlines(objective*4/3))
@@ -179,7 +179,7 @@
 		n := &testNode{t: t, addr: "x"}
 		parsed, err := parser.parse(n.newRequest("read"))
 		if err != nil {
-			t.Fatalf("latency objective %d ms: parse failed: %v", objective, err)
+			t.Fatalf("latency objective %d ms: parse returned error %v", objective, err)
 		}
 		if parsed.ResponseReadTimeout != want {
 			t.Errorf("latency objective %d ms: ResponseReadTimeout %v, want %v",
