--- a/internal/node/connection_limits_test.go
+++ b/internal/node/connection_limits_test.go
@@ -203,7 +203,7 @@
 	return further
 }
 
-// wantServedAfterwards fails the test unless the requests in flight are served, and then a new one too.
+// wantServedAfterwards fails the test unless the requests in flight are served, and then a new request too.
 func (l *saturatedLoop) wantServedAfterwards(class int) {
 	l.t.Helper()
 	for _, done := range l.inFlight {
