--- a/internal/node/disconnect_concurrency_test.go
+++ b/internal/node/disconnect_concurrency_test.go
@@ -37,8 +37,8 @@
 }
 
 // If many clients disconnect at once, their disconnect events can fill the event queue, so that further events have to
-// wait for space. The loop handles the requests before any of these events. It must nevertheless forward no request of
-// a disconnected client, and must release all requests.
+// wait for space. The loop handles all requests before the first disconnect event. Nevertheless, no request of a
+// disconnected client may be forwarded, and all requests must be released.
 func TestManyDisconnectsWithAFullEventQueue(t *testing.T) {
 	b := testkit.NewBackend(t, testkit.OK)
 	s := startHandler(t, b.Endpoint("s-0"), b.Endpoint("s-1"), b.Endpoint("s-2"), b.Endpoint("s-3"))
