--- a/internal/node/disconnect_test.go
+++ b/internal/node/disconnect_test.go
@@ -120,7 +120,8 @@
 }
 
 // If a client sends further bytes after its request, net/http stops its background read at the first of these bytes and
-// does not detect a later disconnect. The node must read the bytes itself to detect it, and cancel the attempt.
+// does not detect a later disconnect. The node must read the bytes itself, so that it detects the disconnect and
+// cancels the attempt.
 func TestDisconnectAfterUnreadBytesCancelsTheAttempt(t *testing.T) {
 	cancelled := make(chan struct{}, 1)
 	b := testkit.NewBackend(t, testkit.Unresponsive(cancelled))
