--- a/internal/node/discovery_failure_test.go
+++ b/internal/node/discovery_failure_test.go
@@ -133,7 +133,7 @@
 }
 
 // After a failed watch, the node must call again without further cause, from the generation of its list. Otherwise it
-// would miss the change with which discovery recovers.
+// would miss the changes that discovery sends after its recovery.
 func TestFailedWatchResumesAtItsGeneration(t *testing.T) {
 	t.Parallel()
 	for _, mode := range discoveryModes() {
@@ -221,7 +221,7 @@
 	client := discovery.New(discovery.Config{Address: reserved.Address, Poll: true})
 	l := newTestLoop(t, cfg, upstream.NewPool(upstreamConfig(cfg, 20)), client)
 	go client.Run(t.Context(), l.endpoints)
-	// These events are: no cached list, a refused call, a timer, a refused call, a timer.
+	// The five events are no cached list, a refused call, a timer, a refused call and a timer.
 	for range 5 {
 		testkit.Wait(t, l.queue.posted, "the loop's next event").handle(l.loop, l.clock.now())
 	}
