--- a/internal/node/harness_handler_test.go
+++ b/internal/node/harness_handler_test.go
@@ -121,7 +121,8 @@
 	})
 }
 
-// awaitNoConns waits until all requests are released and all connections are closed, except idle ones to servers.
+// awaitNoConns waits until all requests are released and all connections are closed, except idle connections to
+// servers.
 func (s *testHandler) awaitNoConns() {
 	s.t.Helper()
 	s.loop.awaitRequests(0, 0)
