--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -252,8 +252,8 @@
 	return &blockedBackend{backend, open}
 }
 
-// newBackendsFailingFirst starts two servers. The first request that reaches either of them is handled by fail, all
-// others get status 200.
+// newBackendsFailingFirst starts two servers. The first request that reaches either server is handled by fail. All
+// other requests get status 200.
 func newBackendsFailingFirst(t *testing.T, fail http.HandlerFunc) []*testkit.Backend {
 	t.Helper()
 	var failed atomic.Bool
@@ -279,7 +279,7 @@
 }
 
 // wantSameHeaders fails the test if one of the named header fields differs between the request that the client sent and
-// the one that the server received.
+// the request that the server received.
 func wantSameHeaders(t *testing.T, sent, got *http.Request, names ...string) {
 	t.Helper()
 	for _, name := range names {
