--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -22,7 +22,7 @@
 	} {
 		gracePeriod := shutdownGracePeriod(testConfig(t, testkit.NewRegistry(t), withDeadlines(deadline)))
 		if gracePeriod >= kill || gracePeriod <= kill-300*time.Millisecond {
-			t.Errorf("longest deadline %d ms: grace period %v, want less than 300ms before the kill after %v",
+			t.Errorf("longest deadline %d ms: grace period %v, want it to end less than 300ms before the kill at %v",
 				deadline, gracePeriod, kill)
 		}
 	}
@@ -209,7 +209,7 @@
 }
 
 // A request that the node has read only in part when a shutdown starts must be served once the rest has arrived.
-// http.Server.Shutdown would drop it.
+// http.Server.Shutdown would drop the request.
 func TestShutdownServesARequestThatIsBeingRead(t *testing.T) {
 	t.Parallel()
 	n, _ := startReadyNode(t, testkit.NewBackend(t, testkit.OK))
@@ -288,7 +288,7 @@
 	t.Parallel()
 	b := testkit.NewBackend(t, testkit.Unresponsive(make(chan struct{}, 100)))
 	n := startNodeWithFewSockets(t, b.Endpoint("s-0"))
-	const requests = 40 // one per connection, which are more connections than divideDescriptors permits to clients
+	const requests = 40 // one per connection; divideDescriptors permits fewer client connections
 	clients := n.sendLongRequests(requests)
 	shutdownStart := time.Now()
 	n.stop()
