--- a/internal/node/validation_test.go
+++ b/internal/node/validation_test.go
@@ -55,7 +55,7 @@
 	n.wantNoneForwarded(b)
 }
 
-// wantNoneForwarded fails the test if the server has received a request, or if the node does not serve a valid one.
+// wantNoneForwarded fails the test if the server has received a request, or if the node does not serve a valid request.
 func (n *testNode) wantNoneForwarded(server *testkit.Backend) {
 	n.t.Helper()
 	if len(server.Requests) != 0 {
