--- a/internal/node/harness_discovery_test.go
+++ b/internal/node/harness_discovery_test.go
@@ -35,8 +35,8 @@
 	return n, scripted
 }
 
-// withLargeFleet returns a change to the configuration that makes the node one of 650. The node then polls the discovery
-// service at the given address rarely, with up to 30 s between two polls.
+// withLargeFleet returns a change to the configuration that makes the node one of 650. The node then polls the
+// discovery service at the given address rarely, with up to 30 s between two polls.
 func withLargeFleet(discovery string) func(file map[string]any) {
 	return func(file map[string]any) {
 		file["discovery"] = discovery
