--- a/internal/balancertest/build.go
+++ b/internal/balancertest/build.go
@@ -27,7 +27,7 @@
 	build := exec.CommandContext(tb.Context(), "go", append(arguments, programPackage)...)
 	build.Env = append(os.Environ(), "CGO_ENABLED=1")
 	if out, err := build.CombinedOutput(); err != nil {
-		tb.Fatalf("%v: %v\n%s", build, err, out)
+		tb.Fatalf("run %v: %v\n%s", build, err, out)
 	}
 	return path
 }
@@ -65,8 +65,8 @@
 	return Build(tb, "-overlay="+writeFile(tb, filepath.Join(dir, "overlay.json"), overlay))
 }
 
-// steppableTimeSource returns the source of time.go of package time, changed so that Now adds an offset to the wall
-// clock and SetWallClockOffset sets it.
+// steppableTimeSource returns the source of package time's time.go, changed so that Now adds an offset to the wall
+// clock and a new function SetWallClockOffset sets the offset.
 func steppableTimeSource(tb testing.TB, path string) []byte {
 	tb.Helper()
 	text, err := os.ReadFile(path)
@@ -80,7 +80,7 @@
 		{"import (\n", "import (\n\t\"sync/atomic\"\n"},
 	} {
 		if n := strings.Count(source, change.from); n != 1 {
-			tb.Fatalf("%s contains %q %d times, want once", path, change.from, n)
+			tb.Fatalf("occurrences of %q in %s: got %d, want 1", change.from, path, n)
 		}
 		source = strings.Replace(source, change.from, change.to, 1)
 	}
