--- a/internal/balancertest/config_file.go
+++ b/internal/balancertest/config_file.go
@@ -24,7 +24,7 @@
 // Environment returns the environment variable that tells a process the path of the file, as "name=value".
 func (f ConfigFile) Environment() string { return "BALANCER_CONFIG=" + f.Path }
 
-// replaceFile replaces a file atomically: it writes a new file beside it and renames that one.
+// replaceFile replaces a file atomically: it writes a new file in the same directory and renames the new file to path.
 func replaceFile(tb testing.TB, path string, text []byte) {
 	tb.Helper()
 	if err := os.Rename(writeFile(tb, path+".new", text), path); err != nil {
