--- a/internal/balancertest/process.go
+++ b/internal/balancertest/process.go
@@ -21,7 +21,7 @@
 
 // Options are the optional parameters of StartWith.
 type Options struct {
-	Environment []string          // variables beside BALANCER_CONFIG, as "name=value"; none are inherited
+	Environment []string          // variables besides BALANCER_CONFIG, as "name=value"; no others are set
 	Logged      func(line string) // called for each line that the process writes to standard error; may be nil
 }
 
@@ -47,7 +47,7 @@
 	cmd.Env = append([]string{configFile.Environment()}, options.Environment...)
 	stderr, err := cmd.StderrPipe()
 	if err != nil {
-		tb.Fatalf("standard error of %v: %v", cmd, err)
+		tb.Fatalf("open the standard error of %v: %v", cmd, err)
 	}
 	if err := cmd.Start(); err != nil {
 		tb.Fatalf("start %v: %v", cmd, err)
@@ -63,8 +63,8 @@
 	return Process{PID: cmd.Process.Pid, Addr: addr, Exited: exited, ConfigFile: configFile}
 }
 
-// readLog reads the log of a process to its end. It calls onLine for each line, and sends the address of the node
-// once the node logs it.
+// readLog reads the log of a process to its end. It calls onLine, if not nil, for each line, and sends the node's
+// address to addr when the node logs that it serves.
 func readLog(stderr io.Reader, onLine func(line string), addr chan<- string) {
 	for lines := bufio.NewScanner(stderr); lines.Scan(); {
 		if onLine != nil {
