--- a/internal/balancertest/readiness.go
+++ b/internal/balancertest/readiness.go
@@ -8,7 +8,7 @@
 	"calicohinge/internal/testkit"
 )
 
-// AwaitReady waits until the node at an address is ready, and fails the test if that takes testkit.WaitTimeout.
+// AwaitReady waits until the node at an address is ready, and fails the test after testkit.WaitTimeout.
 func AwaitReady(tb testing.TB, addr string) {
 	tb.Helper()
 	if TimeToReady(addr, time.Now(), testkit.WaitTimeout) >= testkit.WaitTimeout {
@@ -16,8 +16,8 @@
 	}
 }
 
-// TimeToReady polls the node at an address until it is ready and returns the time since start. It gives up at limit
-// and then returns limit.
+// TimeToReady polls the node at an address until the node is ready, and returns the time from start until then. If the
+// node is not ready within limit, TimeToReady returns limit.
 func TimeToReady(addr string, start time.Time, limit time.Duration) time.Duration {
 	const pollInterval = 20 * time.Millisecond
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{}}
