--- a/internal/balancertest/wall_clock.go
+++ b/internal/balancertest/wall_clock.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// WallClock sets the offset of the wall clock of one process. The program of the process must come from
-// BuildInstrumented.
+// WallClock sets the offset of the wall clock of one process. The process must run a program that BuildInstrumented
+// has built.
 type WallClock struct{ path string }
 
-// NewWallClock returns a clock with which a process starts. The wall clock of the process is the machine's plus the
-// offset, in whole seconds; a negative offset sets it back.
+// NewWallClock returns a wall clock for a process that has not started yet. The process then sees the machine's wall
+// clock plus the offset. The offset is in whole seconds and may be negative.
 func NewWallClock(tb testing.TB, offset time.Duration) WallClock {
 	tb.Helper()
 	clock := WallClock{filepath.Join(tb.TempDir(), "step")}
@@ -21,7 +21,7 @@
 	return clock
 }
 
-// Environment returns the environment variable with which to start the process, as "name=value".
+// Environment returns the environment variable that makes a process use the wall clock, as "name=value".
 func (c WallClock) Environment() string { return "WALL_CLOCK_STEP_FILE=" + c.path }
 
 // Step changes the offset of the wall clock of a running process. The new offset replaces the old one.
