--- a/internal/balancertest/testdata/pauses/report.go
+++ b/internal/balancertest/testdata/pauses/report.go
@@ -16,8 +16,8 @@
 
 func init() { go reportPauses() }
 
-// reportPauses reports the time by which a short sleep takes too long. A sleep also ends late while the process keeps
-// the processors busy itself, so the processor time that it used meanwhile does not count.
+// reportPauses repeats a short sleep and reports by how much the sleep overruns. A sleep also overruns while the
+// process itself keeps the processors busy, so the processor time that the process used meanwhile is subtracted.
 func reportPauses() {
 	for {
 		start, startCPUTime := time.Now(), cpuTime()
