--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -15,7 +15,7 @@
 	cancels  int
 	rejected map[RequestID]time.Duration // the Retry-After of each rejected request
 	failed   map[RequestID]bool
-	timers   []timer // set and not yet run
+	timers   []timer // timers that are set and have not run yet
 	watches  int
 	log      []string // all actions in order, one line each
 }
@@ -65,7 +65,7 @@
 	h.timers = append(h.timers, timer{at, token})
 }
 
-// runDueTimers runs the timers that are due, but not those that are set meanwhile.
+// runDueTimers runs the timers that are due. Timers that are set meanwhile do not run before the next call.
 func (h *fakeHost) runDueTimers(balancer *Balancer, now time.Duration) {
 	var due []timer
 	kept := h.timers[:0]
@@ -146,8 +146,8 @@
 	return h
 }
 
-// readyEndpoints returns ready endpoints for the servers with the IDs first to last. Two consecutive IDs share a
-// cell, and five share a zone.
+// readyEndpoints returns ready endpoints for the servers with the IDs first to last. A cell holds two consecutive IDs
+// and a zone five.
 func readyEndpoints(first, last int) []Endpoint {
 	var entries []Endpoint
 	for i := first; i <= last; i++ {
@@ -180,8 +180,8 @@
 	return servers
 }
 
-// endAttempt reports the outcome of the earliest attempt of a request that has none yet. Status OK also completes the
-// request.
+// endAttempt reports the outcome of the earliest attempt of a request whose outcome has not been reported yet. Status
+// OK also completes the request.
 func (h *harness) endAttempt(id RequestID, status Status, latency time.Duration) {
 	index := h.outcomesReported[id]
 	h.outcomesReported[id]++
@@ -213,7 +213,7 @@
 	}
 }
 
-// breakerCounts returns the number of ready servers in each state of their circuit breaker.
+// breakerCounts returns the number of ready servers by the state of their circuit breaker.
 func (h *harness) breakerCounts() [3]int {
 	var count [3]int
 	for _, s := range h.balancer.endpoints.ready {
@@ -223,8 +223,8 @@
 }
 
 // newUndersampledHarness returns a harness for one of 80 nodes that share 60 servers, in the undersampled regime. The
-// node has already measured latencies. Class 0 has a low priority weight. Class 1 has a high one, of which late
-// responses still earn half.
+// node has already measured latencies. Class 0 has a low priority weight and class 1 a high priority weight. Late
+// responses to requests of class 1 still earn half of that weight.
 func newUndersampledHarness(t *testing.T) *harness {
 	t.Helper()
 	settings := testSettings()
@@ -238,14 +238,14 @@
 	h := newHarness(t, settings, 60)
 	h.serveRequests(40, 30*ms)
 	if h.balancer.subset.regime != undersampled() {
-		t.Fatalf("80 nodes that share 60 servers have the regime %+v, want the undersampled one",
-			h.balancer.subset.regime)
+		t.Fatalf("regime of 80 nodes that share 60 servers: got %+v, want %+v",
+			h.balancer.subset.regime, undersampled())
 	}
 	return h
 }
 
 // raiseMeanInFlightAboveLimit sets the concurrency limit to one attempt per server and the mean number of attempts in
-// flight to twice the node's part of it, while no attempt is in flight.
+// flight to twice the node's share of that limit, while no attempt is in flight.
 func (h *harness) raiseMeanInFlightAboveLimit() {
 	h.balancer.refresh(h.now)
 	limiter, subset := &h.balancer.limiter, &h.balancer.subset
@@ -261,7 +261,7 @@
 	}
 }
 
-// openAllBreakers opens the circuit breakers of all ready servers, which never become half-open.
+// openAllBreakers opens the circuit breakers of all ready servers. The breakers never become half-open.
 func (h *harness) openAllBreakers() {
 	for _, s := range h.balancer.endpoints.ready {
 		s.breaker.state, s.breaker.halfOpenAt = breakerOpen, maxTime
