--- a/policy/simulated_node_test.go
+++ b/policy/simulated_node_test.go
@@ -17,7 +17,7 @@
 type simulatedAttempt struct {
 	node    *simulatedNode
 	request *clientRequest
-	index   int // among the attempts of the request
+	index   int // position among the attempts of the request
 	server  *simulatedServer
 	sentAt  time.Duration
 	ended   bool
@@ -26,14 +26,14 @@
 // clientRequest is a request of a client. A client may retry it, as a new request.
 type clientRequest struct {
 	id             RequestID
-	class, retries int     // retries: how often the client has sent it before
+	class, retries int     // retries: number of times that the client has sent the request before
 	work           float64 // seconds on a server of work rate 1
 	attempts       []*simulatedAttempt
 	completed      bool
 }
 
-// Send starts an attempt at a server. A server that is down takes 150 ms to fail the connection, and one that fails
-// responds after 2 ms. All other servers queue the attempt.
+// Send starts an attempt at a server. The connection to a server that is down fails after 150 ms, and a server that
+// fails responds with an error after 2 ms. All other servers queue the attempt.
 func (n *simulatedNode) Send(id RequestID, server ServerID, _ time.Duration) {
 	f, request := n.fleet, n.requests[id]
 	s := f.servers[slices.IndexFunc(f.servers, func(s *simulatedServer) bool { return s.Server == server })]
@@ -60,7 +60,7 @@
 	}
 }
 
-// Cancel ends an attempt in an event of its own, because a Host must not call back into its Balancer.
+// Cancel ends an attempt in a separate event, because a Host must not call back into its Balancer.
 func (n *simulatedNode) Cancel(id RequestID, index int) {
 	attempt := n.requests[id].attempts[index]
 	n.fleet.schedule(n.fleet.now, func() { n.fleet.endAttempt(attempt, Cancelled) })
@@ -80,8 +80,8 @@
 	})
 }
 
-// completeUnserved completes a request that got no response from a server. With a probability of two thirds the client
-// retries it after Retry-After and a random delay, twice at most and at any node.
+// completeUnserved completes a request that got no response from a server. With a probability of two thirds, the client
+// retries the request at a random node after Retry-After and a random delay. It retries at most twice.
 func (n *simulatedNode) completeUnserved(id RequestID, wait time.Duration) {
 	request := n.requests[id]
 	request.completed = true
