--- a/policy/simulated_fleet_test.go
+++ b/policy/simulated_fleet_test.go
@@ -17,7 +17,7 @@
 	action   func()
 }
 
-// eventQueue is a heap.Interface whose least event is the next one to run.
+// eventQueue is a heap.Interface whose least event is the next event to run.
 type eventQueue []simulatedEvent
 
 func (e eventQueue) Len() int { return len(e) }
@@ -46,7 +46,7 @@
 	downtime               time.Duration // time from the stop of a server to its start
 	replaceServers         bool          // restarted servers get new IDs
 	burstFactor            float64       // multiplies the arrival rate once the first server has restarted; 0: no burst
-	othersFail             bool          // from that time on, a third of the other servers fails or hangs
+	othersFail             bool          // a third of the other servers fails or hangs after the first restart
 	lateNotifications      bool          // a third of the nodes is notified of changes 1 to 5 s late
 	nodesRestartAfter      time.Duration // time from the first stop to the restart of all nodes; 0: never
 	leadTime               time.Duration // time under load before the first server stops
@@ -69,20 +69,20 @@
 	lastID            RequestID
 
 	// Peak work that a server got within an OverloadWindow from nodes that were notified of its start, as a multiple
-	// of the limit. The first value counts the mean work of each request's class, the second the work of the request
+	// of its limit. The first value counts the mean work of each request's class, the second the work of the request
 	// itself.
 	peakNotifiedMeanWork, peakNotifiedActualWork float64
 
-	// overloads is the number of sends with which the work of a window was over the limit, while notified nodes had
-	// sent more than two thirds of it.
+	// overloads is the number of sends that left the work of a window above its limit while notified nodes had sent
+	// more than two thirds of that work.
 	overloads int
 
-	// Work that was sent to servers while they were warming up and the nodes could know of their start, and the work
-	// that these servers could do in that time.
+	// Work that was sent to servers while they were warming up, and the work that these servers could do. Both count
+	// from notificationDelay after a server's start, as no node is notified of the start before then.
 	workSent, workCapacity float64
 }
 
-// simulatedServer executes one attempt at a time. The others wait in its queue.
+// simulatedServer executes one attempt at a time. Other attempts wait in its queue.
 type simulatedServer struct {
 	Endpoint
 	workRate     float64 // work per second when warm
@@ -97,7 +97,7 @@
 	at         time.Duration
 	meanWork   float64 // mean work of the request's class
 	actualWork float64 // work of the request itself
-	notified   bool    // the node knew of the server's start
+	notified   bool    // the node was notified of the server's start
 }
 
 // meanWork is the mean work of a request over all classes, in seconds on a server of work rate 1.
@@ -130,8 +130,8 @@
 }
 
 // recordSlowStartSend adds an attempt to the overload window of a server that is warming up, and compares the work in
-// the window with its limit. The limit is n + 2 sqrt(n) + 2 requests of mean work, where n is what the server can do
-// in the window times OverloadMultiple. The other terms allow for random peaks.
+// the window with its limit. The limit is n + 2 sqrt(n) + 2 requests of mean work, where n is OverloadMultiple times
+// the number of such requests that the server can execute in the window. The other terms allow for random peaks.
 func (f *simulatedFleet) recordSlowStartSend(s *simulatedServer, added slowStartSend) {
 	expired := func(send slowStartSend) bool { return f.now-send.at >= f.rules.OverloadWindow }
 	s.sends = append(slices.DeleteFunc(s.sends, expired), added)
@@ -146,7 +146,7 @@
 	n := f.rules.OverloadMultiple * s.workRate * f.capacityShare(s) * f.rules.OverloadWindow.Seconds() / meanWork
 	limit := n + 2*math.Sqrt(n) + 2
 	f.peakNotifiedMeanWork = max(f.peakNotifiedMeanWork, notified/limit)
-	if n >= 10 { // a few heavy requests may exceed a lower limit by chance, and no node knows their work
+	if n >= 10 { // a few heavy requests can exceed a lower limit by chance, as nodes know only the mean work
 		f.peakNotifiedActualWork = max(f.peakNotifiedActualWork, actual/limit)
 	}
 	if all > limit && notified > all*2/3 {
@@ -187,7 +187,7 @@
 }
 
 // sendRequest sends a client's request to a random node. The client disconnects at the deadline, which ends all
-// attempts. It has retried the request the given number of times already.
+// attempts. The client has already retried the request the given number of times.
 func (f *simulatedFleet) sendRequest(class, retries int, work float64) {
 	i, _ := slices.BinarySearch(f.cumulativeTraffic, f.rng.Float64()*f.cumulativeTraffic[len(f.cumulativeTraffic)-1])
 	n := f.nodes[i]
@@ -204,7 +204,7 @@
 	})
 }
 
-// generateArrivals sends a request of a random class and schedules the next one, whether or not this one is answered.
+// generateArrivals sends a request of a random class and schedules the next request, independently of the response.
 func (f *simulatedFleet) generateArrivals() {
 	class := max(0, f.rng.IntN(8)-5)
 	f.sendRequest(class, 0, meanClassWork(class)*f.rng.ExpFloat64())
@@ -212,7 +212,7 @@
 	f.scheduleAfterRandomDelay(time.Duration(float64(time.Second)/rate), f.generateArrivals)
 }
 
-// startNode starts a new process of node i, with a snapshot of the ready servers. An earlier process stops.
+// startNode starts a new process of node i, with a snapshot of the ready servers. A previous process of the node stops.
 func (f *simulatedFleet) startNode(i int) {
 	if f.nodes[i] != nil {
 		f.nodes[i].stopped = true
@@ -235,10 +235,10 @@
 }
 
 // notificationDelay is the time from a change until the first node is notified. The changes of that time are combined
-// into one update.
+// into one delta.
 const notificationDelay = 300 * ms
 
-// notifyNodes notifies all nodes of the change of an endpoint, each with a delay of its own.
+// notifyNodes notifies each node of the change of an endpoint after a random delay.
 func (f *simulatedFleet) notifyNodes(e Endpoint) {
 	if f.pendingUpdates = append(f.pendingUpdates, e); len(f.pendingUpdates) > 1 {
 		return
@@ -257,8 +257,8 @@
 	})
 }
 
-// restartServer stops a server, which resets its attempts. After the downtime it starts the server again, or another
-// one in its place.
+// restartServer stops a server, which resets its attempts. After the downtime it starts the server again, or a
+// server with a new ID in its place.
 func (f *simulatedFleet) restartServer(s *simulatedServer) {
 	s.State = Removed
 	if s.running != nil {
@@ -282,8 +282,8 @@
 	})
 }
 
-// addWorkCapacity adds to workCapacity what the servers that are warming up can do in the next step, and schedules
-// itself for the step after.
+// addWorkCapacity adds to workCapacity the work that the servers that are warming up can do in the next step, and
+// schedules itself for the end of that step.
 func (f *simulatedFleet) addWorkCapacity() {
 	const step = 20 * ms
 	for _, s := range f.servers {
@@ -371,7 +371,7 @@
 	}
 }
 
-// runUntil runs the events up to and including the first one at end or later.
+// runUntil runs the events up to and including the first event at end or later.
 func (f *simulatedFleet) runUntil(end time.Duration) {
 	for f.now < end {
 		next := heap.Pop(&f.events).(simulatedEvent)
