--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -7,19 +7,19 @@
 	"calicohinge/internal/runningmean"
 )
 
-// Guards against congestion at the servers. Requests over the concurrency limit wait in the admission queue, and
-// those that would be late are rejected while their clients can still retry elsewhere.
+// Guards against congestion by requests over the concurrency limit, and against late responses to these requests. The
+// requests must wait in the admission queue, and be rejected while their clients can still retry elsewhere.
 func TestRequestsOverTheLimitAreQueuedAndShedBeforeTheirObjective(t *testing.T) {
 	h := newHarness(t, testSettings(), 2)
 	for range 10 {
 		h.request(0)
 	}
 	if n := len(h.host.sends); n > 4 {
-		t.Fatalf("%d of 10 requests sent to 2 servers without measurements, want at most 4", n)
+		t.Fatalf("sends of 10 requests to 2 servers without measurements: got %d, want at most 4", n)
 	}
 	h.advance(790 * ms)
 	if n := len(h.host.rejected); n < 6 {
-		t.Fatalf("%d of 10 requests rejected 10 ms before their latency objective, want at least 6", n)
+		t.Fatalf("rejections of 10 requests 10 ms before their latency objective: got %d, want at least 6", n)
 	}
 }
 
@@ -41,6 +41,6 @@
 		got = append(got, slices.Index(requests, r))
 	}
 	if want := []int{3, 2, 1, 0}; !slices.Equal(got, want) {
-		t.Errorf("order of the queued requests %v, want %v", got, want)
+		t.Errorf("order of the queued requests: got %v, want %v", got, want)
 	}
 }
