--- a/policy/api_test.go
+++ b/policy/api_test.go
@@ -17,7 +17,7 @@
 		{OK, "ok"}, {ServerError, "server error"}, {Rejected, "rejected"}, {Timeout, "timeout"},
 		{ConnectFailed, "connect failed"}, {Reset, "reset"}, {Cancelled, "cancelled"}, {NotSent, "not sent"},
 		{breakerClosed, "closed"}, {breakerOpen, "open"}, {breakerHalfOpen, "half-open"},
-		{Status(200), "200"}, // has no name
+		{Status(200), "200"}, // a value without a name
 	} {
 		if got := tc.value.String(); got != tc.want {
 			t.Errorf("%T(%d).String() = %q, want %q", tc.value, tc.value, got, tc.want)
