--- a/policy/balancer_test.go
+++ b/policy/balancer_test.go
@@ -22,7 +22,7 @@
 	h.updateEndpoints(UpdateDelta, Endpoint{Server: 55, State: Removed})
 
 	if len(h.host.log) != before {
-		t.Fatalf("stale events caused the actions %q, want none", h.host.log[before:])
+		t.Fatalf("actions after stale events: got %q, want none", h.host.log[before:])
 	}
 }
 
@@ -32,7 +32,7 @@
 	h.balancer.Request(h.now, Request{ID: 1000, Class: 9, Timeout: time.Second})
 
 	if _, ok := h.host.rejected[1000]; !ok {
-		t.Fatal("a request of the unknown class 9 got no final response, want a rejection")
+		t.Fatal("request of the unknown class 9: not rejected, want it rejected")
 	}
 }
 
@@ -46,13 +46,13 @@
 	h.advance(10 * time.Second) // long after the deadline
 
 	if len(h.attemptedServers(id)) != 1 || h.host.failed[id] || h.host.cancels > 0 {
-		t.Fatalf("10 s after StreamStarted: %d sends, failed %v, %d cancels; want 1, false, 0",
+		t.Fatalf("10 s after StreamStarted: got %d sends, failed %v, %d cancels; want 1, false, 0",
 			len(h.attemptedServers(id)), h.host.failed[id], h.host.cancels)
 	}
 }
 
-// A node that shuts down rejects the active requests that are safe to reject and fails the others. It sends
-// nothing afterwards.
+// Guards against requests that never complete, or are sent again, because their node shuts down. Requests that are safe
+// to reject must be rejected, so that their clients can retry them at another node. All other requests must fail.
 func TestTerminateAllCompletesEveryRequest(t *testing.T) {
 	h := newHarness(t, testSettings(), 3)
 	var ids []RequestID
@@ -72,19 +72,19 @@
 	for _, id := range ids {
 		_, rejected := h.host.rejected[id]
 		if rejected == h.host.failed[id] || rejected != wantRejected[id] {
-			t.Errorf("request %d after TerminateAll: rejected %v, failed %v; want %v, %v",
+			t.Errorf("request %d after TerminateAll: got rejected %v, failed %v; want %v, %v",
 				id, rejected, h.host.failed[id], wantRejected[id], !wantRejected[id])
 		}
 	}
 	h.advance(time.Minute)
 	if len(h.host.sends) != sends || len(h.balancer.requests.active) != 0 {
-		t.Errorf("a minute after TerminateAll: %d more sends, %d active requests; want none of either",
+		t.Errorf("a minute after TerminateAll: got %d more sends, %d active requests; want 0, 0",
 			len(h.host.sends)-sends, len(h.balancer.requests.active))
 	}
 }
 
 // Guards against final responses later than ResponseGrace after the client's deadline. The periodic check runs
-// every 10 ms, the grace may be shorter than that, and the tick may be longer than both.
+// every 10 ms, but only at the end of a tick. Both intervals may be longer than the grace.
 func TestFinalResponseComesWithinResponseGraceForAnyTick(t *testing.T) {
 	const timeout, grace = 122*ms + ms/2, 5 * ms
 	for _, tick := range []time.Duration{ms, 5 * ms, 50 * ms} {
@@ -95,13 +95,13 @@
 		for range 40 {
 			h.request(0) // far more requests than the server has capacity for
 		}
-		// With so short a baseline latency, the request is shed as late only about 1 ms before its deadline.
+		// With this short baseline latency, the request is shed as late only about 1 ms before its deadline.
 		h.balancer.classes[2].baseline = runningmean.NewWithGuess(0.0001, maxLatencySamples)
 		h.lastID++
 		deadline := h.now + timeout
 		h.balancer.Request(h.now, Request{ID: h.lastID, Class: 2, Timeout: timeout})
 		record := h.balancer.requests.byID[h.lastID]
-		record.queueingDeadline = maxTime // or it would be rejected after about half of its timeout
+		record.queueingDeadline = maxTime // by default, the request is rejected after about half of its timeout
 		earliest := record.deadline - 2*ms
 		rejected := false
 		for h.now < deadline+grace && !rejected {
@@ -110,7 +110,7 @@
 			_, rejected = h.host.rejected[h.lastID]
 		}
 		if !rejected || h.now < earliest || h.now > deadline+grace {
-			t.Errorf("tick %v: rejected %v at %v after the deadline, want true at %v to %v",
+			t.Errorf("tick %v: got rejected %v at the deadline plus %v, want true at the deadline plus %v to %v",
 				tick, rejected, h.now-deadline, earliest-deadline, grace)
 		}
 	}
