--- a/policy/concurrency_limit_test.go
+++ b/policy/concurrency_limit_test.go
@@ -30,40 +30,41 @@
 	balancer.queue.waiting = nil
 	adjustLimitFor(balancer, h.now, time.Second, 0)
 	if balancer.limiter.limit != before {
-		t.Fatalf("limit %v after 1 s without queued requests, want %v as before", balancer.limiter.limit, before)
+		t.Fatalf("limit after 1 s without queued requests: got %v, want %v as before", balancer.limiter.limit, before)
 	}
 	balancer.queue.waiting = waiting
 	adjustLimitFor(balancer, h.now+time.Second, time.Second, 0)
 	if balancer.limiter.limit <= before {
-		t.Fatalf("limit %v after 1 s with a queued request and no congestion, want more than %v",
+		t.Fatalf("limit after 1 s with a queued request and no congestion: got %v, want more than %v",
 			balancer.limiter.limit, before)
 	}
 }
 
-// Guards against so many attempts in flight that the servers serve fewer requests. Also guards against sending too
-// few requests while all servers are slow.
+// Guards against a limit that stays so high during congestion that the servers serve fewer requests. Also guards
+// against a limit that falls too low while all servers are slow.
 func TestLimitDecreasesUnderCongestionToNearTheKnownGoodLimit(t *testing.T) {
 	h, balancer := newLimiterHarness(t)
 	balancer.limiter.congestionDetected, balancer.limiter.limit, balancer.limiter.knownGoodLimit = true, 8, 4
 	adjustLimitFor(balancer, h.now, 5*time.Second, 1)
 	if balancer.limiter.limit >= 8 {
-		t.Fatalf("limit %v after 5 s of congestion, want less than 8", balancer.limiter.limit)
+		t.Fatalf("limit after 5 s of congestion: got %v, want less than 8", balancer.limiter.limit)
 	}
 	adjustLimitFor(balancer, h.now+5*time.Second, 20*time.Second, 1)
 	if balancer.limiter.limit < 2 || balancer.limiter.limit > 4 {
-		t.Fatalf("limit %v after 25 s of congestion, want 2 to 4, near the known good limit", balancer.limiter.limit)
+		t.Fatalf("limit after 25 s of congestion: got %v, want 2 to 4, near the known good limit",
+			balancer.limiter.limit)
 	}
 }
 
-// Guards against servers that stay congested because many undersampled nodes each keep to a limit that was good
-// before.
+// Guards against servers that stay congested because many undersampled nodes each keep a limit that was good before the
+// congestion.
 func TestUndersampledNodeLimitFallsToOneAttemptPerServer(t *testing.T) {
 	h, balancer := newLimiterHarness(t)
 	balancer.limiter.congestionDetected, balancer.limiter.limit, balancer.limiter.knownGoodLimit = true, 8, 8
 	balancer.subset.setNodesPerServer(2 * maxWellSampledNodesPerServer)
 	adjustLimitFor(balancer, h.now, 10*time.Second, 1)
 	if balancer.limiter.limit > 1 {
-		t.Fatalf("limit %v after 10 s of congestion, want at most one attempt per server", balancer.limiter.limit)
+		t.Fatalf("limit after 10 s of congestion: got %v, want at most 1 attempt per server", balancer.limiter.limit)
 	}
 }
 
@@ -74,7 +75,7 @@
 	balancer.subset.setNodesPerServer(2 * maxWellSampledNodesPerServer)
 	adjustLimitFor(balancer, h.now, 10*ms, 1)
 	if balancer.limiter.limit > 7 {
-		t.Fatalf("limit %v after the first congestion at a limit of 10, want at most 7", balancer.limiter.limit)
+		t.Fatalf("limit after the first congestion at a limit of 10: got %v, want at most 7", balancer.limiter.limit)
 	}
 }
 
@@ -93,7 +94,7 @@
 
 	now := time.Hour
 	for range 400 {
-		congestion := 0.0 // of the servers that both nodes use
+		congestion := 0.0 // congestion of the servers that both nodes use
 		if nodes[0].limiter.limit+nodes[1].limiter.limit > 5 {
 			congestion = 1
 		}
@@ -104,13 +105,13 @@
 	}
 
 	if lower, higher := nodes[0].limiter.limit, nodes[1].limiter.limit; higher > 2*lower {
-		t.Fatalf("limits %.2f and %.2f after 40 s at the same servers, want at most a factor of 2 between them",
+		t.Fatalf("limits after 40 s at the same servers: got %.2f and %.2f, want at most a factor of 2 between them",
 			lower, higher)
 	}
 }
 
 // Guards against congestion by many nodes that each have one attempt in flight at each server. Also guards against
-// a node that queues requests at a chance peak, although all nodes together are far below the limit.
+// a node that queues requests at a random peak of its arrivals, although all nodes together are far below the limit.
 func TestUndersampledNodeLimitsItsMeanAttemptsInFlight(t *testing.T) {
 	settings := testSettings()
 	settings.Nodes = 80
@@ -122,7 +123,7 @@
 	}
 
 	if n := len(h.host.sends); n < 2 {
-		t.Fatalf("%d of 3 simultaneous requests sent at a node limit of %.1f, want at least 2", n, nodeLimit)
+		t.Fatalf("sends of 3 simultaneous requests at a node limit of %.1f: got %d, want at least 2", nodeLimit, n)
 	}
 
 	const requests = 300
@@ -138,8 +139,8 @@
 	}
 
 	if mean := float64(inFlightSum) / requests; queued == 0 || mean > 2*nodeLimit+1 {
-		t.Fatalf("%d of %d requests queued, %.1f attempts in flight on average; want some queued and at most %.1f",
-			queued, requests, mean, 2*nodeLimit+1)
+		t.Fatalf("queued of %d requests: got %d, want at least 1; mean attempts in flight: got %.1f, want at most %.1f",
+			requests, queued, mean, 2*nodeLimit+1)
 	}
 }
 
@@ -158,12 +159,13 @@
 		}
 	}
 	if id := h.request(0); len(h.attemptedServers(id)) != 1 {
-		t.Fatalf("request while only ejected servers have attempts in flight: %d sends, want 1", len(h.attemptedServers(id)))
+		t.Fatalf("sends of a request while only ejected servers have attempts in flight: got %d, want 1",
+			len(h.attemptedServers(id)))
 	}
 }
 
-// Guards against shedding requests of high priority, which after a wait can no longer meet their objective with the
-// margin, while requests of low priority are served.
+// Guards against queueing a high-priority request until it can no longer meet its objective with the shedding margin
+// and is shed, while low-priority requests are served.
 func TestHighPriorityRequestIsSentWhileLowPriorityOneIsQueued(t *testing.T) {
 	h := newUndersampledHarness(t)
 	h.raiseMeanInFlightAboveLimit()
@@ -171,9 +173,9 @@
 	lowPriority, highPriority := h.request(0), h.request(1)
 
 	if n := len(h.attemptedServers(lowPriority)); n != 0 {
-		t.Errorf("low-priority request at a node above its limit: %d sends, want none", n)
+		t.Errorf("sends of a low-priority request at a node above its limit: got %d, want 0", n)
 	}
 	if n := len(h.attemptedServers(highPriority)); n != 1 {
-		t.Errorf("high-priority request at a node above its limit: %d sends, want 1", n)
+		t.Errorf("sends of a high-priority request at a node above its limit: got %d, want 1", n)
 	}
 }
