--- a/policy/disconnect_test.go
+++ b/policy/disconnect_test.go
@@ -13,7 +13,7 @@
 	startNextAttempt func(h *harness)           // runs the event that starts the attempt
 }
 
-// The time of the disconnection relative to the event that starts the next attempt.
+// These constants state whether the client disconnects before or after the event that starts the next attempt.
 const (
 	staysConnected   = "stays connected"
 	disconnectsFirst = "disconnects before the attempt"
@@ -85,7 +85,7 @@
 	}
 	c.startNextAttempt(h)
 	if n := len(h.attemptedServers(id)) - sends; order != disconnectsFirst && n != 1 {
-		t.Errorf("event that starts the next attempt: %d sends, want 1", n)
+		t.Errorf("sends by the event that starts the next attempt: got %d, want 1", n)
 	}
 	if order == staysConnected {
 		return
@@ -98,15 +98,15 @@
 		inFlight = record.inFlight
 	}
 	if n := h.host.cancels - cancels; settings.Limits.Cancel && n != inFlight {
-		t.Errorf("after the disconnection: %d of %d attempts in flight cancelled, want all", n, inFlight)
+		t.Errorf("cancels after the disconnection: got %d, want %d, one for each attempt in flight", n, inFlight)
 	}
-	for i := range sends + wantSends { // would cause a retry if the client were connected
+	for i := range sends + wantSends { // each outcome would cause a retry if the client were still connected
 		h.balancer.Outcome(h.now, Outcome{ID: id, Attempt: i, Status: ServerError})
 	}
 	h.advance(10 * time.Second)
 	known := h.balancer.requests.byID[id] != nil
 	if n := len(h.attemptedServers(id)) - sends; n != wantSends || known {
-		t.Errorf("10 s after the last outcome: %d sends since the attempt was due, request known %v; want %d, false",
-			n, known, wantSends)
+		t.Errorf("10 s after the last outcome: got %d sends since the attempt was due, request known %v; "+
+			"want %d, false", n, known, wantSends)
 	}
 }
