--- a/policy/invariants_test.go
+++ b/policy/invariants_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// invariantChecker generates random events for one Balancer. As its Host it checks the actions: each request
-// completes exactly once and in time, a request is never sent again if its idempotency forbids that, attempts go to
-// ready servers only, and no request has more attempts than the limit.
+// invariantChecker generates random events for one Balancer. It is also the Balancer's Host and checks the actions:
+// each request completes exactly once and in time, a request is never sent again if its idempotency forbids that,
+// attempts go to ready servers only, and no request has more attempts than the limit.
 type invariantChecker struct {
 	*fakeHost
 	t           *testing.T
@@ -20,14 +20,14 @@
 	maxAttempts int
 	now         time.Duration
 	requests    map[RequestID]*trackedRequest
-	completions map[RequestID]int // how often each request completed
+	completions map[RequestID]int // number of completions of each request
 	endpoints   map[ServerID]Endpoint
 }
 
 // maxLateness is the longest time after its deadline at which a request may complete.
 const maxLateness = 20 * ms
 
-// trackedRequest is what the checker knows about a request.
+// trackedRequest is the checker's record of a request.
 type trackedRequest struct {
 	class     Class
 	deadline  time.Duration
@@ -35,12 +35,12 @@
 	completed bool
 }
 
-// trackedAttempt is what the checker knows about an attempt.
+// trackedAttempt is the checker's record of an attempt.
 type trackedAttempt struct {
 	endpoint    Endpoint
 	sentAt      time.Duration
 	inFlight    bool
-	notExecuted bool // it has ended with a status that rules out its execution
+	notExecuted bool // the attempt ended with a status that rules out its execution
 }
 
 func (c *invariantChecker) Send(id RequestID, server ServerID, timeout time.Duration) {
@@ -48,14 +48,13 @@
 	tracked, endpoint := c.requests[id], c.endpoints[server]
 	switch {
 	case tracked == nil || tracked.completed:
-		c.t.Errorf("%v: Send of request %d to server %d, but the request is completed or unknown",
-			c.now, id, server)
+		c.t.Errorf("at %v: Send of request %d, which is completed or unknown, to server %d", c.now, id, server)
 		return
 	case endpoint.State != Ready:
-		c.t.Errorf("%v: Send of request %d to server %d, which is %v, want a ready server",
+		c.t.Errorf("at %v: Send of request %d to server %d, which is %v, want a ready server",
 			c.now, id, server, endpoint.State)
 	case len(tracked.attempts) >= c.maxAttempts:
-		c.t.Errorf("%v: Send of request %d after %d attempts, want %d attempts at most",
+		c.t.Errorf("at %v: Send of request %d after %d attempts, want at most %d attempts",
 			c.now, id, len(tracked.attempts), c.maxAttempts)
 	}
 	c.checkRetryAllowed(id, tracked, endpoint)
@@ -70,28 +69,28 @@
 			continue
 		}
 		if tracked.class.Idempotency == NotIdempotent {
-			c.t.Errorf("%v: request %d is sent again, but it is not idempotent and server %d may have executed it",
+			c.t.Errorf("at %v: request %d is sent again, but it is not idempotent and server %d may have executed it",
 				c.now, id, a.endpoint.Server)
 		}
 		keyKnown := a.endpoint.Cell == endpoint.Cell && c.now-a.sentAt < tracked.class.KeyRetention
 		if tracked.class.Idempotency == IdempotentWithKey && !keyKnown {
-			c.t.Errorf("%v: request %d is sent again to cell %d, but its key is known only in cell %d from %v for %v",
+			c.t.Errorf("at %v: request %d is sent again to cell %d, but its key is known only in cell %d from %v for %v",
 				c.now, id, endpoint.Cell, a.endpoint.Cell, a.sentAt, tracked.class.KeyRetention)
 		}
 	}
 }
 
 // recordCompletion records the final response of a request and returns the request. It checks that the response is
-// the only one and that it is in time.
+// in time and that the request had no earlier response.
 func (c *invariantChecker) recordCompletion(id RequestID) *trackedRequest {
 	c.completions[id]++
 	tracked := c.requests[id]
 	if tracked == nil || tracked.completed {
-		c.t.Errorf("%v: request %d gets a final response, but it is completed or unknown", c.now, id)
+		c.t.Errorf("at %v: final response to request %d, which is completed or unknown", c.now, id)
 		return &trackedRequest{}
 	}
 	if c.now > tracked.deadline+maxLateness {
-		c.t.Errorf("%v: request %d completes %v after its deadline, want %v at most",
+		c.t.Errorf("at %v: request %d completes %v after its deadline, want at most %v",
 			c.now, id, c.now-tracked.deadline, maxLateness)
 	}
 	tracked.completed = true
@@ -103,7 +102,7 @@
 	tracked := c.recordCompletion(id)
 	for _, a := range tracked.attempts {
 		if !a.notExecuted && tracked.class.Idempotency != Idempotent {
-			c.t.Errorf("%v: Reject of request %d, but it is %v and server %d may have executed it",
+			c.t.Errorf("at %v: Reject of request %d, but it is %v and server %d may have executed it",
 				c.now, id, tracked.class.Idempotency, a.endpoint.Server)
 		}
 	}
@@ -114,8 +113,8 @@
 	c.recordCompletion(id)
 }
 
-// endAttempt ends attempt i of a request with a random status. It is always Timeout from the deadline on, and always
-// Cancelled once the request is completed.
+// endAttempt ends attempt i of a request with a random status. From the deadline on, the status is always Timeout, and
+// once the request is completed, it is always Cancelled.
 func (c *invariantChecker) endAttempt(id RequestID, tracked *trackedRequest, i int) {
 	a := tracked.attempts[i]
 	status := []Status{OK, OK, OK, ServerError, Rejected, Timeout, ConnectFailed, Reset}[c.rng.IntN(8)]
@@ -164,7 +163,7 @@
 	c.balancer.UpdateEndpoints(c.now, UpdateDelta, []Endpoint{endpoint})
 }
 
-// newInvariantChecker returns a checker with a Balancer that has eight ready servers, three to a cell at most. The
+// newInvariantChecker returns a checker with a Balancer that has eight ready servers, at most three in each cell. The
 // seed determines all random choices.
 func newInvariantChecker(t *testing.T, seed uint64) *invariantChecker {
 	t.Helper()
@@ -209,19 +208,20 @@
 	c.t.Helper()
 	for _, id := range ids {
 		if c.completions[id] != 1 {
-			c.t.Errorf("request %d completed %d times, want once", id, c.completions[id])
+			c.t.Errorf("completions of request %d: got %d, want 1", id, c.completions[id])
 		}
 	}
 	known, active := len(c.balancer.requests.byID), len(c.balancer.requests.active)
 	if known > 0 || active > 0 {
-		c.t.Errorf("the Balancer still has %d requests by ID and %d active ones at the end, want none", known, active)
+		c.t.Errorf("requests in the Balancer at the end: got %d by ID and %d active, want none", known, active)
 	}
 }
 
-// runRandomEvents gives a Balancer random events, which the seed determines, checks its actions and returns their log.
+// runRandomEvents reports random events to a Balancer, checks its actions and returns their log. The seed determines
+// all random choices.
 func runRandomEvents(t *testing.T, seed uint64) []string {
 	t.Helper()
-	const steps, stepsWithArrivals = 4000, 3500 // in the last steps, the remaining requests end
+	const steps, stepsWithArrivals = 4000, 3500 // the last steps let the remaining requests end
 	c := newInvariantChecker(t, seed)
 	var ids []RequestID
 	for step := range steps {
@@ -252,12 +252,13 @@
 func TestSameEventsAndSeedGiveTheSameActions(t *testing.T) {
 	first, second := runRandomEvents(t, 3), runRandomEvents(t, 3)
 	if strings.Join(first, "\n") != strings.Join(second, "\n") {
-		t.Fatalf("two runs with seed 3 took different actions (%d and %d of them), want the same",
+		t.Fatalf("two runs with seed 3 took different actions (%d and %d actions), want the same",
 			len(first), len(second))
 	}
 }
 
-// Guards against state that Balancers share: two that get the same events by turns must act like a single one.
+// Guards against state that Balancers share. Two Balancers that get the same events in turn must take the same actions
+// as a Balancer that is alone.
 func TestInterleavedBalancersActLikeASingleOne(t *testing.T) {
 	drive := func(harnesses ...*harness) {
 		for i := range 300 {
@@ -276,7 +277,7 @@
 	drive(first, second)
 	want := strings.Join(alone.host.log, "\n")
 	if strings.Join(first.host.log, "\n") != want || strings.Join(second.host.log, "\n") != want {
-		t.Fatalf("two interleaved Balancers took %d and %d actions, want exactly the %d actions of a single one",
+		t.Fatalf("two interleaved Balancers took %d and %d actions, want exactly the %d actions of a Balancer alone",
 			len(first.host.log), len(second.host.log), len(alone.host.log))
 	}
 }
