--- a/policy/latency_test.go
+++ b/policy/latency_test.go
@@ -14,11 +14,12 @@
 	for range 50 {
 		h.balancer.latency.record(loaded, served, 900*ms, h.balancer.subset.nodesPerServer)
 	}
-	h.request(0) // fills a server, as does the next
+	// The first two requests fill both servers, so that the next two are queued.
+	h.request(0)
 	h.request(0)
 	slow, other := h.balancer.requests.byID[h.request(0)], h.balancer.requests.byID[h.request(1)]
 	if slow == nil || other == nil || !other.precedes(slow) {
-		t.Fatalf("requests of a slow class and of another: known %v, %v; want both, with the slow one after the other",
+		t.Fatalf("queued requests of a slow class and another class: known %v, %v; want both known and the slow class last",
 			slow != nil, other != nil)
 	}
 }
@@ -41,7 +42,7 @@
 		}
 	}
 	if unloaded == 0 || sends < 5 || unloaded > 4 {
-		t.Fatalf("%d of %d attempts count as unloaded, want 1 to 4 of at least 5", unloaded, sends)
+		t.Fatalf("attempts that count as unloaded: got %d of %d, want 1 to 4 of at least 5", unloaded, sends)
 	}
 }
 
@@ -60,10 +61,10 @@
 			estimator.record(&attempt{server: s, unloaded: tc.unloaded}, &request{class: &class}, 50*ms, 1)
 
 			if changed := class.baseline.Value() != baseline; changed != tc.unloaded {
-				t.Errorf("record of a latency of 50 ms changed the class's baseline: %v, want %v", changed, tc.unloaded)
+				t.Errorf("latency of 50 ms changes the class's baseline: got %v, want %v", changed, tc.unloaded)
 			}
 			if changed := s.baselineLogRatio.Samples() > 0; changed != tc.unloaded {
-				t.Errorf("record of a latency of 50 ms changed the server's baseline: %v, want %v", changed, tc.unloaded)
+				t.Errorf("latency of 50 ms changes the server's baseline: got %v, want %v", changed, tc.unloaded)
 			}
 		})
 	}
@@ -76,7 +77,7 @@
 		class.recordUnloaded(10, 0)
 	}
 	if got := class.baseline.Value(); got > 0.1 {
-		t.Errorf("baseline %v s after latencies of 10 s, want at most 0.1 s, a third of the objective", got)
+		t.Errorf("baseline after latencies of 10 s: got %v s, want at most 0.1 s, a third of the objective", got)
 	}
 }
 
@@ -89,9 +90,9 @@
 		estimator.record(loaded, &request{class: &class}, 200*ms, 1)
 	}
 	if got := estimator.congestion; math.Abs(got-math.Ln2) > 0.01 {
-		t.Errorf("congestion %.3f after latencies of twice the baseline, want %.3f", got, math.Ln2)
+		t.Errorf("congestion after latencies of twice the baseline: got %.3f, want %.3f", got, math.Ln2)
 	}
 	if got := estimator.smoothed; math.Abs(got-0.2) > 0.01 {
-		t.Errorf("smoothed latency %.3f s after latencies of 200 ms, want 0.200 s", got)
+		t.Errorf("smoothed latency after latencies of 200 ms: got %.3f s, want 0.200 s", got)
 	}
 }
