--- a/policy/load_shedding_test.go
+++ b/policy/load_shedding_test.go
@@ -25,7 +25,7 @@
 		h.balancer.shedLoad(h.now)
 
 		if _, shed := h.host.rejected[id]; shed != tc.wantShed {
-			t.Errorf("%d nodes, two expected latencies before the objective: shed %v, want %v",
+			t.Errorf("request shed by one of %d nodes two expected latencies before the objective: got %v, want %v",
 				tc.nodes, shed, tc.wantShed)
 		}
 	}
@@ -47,7 +47,7 @@
 
 	if _, rejected := h.host.rejected[id]; rejected {
 		t.Fatal("request rejected within 180 ms with an objective of 160 ms, " +
-			"though a late response earns more than another one in time")
+			"want it queued: its late response earns more than the response to another request in time")
 	}
 	for _, rejected := h.host.rejected[id]; !rejected; _, rejected = h.host.rejected[id] {
 		h.advance(ms)
@@ -56,10 +56,10 @@
 		}
 	}
 	if waited := h.now - arrivedAt; waited > 250*ms {
-		t.Errorf("request rejected %v after its arrival, want at most 250 ms so that its client can retry elsewhere",
+		t.Errorf("time from arrival to rejection: got %v, want at most 250 ms, so that the client can retry elsewhere",
 			waited)
 	}
 	if after := h.host.rejected[id]; after <= 0 {
-		t.Errorf("request rejected with Retry-After %v, want more than 0", after)
+		t.Errorf("Retry-After of the rejected request: got %v, want more than 0", after)
 	}
 }
