--- a/policy/outcome_test.go
+++ b/policy/outcome_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Guards against servers that respond many times slower than usual and still get all their requests.
+// Guards against servers that respond many times slower than usual and still get as many requests as before.
 func TestSlowResponsesOpenTheBreakerAtUndersampledNode(t *testing.T) {
 	settings := testSettings()
 	settings.Nodes = 80
@@ -21,18 +21,18 @@
 	}
 
 	if s.breaker.state != breakerOpen {
-		t.Fatalf("breaker %v after %d responses in a row at ten times the baseline latency, want open",
-			s.breaker.state, failureThreshold)
+		t.Fatalf("breaker after %d responses in a row at ten times the baseline latency: got %v, want open",
+			failureThreshold, s.breaker.state)
 	}
 }
 
-// Guards against servers that get requests although they respond to none. Each node sees few timeouts, and these
-// are shorter than four times the mean latency, which congestion has raised.
+// Guards against servers that get requests although they respond to none. Each node sees few timeouts, and the timeouts
+// may be shorter than four times the mean latency, because congestion raises the mean.
 func TestTimeoutsOpenTheBreakerAlthoughAllServersAreSlow(t *testing.T) {
 	for _, tc := range []struct {
 		nodes        int
 		regime       samplingRegime
-		wantTimeouts int // that open the breaker
+		wantTimeouts int // number of timeouts in a row that open the breaker
 	}{
 		{1, wellSampled(), failureThreshold},
 		{80, undersampled(), undersampled().noResponseThreshold},
@@ -42,7 +42,7 @@
 		h := newHarness(t, settings, 12)
 		h.balancer.refresh(h.now)
 		if got := h.balancer.subset.regime; got != tc.regime {
-			t.Fatalf("%d nodes: regime %+v, want %+v", tc.nodes, got, tc.regime)
+			t.Fatalf("regime with %d nodes: got %+v, want %+v", tc.nodes, got, tc.regime)
 		}
 		h.balancer.means.relativeLatency = 3
 		s := h.balancer.subset.servers[0]
@@ -50,15 +50,15 @@
 		timeout := record.expectedLatency(2 * unresponsiveMultiple)
 		for i := range tc.wantTimeouts {
 			if s.breaker.state != breakerClosed {
-				t.Fatalf("%d nodes: breaker %v after %d timeouts, want closed until %d",
-					tc.nodes, s.breaker.state, i, tc.wantTimeouts)
+				t.Fatalf("breaker with %d nodes after %d timeouts: got %v, want closed until %d",
+					tc.nodes, i, s.breaker.state, tc.wantTimeouts)
 			}
 			a := &attempt{server: s, request: record, startedAt: h.now}
 			h.balancer.recordOutcome(h.now, record, a, Outcome{Status: Timeout, Latency: timeout})
 		}
 		if s.breaker.state != breakerOpen {
-			t.Fatalf("%d nodes: breaker %v after %d timeouts in a row, want open",
-				tc.nodes, s.breaker.state, tc.wantTimeouts)
+			t.Fatalf("breaker with %d nodes after %d timeouts in a row: got %v, want open",
+				tc.nodes, tc.wantTimeouts, s.breaker.state)
 		}
 	}
 }
@@ -75,18 +75,18 @@
 	}
 
 	if n := len(unresponsive.inFlight); n > 3 {
-		t.Fatalf("%d of 60 requests in flight at an unresponsive server, want at most 3", n)
+		t.Fatalf("attempts in flight at an unresponsive server after 60 requests: got %d, want at most 3", n)
 	}
 	for _, a := range unresponsive.inFlight {
 		if len(a.request.attempts) != 2 {
-			t.Fatalf("request %d at the unresponsive server had %d attempts, want 2, the second hedged",
+			t.Fatalf("attempts of request %d at the unresponsive server: got %d, want 2, the second hedged",
 				a.request.ID, len(a.request.attempts))
 		}
 	}
 }
 
-// succeedAtOtherServers ends one attempt of a request with success: the first one that was not sent to the excluded
-// server.
+// succeedAtOtherServers ends an attempt of a request with status OK: the first attempt that was not sent to the
+// excluded server.
 func (h *harness) succeedAtOtherServers(id RequestID, excluded ServerID, latency time.Duration) {
 	for index, s := range h.attemptedServers(id) {
 		if s != excluded {
