--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -27,7 +27,7 @@
 	}
 
 	if len(h.attemptedServers(overQuota)) != 0 || len(h.attemptedServers(withinQuota)) != 1 {
-		t.Fatalf("%d sends of the request over its quota, %d of the one within it; want 0, 1",
+		t.Fatalf("sends of the requests over and within their tenant's quota: got %d, %d; want 0, 1",
 			len(h.attemptedServers(overQuota)), len(h.attemptedServers(withinQuota)))
 	}
 }
@@ -46,7 +46,7 @@
 	}
 
 	if !h.balancer.quotas.buckets[0].Take(h.now) {
-		t.Error("no token left after 30 rejected requests, want them all refunded")
+		t.Error("tokens after 30 rejected requests: none left, want all refunded")
 	}
 }
 
@@ -62,11 +62,12 @@
 	}
 
 	if h.balancer.quotas.buckets[0].Take(h.now) {
-		t.Error("a token is left after 30 served requests, want none")
+		t.Error("tokens after 30 served requests: at least one left, want none")
 	}
 }
 
-// smallQuotaSettings has one tenant, whose quota at this undersampled node is 10 requests per second.
+// smallQuotaSettings returns settings with one tenant. The quota of the tenant at this undersampled node is 10 requests
+// per second.
 func smallQuotaSettings() Settings {
 	settings := testSettings()
 	settings.Nodes = 80
