--- a/policy/request_table_test.go
+++ b/policy/request_table_test.go
@@ -10,13 +10,13 @@
 	table.release(request)
 
 	if found, _ := table.findAttempt(1, 0); found != request || len(table.active) != 0 {
-		t.Fatalf("completed request with an attempt in flight: found %v, %d active requests; want true, none",
+		t.Fatalf("completed request with an attempt in flight: got found %v, %d active requests; want true, 0",
 			found == request, len(table.active))
 	}
 	request.endAttempt(attempt, OK)
 	table.release(request)
 	if len(table.byID) != 0 {
-		t.Errorf("%d requests in the table after the last attempt has ended, want none", len(table.byID))
+		t.Errorf("requests in the table after the last attempt ended: got %d, want 0", len(table.byID))
 	}
 }
 
@@ -29,7 +29,7 @@
 		table.release(request)
 
 		if reused := table.add(Request{ID: 2}, &requestClass{}) == request; reused == queued {
-			t.Errorf("released request with queued %v: record reused %v, want %v", queued, reused, !queued)
+			t.Errorf("released request with queued %v: got record reused %v, want %v", queued, reused, !queued)
 		}
 	}
 }
@@ -43,11 +43,11 @@
 	table.release(table.byID[1])
 
 	if len(table.active) != 3 {
-		t.Fatalf("%d active requests after one of 4 was released, want 3", len(table.active))
+		t.Fatalf("active requests after one of 4 was released: got %d, want 3", len(table.active))
 	}
 	for i, request := range table.active {
 		if request.activeIndex != i {
-			t.Errorf("active request %d has activeIndex %d, want %d", request.ID, request.activeIndex, i)
+			t.Errorf("activeIndex of request %d: got %d, want %d", request.ID, request.activeIndex, i)
 		}
 	}
 }
