--- a/policy/request_test.go
+++ b/policy/request_test.go
@@ -29,7 +29,7 @@
 
 			got := deadlines{r.deadline - time.Hour, r.objectiveDeadline - time.Hour, r.queueingDeadline - time.Hour}
 			if got != tc.want {
-				t.Errorf("setDeadlines for %+v: %+v after the arrival, want %+v", tc.arrival, got, tc.want)
+				t.Errorf("setDeadlines for %+v: got %+v after the arrival, want %+v", tc.arrival, got, tc.want)
 			}
 		})
 	}
@@ -56,7 +56,7 @@
 		r := request{class: &requestClass{Class: tc.class}}
 		r.endAttempt(r.startAttempt(0, newServer(0)), tc.status)
 		if got := r.safeToReject(); got != tc.wantSafe {
-			t.Errorf("%v, key scope %v, attempt ended with %v: safeToReject() = %v, want %v",
+			t.Errorf("class that is %v, key scope %v, attempt ended with %v: safeToReject() = %v, want %v",
 				tc.class.Idempotency, tc.class.KeyScope, tc.status, got, tc.wantSafe)
 		}
 	}
