--- a/policy/retry_key_retention_test.go
+++ b/policy/retry_key_retention_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Guards against retries after the servers have dropped the idempotency key of a request, which could execute it
-// twice. Each case ends the first attempt, lets time pass, and states how often the request is sent in all and
-// whether it is rejected or failed.
+// Guards against retries after the servers have dropped the idempotency key of a request: they could execute the
+// request twice. Each case ends the first attempt, advances the clock, and states the total number of sends and whether
+// the request is rejected or failed.
 func TestRetriesEndWithShortKeyRetention(t *testing.T) {
 	retryDueAfter := func(after time.Duration) func(h *harness, id RequestID) {
 		return func(h *harness, id RequestID) {
@@ -23,9 +23,9 @@
 	}
 	for name, tc := range map[string]struct {
 		retention        time.Duration
-		run              func(h *harness, id RequestID) // from the send of the first attempt on
+		run              func(h *harness, id RequestID) // runs the case after the first send
 		wantSends        int
-		wantRejectOrFail bool
+		wantRejectOrFail bool // the request is rejected with KeyScopeAll and failed with KeyScopeCell
 	}{
 		"retry due within retention":        {100 * ms, retryDueAfter(99 * ms), 2, false},
 		"retry due at the end of retention": {100 * ms, retryDueAfter(100 * ms), 1, true},
@@ -39,7 +39,7 @@
 			h.endAttempt(id, ServerError, 0)
 			h.advance(100*ms + 2*checkInterval)
 		}, 1, true},
-		"retention runs from the first attempt possibly executed": {100 * ms, func(h *harness, id RequestID) {
+		"retention starts with the first possibly executed attempt": {100 * ms, func(h *harness, id RequestID) {
 			h.advance(90 * ms)
 			h.endAttempt(id, Rejected, 90*ms)
 			h.advance(40 * ms)
@@ -60,12 +60,12 @@
 				tc.run(h, id)
 				_, rejected := h.host.rejected[id]
 				if n := len(h.attemptedServers(id)); n != tc.wantSends {
-					t.Errorf("key retention %v: %d sends, want %d", tc.retention, n, tc.wantSends)
+					t.Errorf("sends with key retention %v: got %d, want %d", tc.retention, n, tc.wantSends)
 				}
 				wantRejected := tc.wantRejectOrFail && scope == KeyScopeAll // the client may retry anywhere
 				wantFailed := tc.wantRejectOrFail && scope == KeyScopeCell
 				if failed := h.host.failed[id]; rejected != wantRejected || failed != wantFailed {
-					t.Errorf("key retention %v: rejected %v, failed %v; want %v, %v",
+					t.Errorf("result with key retention %v: got rejected %v, failed %v; want %v, %v",
 						tc.retention, rejected, failed, wantRejected, wantFailed)
 				}
 			})
