--- a/policy/retry_key_scope_test.go
+++ b/policy/retry_key_scope_test.go
@@ -38,7 +38,8 @@
 			h.endAttempt(id, ServerError, 10*ms)
 			h.advance(settings.Classes[1].Objective / 2)
 			if retried := len(h.attemptedServers(id)) > 1; retried != tc.wantRetried {
-				t.Errorf("request was sent to servers %v: retried %v, want %v", h.attemptedServers(id), retried, tc.wantRetried)
+				t.Errorf("request sent to servers %v: got retried %v, want %v",
+					h.attemptedServers(id), retried, tc.wantRetried)
 			}
 		})
 	}
