--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -30,24 +30,24 @@
 			h.endAttempt(id, tc.status, 20*ms)
 			h.advance(200 * ms)
 			if got := h.resultOf(id); got != tc.want {
-				t.Fatalf("request %s 200 ms after its first attempt ended, want %s", got, tc.want)
+				t.Fatalf("result 200 ms after the first attempt ended: got %s, want %s", got, tc.want)
 			}
 			servers := h.attemptedServers(id)
 			if len(servers) < 2 {
 				return
 			}
 			if servers[0] == servers[1] {
-				t.Fatalf("both attempts were sent to server %d, want the retry at another server", servers[0])
+				t.Fatalf("servers of both attempts: got %d twice, want the retry at another server", servers[0])
 			}
 			mayHaveBeenExecuted := tc.status == ServerError || tc.status == Timeout || tc.status == Reset
 			if tc.class == 1 && mayHaveBeenExecuted && servers[0]/2 != servers[1]/2 {
-				t.Fatalf("request with an idempotency key was sent to servers %v, want both in the same cell", servers)
+				t.Fatalf("servers of a request with an idempotency key: got %v, want both in the same cell", servers)
 			}
 		})
 	}
 }
 
-// resultOf returns what has followed the first attempt of a request.
+// resultOf returns what has become of a request after its first attempt.
 func (h *harness) resultOf(id RequestID) string {
 	_, rejected := h.host.rejected[id]
 	switch {
@@ -61,7 +61,7 @@
 	return "queued"
 }
 
-// Guards against a second execution by servers that no longer keep the idempotency key.
+// Guards against a second execution of a request by a server that has dropped its idempotency key.
 func TestNoRetryAfterKeyRetention(t *testing.T) {
 	settings := testSettings()
 	settings.Limits.Hedging = false
@@ -72,7 +72,7 @@
 	h.endAttempt(id, ServerError, 150*ms)
 	h.advance(300 * ms)
 	if n := len(h.attemptedServers(id)); n != 1 || !h.host.failed[id] {
-		t.Fatalf("first attempt ended 50 ms after the key retention: %d sends, failed %v; want 1, true",
+		t.Fatalf("first attempt ended 50 ms after the key was dropped: got %d sends, failed %v; want 1, true",
 			n, h.host.failed[id])
 	}
 }
@@ -92,7 +92,7 @@
 		backoffs = append(backoffs, h.now-start)
 	}
 	if backoffs[0] >= backoffs[1] || backoffs[1] >= backoffs[2] || backoffs[0] < 20*ms {
-		t.Fatalf("backoffs before the retries: %v, want at least 20 ms and each longer than the last", backoffs)
+		t.Fatalf("backoffs before the retries: got %v, want at least 20 ms, each longer than the last", backoffs)
 	}
 }
 
@@ -124,19 +124,18 @@
 	}
 }
 
-// Guards against attempts at servers that are draining or removed.
 func TestAttemptIsPermittedOnlyAtReadyServer(t *testing.T) {
 	h := newHarness(t, testSettings(), 2)
 	record := h.balancer.requests.add(Request{ID: 9, Timeout: time.Second}, &h.balancer.classes[0])
 	record.deadline = h.now + time.Second
 	s := h.balancer.endpoints.ready[0]
 	if !h.balancer.retry.permitsAttempt(h.now, record, s) {
-		t.Fatal("permits returned false for a ready server, want true")
+		t.Fatal("permitsAttempt at a ready server = false, want true")
 	}
 	for _, state := range []EndpointState{Draining, Removed} {
 		s.State = state
 		if h.balancer.retry.permitsAttempt(h.now, record, s) {
-			t.Errorf("permits returned true for a server in state %v, want false", state)
+			t.Errorf("permitsAttempt at a server in state %v = true, want false", state)
 		}
 	}
 }
