--- a/policy/score_test.go
+++ b/policy/score_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Guards against selecting a server that rejects requests because its few attempts in flight make it look idle.
+// Guards against preferring a server that rejects requests: its attempts end at once, so that it has few in flight.
 func TestRejectionLowersTheScore(t *testing.T) {
 	h := newHarness(t, testSettings(), 3)
 	h.serveRequests(30, 20*ms)
@@ -15,8 +15,8 @@
 
 	for _, s := range h.balancer.subset.servers {
 		if s != rejecting && s.score.value <= rejecting.score.value {
-			t.Fatalf("score %.2f of server %d after it rejected a request, %.2f of server %d; want the first lower",
-				rejecting.score.value, rejecting.Server, s.score.value, s.Server)
+			t.Fatalf("scores after server %d rejected a request: got %.2f, other server %d %.2f; want the first lower",
+				rejecting.Server, rejecting.score.value, s.Server, s.score.value)
 		}
 	}
 }
@@ -35,7 +35,7 @@
 	h.balancer.refresh(h.now)
 
 	if !descending(good.score.value, slow.score.value) || !descending(good.score.value, failing.score.value) {
-		t.Fatalf("scores: good %.2f, slow %.2f, failing %.2f; want the good one highest",
+		t.Fatalf("scores: got good %.2f, slow %.2f, failing %.2f; want the good server highest",
 			good.score.value, slow.score.value, failing.score.value)
 	}
 	if betterServer(good, slow) != good || betterServer(failing, good) != good {
@@ -66,7 +66,7 @@
 	h.balancer.refresh(h.now)
 
 	if !descending(fast.score.value, unmeasured.score.value, slow.score.value) {
-		t.Fatalf("scores: fast %.2f, without outcomes %.2f, slow %.2f; want them in descending order",
+		t.Fatalf("scores: got fast %.2f, without outcomes %.2f, slow %.2f; want descending scores",
 			fast.score.value, unmeasured.score.value, slow.score.value)
 	}
 }
@@ -80,12 +80,12 @@
 	h.balancer.refresh(h.now + 2*wellSampled().maxOutcomeAge)
 
 	if fast.score.value != slow.score.value {
-		t.Fatalf("scores after all outcomes have expired: %.2f of the fast server, %.2f of the slow one; want them equal",
+		t.Fatalf("scores after all outcomes expired: got fast %.2f, slow %.2f; want equal scores",
 			fast.score.value, slow.score.value)
 	}
 }
 
-// addFastAndSlowOutcomes adds outcomes to a fast server and a slow one. It returns them and a server without
+// addFastAndSlowOutcomes adds outcomes to a fast server and a slow server. It returns both servers and a server without
 // outcomes.
 func (h *harness) addFastAndSlowOutcomes() (*server, *server, *server) {
 	servers := h.balancer.endpoints.ready
@@ -97,8 +97,8 @@
 	return fast, slow, unmeasured
 }
 
-// Guards against scores that still favour a server seconds after it has become congested. With many nodes, the
-// load of a server changes faster than one of them can measure.
+// Guards against scores that still favour a server seconds after it has become congested. With many nodes, the load of
+// a server changes faster than a single node can measure.
 func TestUndersampledNodeExpiresOutcomesSooner(t *testing.T) {
 	for _, tc := range []struct {
 		nodes    int
@@ -113,7 +113,7 @@
 		h.now += (undersampled().maxOutcomeAge + wellSampled().maxOutcomeAge) / 2
 		h.balancer.refresh(h.now)
 		if kept := s.score.outcomes.Len() == 1; kept != tc.wantKept {
-			t.Errorf("%d nodes: an outcome 7 s old is kept: %v, want %v", tc.nodes, kept, tc.wantKept)
+			t.Errorf("outcome kept for 7 s with %d nodes: got %v, want %v", tc.nodes, kept, tc.wantKept)
 		}
 	}
 }
