--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -26,12 +26,11 @@
 		selected[set.betterOfTwoRandom(random)]++
 	}
 	if selected[worst] > 0 || selected[middle] == 0 || selected[best] <= selected[middle] {
-		t.Errorf("selected the worst of 3 servers %d times, the middle one %d times, the best %d times; "+
-			"want never, at least once, most often",
+		t.Errorf("selections: got worst server %d, middle %d, best %d; want 0, at least 1, more than the middle",
 			selected[worst], selected[middle], selected[best])
 	}
 	if set.best() != best {
-		t.Errorf("best() has the score %v, want the highest one, %v", set.best().score.value, best.score.value)
+		t.Errorf("score of best() = %v, want the highest score, %v", set.best().score.value, best.score.value)
 	}
 }
 
