--- a/policy/server_test.go
+++ b/policy/server_test.go
@@ -16,17 +16,17 @@
 	lost := s.restart()
 
 	if len(lost) != 1 || lost[0] != first {
-		t.Errorf("restart returned %d attempts, want only the one in flight", len(lost))
+		t.Errorf("attempts returned by restart: got %d, want only the attempt in flight", len(lost))
 	}
 	if s.Endpoint != (Endpoint{Server: 3, State: Ready, Cell: 2}) || s.ringPosition != 7 {
-		t.Errorf("after restart: endpoint %+v at ring position %d, want both unchanged", s.Endpoint, s.ringPosition)
+		t.Errorf("after restart: got endpoint %+v at ring position %d, want both unchanged", s.Endpoint, s.ringPosition)
 	}
 	if len(s.inFlight) != 0 || len(s.breaker.failures) != 0 || s.score.outcomes.Len() != 0 {
-		t.Errorf("after restart: %d attempts in flight, %d consecutive failures, %d outcomes; want none",
+		t.Errorf("after restart: got %d attempts in flight, %d consecutive failures, %d outcomes; want none",
 			len(s.inFlight), len(s.breaker.failures), s.score.outcomes.Len())
 	}
-	s.endAttempt(first) // at the previous process
+	s.endAttempt(first) // the attempt was sent to the previous process
 	if len(s.inFlight) != 0 {
-		t.Errorf("%d attempts in flight after the lost one ended, want none", len(s.inFlight))
+		t.Errorf("attempts in flight after the lost attempt ended: got %d, want 0", len(s.inFlight))
 	}
 }
