--- a/policy/size_test.go
+++ b/policy/size_test.go
@@ -33,7 +33,8 @@
 	return files
 }
 
-// Users port the decision logic by hand, so each file must fit on a few screens.
+// Guards against files that are hard to port. Users port the decision logic by hand, so each file must fit on a few
+// screens.
 func TestDecisionFilesStayWithinSizeLimits(t *testing.T) {
 	for _, name := range decisionFiles(t) {
 		text, err := os.ReadFile(filepath.Join("..", name))
@@ -42,18 +43,19 @@
 		}
 		lines := bytes.Split(text, []byte("\n"))
 		if len(lines) > maxFileLines {
-			t.Errorf("%s has %d lines, want %d at most", name, len(lines), maxFileLines)
+			t.Errorf("%s: got %d lines, want at most %d", name, len(lines), maxFileLines)
 		}
 		for i, line := range lines {
 			line = bytes.ReplaceAll(line, []byte("\t"), []byte("    "))
 			if len(line) > maxLineLength {
-				t.Errorf("%s:%d has %d bytes, want %d at most", name, i+1, len(line), maxLineLength)
+				t.Errorf("%s:%d: got %d bytes, want at most %d", name, i+1, len(line), maxLineLength)
 			}
 		}
 	}
 }
 
-// The API and the validation of settings make no decisions about requests. All other files of the package do.
+// All files of the package are decision files except the API and the validation of settings, which make no decisions
+// about requests.
 func TestDeployFileListsAllDecisionFiles(t *testing.T) {
 	names, err := filepath.Glob("*.go")
 	if err != nil {
