--- a/policy/slow_start_fleet_test.go
+++ b/policy/slow_start_fleet_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Guards against two failures of servers that are warming up: many nodes together overload them, since no node sees
-// what the others send, or slow start keeps them almost idle. A server counts as overloaded if it gets more than
-// n + 2 sqrt(n) + 2 requests of mean work within OverloadWindow, where n is what it can do in that time, given its
-// current capacity, times OverloadMultiple.
+// Guards against two faults of slow start: many nodes together overload a server that is warming up, since no node can
+// observe the sends of the others, or they leave the server almost idle. A server counts as overloaded if it gets more
+// than n + 2 sqrt(n) + 2 requests of mean work within OverloadWindow, where n is OverloadMultiple times the number of
+// such requests that its current capacity allows in that time.
 func TestSlowStartOfManyNodesNeitherOverloadsNorStarvesServers(t *testing.T) {
 	const s = time.Second
 	defaultRules := Rules{
@@ -37,7 +37,7 @@
 	for _, tc := range []struct {
 		name         string
 		scenario     scenario
-		minUsedShare float64 // of the work that servers can do while they are warming up
+		minUsedShare float64 // share of the work that servers can do while they are warming up
 	}{
 		{"one server restarts, 2 nodes", scenario{nodeCount: 2, restartedFraction: 0.05}, 0.05},
 		{"one server restarts, 20 nodes", scenario{nodeCount: 20, restartedFraction: 0.05}, 0.05},
@@ -70,7 +70,7 @@
 		},
 		{"60% are replaced, all nodes restart meanwhile", replacedWhileNodesRestart, 0.12},
 		{
-			"all servers restart, then all 2 nodes",
+			"all servers restart, then both nodes",
 			scenario{nodeCount: 2, restartedFraction: 1, nodesRestartAfter: s}, 0.28,
 		},
 		{
@@ -86,12 +86,12 @@
 			t.Logf("peak work in a window: %.2f of the limit (actual work: %.2f); share of the capacity used: %.2f",
 				f.peakNotifiedMeanWork, f.peakNotifiedActualWork, usedShare)
 			if f.peakNotifiedMeanWork > 1 || f.peakNotifiedActualWork > 1 || f.overloads > 0 {
-				t.Errorf("notified nodes sent a server %.2f of its limit (actual work: %.2f), want 1 at most; "+
-					"%d sends overloaded a server, want none",
+				t.Errorf("peak work from notified nodes: got %.2f of the limit (actual work: %.2f), want at most 1; "+
+					"sends that overloaded a server: got %d, want 0",
 					f.peakNotifiedMeanWork, f.peakNotifiedActualWork, f.overloads)
 			}
 			if f.workSent < tc.minUsedShare*f.workCapacity {
-				t.Errorf("servers that were warming up got %.2f of the work that they could do, want %.2f at least",
+				t.Errorf("share of the work that servers could do while warming up: got %.2f, want at least %.2f",
 					usedShare, tc.minUsedShare)
 			}
 		})
