--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -10,7 +10,7 @@
 func TestSlowStartBudgetPreventsOverload(t *testing.T) {
 	for _, tc := range []struct {
 		name      string
-		restarted int // of ten servers
+		restarted int // number of restarted servers, of ten
 	}{{"one server", 1}, {"most servers", 8}, {"all servers", 10}} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newHarness(t, testSettings(), 10)
@@ -19,17 +19,17 @@
 			s := h.balancer.endpoints.byID[1]
 			h.balancer.refresh(h.now)
 			if h.sendThroughSlowStart(s) == 0 {
-				t.Error("no sends to a server that is warming up, want at least one")
+				t.Error("sends to a server that is warming up: got none, want at least 1")
 			}
 			record := h.balancer.requests.byID[h.request(0)]
 			if !h.balancer.retry.permitsAttempt(h.now, record, s) || !h.balancer.slowStart.permitsAttempt(h.now, s) {
-				t.Error("no attempt permitted at a server that is warm, want one whatever its slow start budget")
+				t.Error("attempt at a warm server: not permitted, want it permitted whatever the slow start budget")
 			}
 		})
 	}
 }
 
-// restart reports in the endpoint list that new processes of the first servers have just started.
+// restart reports to the Balancer that the given number of servers have just restarted.
 func (h *harness) restart(servers int) {
 	endpoints := readyEndpoints(1, servers)
 	for i := range endpoints {
@@ -38,7 +38,7 @@
 	h.updateEndpoints(UpdateDelta, endpoints...)
 }
 
-// sendThroughSlowStart makes all sends that a server's budget admits until the server is warm, and returns their
+// sendThroughSlowStart makes all sends that a server's budget permits until the server is warm, and returns their
 // number. It fails the test if the work sent within any OverloadWindow would overload the server.
 func (h *harness) sendThroughSlowStart(s *server) int {
 	h.t.Helper()
@@ -61,21 +61,21 @@
 		maxWork := warmServerWorkRate * rules.OverloadWindow.Seconds() * rules.OverloadMultiple *
 			s.capacityShare(&rules, h.now)
 		if sentWork := float64(sendsInWindow) * baseline; sentWork > maxWork+baseline {
-			h.t.Fatalf("%.3f s of work sent within %v, %v after the start; want at most %.3f s",
-				sentWork, rules.OverloadWindow, h.now-start, maxWork+baseline)
+			h.t.Fatalf("work sent within %v, %v after the start: got %.3f s, want at most %.3f s",
+				rules.OverloadWindow, h.now-start, sentWork, maxWork+baseline)
 		}
 	}
 	return len(sends)
 }
 
-// Guards against a burst of one send from each node as soon as the nodes are notified of a server's start.
+// Guards against a burst at a server that has just started: each node could send one request as soon as it is notified.
 func TestFirstSendsOfNodesToWarmingServerAreSpread(t *testing.T) {
 	const nodes = 40
-	firstSends := map[time.Duration]int{} // number of nodes by the tenth of a second after the start
+	firstSends := map[time.Duration]int{} // number of nodes, by the tenth of a second of their first send
 	for seed := range uint64(nodes) {
 		balancer, err := New(testSettings(), seed, newFakeHost())
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("New with seed %d: %v", seed, err)
 		}
 		entries := readyEndpoints(1, 3)
 		entries[0].StartedAt = time.Hour
@@ -95,7 +95,7 @@
 	}
 	for tenth, n := range firstSends {
 		if n > nodes/4 {
-			t.Errorf("first send within 100 ms from %v after the start: %d of %d nodes, want at most %d",
+			t.Errorf("nodes with their first send in the 100 ms from %v after the start: got %d of %d, want at most %d",
 				tenth*100*ms, n, nodes, nodes/4)
 		}
 	}
