--- a/policy/validate_test.go
+++ b/policy/validate_test.go
@@ -44,7 +44,7 @@
 		var invalid *SettingError
 		if !errors.As(err, &invalid) || invalid.Field != tc.field || invalid.Allowed == "" ||
 			!strings.Contains(err.Error(), "setting "+tc.field+" ") {
-			t.Errorf("New with an invalid %s: error %v, want a *SettingError that names this field", tc.field, err)
+			t.Errorf("New with an invalid %s: got error %v, want a *SettingError that names this field", tc.field, err)
 		}
 	}
 }
@@ -53,7 +53,7 @@
 	settings := Defaults()
 	settings.Classes = []Class{{Deadline: 1}}
 	if err := settings.Validate(); err != nil {
-		t.Errorf("Validate of the defaults with one class: error %v, want none", err)
+		t.Errorf("Validate of the defaults with one class = %v, want nil", err)
 	}
 }
 
@@ -63,6 +63,6 @@
 	var invalid *SettingError
 	if err := settings.Validate(); !errors.As(err, &invalid) || invalid.Field != "Classes[1].LateFraction" ||
 		invalid.Value != 2.0 || invalid.Allowed != "between 0 and 1" {
-		t.Errorf("Validate: error %v, want a *SettingError for the first invalid field, Classes[1].LateFraction", err)
+		t.Errorf("Validate = %v, want a *SettingError for the first invalid field, Classes[1].LateFraction", err)
 	}
 }
