--- a/policy/watch_schedule_fleet_test.go
+++ b/policy/watch_schedule_fleet_test.go
@@ -13,12 +13,12 @@
 type simulatedDiscovery struct {
 	serviceTime  time.Duration // time that the service spends on each call
 	callTimeout  time.Duration // time after which a node abandons a call
-	watchTimeout time.Duration // time that a call waits for changes; 0: it does not wait
+	watchTimeout time.Duration // time that a call waits for changes; 0: calls do not wait
 	busyUntil    time.Duration // time by which the service has served all calls so far
 
 	downAt, recoversAt time.Duration   // the service is down from downAt until recoversAt
 	failureDelay       time.Duration   // time after which a call fails during the outage
-	unnotifiedCalls    []time.Duration // start times of the calls by nodes that are not notified yet
+	unnotifiedCalls    []time.Duration // start times of the calls by nodes that were not notified yet
 }
 
 // discoveryCall is a call of a node to the discovery service.
@@ -29,7 +29,7 @@
 }
 
 // call starts a call of a node and returns when and how it ends. From its recovery on, the service has changes. A call
-// of a node that is not notified of them does not wait.
+// by a node that has not been notified of the changes returns without waiting.
 func (d *simulatedDiscovery) call(now time.Duration, node *watchingNode) discoveryCall {
 	notified := node.notifiedAt > 0
 	if !notified {
@@ -53,8 +53,8 @@
 	return discoveryCall{startedAt: now, endsAt: returnsAt, succeeds: true}
 }
 
-// peakCallRate returns the largest number of calls that nodes not yet notified made within one second, from the given
-// time on.
+// peakCallRate returns the largest number of calls within one second, from the given time on, by nodes that were not
+// notified yet.
 func (d *simulatedDiscovery) peakCallRate(from time.Duration) int {
 	peak, first := 0, 0
 	for i, at := range d.unnotifiedCalls {
@@ -70,11 +70,11 @@
 type watchingNode struct {
 	*fakeHost
 	balancer     *Balancer
-	callsStarted int // calls of WatchEndpoints that have led to a call of the service
+	callsStarted int // number of WatchEndpoints calls that have started a call of the service
 	currentCall  discoveryCall
 	callInFlight bool          // currentCall has not ended
-	notifiedAt   time.Duration // when it got the changes since the recovery; 0: it has not
-	watchesAgain bool          // a successful call is followed by the next one
+	notifiedAt   time.Duration // when the node got the changes since the recovery; 0: not yet
+	watchesAgain bool          // each successful call is followed by another call
 }
 
 // step runs the node's due timers, ends its call if it is due to end and starts the call that the Balancer has
@@ -88,7 +88,7 @@
 	}
 	if n.watches > n.callsStarted {
 		if n.callInFlight {
-			t.Fatalf("%v: WatchEndpoints was called again while the call started at %v is in flight",
+			t.Fatalf("at %v: WatchEndpoints called while the call that started at %v is in flight",
 				now, n.currentCall.startedAt)
 		}
 		n.callsStarted = n.watches
@@ -97,7 +97,8 @@
 	}
 }
 
-// endCall reports the end of the current call to the Balancer, and watches again if the node does so.
+// endCall reports the end of the current call to the Balancer. If watchesAgain is set, a successful call is followed by
+// another call.
 func (n *watchingNode) endCall(now time.Duration, d *simulatedDiscovery) {
 	if !n.currentCall.succeeds {
 		n.balancer.WatchFailed(now, n.currentCall.startedAt+NotificationDeadline)
@@ -151,11 +152,12 @@
 		}
 	}
 	if notNotified > 0 {
-		t.Fatalf("%d of %d nodes have no endpoint list 12 s after they started together, want none", notNotified, nodes)
+		t.Fatalf("nodes without an endpoint list 12 s after they started together: got %d of %d, want 0",
+			notNotified, nodes)
 	}
 }
 
-// outage is a time in which a simulatedDiscovery is down.
+// outage is a period in which a simulatedDiscovery is down.
 type outage struct {
 	name         string
 	duration     time.Duration
@@ -167,11 +169,11 @@
 	nodeCallTimeout = watchTimeout * 3 / 2 // time after which nodes in production abandon a call
 )
 
-// The discovery service is down for a while and recovers with changes. Every node must be notified within
-// NotificationDeadline, however its calls failed. The calls until then must be spread over time: their peak rate is
-// at most 1.5 times the rate of the idle watches of all nodes, or 1.5 calls per watchSpreadPerNode if that is more. A
-// service that serves the idle watches thus needs half as much capacity again for its recovery. Each node makes two
-// calls then: one that notifies it, and the next watch.
+// Guards against late notifications and a burst of calls when the discovery service recovers from an outage with
+// changes. Every node must be notified within NotificationDeadline, however its calls failed. The calls until then must
+// be spread over time: their peak rate is at most 1.5 times the rate of the idle watches of all nodes, or 1.5 calls per
+// watchSpreadPerNode if that is more. The recovery thus needs 1.5 times the capacity that the idle watches need. Each
+// node makes two calls during the recovery: one that notifies it, and the next watch.
 func TestEveryNodeIsNotifiedInTimeAfterDiscoveryRecovers(t *testing.T) {
 	t.Parallel()
 	for _, down := range []outage{
@@ -215,11 +217,10 @@
 	t.Logf("notified after the recovery: median %v, worst %v; calls per second until then: peak %d, idle watches %d",
 		delays[nodes/2], worst, peak, idleWatches)
 	if worst >= NotificationDeadline {
-		t.Errorf("the last of %d nodes is notified %v after the recovery, want less than %v",
-			nodes, worst, NotificationDeadline)
+		t.Errorf("last notification after the recovery: got %v, want less than %v", worst, NotificationDeadline)
 	}
 	if peak > maxPeak {
-		t.Errorf("%d nodes made %d calls in a second after the recovery, want %d at most", nodes, peak, maxPeak)
+		t.Errorf("peak calls in one second after the recovery: got %d, want at most %d", peak, maxPeak)
 	}
 }
 
