--- a/policy/watch_schedule_test.go
+++ b/policy/watch_schedule_test.go
@@ -7,13 +7,14 @@
 	"time"
 )
 
-// A failed watch is repeated within half of MaxPollInterval, and the servers of the last endpoint list stay in use.
+// Guards against a failed watch that is not repeated within half of MaxPollInterval, or that drops the servers of the
+// last endpoint list.
 func TestFailedWatchIsRepeatedAndEndpointListStaysInUse(t *testing.T) {
 	settings := testSettings()
 	settings.PollEndpoints = true
 	h := newHarness(t, settings, 3)
 	if h.host.watches != 1 {
-		t.Fatalf("the first endpoint list led to %d calls of WatchEndpoints, want 1", h.host.watches)
+		t.Fatalf("calls of WatchEndpoints after the first endpoint list: got %d, want 1", h.host.watches)
 	}
 
 	for range 2 {
@@ -22,16 +23,16 @@
 	h.advance(settings.Rules.MaxPollInterval / 2)
 
 	if h.host.watches < 2 {
-		t.Fatalf("%d calls of WatchEndpoints within %v of failures, want 2 at least",
-			h.host.watches, settings.Rules.MaxPollInterval/2)
+		t.Fatalf("calls of WatchEndpoints within %v of two failures: got %d, want at least 2",
+			settings.Rules.MaxPollInterval/2, h.host.watches)
 	}
 	if n := len(h.balancer.endpoints.ready); n != 3 {
-		t.Fatalf("%d ready servers after failed calls, want the 3 of the last list", n)
+		t.Fatalf("ready servers after failed watches: got %d, want the 3 of the last endpoint list", n)
 	}
 }
 
-// An unresponsive watch is repeated in time for the notification deadline: the backoff does not grow beyond the time
-// that remains, even after several failures. The nodes of a fleet repeat the watch at different times.
+// Guards against a backoff that grows beyond the time until the notification deadline after several unresponsive
+// watches. Also guards against a burst of calls: the nodes of a fleet must repeat their watches at different times.
 func TestUnresponsiveWatchIsRepeatedBeforeNotificationDeadline(t *testing.T) {
 	const remainingTime = NotificationDeadline / 4 // time until the notification deadline
 	const span = NotificationDeadline / 8          // time within which the next call must start
@@ -56,11 +57,11 @@
 		}
 	}
 	if len(tenths) < 8 {
-		t.Errorf("the next calls of 100 nodes start in %d tenths of %v, want 8 at least", len(tenths), span)
+		t.Errorf("tenths of %v in which calls of 100 nodes start: got %d, want at least 8", span, len(tenths))
 	}
 }
 
-// The first calls of many nodes spread over time, unless a node has no endpoints to work with.
+// Guards against a burst of first calls by many nodes, and against a node without endpoints that delays its first call.
 func TestFirstWatchStartsAtOnceForFewNodesOrWithoutEndpoints(t *testing.T) {
 	for _, tc := range []struct {
 		nodes   int
@@ -78,12 +79,12 @@
 		balancer.UpdateEndpoints(time.Hour, UpdateCached, tc.entries)
 
 		if atOnce := host.watches == 1; atOnce != tc.atOnce {
-			t.Errorf("%d nodes, %d cached endpoints: first watch at once: %v, want %v",
+			t.Errorf("first watch at once with %d nodes and %d cached endpoints: got %v, want %v",
 				tc.nodes, len(tc.entries), atOnce, tc.atOnce)
 		}
 		latest := time.Hour + settings.Rules.MaxPollInterval/2
 		if !tc.atOnce && (len(host.timers) != 1 || host.timers[0].at > latest) {
-			t.Errorf("%d nodes, %d cached endpoints: timers %v, want one by %v",
+			t.Errorf("timers with %d nodes and %d cached endpoints: got %v, want one by %v",
 				tc.nodes, len(tc.entries), host.timers, latest)
 		}
 	}
@@ -104,10 +105,10 @@
 
 	want := []time.Duration{time.Second, 2 * time.Second, 3 * time.Second, 3 * time.Second}
 	if !slices.Equal(waits, want) {
-		t.Errorf("backoffs 2 to 5 are %v, want %v", waits, want)
+		t.Errorf("backoffs 2 to 5: got %v, want %v", waits, want)
 	}
 	if first > initialWatchBackoff || firstAfterReset > initialWatchBackoff {
-		t.Errorf("the first backoff is %v, and %v after reset, want %v at most",
+		t.Errorf("first backoff: got %v, and %v after reset; want at most %v",
 			first, firstAfterReset, initialWatchBackoff)
 	}
 }
