--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -1,9 +1,9 @@
 // Package soak runs nodes as real processes and injects faults that are generated from a seed. It checks the
-// behavior of the nodes as their clients, their servers and the discovery service observed it.
+// behavior of the nodes that their clients, their servers and the discovery service observe.
 //
-// Package scenario generates the settings and the faults of a run. This package runs them against a program
-// and records the observations in a History of package history. Package check searches the history for
-// violations of the rules. Only the soak test of cmd/balancer uses this package.
+// Package scenario generates the settings and the faults of a run. This package starts the nodes with these settings,
+// injects the faults and records the observations in a History of package history. Package check searches the
+// history for violations of the rules. Only the soak test of cmd/balancer uses this package.
 //
 // A seed always yields the same settings and the same schedule of faults. The responses of the servers and of the
 // discovery service are random in each run.
@@ -24,7 +24,8 @@
 )
 
 // Run runs the scenario of a seed. It fails the test if a rule is violated or if fewer than half of the requests
-// get a response. The program must be built by balancertest.BuildInstrumented.
+// get a response. The program must be built by balancertest.BuildInstrumented, so that the wall clock of a node can
+// be stepped and a node reports the pauses of its process.
 func Run(t *testing.T, program string, seed uint64) {
 	t.Helper()
 	r := newRunner(t, program, scenario.Generate(seed))
@@ -36,7 +37,7 @@
 	r.report(t)
 }
 
-// runner runs a scenario. The goroutines of this package have ended when runScenario returns.
+// runner runs a scenario. The goroutines that runScenario starts have ended when it returns.
 type runner struct {
 	t         *testing.T
 	scenario  scenario.Scenario
@@ -97,8 +98,8 @@
 	r.endedAt = time.Now()
 }
 
-// runSchedule runs all fault schedules concurrently. It returns when they are complete and
-// scenario.Duration is over.
+// runSchedule runs all fault schedules concurrently. It returns when all of them are complete, but not before
+// scenario.Duration has passed.
 func (r *runner) runSchedule() {
 	began := r.history.StartTime()
 	var schedules sync.WaitGroup
@@ -114,7 +115,8 @@
 	time.Sleep(time.Until(began.Add(scenario.Duration)))
 }
 
-// The number of clients per node and the mean pause of a client between two requests.
+// The number of clients per node and the mean pause of a client between two requests, without and with
+// Scenario.HighConcurrency.
 const (
 	clientsPerNode             = 8
 	clientPause                = 8 * time.Millisecond
