--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -13,8 +13,8 @@
 	"calicohinge/internal/testkit"
 )
 
-// node is one node of a run. Its incarnations are processes that run one after another at the same address. Only
-// one goroutine at a time starts, signals and terminates them.
+// node is one node of a run. Its incarnations are processes that run one after another at the same address. They are
+// started, signaled and terminated by one goroutine at a time.
 type node struct {
 	t         *testing.T
 	name      string
@@ -23,7 +23,7 @@
 	settings  json.RawMessage
 	discovery *discovery
 	history   *history.History
-	killDelay time.Duration // time from SIGTERM to SIGKILL
+	killDelay time.Duration // time from SIGTERM until terminate kills the process
 
 	process balancertest.Process
 	clock   balancertest.WallClock
@@ -32,7 +32,7 @@
 	currentIncarnation *history.Incarnation
 }
 
-// config returns the configuration of the node for an address of the discovery service.
+// config returns the configuration of the node. The parameter discovery is the address of the discovery service.
 func (n *node) config(discovery string) map[string]any {
 	return map[string]any{
 		"name": n.name, "listen": n.addr, "discovery": discovery, "settings": n.settings,
@@ -40,14 +40,15 @@
 	}
 }
 
-// start starts an incarnation of the node: number 0 at the start of the run, number 1 after its restart. Its wall
-// clock is ahead by the given offset.
+// start starts an incarnation of the node: number 0 at the start of the run, number 1 after a restart of the node. The
+// wall clock of the incarnation is ahead of the machine's by the given offset.
 func (n *node) start(number int, ahead time.Duration) {
 	n.t.Helper()
 	n.clock = balancertest.NewWallClock(n.t, ahead)
 	next := &history.Incarnation{Name: fmt.Sprintf("%s.%d", n.name, number), StartedAt: time.Now()}
+	// A client that connects to the process records this incarnation, so it is set before the process starts.
 	n.mu.Lock()
-	n.currentIncarnation = next // before the process starts, so before a client can connect to it
+	n.currentIncarnation = next
 	n.mu.Unlock()
 	options := balancertest.Options{Environment: []string{n.clock.Environment()}, Logged: next.RecordLogLine}
 	n.process = balancertest.StartWith(n.t, options, n.config(n.discovery.newAddress(next)), n.program)
@@ -61,10 +62,10 @@
 	return n.currentIncarnation
 }
 
-// stepClock steps the wall clock of the node's process, so that it is ahead by the given offset.
+// stepClock steps the wall clock of the node's process, so that it is ahead of the machine's by the given offset.
 func (n *node) stepClock(ahead time.Duration) { n.clock.Step(n.t, n.process.PID, ahead) }
 
-// reload changes the node's address of the discovery service and sends SIGHUP.
+// reload writes a new address of the discovery service to the node's configuration file and sends SIGHUP.
 func (n *node) reload() {
 	current := n.incarnation()
 	text, err := json.Marshal(n.config(n.discovery.newAddress(current)))
@@ -85,8 +86,8 @@
 	balancertest.Signal(n.t, n.process.PID, syscall.SIGCONT)
 }
 
-// terminate shuts the node down by SIGTERM, followed by further signals. A process that is still running after
-// killDelay, the shortest delay that the operators' contract allows, is killed and recorded as a violation.
+// terminate shuts the node down by SIGTERM, followed by further signals. If the process is still running after
+// killDelay, the shortest delay that the operators' contract allows, terminate kills it and records a violation.
 func (n *node) terminate(signals []syscall.Signal) {
 	const signalInterval = 40 * time.Millisecond
 	current := n.incarnation()
