--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -13,31 +13,30 @@
 	"calicohinge/internal/testkit"
 )
 
-// reconnectDelay is the pause of a client that failed to connect to its node.
+// reconnectDelay is the pause of a client after a failure to connect to its node.
 const reconnectDelay = 20 * time.Millisecond
 
-// Errors that are not failures of the node.
+// Errors of an exchange or a connection that are not failures of the node.
 var (
 	errDisconnected = errors.New("client disconnected")
 	errRestarted    = errors.New("node restarted while the client connected")
 )
 
-// client sends requests to a node, one at a time. It continues while the node shuts down and restarts. A
-// client with keepAlive reuses its connection until the node closes it.
+// client sends requests to a node, one at a time. It continues while the node shuts down and restarts.
 type client struct {
 	name      string
 	node      *node
 	history   *history.History
 	classes   []scenario.Class
 	random    *rand.Rand
-	keepAlive bool
-	meanPause time.Duration // between two requests
-	ended     <-chan struct{}
+	keepAlive bool            // whether the client reuses its connection until the node closes it
+	meanPause time.Duration   // mean pause between two requests
+	ended     <-chan struct{} // closed when the client must stop
 
-	incarnation  *history.Incarnation // the incarnation of the node that conn leads to
-	conn         net.Conn
+	incarnation  *history.Incarnation // the incarnation of the node at the other end of conn
+	conn         net.Conn             // nil if no connection is open
 	reader       *bufio.Reader
-	requestCount int
+	requestCount int // number of requests so far, which is also the number in the ID of the current request
 }
 
 // run sends requests until ended is closed.
@@ -53,16 +52,16 @@
 	}
 }
 
-// sendRequest sends a request. The node may close an idle connection while the client writes to it; sendRequest
-// then sends another request on a new connection.
+// sendRequest sends a request. If the node closes an idle connection while the client writes a request to it,
+// sendRequest sends another request on a new connection.
 func (c *client) sendRequest() {
 	for again := true; again; {
 		again = c.trySend()
 	}
 }
 
-// trySend sends a request and records its result. It returns true if the node closed a reused connection without
-// sending any byte of a response.
+// trySend sends a request and records its result. It returns true if the node closed a reused connection
+// without sending any byte of a response. The client must then send another request.
 func (c *client) trySend() bool {
 	reused := c.conn != nil
 	if err := c.connect(); err != nil {
@@ -90,8 +89,8 @@
 	return false
 }
 
-// resetInAcceptQueue reports whether err is a reset that a node may cause when it shuts down: the system resets
-// the connections that the node has not accepted yet. No node has read the request of such a connection.
+// resetInAcceptQueue reports whether err is a reset that the shutdown of a node may cause: the system resets the
+// connections that the node has not accepted yet. The node has read no request from such a connection.
 func (c *client) resetInAcceptQueue(responded bool, err error) bool {
 	return errors.Is(err, syscall.ECONNRESET) && !responded && c.incarnation.Terminated()
 }
@@ -106,8 +105,8 @@
 	if err != nil {
 		return err
 	}
-	if c.node.incarnation() != current { // it restarted meanwhile: the connection may lead to either incarnation
-		_ = conn.Close() // nothing was sent
+	if c.node.incarnation() != current { // the node restarted meanwhile: either incarnation may get the connection
+		_ = conn.Close() // nothing was sent, so an error does not matter
 		return errRestarted
 	}
 	c.incarnation, c.conn, c.reader = current, conn, bufio.NewReader(conn)
@@ -117,7 +116,7 @@
 // disconnect closes the connection if one is open.
 func (c *client) disconnect() {
 	if c.conn != nil {
-		_ = c.conn.Close() // the client expects no further data
+		_ = c.conn.Close() // the client expects no further data, so an error does not matter
 		c.conn = nil
 	}
 }
