--- a/internal/soak/client_exchange.go
+++ b/internal/soak/client_exchange.go
@@ -16,15 +16,15 @@
 	shortenedTimeoutShare = 0.2  // share of requests with a timeout shorter than the deadline of the class
 	// responseGrace is how long after the deadline of its request a response may still arrive.
 	responseGrace = 500 * time.Millisecond
-	// lagAllowance extends the read timeout of a client beyond the time that a response may take, because on a
-	// busy machine the client itself may read late. checkResponseTime decides whether the response was late.
+	// lagAllowance extends the timeout of an exchange beyond the time that a response may take, because the client
+	// may read late on a busy machine. checkResponseTime decides whether the response was late.
 	lagAllowance = 2 * time.Second
 )
 
 // requestID returns the ID of the current request.
 func (c *client) requestID() string { return fmt.Sprintf("%s-%d", c.name, c.requestCount) }
 
-// nextRequest returns the next request: a random class, and a timeout of at most the deadline of that class.
+// nextRequest returns the next request. Its class is random, and its timeout is at most the deadline of the class.
 func (c *client) nextRequest() *history.Request {
 	c.requestCount++
 	class := c.classes[c.random.IntN(len(c.classes))]
@@ -48,7 +48,7 @@
 	c.history.RecordRequest(request)
 	if err := c.write(request, readTimeout); err != nil {
 		if disconnects && testkit.IsTimeout(err) {
-			err = errDisconnected // before the request was sent completely
+			err = errDisconnected // the client disconnected before it had sent the whole request
 		}
 		return false, err
 	}
@@ -75,12 +75,13 @@
 	return nil
 }
 
-// checkResponseTime checks that a request ended in time, by a response or by the close of its connection: within
-// its timeout plus responseGrace. It tolerates the scheduling lag of the test process on top.
+// checkResponseTime checks that a response, or the close of the connection, arrives within the timeout of the
+// request plus responseGrace. It also allows for the scheduling lag of the test process.
 func (c *client) checkResponseTime(request *history.Request) {
 	late := time.Since(request.SentAt) - request.Timeout - responseGrace
 	if late > c.history.Lag.MaxNear(time.Now()) {
-		c.history.RecordViolationf("late", c.incarnation, "request %s ended %v too late, want its end within %v",
+		c.history.RecordViolationf("late", c.incarnation,
+			"response to request %s, or the close of its connection, came %v late, want it within %v after the request",
 			request.ID, late, request.Timeout+responseGrace)
 	}
 }
