--- a/internal/soak/server.go
+++ b/internal/soak/server.go
@@ -12,7 +12,7 @@
 	"calicohinge/internal/testkit"
 )
 
-// The shares of attempts to which a server responds with each of its faults.
+// The probabilities with which a server injects each fault into its response to an attempt.
 const (
 	errorShare        = 0.02
 	resetShare        = 0.02
@@ -29,7 +29,8 @@
 	faultReset                           // the connection is closed without a response
 )
 
-// chooseFault returns a random fault with the probabilities of the shares above.
+// chooseFault returns a random fault. The probability of each fault is its share: errorShare, resetShare or
+// notProcessedShare.
 func chooseFault() serverFault {
 	chosen := rand.Float64()
 	switch {
@@ -61,8 +62,8 @@
 	endpoint endpointjson.Endpoint
 }
 
-// startServer starts a server, which stops at the end of the test. A zero joinedAt marks a server that is listed
-// from the start of the run.
+// startServer starts a server, which stops at the end of the test. The parameter joinedAt is the time at which it
+// starts; zero if it is listed from the start of the run.
 func startServer(t *testing.T, records *history.History, id string, joinedAt time.Time) *server {
 	t.Helper()
 	s := &server{record: &history.Server{ID: id, JoinedAt: joinedAt}, history: records}
