--- a/internal/soak/discovery.go
+++ b/internal/soak/discovery.go
@@ -22,8 +22,8 @@
 	omitDrainingShare = 0.5                    // share of snapshots that omit draining servers
 )
 
-// discovery is the discovery service. Each incarnation of a node, and each reload of its configuration, uses a
-// new address of the service.
+// discovery is the discovery service. Each incarnation of a node starts with a new address of the service, and each
+// reload of the configuration changes to another new address.
 type discovery struct {
 	t      *testing.T
 	record *history.Discovery
@@ -31,10 +31,10 @@
 	mu         sync.Mutex
 	changes    [][]endpointjson.Endpoint        // the changed endpoints of each generation, starting with generation 1
 	current    map[string]endpointjson.Endpoint // the endpoints of the latest generation, by ID
-	changed    chan struct{}                    // closed when pending watches must complete, then replaced
-	fault      scenario.DiscoveryFault
-	faultStart time.Time // of fault; set when it replaces another
-	machines   []*testkit.Machine
+	changed    chan struct{}                    // closed to end the wait of the pending watches, then replaced
+	fault      scenario.DiscoveryFault          // the current fault
+	faultStart time.Time                        // when fault was last set; zero if never
+	machines   []*testkit.Machine               // one for each address of the service
 }
 
 func newDiscovery(t *testing.T, record *history.Discovery) *discovery {
@@ -44,8 +44,8 @@
 	}
 }
 
-// newAddress returns a new address of the service for an incarnation of a node. Lists that are requested there
-// are recorded as delivered to that incarnation.
+// newAddress returns a new address of the service for an incarnation of a node. The endpoint lists that are requested
+// at this address are recorded as delivered to the incarnation.
 func (d *discovery) newAddress(incarnation *history.Incarnation) string {
 	machine := testkit.NewMachine(d.t, func(r *http.Request) testkit.Response { return d.respond(incarnation, r) })
 	d.mu.Lock()
@@ -74,13 +74,13 @@
 	return uint64(len(d.changes))
 }
 
-// completeWatches completes all pending watches. The caller holds d.mu.
+// completeWatches ends the wait of all pending watches, so that they get their responses. The caller holds d.mu.
 func (d *discovery) completeWatches() {
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// setFault starts a fault. DiscoveryHealthy ends the current one.
+// setFault starts a fault, which replaces the current one. DiscoveryHealthy only ends the current fault.
 func (d *discovery) setFault(fault scenario.DiscoveryFault) {
 	previous, machines := d.replaceFault(fault)
 	var partitions sync.WaitGroup
@@ -95,8 +95,8 @@
 	partitions.Wait()
 }
 
-// replaceFault sets the fault and records the end of an outage. It returns the previous fault and the machines
-// behind all addresses.
+// replaceFault sets the fault. If the previous fault made the service unreachable, replaceFault records the outage. It
+// returns the previous fault and the machines of all addresses.
 func (d *discovery) replaceFault(fault scenario.DiscoveryFault) (scenario.DiscoveryFault, []*testkit.Machine) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -114,8 +114,8 @@
 
 // listQuery is the query of a call for the endpoint list.
 type listQuery struct {
-	watch bool   // whether the call waits for a generation later than after
-	after uint64 // the generation that the node has; only with watch
+	watch bool   // whether the call waits for a generation later than the one in the field after
+	after uint64 // the latest generation that the node has received; only valid if watch is true
 }
 
 // parseQuery returns the query of a call. A call without a valid generation is not a watch.
@@ -150,8 +150,8 @@
 	}
 }
 
-// awaitChange blocks a watch of an up-to-date node until the next change or fault, or until the wait that the
-// watch requests is over. It blocks only while the service is healthy.
+// awaitChange blocks a watch of an up-to-date node until the endpoint list or the fault changes, or until the wait
+// time that the watch requests has passed. It does not block if the service has a fault.
 func (d *discovery) awaitChange(requested listQuery, r *http.Request) {
 	d.mu.Lock()
 	changed, generation, fault := d.changed, uint64(len(d.changes)), d.fault
@@ -172,7 +172,7 @@
 	return d.snapshot()
 }
 
-// delta returns a delta: the endpoints that changed after a generation, each in its latest state. The caller
+// delta returns a delta: the endpoints that changed after the given generation, each in its latest state. The caller
 // holds d.mu.
 func (d *discovery) delta(after uint64) endpointjson.List {
 	list := endpointjson.List{Generation: uint64(len(d.changes))}
@@ -188,7 +188,8 @@
 	return list
 }
 
-// snapshot returns a snapshot. It randomly omits the draining servers. The caller holds d.mu.
+// snapshot returns a snapshot. With the probability omitDrainingShare, it omits the draining servers. The caller holds
+// d.mu.
 func (d *discovery) snapshot() endpointjson.List {
 	list := endpointjson.List{Generation: uint64(len(d.changes)), Reset: true}
 	withoutDraining := rand.Float64() < omitDrainingShare
