--- a/internal/soak/apply.go
+++ b/internal/soak/apply.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// setDiscoveryFault starts or ends a fault of the discovery service. The timeline shows the start before the
-// fault takes effect and the end afterwards, so that it covers the whole fault.
+// setDiscoveryFault starts or ends a fault of the discovery service. It logs the start before the fault takes effect
+// and the end after the fault has ended, so that the period in the timeline contains the whole fault.
 func (r *runner) setDiscoveryFault(action scenario.SetDiscoveryFault) {
 	ends := action.Fault == scenario.DiscoveryHealthy
 	if !ends {
@@ -69,7 +69,7 @@
 	r.history.Logf("generation %d: %s is %s", generation, delisted.InstanceID, lifecycle)
 }
 
-// addServer starts a server process and publishes its endpoint.
+// addServer starts a server process with the given ID and publishes its endpoint.
 func (r *runner) addServer(id string) {
 	server := startServer(r.t, r.history, id, time.Now())
 	r.history.Logf("generation %d: %s starts", r.discovery.publish(server.endpoint), id)
