--- a/internal/soak/report.go
+++ b/internal/soak/report.go
@@ -13,9 +13,9 @@
 	logLinesShown   = 40 // maximum number of log lines per incarnation with a reported violation
 )
 
-// report fails the test for each violation, up to violationsShown of each rule, and if fewer than half of the
-// requests got a response. It logs the timeline of a run with violations and the ends of the logs of the
-// incarnations whose violations it reports.
+// report fails the test if there are violations or if fewer than half of the requests got a response. It reports up
+// to violationsShown violations of each rule and logs the last lines of each incarnation with a reported violation.
+// If there are violations, it also logs the timeline of the run.
 func (r *runner) report(t *testing.T) {
 	t.Helper()
 	summary := r.history.Summary()
