--- a/internal/soak/scenario/scenario.go
+++ b/internal/soak/scenario/scenario.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	// Duration is the minimum duration of the schedules. All nodes are shut down after it.
+	// Duration is the minimum time for which the schedule runs. Afterwards all nodes are shut down.
 	Duration = 16 * time.Second
-	// Servers is the number of servers that are listed from the start.
+	// Servers is the number of servers that are listed from the start of the run.
 	Servers = 6
 )
 
 // Scenario is the part of a soak run that its seed determines.
 type Scenario struct {
 	Seed            uint64
-	HighConcurrency bool // many clients that send rarely, instead of a few that send often
+	HighConcurrency bool // whether many clients send rarely, instead of a few clients that send often
 	Nodes           int  // number of nodes
 	Settings        Settings
 	Schedule        Schedule
@@ -35,8 +35,8 @@
 	return scenario
 }
 
-// NewRandom returns a random number generator. Each pair of a seed and a sequence number has its own sequence;
-// Generate uses sequence 0.
+// NewRandom returns a random number generator. Each pair of a seed and a sequence number yields a different sequence
+// of random numbers. Generate uses sequence number 0.
 func NewRandom(seed, sequence uint64) *rand.Rand {
 	var bytes [32]byte
 	binary.LittleEndian.PutUint64(bytes[:], seed)
