--- a/internal/soak/scenario/settings.go
+++ b/internal/soak/scenario/settings.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// Class is a class of requests.
+// Class contains the settings of a class of requests.
 type Class struct {
 	Name         string
 	Effect       Effect
 	Deadline     time.Duration
-	KeyRetention time.Duration // how long servers remember idempotency keys; 0: the class has none
+	KeyRetention time.Duration // how long servers remember idempotency keys; 0 if requests of the class have no key
 }
 
-// Effect is the effect of executing a request, under the name that it has in the settings.
+// Effect is the kind of effect that executing a request has. Its values are those of the configuration file.
 type Effect string
 
 // The effects of a class.
@@ -26,14 +26,21 @@
 
 // Settings contains the settings of the nodes that vary between runs or that the checks of the soak need.
 type Settings struct {
-	Mode             string // discovery mode
-	Classes          []Class
-	DrainGrace       time.Duration
-	SlowStartShare   float64       // fraction of its capacity that a server has when it starts
-	SlowStart        time.Duration // time after its start by which a server is warm
-	OverloadMultiple float64       // multiple of its current capacity that a server tolerates while it is warming up
-	OverloadWindow   time.Duration // time over which the requests to such a server are counted
-	Hedging          bool
+	Mode    string // discovery mode: "pushed" or "on_request"
+	Classes []Class
+
+	// DrainGrace is how long a node may send attempts to a draining or removed server after it was notified of the
+	// state of the server.
+	DrainGrace time.Duration
+
+	SlowStartShare float64       // fraction of its full capacity that a server has when it starts
+	SlowStart      time.Duration // time from the start of a server until the server is warm
+
+	// OverloadMultiple is the multiple of its current capacity that a server tolerates while it is warming up.
+	OverloadMultiple float64
+
+	OverloadWindow time.Duration // time over which the requests to a server that is warming up are counted
+	Hedging        bool          // whether nodes may send hedged requests
 }
 
 // generateSettings returns the random settings of a run.
@@ -55,7 +62,8 @@
 	}
 }
 
-// JSON returns the settings of one node as they are written in its configuration file.
+// JSON returns the settings of one node in the format of the configuration file. The parameters are the index of the
+// node and the number of all nodes.
 func (s *Settings) JSON(node, nodes int) (json.RawMessage, error) {
 	classes := make([]map[string]any, 0, len(s.Classes))
 	for _, class := range s.Classes {
@@ -74,7 +82,7 @@
 	})
 }
 
-// settings returns the settings of the class as they are written in a configuration file.
+// settings returns the settings of the class in the format of the configuration file.
 func (c *Class) settings() map[string]any {
 	settings := map[string]any{
 		"Name": c.Name, "Effect": c.Effect, "DeadlineMs": c.Deadline.Milliseconds(),
@@ -86,14 +94,15 @@
 	return settings
 }
 
-// KillDelay returns the shortest time after SIGTERM after which the operators' contract allows a node to be
-// killed: 700 ms after the longest deadline.
+// KillDelay returns the shortest time between SIGTERM and SIGKILL that the operators' contract allows: LongestDeadline
+// plus 700 ms.
 func (s *Settings) KillDelay() time.Duration {
 	const extra = 700 * time.Millisecond
 	return s.LongestDeadline() + extra
 }
 
-// LongestDeadline returns the longest deadline of all classes, limited to 3 s.
+// LongestDeadline returns the longest deadline of all classes, but at most 3 s: longer deadlines do not extend the
+// time for which the operators' contract lets a node run after SIGTERM.
 func (s *Settings) LongestDeadline() time.Duration {
 	const limit = 3 * time.Second
 	longest := time.Duration(0)
