--- a/internal/soak/scenario/schedule.go
+++ b/internal/soak/scenario/schedule.go
@@ -10,19 +10,19 @@
 
 // Event is an action at a given time of a run.
 type Event struct {
-	At     time.Duration // since the clients started
+	At     time.Duration // time since the start of the run
 	Action Action
 }
 
 // Schedule contains the faults of a run and the signals at its end.
 type Schedule struct {
-	InitialClockOffsets []time.Duration  // how far the wall clock of each node is ahead when the node first starts
+	InitialClockOffsets []time.Duration  // by node: how far its wall clock is ahead at the start of the run
 	Concurrent          [][]Event        // fault schedules that run concurrently, each ordered by time
 	FinalSignals        []syscall.Signal // signals to each node after the SIGTERM at the end of the run
 }
 
-// generateSchedule generates a schedule. The parts share one random sequence: generating them in another order
-// would change the scenario of every seed.
+// generateSchedule generates a schedule. All parts use the same random number generator, so generating them in another
+// order would change the scenario of every seed.
 func generateSchedule(random *rand.Rand, nodes int) Schedule {
 	schedule := Schedule{FinalSignals: generateSignals(random)}
 	for range nodes {
@@ -64,7 +64,7 @@
 
 // generateDiscoveryFaults returns the start and end of one or two faults of the discovery service.
 func generateDiscoveryFaults(random *rand.Rand) []Event {
-	faults := []DiscoveryFault{
+	faults := []DiscoveryFault{ // DiscoveryUnresponsive is twice as likely as each other fault
 		DiscoveryUnresponsive, DiscoveryUnresponsive, DiscoveryUnavailable, DiscoveryReset, DiscoverySlow,
 	}
 	var events []Event
@@ -82,8 +82,8 @@
 	return events
 }
 
-// generateServerReplacements returns the replacements of some servers. Each replaced server drains and is removed;
-// then its replacement starts, the first one under the ID of the removed server, the others under new IDs.
+// generateServerReplacements returns the replacements of three servers. Each of these servers drains and is removed;
+// then another server process starts. The first replacement has the ID of the removed server, the others have new IDs.
 func generateServerReplacements(random *rand.Rand) []Event {
 	const changes = 3
 	var events []Event
@@ -101,7 +101,7 @@
 	return events
 }
 
-// ServerID returns the ID of a server that is listed from the start.
+// ServerID returns the ID of a server that is listed from the start of the run, given its index.
 func ServerID(server int) string { return fmt.Sprintf("s-%d", server) }
 
 // generateHang returns the start and end of the hang of one server.
@@ -120,7 +120,8 @@
 	for at := stepInterval; at < Duration; at += stepInterval {
 		events = append(events, Event{at, StepClock{node, generateClockOffset(random)}})
 	}
-	for third := range time.Duration(3) { // the operators' contract allows one pause at a time
+	// The operators' contract allows one pause at a time, so there is one in each third of the run.
+	for third := range time.Duration(3) {
 		at := randomDuration(random, third*Duration/3, (third+1)*Duration/3-time.Second)
 		events = append(events, Event{at, PauseNode{node}})
 	}
