--- a/internal/soak/scenario/action.go
+++ b/internal/soak/scenario/action.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Action is one step of a fault schedule. It identifies a node or a server by its index, except StartServer,
-// which has an ID.
+// Action is one step of a fault schedule. The actions identify a node or a server by its index, except StartServer,
+// which contains the ID of the new server.
 type Action interface{ fmt.Stringer }
 
 // DiscoveryFault is a fault of the discovery service.
@@ -16,14 +16,13 @@
 // The faults of the discovery service.
 const (
 	DiscoveryHealthy      DiscoveryFault = iota // no fault
-	DiscoveryUnresponsive                       // a network partition cuts off its machine
-	DiscoveryUnavailable                        // it responds with status 503
-	DiscoveryReset                              // it resets the connections of calls
-	DiscoverySlow                               // it delays its responses; it is still considered reachable
+	DiscoveryUnresponsive                       // a network partition cuts off the machine of the service
+	DiscoveryUnavailable                        // the service responds with status 503
+	DiscoveryReset                              // the service resets the connections of calls
+	DiscoverySlow                               // the service delays its responses, but counts as reachable
 )
 
 // String implements fmt.Stringer.
-
 func (f DiscoveryFault) String() string {
 	switch f {
 	case DiscoveryHealthy:
@@ -42,7 +41,7 @@
 
 // The actions on the discovery service and on servers.
 type (
-	// SetDiscoveryFault starts a fault of the discovery service; DiscoveryHealthy ends the current one.
+	// SetDiscoveryFault starts a fault of the discovery service. DiscoveryHealthy ends the current fault.
 	SetDiscoveryFault struct{ Fault DiscoveryFault }
 	// DrainServer publishes a server as draining.
 	DrainServer struct{ Server int }
@@ -58,14 +57,14 @@
 
 // The actions on nodes.
 type (
-	// StepClock steps a node's wall clock, so that it is ahead by an offset.
+	// StepClock steps a node's wall clock, so that it is ahead of the machine's by an offset.
 	StepClock struct {
 		Node        int
 		ClockOffset time.Duration
 	}
 	// PauseNode stops a node's process for the longest pause that the operators' contract allows.
 	PauseNode struct{ Node int }
-	// ReloadNode changes a node's address of the discovery service and sends SIGHUP.
+	// ReloadNode changes the address of the discovery service in a node's configuration file and sends SIGHUP.
 	ReloadNode struct{ Node int }
 	// RestartNode shuts a node down by SIGTERM and further signals, and starts it again.
 	RestartNode struct {
