--- a/internal/soak/history/history.go
+++ b/internal/soak/history/history.go
@@ -1,6 +1,6 @@
-// Package history records the events of a soak run, as the clients, the servers, the discovery service and the
-// nodes observed them. Package soak writes the history, package check reads it. All methods are safe for
-// concurrent use. Exported fields are set before their value is shared, unless their comment says otherwise.
+// Package history records the events of a soak run that the clients, the servers, the discovery service and the nodes
+// observe. Package soak writes the history, package check reads it. All methods are safe for concurrent use. An
+// exported field is set before goroutines share its struct, unless the comment of the field says otherwise.
 package history
 
 import (
@@ -29,8 +29,8 @@
 type Violation struct {
 	Rule        string // short name of the rule
 	At          time.Time
-	Incarnation *Incarnation // the incarnation that violated the rule; nil: no specific or no known one
-	Text        string       // what was observed
+	Incarnation *Incarnation // the incarnation that violated the rule; nil if not known or not a specific one
+	Text        string       // what was observed and what is allowed
 }
 
 // New returns the history of a run that starts now.
@@ -82,23 +82,23 @@
 	request.DisconnectedAt = time.Now()
 }
 
-// CountResponse counts a request with a complete response.
+// CountResponse counts a request whose response arrived completely.
 func (h *History) CountResponse() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.responses++
 }
 
-// CountReset counts a request that no node has read, because its connection was reset in the accept queue of a
-// node that shut down.
+// CountReset counts a request that no node has read because its connection was reset in the accept queue of a node
+// that shut down.
 func (h *History) CountReset() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.resets++
 }
 
-// RecordAttempt records that an attempt arrived at a server, under the ID of its request. An ID that no client
-// has sent is a violation.
+// RecordAttempt records that an attempt of the request with the given ID arrived at a server. If no client has sent a
+// request with this ID, it records a violation.
 func (h *History) RecordAttempt(id string, attempt Attempt) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -112,7 +112,7 @@
 	request.Attempts = append(request.Attempts, attempt)
 }
 
-// Requests returns all requests, in no particular order. They change while clients and servers run.
+// Requests returns all requests, in no particular order. The requests change while clients and servers run.
 func (h *History) Requests() []*Request {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -137,7 +137,7 @@
 	return slices.Clone(h.servers)
 }
 
-// RecordViolationf records a violation with the current time and a formatted text.
+// RecordViolationf records a violation of a rule at the current time, with a formatted text.
 func (h *History) RecordViolationf(rule string, incarnation *Incarnation, format string, arguments ...any) {
 	h.RecordViolation(Violation{
 		Rule: rule, At: time.Now(), Incarnation: incarnation, Text: fmt.Sprintf(format, arguments...),
