--- a/internal/soak/history/incarnation.go
+++ b/internal/soak/history/incarnation.go
@@ -15,14 +15,15 @@
 	mu           sync.Mutex
 	deliveries   []delivery
 	reloads      []time.Time // when SIGHUP was sent
-	terminatedAt time.Time   // when the first SIGTERM was sent; zero: not yet
+	terminatedAt time.Time   // when the first SIGTERM was sent; zero if not yet
 	logLines     []string
 
 	pauses lagSeries // the pauses that the process reported in its log
 }
 
-// pausePrefix is the start of a log line that reports a pause; the duration follows. A process reports its pauses
-// if its program was built by balancertest.BuildInstrumented.
+// pausePrefix is the start of a log line that reports a pause. The rest of the line is the duration of the pause, as
+// time.Duration formats it. A process reports its pauses if its program was built by
+// balancertest.BuildInstrumented.
 const pausePrefix = "paused for "
 
 // delivery is the delivery of an endpoint list to a node.
@@ -59,7 +60,8 @@
 	return !i.terminatedAt.IsZero()
 }
 
-// RecordLogLine records a line of the process's log. A report of a pause is recorded as a pause that has just ended.
+// RecordLogLine records a line of the process's log. If the line reports a pause, RecordLogLine also records a pause
+// that ends now.
 func (i *Incarnation) RecordLogLine(line string) {
 	if text, ok := strings.CutPrefix(line, pausePrefix); ok {
 		if pause, err := time.ParseDuration(text); err == nil {
@@ -71,8 +73,8 @@
 	i.logLines = append(i.logLines, line)
 }
 
-// MaxPauseNear returns the longest pause of the process around a time, as the process reported it. During a pause,
-// the system does not schedule the process.
+// MaxPauseNear returns the longest pause around a time that the process reported, or 0 if there is none. During a
+// pause, the system does not schedule the process.
 func (i *Incarnation) MaxPauseNear(at time.Time) time.Duration { return i.pauses.MaxNear(at) }
 
 // LastLines returns up to count lines from the end of the process's log.
