--- a/internal/soak/history/request.go
+++ b/internal/soak/history/request.go
@@ -14,7 +14,7 @@
 	Timeout     time.Duration // the timeout that the client sent
 
 	SentAt         time.Time // set by RecordRequest
-	DisconnectedAt time.Time // set by RecordDisconnect; zero: the client did not disconnect early
+	DisconnectedAt time.Time // set by RecordDisconnect; zero if the client did not disconnect early
 	Attempts       []Attempt // added by RecordAttempt, in order of arrival
 }
 
@@ -23,5 +23,5 @@
 	Server      *Server
 	At          time.Time     // time of arrival
 	Timeout     time.Duration // the timeout that the node sent to the server
-	NotExecuted bool          // whether the server guarantees in its response that it did not execute the request
+	NotExecuted bool          // whether the response of the server guarantees that the request was not executed
 }
