--- a/internal/soak/history/server.go
+++ b/internal/soak/history/server.go
@@ -9,15 +9,15 @@
 // Server is one process of a server.
 type Server struct {
 	ID       string
-	JoinedAt time.Time   // its start time; zero: it is listed from the start of the run
-	Hanging  atomic.Bool // whether it accepts requests and does not respond; changes during the run
+	JoinedAt time.Time   // start time of the process; zero if the server is listed from the start of the run
+	Hanging  atomic.Bool // whether the server accepts requests without responding; changes during the run
 
 	// DelistedGeneration is the first generation in which the server is draining or removed. It is 0 until such a
 	// generation is published.
 	DelistedGeneration atomic.Uint64
 
 	mu       sync.Mutex
-	arrivals []time.Time // of attempts
+	arrivals []time.Time // arrival times of all attempts
 }
 
 // RecordArrival records that an attempt arrived at the server.
