--- a/internal/soak/history/discovery.go
+++ b/internal/soak/history/discovery.go
@@ -12,7 +12,7 @@
 // value is ready to use.
 type Discovery struct {
 	mu        sync.Mutex
-	published []time.Time // by generation; index 0 is generation 1
+	published []time.Time // when each generation was published; index 0 is generation 1
 	outages   []outage    // the outages that have ended, in order of time
 }
 
@@ -40,8 +40,8 @@
 	return d.published[generation-1]
 }
 
-// reachableSince returns the earliest time, not before from, at which a period of the given span without an outage
-// starts.
+// reachableSince returns the start of the earliest period that has the length span, starts at or after from, and
+// contains no outage.
 func (d *Discovery) reachableSince(from time.Time, span time.Duration) time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -54,13 +54,14 @@
 }
 
 // NotifiedAt returns when an incarnation is considered notified of a generation. This is the earliest of:
-//   - the delivery of a list of this generation or a later one;
+//   - the delivery of an endpoint list of this or a later generation;
 //   - the end of the notification deadline;
 //   - the end of the address change deadline of a reload.
 //
-// The notification deadline starts when the generation is published or, if it is later, when the incarnation
-// starts. An outage restarts it. The address change deadline starts at the reload. It applies only if the reload
-// comes after the publication and after the start, and if no outage interrupts the deadline.
+// The notification deadline counts from the publication of the generation or from the start of the incarnation,
+// whichever is later. If an outage overlaps the time until the deadline, the deadline counts from the end of the
+// outage. The address change deadline counts from the reload. It applies only to a reload that comes after both the
+// publication and the start, and only if no outage overlaps the time until the deadline.
 func (d *Discovery) NotifiedAt(incarnation *Incarnation, generation uint64) time.Time {
 	known := d.PublishedAt(generation)
 	if known.Before(incarnation.StartedAt) {
