--- a/internal/soak/history/scheduling_lag.go
+++ b/internal/soak/history/scheduling_lag.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	// lagInterval is the interval at which the lag is measured.
+	// lagInterval is the interval at which the lag is measured. Only longer lags are recorded.
 	lagInterval = 5 * time.Millisecond
-	// lagWindow is the distance from a given time within which MaxNear considers samples.
+	// lagWindow is how far before or after a given time a lag may be for MaxNear to include it.
 	lagWindow = 500 * time.Millisecond
 )
 
-// SchedulingLag measures by how much the system schedules the test process late. The times that the process
-// records may be late by as much.
+// SchedulingLag measures how late the system schedules the test process. The times that the process records may be
+// late by the same amount.
 type SchedulingLag struct {
 	lagSeries
 	stop chan struct{}
@@ -28,11 +28,11 @@
 
 // lagSample is one lag or pause.
 type lagSample struct {
-	at  time.Time // its end
-	lag time.Duration
+	at  time.Time     // end of the lag or pause
+	lag time.Duration // length of the lag or pause
 }
 
-// MeasureSchedulingLag starts a measurement. The caller must stop it.
+// MeasureSchedulingLag starts a measurement. The caller must call Stop to end it.
 func MeasureSchedulingLag() *SchedulingLag {
 	l := &SchedulingLag{stop: make(chan struct{})}
 	go l.measure()
@@ -64,8 +64,8 @@
 	s.samples = append(s.samples, lagSample{time.Now(), lag})
 }
 
-// MaxNear returns the longest lag around a time: of those that ended within lagWindow before it or began within
-// lagWindow after it. It returns 0 if there is none.
+// MaxNear returns the longest lag around a time, or 0 if there is none. It includes the lags that ended at most
+// lagWindow before the time and the lags that began at most lagWindow after the time.
 func (s *lagSeries) MaxNear(at time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
