--- a/internal/soak/check/check.go
+++ b/internal/soak/check/check.go
@@ -1,6 +1,6 @@
 // Package check contains the rules of the soak that need the whole history of a run: the rules on attempts and
-// on slow start. It returns the violations of these rules. Package soak records the violations that a client, a
-// server or a node notices during the run, such as a lost request or a late shutdown.
+// on slow start. It returns the violations of these rules. Violations that can be detected during the run, such as a
+// lost request or a late shutdown, are recorded by package soak.
 package check
 
 import (
@@ -40,5 +40,5 @@
 	})
 }
 
-// lag returns by how much an event that was recorded around a time may be recorded late.
+// lag returns how late an event around a time may have been recorded: the longest scheduling lag around that time.
 func (c *checker) lag(at time.Time) time.Duration { return c.History.Lag.MaxNear(at) }
