--- a/internal/soak/check/attempts.go
+++ b/internal/soak/check/attempts.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	// pauseSlack is how long a node may be paused between reading its clock and writing to a socket.
+	// pauseSlack is how long the process of a node may be paused between reading the clock and writing to a socket.
 	pauseSlack = 150 * time.Millisecond
 	// socketSlack is the tolerance that the operators' contract adds to each time limit on sockets.
 	socketSlack = 50 * time.Millisecond
-	// disconnectSlack is how long after its client has disconnected an attempt may still arrive at a server.
+	// disconnectSlack is how long after the client has disconnected attempts may still arrive at servers.
 	disconnectSlack = 100 * time.Millisecond
 )
 
@@ -28,8 +28,9 @@
 	}
 }
 
-// allowedPause returns how long the node may have been paused before an attempt: pauseSlack, or the longest pause
-// around the attempt that the node reported, if that is longer. A busy machine causes such pauses.
+// allowedPause returns how long the process of the node may have been paused before an attempt: pauseSlack, or the
+// longest pause that the process reported around the time of the attempt, if that is longer. A busy machine causes
+// such pauses.
 func allowedPause(request *history.Request, attempt *history.Attempt) time.Duration {
 	if request.Incarnation == nil {
 		return pauseSlack
@@ -37,8 +38,8 @@
 	return max(pauseSlack, request.Incarnation.MaxPauseNear(attempt.At))
 }
 
-// checkDrain checks that no attempt arrives at a draining or removed server once the drain grace has passed since
-// the node was notified of the server's state.
+// checkDrain checks that no attempt arrives at a draining or removed server later than the drain grace after the node
+// was notified of the server's state. It also allows for socketSlack, pauseSlack and the scheduling lag.
 func (c *checker) checkDrain(request *history.Request, attempt *history.Attempt) {
 	discovery := &c.History.Discovery
 	generation := attempt.Server.DelistedGeneration.Load()
@@ -49,34 +50,36 @@
 	late := attempt.At.Sub(notified) - c.Settings.DrainGrace - socketSlack - pauseSlack
 	if late > c.lag(attempt.At) {
 		c.addViolation("drain", attempt.At, request,
-			"attempt arrived at %s %v after the node was notified of generation %d at %v, want at most the drain grace of %v",
+			"attempt arrived at %s %v after the notification of generation %d (%v into the run), want at most %v (drain grace)",
 			attempt.Server.ID, attempt.At.Sub(notified), generation, notified.Sub(c.History.StartTime()), c.Settings.DrainGrace)
 	}
 }
 
-// checkDeadline checks that the timeout sent to the server is not longer than the time until the client's deadline.
+// checkDeadline checks that the timeout sent to the server is at most the time that was left until the client's
+// deadline when the attempt arrived. It also allows for a pause of the node's process and the scheduling lag.
 func (c *checker) checkDeadline(request *history.Request, attempt *history.Attempt) {
 	left := request.SentAt.Add(request.Timeout).Sub(attempt.At)
 	if excess := attempt.Timeout - left - allowedPause(request, attempt); excess > c.lag(attempt.At) {
 		c.addViolation("deadline", attempt.At, request,
-			"server received a timeout of %v, want at most the %v until the client's deadline", attempt.Timeout, left)
+			"server received a timeout of %v, want at most %v (time left until the client's deadline)", attempt.Timeout, left)
 	}
 }
 
-// checkDisconnect checks that no attempt arrives at a server more than disconnectSlack after its client has
-// disconnected.
+// checkDisconnect checks that no attempt arrives at a server more than disconnectSlack after the client of the request
+// has disconnected. It also allows for the scheduling lag.
 func (c *checker) checkDisconnect(request *history.Request, attempt *history.Attempt) {
 	if request.DisconnectedAt.IsZero() {
 		return
 	}
 	if late := attempt.At.Sub(request.DisconnectedAt) - disconnectSlack; late > c.lag(attempt.At) {
 		c.addViolation("disconnect", attempt.At, request,
-			"attempt arrived %v after its client had disconnected, want at most %v", late+disconnectSlack, disconnectSlack)
+			"attempt arrived %v after the client had disconnected, want at most %v", late+disconnectSlack, disconnectSlack)
 	}
 }
 
-// checkRetry checks that an attempt is allowed after the earlier attempts of its request: a request that a server
-// may have executed is sent again only if executing it twice is harmless.
+// checkRetry checks that an attempt is allowed after the earlier attempts of its request. If a server may have executed
+// an earlier attempt, another attempt is allowed only if a second execution has no further effect: at any time for
+// EffectPure, within the key retention for EffectToken, never for EffectSideEffect.
 func (c *checker) checkRetry(request *history.Request, index int) {
 	attempt, class := &request.Attempts[index], &request.Class
 	for _, earlier := range request.Attempts[:index] {
@@ -87,14 +90,14 @@
 		switch class.Effect {
 		case scenario.EffectSideEffect:
 			c.addViolation("duplicate", attempt.At, request,
-				"another attempt arrived %v after one that may have been executed, want none", age)
+				"attempt arrived %v after an earlier attempt that may have been executed, want no further attempt", age)
 		case scenario.EffectToken:
 			if age > class.KeyRetention+c.lag(attempt.At) {
 				c.addViolation("duplicate", attempt.At, request,
-					"another attempt arrived %v after one that may have been executed, want at most the key retention of %v",
+					"attempt arrived %v after an earlier attempt that may have been executed, want at most %v (key retention)",
 					age, class.KeyRetention)
 			}
-		case scenario.EffectPure: // idempotent: may be sent again at any time
+		case scenario.EffectPure: // another attempt is allowed at any time
 		}
 	}
 }
