--- a/internal/soak/check/slow_start.go
+++ b/internal/soak/check/slow_start.go
@@ -8,8 +8,8 @@
 	"calicohinge/internal/soak/history"
 )
 
-// checkSlowStart checks that no server receives more requests, from all nodes together, than it tolerates while it
-// is warming up.
+// checkSlowStart checks that no server that is warming up receives more requests, from all nodes together, than it
+// tolerates.
 func (c *checker) checkSlowStart() {
 	for _, server := range c.History.Servers() {
 		if !server.JoinedAt.IsZero() {
@@ -18,7 +18,8 @@
 	}
 }
 
-// checkWarmUp checks a server that joined during the run. It reports only the first overload.
+// checkWarmUp checks a server that joined during the run. It counts the requests in windows of the length
+// OverloadWindow that begin every 100 ms until the server is warm or the run ends. It reports only the first overload.
 func (c *checker) checkWarmUp(server *history.Server) {
 	const step = 100 * time.Millisecond
 	warmAt := server.JoinedAt.Add(c.Settings.SlowStart)
@@ -28,7 +29,7 @@
 		if got := server.CountArrivals(at, end); float64(got) > allowed {
 			c.violations = append(c.violations, history.Violation{
 				Rule: "slow start", At: at,
-				Text: fmt.Sprintf("server %s received %d requests within %v, starting %v after its start, want at most %.1f",
+				Text: fmt.Sprintf("server %s received %d requests within %v, counted from %v after its start, want at most %.1f",
 					server.ID, got, c.Settings.OverloadWindow, at.Sub(server.JoinedAt), allowed),
 			})
 			return
@@ -36,7 +37,10 @@
 	}
 }
 
-// slowStartBudget returns how many requests a server that is warming up tolerates in the OverloadWindow [from, to).
+// slowStartBudget returns how many requests a server that is warming up tolerates in the OverloadWindow [from, to):
+// OverloadMultiple times its capacity at the end of the window. The capacity grows linearly during SlowStart, from
+// SlowStartShare of the capacity of a warm server to all of it. The capacity of a warm server is taken to be
+// warmServerRate.
 func (c *checker) slowStartBudget(server *history.Server, from, to time.Time) float64 {
 	s := c.Settings
 	age := min(1, to.Sub(server.JoinedAt).Seconds()/s.SlowStart.Seconds())
@@ -45,7 +49,8 @@
 }
 
 // withRandomVariation adds to a number of requests the excess that the operators' contract allows for random
-// variation.
+// variation: three times the square root of the number plus 3 requests if the number is below 30, otherwise twice the
+// square root plus 2 requests. The square root is the standard deviation of a Poisson-distributed number of requests.
 func withRandomVariation(budget float64) float64 {
 	const smallBudget = 30
 	if budget < smallBudget {
@@ -54,9 +59,10 @@
 	return budget + 2*math.Sqrt(budget) + 2
 }
 
-// warmServerRate returns the highest rate of a warm server in requests per second, of all servers that are listed
-// from the start and do not hang. It includes the time before the given interval, because the nodes estimate the
-// rate from their recent past.
+// warmServerRate returns the highest rate, in requests per second, at which a warm server received requests. A server
+// counts as warm if it is listed from the start of the run; hanging servers are left out. Requests are counted in
+// each second from lookback before the given interval until its end, because the nodes estimate the rate from their
+// recent past.
 func (c *checker) warmServerRate(from, to time.Time) float64 {
 	const lookback = 3 * time.Second
 	maxCount := 0
