--- a/internal/asyncwriter/asyncwriter.go
+++ b/internal/asyncwriter/asyncwriter.go
@@ -1,6 +1,6 @@
 // Package asyncwriter writes log lines asynchronously. A node must not stop serving or fail to shut down because
 // the reader of its log is slow or has exited. The balancer program creates a Writer for its standard error and
-// closes it on exit. The Writer owns the queued lines; lines may be lost while its target blocks.
+// closes it on exit. While the target of the Writer blocks, lines may be lost.
 package asyncwriter
 
 import (
@@ -20,9 +20,9 @@
 	done   chan struct{} // closed when all queued lines are written
 
 	mu      sync.Mutex
-	lines   chan []byte
-	dropped int // lines dropped since one was last queued
-	closed  bool
+	lines   chan []byte // the queue, which holds copies of the lines
+	dropped int         // number of lines dropped since a line was last queued
+	closed  bool        // whether Close was called
 }
 
 // New returns a Writer to target and starts its goroutine. Close ends the goroutine.
@@ -32,8 +32,8 @@
 	return w
 }
 
-// Write queues a copy of line. It never blocks and never fails. If the queue is full, it drops the line; the next
-// line that fits is preceded by one with the number of dropped lines.
+// Write queues a copy of line. It never blocks and never fails. If the queue is full, it drops the line; before the
+// next line that fits, it inserts a line with the number of dropped lines.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
