--- a/internal/decayrate/decayrate.go
+++ b/internal/decayrate/decayrate.go
@@ -3,12 +3,12 @@
 
 import "time"
 
-// Meter estimates a rate per second in which the weights of past events decay approximately exponentially. It stores
-// only their decayed sum. It is not safe for concurrent use.
+// Meter estimates the rate of events per second. The weight of an event in the rate decays approximately
+// exponentially with its age. A Meter stores only the current rate, not the events. It is not safe for concurrent use.
 type Meter struct {
 	timeConstant time.Duration
 	updatedAt    time.Duration
-	rate         float64 // per second, as of updatedAt
+	rate         float64 // rate at the time updatedAt, in weight per second
 }
 
 // New returns a meter with rate 0. After one time constant, an event has decayed to about 1/e of its weight.
@@ -24,7 +24,7 @@
 
 // PerSecond returns the rate as of now, in weight per second.
 func (m *Meter) PerSecond(now time.Duration) float64 {
-	elapsed := (now - m.updatedAt).Seconds() / m.timeConstant.Seconds()
+	elapsed := (now - m.updatedAt).Seconds() / m.timeConstant.Seconds() // in time constants
 	// Dividing by the second-order expansion of exp(elapsed) approximates exp(-elapsed). It is cheap, and the divisor
 	// is always positive.
 	return m.rate / (1 + elapsed + elapsed*elapsed/2)
