--- a/internal/milliseconds/milliseconds.go
+++ b/internal/milliseconds/milliseconds.go
@@ -7,13 +7,14 @@
 	"time"
 )
 
-// limit is a quarter of the range of time.Duration, so that sums of a few converted times do not overflow.
+// limit is a quarter of the longest time.Duration, in milliseconds. ToDuration converts only shorter times, so that
+// sums of a few of them do not overflow.
 const limit = float64(math.MaxInt64) / 4 / float64(time.Millisecond)
 
-// ToDuration converts milliseconds to a duration, rounding to the nanosecond. It returns false for NaN and for values
-// out of range.
+// ToDuration converts milliseconds to a duration, rounded to the nanosecond. It returns false for NaN and for times
+// of about 73 years or more, positive or negative.
 func ToDuration(ms float64) (time.Duration, bool) {
-	inRange := ms > -limit && ms < limit // false for NaN
+	inRange := ms > -limit && ms < limit // false for NaN, because all comparisons with NaN are false
 	if !inRange {
 		return 0, false
 	}
