--- a/internal/outcomewindow/outcomewindow.go
+++ b/internal/outcomewindow/outcomewindow.go
@@ -8,17 +8,19 @@
 type outcome struct {
 	at      time.Duration
 	success bool
-	latency float64 // of a success, in the caller's unit
+	latency float64 // latency of a success, in the caller's unit; 0 for a failure
 }
 
-// Window is a ring buffer of outcomes with running totals. Invariant: the window consists of the length entries
-// before next, and successes and latencySum are the totals over exactly these. It is not safe for concurrent use.
+// Window is a ring buffer of outcomes with running totals. It is not safe for concurrent use.
+//
+// Invariant: the outcomes in the window are the last entries of the ring before index next, as many as the field
+// length says. The totals successes and latencySum cover exactly these outcomes.
 type Window struct {
 	ring       []outcome
 	next       int // index at which the next outcome is written
 	length     int // number of outcomes in the window
 	successes  int
-	latencySum float64 // of the successes
+	latencySum float64 // sum of the latencies of the successes, in the caller's unit
 }
 
 // New returns an empty window that keeps up to capacity outcomes. The capacity must be at least 1.
