--- a/internal/runningmean/runningmean.go
+++ b/internal/runningmean/runningmean.go
@@ -1,15 +1,15 @@
 // Package runningmean computes the mean of a stream of samples without storing them.
 package runningmean
 
-// Mean is the arithmetic mean of the first maxSamples samples and from then on an exponential moving average, in
-// which a sample of Add has the weight 1/maxSamples. The zero value is not usable.
+// Mean is the arithmetic mean of the first maxSamples samples. From then on, it is an exponential moving average, in
+// which a sample that is passed to Add has the weight 1/maxSamples. The zero value is not usable.
 type Mean struct {
 	value      float64
-	samples    float64 // weight of value, in samples
-	maxSamples float64
+	samples    float64 // weight of the mean, in samples
+	maxSamples float64 // greatest weight of the mean, in samples
 }
 
-// New returns a mean without samples. Its weight never exceeds that of maxSamples samples.
+// New returns a mean without samples. Its weight never exceeds the weight of maxSamples samples.
 func New(maxSamples int) Mean { return Mean{maxSamples: float64(maxSamples)} }
 
 // NewWithGuess returns a mean with an initial guess, which counts as one sample.
@@ -20,8 +20,8 @@
 // Add adds a sample to the mean.
 func (m *Mean) Add(sample float64) { m.AddWithPrior(sample, 0) }
 
-// AddWithPrior adds a sample as Add does, but gives the current mean the additional weight of prior samples, so that
-// the new sample changes it less.
+// AddWithPrior adds a sample as Add does, but the new sample changes the mean less: for this sample, the current mean
+// has an additional weight, which prior gives in samples.
 func (m *Mean) AddWithPrior(sample, prior float64) {
 	m.samples = min(m.samples+1, m.maxSamples)
 	m.value += (sample - m.value) / (m.samples + prior)
