--- a/internal/tokenbucket/tokenbucket.go
+++ b/internal/tokenbucket/tokenbucket.go
@@ -6,9 +6,9 @@
 // Bucket is a token bucket that refills at a constant rate. Its capacity is the tokens of one second, but at least
 // one token. It is not safe for concurrent use.
 type Bucket struct {
-	perSecond  float64
-	tokens     float64
-	refilledAt time.Duration
+	perSecond  float64       // tokens refilled per second; 0 means no limit
+	tokens     float64       // tokens available at the time refilledAt
+	refilledAt time.Duration // time of the latest refill
 }
 
 // New returns a bucket that holds the tokens of one second at time 0. A rate of 0 means no limit: Take always
