--- a/internal/downstream/admission.go
+++ b/internal/downstream/admission.go
@@ -71,7 +71,7 @@
 	cs.beginUnreadRequests(now)
 	candidate, wait := cs.evictionCandidate(now)
 	switch {
-	case candidate == nil && cs.open >= cs.config.MaxOpen+cs.config.Reserve:
+	case candidate == nil && cs.open >= cs.config.MaxOpen+cs.config.ReservedConns:
 		return admissionStep{decision: decisionWait, changed: cs.nextChange()}
 	case candidate == nil:
 		c.overLimit = true
--- a/internal/downstream/admission_test.go
+++ b/internal/downstream/admission_test.go
@@ -14,13 +14,15 @@
 // OverLimit. A connection beyond the reserve waits until another connection is closed. The request that
 // the waiting client has already sent must not be lost.
 func TestNewConnWhileAllAreActiveUsesReserve(t *testing.T) {
-	conns := NewConns(Config{MaxOpen: 1, Reserve: 1, MaxReadAhead: testMaxReadAhead, ReadTimeout: testReadTimeout})
+	conns := NewConns(Config{
+		MaxOpen: 1, ReservedConns: 1, MaxReadAheadBytes: testMaxReadAheadBytes, ReadTimeout: testReadTimeout,
+	})
 	listener := listen(t, conns)
 	var last *Conn
 	for _, wantOverLimit := range []bool{false, true} {
 		dial(t, listener)
 		c := accept(t, listener)
-		c.RequestComplete()
+		c.MarkRequestRead()
 		last = c
 		if c.OverLimit() != wantOverLimit {
 			t.Errorf("OverLimit() = %v, want %v", c.OverLimit(), wantOverLimit)
@@ -45,10 +47,10 @@
 
 // A connection that waits for admission is closed when the listener is closed.
 func TestListenerCloseEndsAdmission(t *testing.T) {
-	conns := NewConns(Config{MaxOpen: 1, MaxReadAhead: testMaxReadAhead, ReadTimeout: testReadTimeout})
+	conns := NewConns(Config{MaxOpen: 1, MaxReadAheadBytes: testMaxReadAheadBytes, ReadTimeout: testReadTimeout})
 	listener := listen(t, conns)
 	dial(t, listener)
-	accept(t, listener).RequestComplete()
+	accept(t, listener).MarkRequestRead()
 	waiting := dial(t, listener)
 	accepted := acceptErrInBackground(listener)
 	testkit.Until(t, "the connection beyond the reserve to wait", conns.hasWaiters)
--- a/internal/downstream/conn.go
+++ b/internal/downstream/conn.go
@@ -35,15 +35,15 @@
 	return &Conn{Conn: netConn, raw: raw, conns: conns}, nil
 }
 
-// RequestComplete records that the last byte of a request has been read. The request is active from
-// then on until Conns.ConnState is called with http.StateIdle.
-func (c *Conn) RequestComplete() {
+// MarkRequestRead records that the last byte of a request has been read. The request is active from
+// then on until Conns.HandleConnState is called with http.StateIdle.
+func (c *Conn) MarkRequestRead() {
 	c.conns.mu.Lock()
 	defer c.conns.mu.Unlock()
 	c.conns.markRequestRead(c)
 }
 
-// OverLimit reports whether the connection was accepted from the reserve, see Config.Reserve. Its
+// OverLimit reports whether the connection was accepted from the reserve, see Config.ReservedConns. Its
 // request must be rejected.
 func (c *Conn) OverLimit() bool { return c.overLimit }
 
--- a/internal/downstream/conn_read.go
+++ b/internal/downstream/conn_read.go
@@ -77,7 +77,7 @@
 }
 
 // isBackgroundRead reports whether net/http reads into p only to detect a disconnect. net/http starts
-// this read of a single byte after the last byte of a request, possibly before RequestComplete is
+// this read of a single byte after the last byte of a request, possibly before MarkRequestRead is
 // called. It reads bodies in larger pieces. The caller holds conns.mu.
 func (c *Conn) isBackgroundRead(p []byte) bool {
 	if c.state == stateActive || c.state == stateLingering {
--- a/internal/downstream/conn_state.go
+++ b/internal/downstream/conn_state.go
@@ -8,9 +8,9 @@
 //	transition        from                  to           made when
 //	addConn           accepted              noData       Listener.Accept admits the connection
 //	beginRequest      noData, idle          readingHead  bytes of a request have arrived
-//	markHeadRead      readingHead           readingBody  net/http has read the head (Conns.ConnState, StateActive)
-//	markRequestRead   any but closed        active       the request has been read (Conn.RequestComplete)
-//	completeResponse  any but closed        idle         the response is complete (Conns.ConnState, StateIdle)
+//	markHeadRead      readingHead           readingBody  net/http has read the head (Conns.HandleConnState, StateActive)
+//	markRequestRead   any but closed        active       the request has been read (Conn.MarkRequestRead)
+//	completeResponse  any but closed        idle         the response is complete (Conns.HandleConnState, StateIdle)
 //	                                        readingHead  the same, and bytes of the next request have arrived
 //	                                        closed       the same, in stageDraining or later
 //	beginLingering    any but closed        lingering    the last response has been sent (Conn.LingeringClose)
--- a/internal/downstream/conn_test.go
+++ b/internal/downstream/conn_test.go
@@ -61,7 +61,7 @@
 
 // A connection without a request may time out at the moment when a request arrives, or a busy node
 // may observe both at the same time. The request is read: otherwise the connection would be reset.
-func TestRequestAtTheEndOfTheIdleTimeoutIsRead(t *testing.T) {
+func TestRequestAtIdleTimeoutIsRead(t *testing.T) {
 	forEachConnAwaitingRequest(t, func(t *testing.T, _ *Conns, client net.Conn, c *Conn) {
 		t.Helper()
 		expireRead(t, c)
@@ -90,7 +90,7 @@
 	}
 }
 
-// net/http detects disconnects by reading a single byte, possibly before RequestComplete is called.
+// net/http detects disconnects by reading a single byte, possibly before MarkRequestRead is called.
 // If a client sends more bytes after its request and then disconnects, Read must not return such a
 // byte: net/http would stop reading, and the attempts of the request would not be revoked.
 func TestBackgroundReadReturnsNoBytes(t *testing.T) {
@@ -103,7 +103,7 @@
 			t.Fatalf("Read of the head: got %q, error %v; want %q, no error", buffer[:n], err, want)
 		}
 	}
-	conns.ConnState(c, http.StateActive)
+	conns.HandleConnState(c, http.StateActive)
 	send(t, client, "body and more")
 	if n, err := c.Read(make([]byte, 4)); n != 4 || err != nil {
 		t.Fatalf("Read of the body: got %d bytes, error %v; want 4 bytes, no error", n, err)
--- a/internal/downstream/conns.go
+++ b/internal/downstream/conns.go
@@ -4,7 +4,7 @@
 // tracks where each request begins and ends.
 //
 // Package node serves HTTP on the Listener of a Conns, forwards net/http's ConnState callback,
-// calls Conn.RequestComplete when a request has been read, and calls Listener.StopAccepting,
+// calls Conn.MarkRequestRead when a request has been read, and calls Listener.StopAccepting,
 // Conns.Drain and Conns.Shutdown when the node shuts down. Each Conn moves through the states of
 // connState. Reads, evictions and the shutdown may change a connection at any time, always with
 // the lock of its Conns held.
@@ -25,13 +25,13 @@
 type Config struct {
 	// MaxOpen is the number of open connections at which accepting a new one evicts another.
 	MaxOpen int
-	// Reserve is the number of connections accepted beyond MaxOpen while all open connections
+	// ReservedConns is the number of connections accepted beyond MaxOpen while all open connections
 	// are active. Their requests must be rejected, see Conn.OverLimit.
-	Reserve int
-	// MaxReadAhead is the maximum number of bytes buffered for a client that keeps sending while
+	ReservedConns int
+	// MaxReadAheadBytes is the maximum number of bytes buffered for a client that keeps sending while
 	// its request is active. It must be large enough for one request of maximum size; a client
 	// that sends more is treated as disconnected.
-	MaxReadAhead int
+	MaxReadAheadBytes int
 	// ReadTimeout is the time allowed between the first and the last byte of a request.
 	ReadTimeout time.Duration
 	// LingerTimeout is the longest time that Conn.LingeringClose waits, see DefaultLingerTimeout.
@@ -68,9 +68,9 @@
 	return cs.open
 }
 
-// ConnState is the callback for http.Server.ConnState, which reports when the head of a request
+// HandleConnState is the callback for http.Server.ConnState, which reports when the head of a request
 // has been read and when a response is complete.
-func (cs *Conns) ConnState(netConn net.Conn, state http.ConnState) {
+func (cs *Conns) HandleConnState(netConn net.Conn, state http.ConnState) {
 	c, ok := netConn.(*Conn)
 	if !ok {
 		return
--- a/internal/downstream/disconnect.go
+++ b/internal/downstream/disconnect.go
@@ -4,7 +4,7 @@
 
 // ClientDisconnected reports whether the client of the active request has disconnected. It checks
 // the socket itself, because net/http may not have detected the disconnect yet, and reads received
-// bytes into the read-ahead buffer. A client that sends more than Config.MaxReadAhead bytes is
+// bytes into the read-ahead buffer. A client that sends more than Config.MaxReadAheadBytes bytes is
 // treated as disconnected.
 //
 // Between two requests and in stageClosing it reads nothing: bytes that arrive then belong to a
--- a/internal/downstream/disconnect_test.go
+++ b/internal/downstream/disconnect_test.go
@@ -17,7 +17,7 @@
 	closeClient(t, client)
 	waitForSocketState(t, c, sockstate.Readable)
 	expectRead(t, c, "GET")
-	c.RequestComplete()
+	c.MarkRequestRead()
 	waitForSocketState(t, c, sockstate.Closed)
 	if !c.ClientDisconnected() {
 		t.Error("ClientDisconnected() = false after the client closed the connection, want true")
@@ -29,13 +29,13 @@
 // stay unread then.
 func TestClientDisconnectedLeavesNextRequestUnread(t *testing.T) {
 	for name, prepare := range map[string]func(conns *Conns, c *Conn){
-		"between two requests": func(conns *Conns, c *Conn) { conns.ConnState(c, http.StateIdle) },
+		"between two requests": func(conns *Conns, c *Conn) { conns.HandleConnState(c, http.StateIdle) },
 		"after Shutdown":       func(conns *Conns, _ *Conn) { conns.Shutdown(canceledContext()) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			conns := newTestConns(5)
 			client, c := acceptConn(t, conns)
-			c.RequestComplete()
+			c.MarkRequestRead()
 			prepare(conns, c)
 
 			if c.ClientDisconnected() {
@@ -56,7 +56,7 @@
 func TestClientDisconnectedAfterShutdown(t *testing.T) {
 	conns := newTestConns(5)
 	client, c := acceptConn(t, conns)
-	c.RequestComplete()
+	c.MarkRequestRead()
 	conns.Shutdown(canceledContext())
 	closeClient(t, client)
 	waitForSocketState(t, c, sockstate.Closed)
--- a/internal/downstream/drain_test.go
+++ b/internal/downstream/drain_test.go
@@ -17,9 +17,9 @@
 	for name, closeIdle := range map[string]func(t *testing.T, conns *Conns, c *Conn){
 		"drain": func(_ *testing.T, conns *Conns, _ *Conn) { conns.Drain(canceledContext()) },
 		"response complete while draining": func(_ *testing.T, conns *Conns, c *Conn) {
-			c.RequestComplete()
+			c.MarkRequestRead()
 			conns.advanceTo(stageDraining)
-			conns.ConnState(c, http.StateIdle)
+			conns.HandleConnState(c, http.StateIdle)
 		},
 		"eviction": expectCandidateReadingHead,
 	} {
@@ -70,7 +70,7 @@
 			t.Fatalf("takeWithoutCompleteRequest() = %p, want %p", closing, c)
 		}
 		sendUnread(t, client, c, "GET")
-		conns.ConnState(c, http.StateIdle)
+		conns.HandleConnState(c, http.StateIdle)
 		expectReadError(t, c)
 		if sockstate.Peek(c.Conn) != sockstate.Readable {
 			t.Error("the request was read")
@@ -84,7 +84,7 @@
 	for name, prepare := range map[string]func(conns *Conns, c *Conn){
 		"on a new connection":    func(*Conns, *Conn) {},
 		"between two requests":   makeIdle,
-		"right after a response": func(_ *Conns, c *Conn) { c.RequestComplete() },
+		"right after a response": func(_ *Conns, c *Conn) { c.MarkRequestRead() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			conns := newTestConns(5)
@@ -92,7 +92,7 @@
 			prepare(conns, c)
 			sendUnread(t, client, c, "GET")
 			conns.Shutdown(canceledContext())
-			conns.ConnState(c, http.StateIdle)
+			conns.HandleConnState(c, http.StateIdle)
 			expectRead(t, c, "GET")
 			conns.Shutdown(canceledContext())
 			if c.Closed() {
@@ -128,7 +128,7 @@
 func TestShutdownWaitsForResponses(t *testing.T) {
 	conns := newTestConns(5)
 	_, c := acceptConn(t, conns)
-	c.RequestComplete()
+	c.MarkRequestRead()
 	returned := make(chan struct{})
 	go func() {
 		conns.Shutdown(context.WithoutCancel(t.Context()))
@@ -163,7 +163,7 @@
 	t.Helper()
 	conns := newTestConns(5)
 	client, c := acceptConn(t, conns)
-	c.RequestComplete()
+	c.MarkRequestRead()
 	sendUnread(t, client, c, "GET")
 	if c.ClientDisconnected() { // the call fills the read-ahead buffer
 		t.Fatal("the client is reported as disconnected")
@@ -171,6 +171,6 @@
 
 	shutdownStep(conns)
 
-	conns.ConnState(c, http.StateIdle)
+	conns.HandleConnState(c, http.StateIdle)
 	expectRead(t, c, "GET")
 }
--- a/internal/downstream/helpers_test.go
+++ b/internal/downstream/helpers_test.go
@@ -13,25 +13,25 @@
 )
 
 const (
-	// testMaxReadAhead is the Config.MaxReadAhead of the tests.
-	testMaxReadAhead = 80 << 10
+	// testMaxReadAheadBytes is the Config.MaxReadAheadBytes of the tests.
+	testMaxReadAheadBytes = 80 << 10
 	// testReadTimeout is short because tests wait until it expires.
 	testReadTimeout = 2 * time.Second
 )
 
 func newTestConns(maxOpen int) *Conns {
 	return NewConns(Config{
-		MaxOpen:       maxOpen,
-		MaxReadAhead:  testMaxReadAhead,
-		ReadTimeout:   testReadTimeout,
-		LingerTimeout: DefaultLingerTimeout,
+		MaxOpen:           maxOpen,
+		MaxReadAheadBytes: testMaxReadAheadBytes,
+		ReadTimeout:       testReadTimeout,
+		LingerTimeout:     DefaultLingerTimeout,
 	})
 }
 
 // listen returns a listener that admits connections to conns.
 func listen(t *testing.T, conns *Conns) *Listener {
 	t.Helper()
-	listener := conns.Listener(testkit.Listen(t))
+	listener := conns.NewListener(testkit.Listen(t))
 	t.Cleanup(func() { _ = listener.Close() }) // a test may have closed it
 	return listener
 }
@@ -124,8 +124,8 @@
 
 // makeIdle puts c into stateIdle by completing a request and its response.
 func makeIdle(conns *Conns, c *Conn) {
-	c.RequestComplete()
-	conns.ConnState(c, http.StateIdle)
+	c.MarkRequestRead()
+	conns.HandleConnState(c, http.StateIdle)
 }
 
 // send writes text to a connection.
--- a/internal/downstream/listener.go
+++ b/internal/downstream/listener.go
@@ -33,9 +33,9 @@
 	pause            acceptPause // the latest pause, for QueueTime
 }
 
-// Listener returns a listener that admits its connections to the set. A set has one listener;
+// NewListener returns a listener that admits its connections to the set. A set has one listener;
 // closing it also ends an admission that is waiting for capacity.
-func (cs *Conns) Listener(inner net.Listener) *Listener {
+func (cs *Conns) NewListener(inner net.Listener) *Listener {
 	return &Listener{inner: inner, conns: cs, queued: make(chan net.Conn)}
 }
 
--- a/internal/downstream/listener_test.go
+++ b/internal/downstream/listener_test.go
@@ -42,7 +42,7 @@
 	} {
 		t.Run(fmt.Sprint(errno), func(t *testing.T) {
 			inner := testkit.Listen(t)
-			listener := newTestConns(5).Listener(&failingListener{inner, 3, acceptError(errno)})
+			listener := newTestConns(5).NewListener(&failingListener{inner, 3, acceptError(errno)})
 			client := dial(t, listener)
 			send(t, client, "GET")
 			expectRead(t, accept(t, listener), "GET")
@@ -55,7 +55,7 @@
 	for _, want := range []error{
 		acceptError(syscall.EBADF), acceptError(syscall.EINVAL), acceptError(syscall.ENOTSOCK), net.ErrClosed,
 	} {
-		listener := newTestConns(5).Listener(&failingListener{testkit.Listen(t), 1, want})
+		listener := newTestConns(5).NewListener(&failingListener{testkit.Listen(t), 1, want})
 		if _, err := listener.Accept(); !errors.Is(err, want) {
 			t.Errorf("Accept: got error %v, want %v", err, want)
 		}
@@ -65,7 +65,7 @@
 // Closing the listener interrupts the backoff after a failed accept.
 func TestCloseEndsAcceptBackoff(t *testing.T) {
 	const unlimited = 1 << 30
-	listener := newTestConns(5).Listener(&failingListener{testkit.Listen(t), unlimited, acceptError(syscall.ENFILE)})
+	listener := newTestConns(5).NewListener(&failingListener{testkit.Listen(t), unlimited, acceptError(syscall.ENFILE)})
 	ended := acceptErrInBackground(listener)
 	if err := listener.Close(); err != nil {
 		t.Fatal(err)
@@ -116,7 +116,7 @@
 	const backoff = minAcceptBackoff * (1<<failures - 1)
 	conns := newTestConns(1)
 	inner := &failingListener{Listener: testkit.Listen(t), err: acceptError(syscall.ENFILE)}
-	listener := conns.Listener(inner)
+	listener := conns.NewListener(inner)
 	dial(t, listener)
 	inner.failures = failures
 
@@ -125,7 +125,7 @@
 		t.Errorf("QueueTime() after failed accepts = %v, want at least %v", c.QueueTime(), backoff)
 	}
 
-	c.RequestComplete()
+	c.MarkRequestRead()
 	dial(t, listener)
 	accepted := acceptInBackground(t, listener)
 	testkit.Until(t, "the connection to wait for admission", conns.hasWaiters)
--- a/internal/downstream/read_ahead.go
+++ b/internal/downstream/read_ahead.go
@@ -11,7 +11,7 @@
 // clients rarely send anything during that time.
 const readAheadChunkSize = 4096
 
-// errReadAheadFull is the read error of a client that sends more than Config.MaxReadAhead bytes
+// errReadAheadFull is the read error of a client that sends more than Config.MaxReadAheadBytes bytes
 // before its response is complete. The client is treated as disconnected.
 var errReadAheadFull = errors.New("client exceeded the read-ahead limit while its request was active")
 
@@ -26,7 +26,7 @@
 		switch {
 		case err != nil:
 			c.readErr = err
-		case len(c.readAhead) > c.conns.config.MaxReadAhead:
+		case len(c.readAhead) > c.conns.config.MaxReadAheadBytes:
 			c.readErr = errReadAheadFull
 		case n == 0:
 			return
--- a/internal/downstream/read_ahead_test.go
+++ b/internal/downstream/read_ahead_test.go
@@ -9,26 +9,26 @@
 	"calicohinge/internal/testkit"
 )
 
-// Bytes that arrive before a response is complete are buffered up to Config.MaxReadAhead and read
+// Bytes that arrive before a response is complete are buffered up to Config.MaxReadAheadBytes and read
 // afterwards. A client that sends more is treated as disconnected.
 func TestReadAheadIsBounded(t *testing.T) {
 	conns := newTestConns(5)
 	client, c := acceptConn(t, conns)
-	c.RequestComplete()
+	c.MarkRequestRead()
 	sendUnread(t, client, c, "next")
 	if c.ClientDisconnected() {
 		t.Fatal("ClientDisconnected() = true after the client sent one request ahead, want false")
 	}
-	conns.ConnState(c, http.StateIdle)
+	conns.HandleConnState(c, http.StateIdle)
 	expectRead(t, c, "next")
 
-	c.RequestComplete()
+	c.MarkRequestRead()
 	go func() { // the write ends at the latest when the test closes the client connection
-		_, _ = io.WriteString(client, strings.Repeat("x", 4*testMaxReadAhead))
+		_, _ = io.WriteString(client, strings.Repeat("x", 4*testMaxReadAheadBytes))
 	}()
 	testkit.Until(t, "the read-ahead limit to be exceeded", c.ClientDisconnected)
-	if len(c.readAhead) > testMaxReadAhead+readAheadChunkSize {
+	if len(c.readAhead) > testMaxReadAheadBytes+readAheadChunkSize {
 		t.Errorf("length of the read-ahead buffer: got %d, want at most %d",
-			len(c.readAhead), testMaxReadAhead+readAheadChunkSize)
+			len(c.readAhead), testMaxReadAheadBytes+readAheadChunkSize)
 	}
 }
--- a/internal/node/disconnect_test.go
+++ b/internal/node/disconnect_test.go
@@ -58,7 +58,7 @@
 func TestQueuedRequestIsNotSentIfTheSocketShowsADisconnect(t *testing.T) {
 	l, server := startWithBusyServer(t)
 	client, c := acceptedConn(t, downstream.NewConns(downstreamConfig(5, 0)))
-	c.RequestComplete()
+	c.MarkRequestRead()
 	hasResponse := make(chan bool)
 	go func() {
 		// The context does not end with the connection, so that the loop gets no event for the disconnect.
--- a/internal/node/handler.go
+++ b/internal/node/handler.go
@@ -50,7 +50,7 @@
 func (h *handler) server() *http.Server {
 	return &http.Server{
 		Handler: h, MaxHeaderBytes: maxHeaderBytes, ReadTimeout: readTimeout, IdleTimeout: idleTimeout,
-		ConnState: h.conns.ConnState,
+		ConnState: h.conns.HandleConnState,
 		ConnContext: func(ctx context.Context, conn net.Conn) context.Context {
 			return context.WithValue(ctx, connKey{}, conn)
 		},
@@ -131,7 +131,7 @@
 		return h.submit(w, r, parsed)
 	}
 	parsed.client = conn
-	conn.RequestComplete()
+	conn.MarkRequestRead()
 	if conn.OverLimit() {
 		h.rejectOverLimit(w)
 		return nil
--- a/internal/node/harness_handler_test.go
+++ b/internal/node/harness_handler_test.go
@@ -51,9 +51,9 @@
 	srv := s.handler.server()
 	srv.ConnState = func(nc net.Conn, state http.ConnState) {
 		s.conns.Store(nc.RemoteAddr().String(), nc)
-		s.handler.conns.ConnState(nc, state)
+		s.handler.conns.HandleConnState(nc, state)
 	}
-	go func() { _ = srv.Serve(s.handler.conns.Listener(listener)) }() // Serve returns when srv is closed
+	go func() { _ = srv.Serve(s.handler.conns.NewListener(listener)) }() // Serve returns when srv is closed
 	closeAtTestEnd(t, srv)
 	return s
 }
@@ -136,7 +136,7 @@
 func acceptedConn(t *testing.T, conns *downstream.Conns) (net.Conn, *downstream.Conn) {
 	t.Helper()
 	listener := testkit.Listen(t)
-	limitedListener := conns.Listener(listener)
+	limitedListener := conns.NewListener(listener)
 	closeAtTestEnd(t, limitedListener)
 	client, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -114,7 +114,7 @@
 	handler := newHandler(n.cfg, loop, conns)
 	return &service{
 		cfg:         n.cfg,
-		listener:    conns.Listener(n.listener),
+		listener:    conns.NewListener(n.listener),
 		discovery:   n.discovery,
 		pool:        pool,
 		loop:        loop,
@@ -178,7 +178,7 @@
 
 func downstreamConfig(maxOpen, reserve int) downstream.Config {
 	return downstream.Config{
-		MaxOpen: maxOpen, Reserve: reserve, MaxReadAhead: maxHeaderBytes + maxBodyBytes,
+		MaxOpen: maxOpen, ReservedConns: reserve, MaxReadAheadBytes: maxHeaderBytes + maxBodyBytes,
 		ReadTimeout: readTimeout, LingerTimeout: downstream.DefaultLingerTimeout,
 	}
 }
