--- a/internal/node/disconnect_concurrency_test.go
+++ b/internal/node/disconnect_concurrency_test.go
@@ -139,7 +139,7 @@
 			state = stateBackoff
 		case addr == m.stuck.Addr().String():
 			state = stateConnecting
-		case addr == m.unresponsive.Address() && a.call.Started():
+		case addr == m.unresponsive.Address() && a.call.Sent():
 			state = stateInFlight
 		default:
 			state = stateTransient
--- a/internal/node/harness_loop_test.go
+++ b/internal/node/harness_loop_test.go
@@ -170,7 +170,7 @@
 	started := 0
 	for _, r := range requests {
 		for _, a := range r.attempts {
-			if a.call.Started() {
+			if a.call.Sent() {
 				started++
 			}
 		}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -128,7 +128,7 @@
 // start starts the background goroutines, which end with ctx, and the HTTP server.
 func (s *service) start(ctx context.Context) {
 	s.background.Go(s.loop.run)
-	s.background.Go(func() { s.pool.RetireIdle(ctx) })
+	s.background.Go(func() { s.pool.EnforceIdleTimeout(ctx) })
 	s.background.Go(func() { s.discovery.Run(ctx, s.loop.endpoints) })
 	go func() { s.serveResult <- s.server.Serve(s.listener) }()
 }
@@ -172,7 +172,7 @@
 func upstreamConfig(cfg *config.Config, maxOpen int) upstream.Config {
 	return upstream.Config{
 		MaxOpen: maxOpen, IdleTimeout: cfg.IdleTimeout, ConnectTimeout: cfg.ConnectTimeout,
-		SettleDelay: upstream.DefaultSettleDelay,
+		ReuseDelay: upstream.DefaultReuseDelay,
 	}
 }
 
--- a/internal/node/retry_test.go
+++ b/internal/node/retry_test.go
@@ -237,7 +237,7 @@
 		testkit.Reset(w, r)
 	}
 	closing, other := testkit.NewBackend(t, handle), testkit.NewBackend(t, testkit.OK)
-	l := startLoopWith(t, func(pool *upstream.Config) { pool.SettleDelay = 0 }, closing.Endpoint("s-0"))
+	l := startLoopWith(t, func(pool *upstream.Config) { pool.ReuseDelay = 0 }, closing.Endpoint("s-0"))
 	if first, _ := l.submit(t.Context(), l.newRequest(classPay, staysConnected)); first.status != http.StatusOK {
 		t.Fatalf("first request: status %d, want 200", first.status)
 	}
--- a/internal/upstream/call.go
+++ b/internal/upstream/call.go
@@ -44,8 +44,8 @@
 // Revoked reports whether the attempt was revoked.
 func (c *Call) Revoked() bool { return c.state.is(callRevoked) }
 
-// Started reports whether the attempt counts as sent: its first byte may have been written.
-func (c *Call) Started() bool { return c.state.is(callSent) }
+// Sent reports whether the attempt counts as sent: its first byte may have been written.
+func (c *Call) Sent() bool { return c.state.is(callSent) }
 
 // SetWriteDeadline sets a deadline: at that time and later, no byte of the attempt is written. It has
 // no effect once writing has begun.
--- a/internal/upstream/dial_test.go
+++ b/internal/upstream/dial_test.go
@@ -63,9 +63,9 @@
 
 	result := pool.Send(call, id, newTestRequest(), time.Now())
 
-	if result.Status != policy.NotSent || call.Started() || len(backend.Requests) > 0 {
+	if result.Status != policy.NotSent || call.Sent() || len(backend.Requests) > 0 {
 		t.Errorf("attempt: got status %v, sent %v, %d requests received; want %v, false, 0",
-			result.Status, call.Started(), len(backend.Requests), policy.NotSent)
+			result.Status, call.Sent(), len(backend.Requests), policy.NotSent)
 	}
 }
 
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// testPoolConfig returns a configuration without a settle delay: connections can be reused at once.
+// testPoolConfig returns a configuration without a reuse delay: connections can be reused at once.
 func testPoolConfig() Config {
 	return Config{MaxOpen: 10, IdleTimeout: 15 * time.Second, ConnectTimeout: 5 * time.Second}
 }
--- a/internal/upstream/idle_timeout.go
+++ b/internal/upstream/idle_timeout.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	// checksPerMaxIdleTime is the number of checks that RetireIdle makes within Pool.maxIdleTime.
+	// checksPerMaxIdleTime is the number of checks that EnforceIdleTimeout makes within Pool.maxIdleTime.
 	checksPerMaxIdleTime = 8
 	// minIdleCheckInterval limits the cost of the checks if Pool.maxIdleTime is short.
 	minIdleCheckInterval = 10 * time.Millisecond
 )
 
-// RetireIdle closes connections whose idle time has reached its limit. It returns when ctx is done.
-func (p *Pool) RetireIdle(ctx context.Context) {
+// EnforceIdleTimeout closes connections whose idle time has reached its limit. It returns when ctx is done.
+func (p *Pool) EnforceIdleTimeout(ctx context.Context) {
 	ticker := time.NewTicker(max(p.maxIdleTime/checksPerMaxIdleTime, minIdleCheckInterval))
 	defer ticker.Stop()
 	for {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -7,7 +7,7 @@
 // its Call, and the Result of the attempt tells how it ended. An attempt can be revoked while Send
 // waits for a connection (see callState), and can be cancelled at any time.
 //
-// An idle connection can be closed at any time: by its server, by RetireIdle, or to make room for a
+// An idle connection can be closed at any time: by its server, by EnforceIdleTimeout, or to make room for a
 // connection to another server.
 package upstream
 
@@ -30,11 +30,11 @@
 	maxIdlePerServer = 32
 )
 
-// DefaultSettleDelay is the minimum time between a response and the next request on the same
+// DefaultReuseDelay is the minimum time between a response and the next request on the same
 // connection. A server may close the connection after a response or send surplus bytes, and a moment
 // passes before this node can detect that. A longer delay leaves more connections idle, and servers
 // then reset more of them.
-const DefaultSettleDelay = time.Millisecond
+const DefaultReuseDelay = time.Millisecond
 
 var (
 	errUnknownServer = errors.New("server is not on the endpoint list")
@@ -46,7 +46,7 @@
 	MaxOpen        int           // maximum number of connections to all servers
 	IdleTimeout    time.Duration // idle time after which servers close a connection
 	ConnectTimeout time.Duration // maximum time for opening a connection
-	SettleDelay    time.Duration // see DefaultSettleDelay
+	ReuseDelay     time.Duration // see DefaultReuseDelay
 }
 
 // Pool holds the addresses of the servers and the idle connections to them. It does not use
@@ -117,13 +117,13 @@
 }
 
 // takeIdleLocked removes an idle connection from the pool and returns it, or nil if there is none.
-// It takes the connection that was released last, among those idle for at least the settle delay.
+// It takes the connection that was released last, among those idle for at least the reuse delay.
 // On a connection that is reused before that delay has passed, a request may be lost or be answered
 // with bytes that belong to the previous response, because a response does not identify its request.
 func (p *Pool) takeIdleLocked(target *server) *connection {
 	for i, conn := range slices.Backward(target.idle) {
 		idleFor := time.Since(conn.idleSince)
-		if idleFor < p.config.SettleDelay {
+		if idleFor < p.config.ReuseDelay {
 			continue
 		}
 		target.idle = slices.Delete(target.idle, i, i+1)
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -47,7 +47,7 @@
 	server := testkit.NewScriptedServer(t, okResponse, testkit.KeepAlive)
 	pool, id := newPoolWithServer(testPoolConfig(), server.Address)
 	pool.maxIdleTime = 20 * time.Millisecond
-	go pool.RetireIdle(t.Context())
+	go pool.EnforceIdleTimeout(t.Context())
 
 	send(t.Context(), pool, id, newTestRequest())
 
@@ -79,7 +79,7 @@
 
 // After its response, a server may close the connection or send more bytes. Either takes a moment to
 // become visible. A request that is written before then would be lost or would get a wrong response.
-func TestConnectionIsNotReusedWithinTheSettleDelay(t *testing.T) {
+func TestConnectionIsNotReusedWithinTheReuseDelay(t *testing.T) {
 	const surplusResponse = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nold"
 	for name, afterResponse := range map[string]func(conn net.Conn){
 		"connection closed": func(conn net.Conn) { closeQuietly(conn) },
@@ -87,24 +87,24 @@
 		"invalid bytes":     func(conn net.Conn) { writeQuietly(conn, "\x00\x01") },
 	} {
 		t.Run(name, func(t *testing.T) {
-			testSettleDelay(t, afterResponse)
+			testReuseDelay(t, afterResponse)
 		})
 	}
 }
 
-// testSettleDelay checks that a connection is not reused before the effect of afterResponse is visible.
-func testSettleDelay(t *testing.T, afterResponse func(conn net.Conn)) {
+// testReuseDelay checks that a connection is not reused before the effect of afterResponse is visible.
+func testReuseDelay(t *testing.T, afterResponse func(conn net.Conn)) {
 	t.Helper()
 	served := make(chan struct{}, 10)
 	backend := testkit.NewBackend(t, hijackHandler(func(conn net.Conn) {
 		writeQuietly(conn, okResponse)
-		time.Sleep(time.Millisecond) // the effect arrives later than the response, but within the settle delay
+		time.Sleep(time.Millisecond) // the effect arrives later than the response, but within the reuse delay
 		afterResponse(conn)
 		served <- struct{}{}
 		<-t.Context().Done() // keeps the connection open until the end of the test
 	}))
 	config := testPoolConfig()
-	config.SettleDelay = time.Hour
+	config.ReuseDelay = time.Hour
 	pool, id := newPoolWithServer(config, backend.Address())
 	expectServed := func() {
 		t.Helper()
@@ -115,11 +115,11 @@
 	}
 
 	expectServed()
-	expectServed() // on a new connection, because the settle delay of the first has not passed
+	expectServed() // on a new connection, because the reuse delay of the first has not passed
 
 	testkit.Wait(t, served, "the end of the first handler")
 	testkit.Wait(t, served, "the end of the second handler")
-	pool.config.SettleDelay = 0
+	pool.config.ReuseDelay = 0
 
 	expectServed()                    // on a new connection: the first two are closed or have unread bytes
 	expectOpenConnections(t, pool, 1) // only the connection of the last attempt
--- a/internal/upstream/send_test.go
+++ b/internal/upstream/send_test.go
@@ -43,8 +43,8 @@
 		t.Errorf("attempt: got status %v, client disconnected %v; want %v, true",
 			result.Status, result.ClientDisconnected, policy.NotSent)
 	}
-	if len(backend.Requests) != 0 || call.Started() {
-		t.Errorf("attempt: got %d requests received, sent %v; want 0, false", len(backend.Requests), call.Started())
+	if len(backend.Requests) != 0 || call.Sent() {
+		t.Errorf("attempt: got %d requests received, sent %v; want 0, false", len(backend.Requests), call.Sent())
 	}
 	if pool.Stats().Idle() != 1 {
 		t.Error("Stats().Idle() after the attempt is not 1, want the unused connection kept")
@@ -57,8 +57,8 @@
 	if result := pool.Send(call, id, newTestRequest(), clientDeadline()); result.Status != policy.OK {
 		t.Errorf("status of the attempt: got %v, want %v", result.Status, policy.OK)
 	}
-	if call.Revoke() || call.Revoked() || !call.Started() {
-		t.Errorf("after Revoke: got revoked %v, sent %v; want false, true", call.Revoked(), call.Started())
+	if call.Revoke() || call.Revoked() || !call.Sent() {
+		t.Errorf("after Revoke: got revoked %v, sent %v; want false, true", call.Revoked(), call.Sent())
 	}
 }
 
