--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -40,7 +40,7 @@
 type Config struct {
 	Address    string        // host and port of the discovery service
 	Cached     endpoint.List // endpoint list to start with; may be empty
-	Poll       bool          // whether the client is in polling mode; if not, it is in push mode
+	Polling    bool          // whether the client is in polling mode; if not, it is in push mode
 	DrainGrace time.Duration // how long a server still serves requests after the node was notified of its drain
 }
 
@@ -61,7 +61,7 @@
 	return &Client{
 		address:        config.Address,
 		cached:         config.Cached,
-		polling:        config.Poll,
+		polling:        config.Polling,
 		maxBackoff:     maxBackoffFor(config.DrainGrace),
 		watchRequests:  make(chan struct{}, 1),
 		addressChanges: make(chan string, 1),
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -43,7 +43,7 @@
 // all nodes would call at the same time.
 func TestStaleWatchRequestIsDropped(t *testing.T) {
 	scripted := testkit.NewScriptedDiscovery(t)
-	client := New(Config{Address: scripted.Address, Poll: true})
+	client := New(Config{Address: scripted.Address, Polling: true})
 	handler := pendingRequestRecorder{newRecorder(), client, make(chan int, 1)}
 	calls := newInFlightCalls(client.send)
 	t.Cleanup(calls.close)
@@ -102,7 +102,7 @@
 	t.Helper()
 	scripted := testkit.NewScriptedDiscovery(t)
 	handler := newRecorder()
-	client := New(Config{Address: scripted.Address, Cached: c.cached, Poll: c.poll})
+	client := New(Config{Address: scripted.Address, Cached: c.cached, Polling: c.poll})
 	go client.Run(t.Context(), handler)
 	for _, want := range c.updates {
 		if kind := testkit.Wait(t, handler.updates, "an update"); kind != want {
@@ -134,7 +134,7 @@
 			previous, latest := testkit.NewScriptedDiscovery(t), testkit.NewScriptedDiscovery(t)
 			skipped := testkit.FreeAddr(t)
 			client := New(Config{
-				Address: previous.Address, Poll: poll,
+				Address: previous.Address, Polling: poll,
 				Cached: endpoint.List{Generation: 7, Endpoints: []endpoint.Endpoint{{ID: 1}}},
 			})
 			client.RequestWatch()
--- a/internal/discovery/follower_state_test.go
+++ b/internal/discovery/follower_state_test.go
@@ -108,7 +108,7 @@
 	test := &followerTest{
 		T: t, current: make(chan callResult, 1), earlier: make(chan callResult, 1), previous: make(chan callResult, 1),
 	}
-	client := New(Config{Address: "discovery", Poll: c.polling})
+	client := New(Config{Address: "discovery", Polling: c.polling})
 	handler := newRecorder()
 	calls := newInFlightCalls(test.send)
 	f := newFollower(client, handler, calls, "discovery")
--- a/internal/discovery/late_response_test.go
+++ b/internal/discovery/late_response_test.go
@@ -70,7 +70,7 @@
 	t.Helper()
 	transport := controlledTransport{make(chan *pendingCall, 10)}
 	client := New(Config{
-		Address: "first", Poll: poll,
+		Address: "first", Polling: poll,
 		Cached: endpoint.List{Generation: 3, Endpoints: []endpoint.Endpoint{{ID: 1}}},
 	})
 	client.httpClient.Transport = transport
--- a/internal/node/discovery_failure_test.go
+++ b/internal/node/discovery_failure_test.go
@@ -218,7 +218,7 @@
 	t.Parallel()
 	reserved := testkit.ReserveAddr(t)
 	cfg := testConfig(t, testkit.NewRegistry(t), withLargeFleet(reserved.Address))
-	client := discovery.New(discovery.Config{Address: reserved.Address, Poll: true})
+	client := discovery.New(discovery.Config{Address: reserved.Address, Polling: true})
 	l := newTestLoop(t, cfg, upstream.NewPool(upstreamConfig(cfg, 20)), client)
 	go client.Run(t.Context(), l.endpoints)
 	// The five events are no cached list, a refused call, a timer, a refused call and a timer.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -55,7 +55,7 @@
 		return nil, fmt.Errorf("listen: %w", err)
 	}
 	client := discovery.New(discovery.Config{
-		Address: cfg.Discovery, Cached: cfg.CachedList, Poll: cfg.Policy.PollEndpoints, DrainGrace: cfg.DrainGrace,
+		Address: cfg.Discovery, Cached: cfg.CachedList, Polling: cfg.Policy.PollEndpoints, DrainGrace: cfg.DrainGrace,
 	})
 	return &Node{cfg: cfg, listener: listener, discovery: client}, nil
 }
