--- a/internal/discovery/apply.go
+++ b/internal/discovery/apply.go
@@ -45,7 +45,7 @@
 // deliver passes a list to the handler. For a delta without changes, it only calls Handler.Synced.
 func (f *follower) deliver(list endpoint.List) {
 	switch {
-	case list.Complete:
+	case list.Snapshot:
 		f.handler.UpdateEndpoints(policy.UpdateSnapshot, list.Endpoints)
 	case len(list.Endpoints) > 0:
 		f.handler.UpdateEndpoints(policy.UpdateDelta, list.Endpoints)
@@ -56,7 +56,7 @@
 // logList logs the end of an outage, and the list unless it is a delta without changes.
 func (f *follower) logList(list endpoint.List) {
 	f.outage.logEnd(f.address, list.Generation)
-	if !list.Complete && len(list.Endpoints) == 0 {
+	if !list.Snapshot && len(list.Endpoints) == 0 {
 		return
 	}
 	counts := map[policy.EndpointState]int{}
@@ -64,6 +64,6 @@
 		counts[list.Endpoints[i].State]++
 	}
 	slog.Info("endpoint list updated", "discovery_addr", f.address, "generation", list.Generation,
-		"previous_generation", f.generation, "complete", list.Complete,
+		"previous_generation", f.generation, "complete", list.Snapshot,
 		"ready", counts[policy.Ready], "draining", counts[policy.Draining], "removed", counts[policy.Removed])
 }
--- a/internal/discovery/fetch_test.go
+++ b/internal/discovery/fetch_test.go
@@ -159,9 +159,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if list.Complete == haveList {
-			t.Errorf("response to a follower with haveList = %v: got Complete = %v, want %v",
-				haveList, list.Complete, !haveList)
+		if list.Snapshot == haveList {
+			t.Errorf("response to a follower with haveList = %v: got Snapshot = %v, want %v",
+				haveList, list.Snapshot, !haveList)
 		}
 	}
 }
--- a/internal/discovery/follower_state_test.go
+++ b/internal/discovery/follower_state_test.go
@@ -57,7 +57,7 @@
 
 // returnList makes a call return a list.
 func returnList(results chan<- callResult) {
-	results <- callResult{list: endpoint.List{Generation: 4, Complete: true}}
+	results <- callResult{list: endpoint.List{Generation: 4, Snapshot: true}}
 }
 
 func TestFollowerStateTransitions(t *testing.T) {
--- a/internal/endpoint/endpoint.go
+++ b/internal/endpoint/endpoint.go
@@ -13,7 +13,7 @@
 // List is a snapshot of the endpoint list, or a delta with the endpoints that changed since an earlier generation.
 type List struct {
 	Generation uint64 // increases with each change
-	Complete   bool   // whether the list is a snapshot; an endpoint that a snapshot omits has been removed
+	Snapshot   bool   // whether the list is a snapshot; an endpoint that a snapshot omits has been removed
 	Endpoints  []Endpoint
 }
 
@@ -28,9 +28,9 @@
 	StartedAt time.Time // start of the server process by the wall clock of its machine; the zero time means long ago
 }
 
-// IDOf returns the server ID for an instance ID: its 64-bit FNV-1a hash, or 0 if the instance ID is empty.
+// ServerID returns the server ID for an instance ID: its 64-bit FNV-1a hash, or 0 if the instance ID is empty.
 // All nodes must compute the same value, because the ring order in package policy depends on it.
-func IDOf(instanceID string) policy.ServerID {
+func ServerID(instanceID string) policy.ServerID {
 	if instanceID == "" {
 		return 0
 	}
--- a/internal/endpoint/endpoint_test.go
+++ b/internal/endpoint/endpoint_test.go
@@ -13,8 +13,8 @@
 		"a":      0xaf63dc4c8601ec8c,
 		"foobar": 0x85944171f73967e8,
 	} {
-		if got := IDOf(id); got != want {
-			t.Errorf("IDOf(%q) = %x, want %x", id, got, want)
+		if got := ServerID(id); got != want {
+			t.Errorf("ServerID(%q) = %x, want %x", id, got, want)
 		}
 	}
 }
--- a/internal/endpointjson/endpointjson.go
+++ b/internal/endpointjson/endpointjson.go
@@ -38,7 +38,7 @@
 
 // Translate converts the list to an endpoint.List.
 func (l *List) Translate() endpoint.List {
-	return endpoint.List{Generation: l.Generation, Complete: l.Reset, Endpoints: TranslateAll(l.Endpoints)}
+	return endpoint.List{Generation: l.Generation, Snapshot: l.Reset, Endpoints: TranslateAll(l.Endpoints)}
 }
 
 // TranslateAll converts a slice of endpoints.
@@ -53,7 +53,7 @@
 // Translate converts the entry to an endpoint.Endpoint.
 func (e *Endpoint) Translate() endpoint.Endpoint {
 	return endpoint.Endpoint{
-		ID:        endpoint.IDOf(e.InstanceID),
+		ID:        endpoint.ServerID(e.InstanceID),
 		Address:   e.Address,
 		Zone:      e.Zone,
 		Cell:      e.Cell,
--- a/internal/endpointjson/endpointjson_test.go
+++ b/internal/endpointjson/endpointjson_test.go
@@ -65,8 +65,8 @@
 	}
 	// StartedAt is checked above. DeepEqual would also compare its location, which depends on the machine.
 	translated.Endpoints[0].StartedAt = time.Time{}
-	want := endpoint.List{Generation: 4, Complete: true, Endpoints: []endpoint.Endpoint{{
-		ID: endpoint.IDOf("s-1"), Address: "127.0.0.1:8080", Zone: "a", Cell: 3, State: policy.Ready, Weight: 0.5,
+	want := endpoint.List{Generation: 4, Snapshot: true, Endpoints: []endpoint.Endpoint{{
+		ID: endpoint.ServerID("s-1"), Address: "127.0.0.1:8080", Zone: "a", Cell: 3, State: policy.Ready, Weight: 0.5,
 	}}}
 	if !reflect.DeepEqual(translated, want) {
 		t.Errorf("Translate() = %+v, want %+v", translated, want)
--- a/internal/node/key_retention_test.go
+++ b/internal/node/key_retention_test.go
@@ -46,8 +46,8 @@
 	l := startLoopWith(t, func(pool *upstream.Config) { pool.ConnectTimeout = testkit.WaitTimeout },
 		stuck.Endpoint("late"), unresponsive.Endpoint("unresponsive"))
 	retention := l.host.classes[classPush].KeyRetention
-	servers := []policy.ServerID{endpoint.IDOf("unresponsive"), endpoint.IDOf("unresponsive")}
-	servers[c.lateAttempt] = endpoint.IDOf("late")
+	servers := []policy.ServerID{endpoint.ServerID("unresponsive"), endpoint.ServerID("unresponsive")}
+	servers[c.lateAttempt] = endpoint.ServerID("late")
 	r := l.newRequest(c.class, staysConnected)
 	r.completion = make(chan completion, 1)
 	r.deadlineTimer = time.NewTimer(time.Hour)
