--- a/internal/discovery/connect.go
+++ b/internal/discovery/connect.go
@@ -26,7 +26,7 @@
 // net/http lets the attempt continue. An attempt to reach an unresponsive host would then last about two minutes,
 // while the operating system retransmits SYNs, and would count against maxConnectionsPerHost during that time.
 func newTransport(dial netdial.Func) *http.Transport {
-	dial = netdial.Stagger(netdial.Repeat(dial), connectInterval, connectTimeout)
+	dial = netdial.Stagger(netdial.Retry(dial), connectInterval, connectTimeout)
 	return &http.Transport{
 		MaxConnsPerHost: maxConnectionsPerHost,
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
--- a/internal/netdial/netdial.go
+++ b/internal/netdial/netdial.go
@@ -1,4 +1,4 @@
-// Package netdial wraps dial functions. Repeat retries after transient errors, for instance when this machine is
+// Package netdial wraps dial functions. Retry repeats a dial after transient errors, for instance when this machine is
 // out of ports or memory. Stagger reaches a peer that was unresponsive sooner than the SYN retransmissions of TCP
 // would. Packages upstream and discovery use it. It keeps no state.
 package netdial
@@ -14,7 +14,7 @@
 )
 
 const (
-	// maxAttempts limits how often Repeat calls the dial function.
+	// maxAttempts limits how often Retry calls the dial function.
 	maxAttempts = 3
 	// retryDelay is the wait before each retry. It is short compared with the latency of a request.
 	retryDelay = time.Millisecond
@@ -23,9 +23,9 @@
 // Func opens a connection, as net.Dialer.DialContext does.
 type Func func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Repeat returns a dial function that retries dial after a transient error. It stops after maxAttempts, after an
+// Retry returns a dial function that retries dial after a transient error. It stops after maxAttempts, after an
 // error that is not transient, or when ctx ends, and then returns the last error of dial.
-func Repeat(dial Func) Func {
+func Retry(dial Func) Func {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		for attempts := 1; ; attempts++ {
 			conn, err := dial(ctx, network, address)
--- a/internal/netdial/netdial_test.go
+++ b/internal/netdial/netdial_test.go
@@ -56,7 +56,7 @@
 				wantAttempts = maxAttempts
 			}
 			recovering := &failingDialer{failures: maxAttempts - 1, syscallName: c.syscallName, errno: c.errno}
-			conn, err := Repeat(recovering.dial)(t.Context(), "tcp", address)
+			conn, err := Retry(recovering.dial)(t.Context(), "tcp", address)
 			if recovering.attempts != wantAttempts || (err == nil) != c.transient {
 				t.Errorf("dial whose last attempt would succeed: got %d attempts, error %v; want %d, success %v",
 					recovering.attempts, err, wantAttempts, c.transient)
@@ -65,7 +65,7 @@
 				_ = conn.Close() // nothing was sent on the connection
 			}
 			failing := &failingDialer{failures: maxAttempts, syscallName: c.syscallName, errno: c.errno}
-			_, err = Repeat(failing.dial)(t.Context(), "tcp", address)
+			_, err = Retry(failing.dial)(t.Context(), "tcp", address)
 			if !errors.Is(err, c.errno) || IsLocalFailure(err) != c.local {
 				t.Errorf("dial whose attempts all fail: got error %v, local failure %v; want %v, %v",
 					err, IsLocalFailure(err), c.errno, c.local)
@@ -78,7 +78,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	failing := &failingDialer{failures: maxAttempts, syscallName: "socket", errno: syscall.ENFILE}
-	_, err := Repeat(failing.dial)(ctx, "tcp", "127.0.0.1:1")
+	_, err := Retry(failing.dial)(ctx, "tcp", "127.0.0.1:1")
 	if !errors.Is(err, syscall.ENFILE) || failing.attempts != 1 {
 		t.Errorf("dial with a done context: got error %v after %d attempts, want %v after 1",
 			err, failing.attempts, syscall.ENFILE)
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -83,7 +83,7 @@
 	dialer := net.Dialer{KeepAlive: -1}
 	return &Pool{
 		config:      config,
-		dial:        netdial.Repeat(dialer.DialContext),
+		dial:        netdial.Retry(dialer.DialContext),
 		maxIdleTime: time.Duration(float64(config.IdleTimeout) * idleTimeoutFraction),
 		servers:     map[policy.ServerID]*server{},
 	}
