--- a/internal/node/discovery_handler.go
+++ b/internal/node/discovery_handler.go
@@ -36,7 +36,7 @@
 
 // Synced implements discovery.Handler.
 func (d *discoveryHandler) Synced() {
-	d.processStarts.Synced(d.clock.now())
+	d.processStarts.RecordResponse(d.clock.now())
 	d.synced.Store(true)
 }
 
--- a/internal/processstart/registry.go
+++ b/internal/processstart/registry.go
@@ -57,9 +57,9 @@
 	}
 }
 
-// Synced records that discovery has just responded, with or without changes. A process that is first listed
+// RecordResponse records that discovery has just responded, with or without changes. A process that is first listed
 // later is assumed to have started since then.
-func (r *Registry) Synced(now time.Duration) { r.estimator.recordResponse(now) }
+func (r *Registry) RecordResponse(now time.Duration) { r.estimator.recordResponse(now) }
 
 // Update applies an update of the endpoint list. It returns the estimated start of each endpoint's process on the
 // node's clock, in the order of the list; 0 means long ago.
--- a/internal/processstart/registry_test.go
+++ b/internal/processstart/registry_test.go
@@ -76,7 +76,7 @@
 	registry := newTestRegistry(0)
 	previous := endpointStartedAt(wallNow().Add(-time.Hour))
 	registry.Update(policy.UpdateSnapshot, previous, Moment{clockNow - processAge, wallNow()})
-	registry.Synced(clockNow - processAge)
+	registry.RecordResponse(clockNow - processAge)
 	list := endpointStartedAt(wallNow().Add(serverStep - processAge))
 
 	start := registry.Update(policy.UpdateDelta, list, nowWithWallClockAhead(nodeStep))[0]
@@ -134,7 +134,7 @@
 	for _, ahead := range []time.Duration{0, time.Second, 5 * time.Second, 30 * time.Second, time.Hour, -time.Hour} {
 		registry, now := newTestRegistry(ahead), nowWithWallClockAhead(ahead)
 		registry.Update(policy.UpdateSnapshot, nil, Moment{clockNow - processAge, now.Wall})
-		registry.Synced(clockNow - processAge)
+		registry.RecordResponse(clockNow - processAge)
 		start := registry.Update(policy.UpdateDelta, endpointStartedAt(wallNow().Add(-time.Millisecond)), now)[0]
 		if start != clockNow {
 			t.Errorf("age with the wall clock ahead by %v: got %v, want 0s", ahead, clockNow-start)
@@ -150,7 +150,7 @@
 	for _, ahead := range []time.Duration{0, 30 * time.Second, time.Hour} {
 		registry, now := newTestRegistry(ahead), nowWithWallClockAhead(ahead)
 		registry.Update(policy.UpdateSnapshot, nil, now.before(outage))
-		registry.Synced(clockNow - outage)
+		registry.RecordResponse(clockNow - outage)
 		list := endpointsStartedAt(wallNow().Add(-time.Second), wallNow().Add(-6*time.Second), wallNow().Add(-time.Minute))
 
 		starts := registry.Update(policy.UpdateDelta, list, now)
@@ -198,7 +198,7 @@
 		registry, now := newTestRegistry(0), nowWithWallClockAhead(0)
 		list := endpointStartedAt(wallNow().Add(-processAge))
 		registry.Update(policy.UpdateSnapshot, list, now)
-		registry.Synced(clockNow)
+		registry.RecordResponse(clockNow)
 		removed := slices.Clone(list)
 		removed[0].State = policy.Removed
 		registry.Update(policy.UpdateDelta, removed, now)
@@ -207,7 +207,7 @@
 		}
 
 		later := now.after(removedFor)
-		registry.Synced(later.Clock)
+		registry.RecordResponse(later.Clock)
 		if again := registry.Update(policy.UpdateDelta, list, later)[0]; again != want {
 			t.Errorf("start after a removal for %v: got %v, want %v", removedFor, again, want)
 		}
