--- a/internal/downstream/admission_test.go
+++ b/internal/downstream/admission_test.go
@@ -33,9 +33,9 @@
 	send(t, waiting, "GET")
 	accepted := acceptInBackground(t, listener)
 	testkit.Until(t, "the connection beyond the reserve to wait", conns.hasWaiters)
-	if sockstate.Peek(waiting) != sockstate.Quiet || conns.Open() != 2 {
+	if sockstate.Peek(waiting) != sockstate.Idle || conns.Open() != 2 {
 		t.Errorf("while the connection waits: got client's socket %v, %d open connections; want %v, 2",
-			sockstate.Peek(waiting), conns.Open(), sockstate.Quiet)
+			sockstate.Peek(waiting), conns.Open(), sockstate.Idle)
 	}
 
 	if err := last.Close(); err != nil {
--- a/internal/downstream/eviction.go
+++ b/internal/downstream/eviction.go
@@ -62,7 +62,7 @@
 // stops at the first connection that remains there. The caller holds cs.mu.
 func (cs *Conns) beginUnreadRequests(now time.Time) {
 	for c := cs.noData.oldest(); c != nil; c = cs.noData.oldest() {
-		if now.Sub(c.graceStart) < noDataGracePeriod || sockstate.Peek(c.Conn) == sockstate.Quiet {
+		if now.Sub(c.graceStart) < noDataGracePeriod || sockstate.Peek(c.Conn) == sockstate.Idle {
 			break
 		}
 		cs.beginRequest(c)
--- a/internal/sockstate/sockstate.go
+++ b/internal/sockstate/sockstate.go
@@ -14,7 +14,7 @@
 
 // States of a socket.
 const (
-	Quiet    State = iota // open, with nothing to read
+	Idle     State = iota // open, with nothing to read
 	Readable              // unread bytes have arrived
 	Closed                // closed by the peer or by this process, broken, or not a socket
 )
@@ -22,8 +22,8 @@
 // String returns the name of the state.
 func (s State) String() string {
 	switch s {
-	case Quiet:
-		return "quiet"
+	case Idle:
+		return "idle"
 	case Readable:
 		return "readable"
 	case Closed:
@@ -66,7 +66,7 @@
 func stateOf(n int, err error) State {
 	switch {
 	case errors.Is(err, syscall.EAGAIN), errors.Is(err, syscall.ENOMEM), errors.Is(err, syscall.ENOBUFS):
-		return Quiet // ENOMEM and ENOBUFS are transient shortages of this machine
+		return Idle // ENOMEM and ENOBUFS are transient shortages of this machine
 	case err == nil && n > 0:
 		return Readable
 	}
--- a/internal/sockstate/sockstate_test.go
+++ b/internal/sockstate/sockstate_test.go
@@ -49,7 +49,7 @@
 		peerAction func(peer *net.TCPConn) error
 		want       State
 	}{
-		"nothing":            {func(*net.TCPConn) error { return nil }, Quiet},
+		"nothing":            {func(*net.TCPConn) error { return nil }, Idle},
 		"wrote":              {writeByte, Readable},
 		"closed":             {(*net.TCPConn).Close, Closed},
 		"closed for writing": {(*net.TCPConn).CloseWrite, Closed},
@@ -100,8 +100,8 @@
 
 	states := make(chan State, 1)
 	go func() { states <- Peek(local) }()
-	if state := testkit.Wait(t, states, "the state"); state != Quiet {
-		t.Errorf("Peek() while a reader is blocked = %v, want %v", state, Quiet)
+	if state := testkit.Wait(t, states, "the state"); state != Idle {
+		t.Errorf("Peek() while a reader is blocked = %v, want %v", state, Idle)
 	}
 	requireNoError(t, peer.Close())
 	requireNoError(t, testkit.Wait(t, read, "the reader to return"))
@@ -123,7 +123,7 @@
 
 func TestStateNames(t *testing.T) {
 	for state, want := range map[State]string{
-		Quiet: "quiet", Readable: "readable", Closed: "closed", Closed + 1: "unknown",
+		Idle: "idle", Readable: "readable", Closed: "closed", Closed + 1: "unknown",
 	} {
 		if got := state.String(); got != want {
 			t.Errorf("State(%d).String() = %q, want %q", int(state), got, want)
@@ -135,7 +135,7 @@
 // closed.
 func TestStateOfFailedReceive(t *testing.T) {
 	for errno, want := range map[syscall.Errno]State{
-		syscall.EAGAIN: Quiet, syscall.ENOMEM: Quiet, syscall.ENOBUFS: Quiet,
+		syscall.EAGAIN: Idle, syscall.ENOMEM: Idle, syscall.ENOBUFS: Idle,
 		syscall.ECONNRESET: Closed, syscall.ETIMEDOUT: Closed, syscall.EHOSTUNREACH: Closed,
 		syscall.ENOTCONN: Closed, syscall.EBADF: Closed,
 	} {
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -41,7 +41,7 @@
 
 // readyForRequest reports whether the connection is open and has no unread bytes. Bytes that arrive
 // before a request is written cannot belong to its response.
-func (c *connection) readyForRequest() bool { return sockstate.Peek(c.Conn) == sockstate.Quiet }
+func (c *connection) readyForRequest() bool { return sockstate.Peek(c.Conn) == sockstate.Idle }
 
 // setReadDeadline sets the time after which reads fail. The zero time removes the deadline.
 func (c *connection) setReadDeadline(deadline time.Time) {
--- a/internal/upstream/send_test.go
+++ b/internal/upstream/send_test.go
@@ -76,7 +76,7 @@
 		t.Fatal(err)
 	}
 	closeQuietly(accepted)
-	testkit.Until(t, "the close to be visible", func() bool { return sockstate.Peek(conn.Conn) != sockstate.Quiet })
+	testkit.Until(t, "the close to be visible", func() bool { return sockstate.Peek(conn.Conn) != sockstate.Idle })
 
 	conn.server.idle = append(conn.server.idle, conn) // the next attempt takes the connection, which counts as new
 	conn.idleSince = time.Now()
