--- a/cmd/balancer/address_change_test.go
+++ b/cmd/balancer/address_change_test.go
@@ -52,7 +52,7 @@
 		"settings":  settingsWith(fmt.Sprintf(`"RegistryMode": %q, "Contract": {"DrainGraceMs": 300}`, c.mode)),
 	}
 	process := balancertest.Start(t, config, c.program)
-	balancertest.AwaitReady(t, testkit.Wait(t, process.Addr, "the process to serve"))
+	balancertest.AwaitReady(t, testkit.Receive(t, process.Addr, "the process to serve"))
 
 	firstHangup := time.Now()
 	var address string
@@ -68,8 +68,8 @@
 		balancertest.Signal(t, process.PID, syscall.SIGHUP)
 	}
 
-	testkit.Until(t, "a watch at the last discovery address", func() bool {
-		return testkit.Wait(t, service.watches, "a watch at a new discovery address") == address
+	testkit.WaitUntil(t, "a watch at the last discovery address", func() bool {
+		return testkit.Receive(t, service.watches, "a watch at a new discovery address") == address
 	})
 	took := time.Since(firstHangup)
 	t.Logf("the node had the list %v after the first SIGHUP", took.Round(time.Millisecond))
--- a/cmd/balancer/benchmark_test.go
+++ b/cmd/balancer/benchmark_test.go
@@ -74,7 +74,7 @@
 			"limits":   map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024},
 			"settings": settingsWith(`"Limits": {"MaxAttempts": 3}`),
 		}, path)
-		addr := testkit.Wait(b, process.Addr, "the process to serve")
+		addr := testkit.Receive(b, process.Addr, "the process to serve")
 		balancertest.AwaitReady(b, addr)
 		before := cpuTime(b, process.PID)
 		b.ResetTimer()
--- a/cmd/balancer/descriptor_shortage_test.go
+++ b/cmd/balancer/descriptor_shortage_test.go
@@ -60,15 +60,15 @@
 // existing connection.
 func testDescriptorShortage(t *testing.T, program string, signal unix.Signal) {
 	t.Helper()
-	server := testkit.NewBackend(t, testkit.OK)
+	server := testkit.NewRecordingServer(t, testkit.OK)
 	process := balancertest.Start(t, map[string]any{
 		"discovery": refusingAddr, "settings": testkit.JSON(baseSettings), "known": snapshotOf(1, server.Address()),
 	}, program)
-	node := &nodeProcess{t: t, pid: process.PID, addr: testkit.Wait(t, process.Addr, "the process to serve")}
+	node := &nodeProcess{t: t, pid: process.PID, addr: testkit.Receive(t, process.Addr, "the process to serve")}
 	balancertest.AwaitReady(t, node.addr)
 	oldConn := node.dial()
 	expectServed(t, node, oldConn)
-	testkit.Wait(t, server.Requests, "the first request")
+	testkit.Receive(t, server.Requests, "the first request")
 
 	previous := mustSetDescriptorLimit(t, process.PID, exhaustedDescriptorLimit)
 	balancertest.Signal(t, process.PID, signal)
@@ -81,7 +81,7 @@
 	defer timer.Stop()
 
 	expectServed(t, node, node.dial())
-	timeoutMs, err := strconv.Atoi(testkit.Wait(t, server.Requests, "the next request").Header.Get("X-Timeout-Ms"))
+	timeoutMs, err := strconv.Atoi(testkit.Receive(t, server.Requests, "the next request").Header.Get("X-Timeout-Ms"))
 	if limit := (classDeadline - shortageDuration).Milliseconds(); err != nil || int64(timeoutMs) > limit {
 		t.Errorf("X-Timeout-Ms at the server: got %d (error %v), want %d at most", timeoutMs, err, limit)
 	}
@@ -108,7 +108,7 @@
 	process := balancertest.Start(t, map[string]any{
 		"discovery": startNamedDiscovery(t, "first", calls), "settings": testkit.JSON(baseSettings),
 	}, balancertest.Build(t))
-	if name := testkit.Wait(t, calls, "a call to a discovery service"); name != "first" {
+	if name := testkit.Receive(t, calls, "a call to a discovery service"); name != "first" {
 		t.Fatalf("the node called the discovery service named %q, want %q", name, "first")
 	}
 	process.ConfigFile.Replace(t, configText(startNamedDiscovery(t, "second", calls)))
@@ -117,6 +117,6 @@
 	time.Sleep(shortageDuration / 3) // shorter than the time for which the node retries opening the file
 	mustSetDescriptorLimit(t, process.PID, previous)
 	for name := ""; name != "second"; {
-		name = testkit.Wait(t, calls, "a call to the second discovery service")
+		name = testkit.Receive(t, calls, "a call to the second discovery service")
 	}
 }
--- a/cmd/balancer/discovery_partition_test.go
+++ b/cmd/balancer/discovery_partition_test.go
@@ -30,27 +30,27 @@
 // another server is added. It measures the time from the end of the partition until the node has the new list.
 func testPartition(t *testing.T, program, mode string, duration time.Duration) {
 	t.Helper()
-	firstServer, secondServer := testkit.NewBackend(t, testkit.OK), testkit.NewBackend(t, testkit.OK)
+	firstServer, secondServer := testkit.NewRecordingServer(t, testkit.OK), testkit.NewRecordingServer(t, testkit.OK)
 	list := newWatchedList(firstServer.Endpoint("s-0"))
-	machine := testkit.NewMachine(t, list.respond)
+	service := testkit.NewPartitionableService(t, list.respond)
 	process := balancertest.Start(t, map[string]any{
-		"discovery": machine.Address,
+		"discovery": service.Address,
 		"settings":  settingsWith(fmt.Sprintf(`"RegistryMode": %q, "Contract": {"DrainGraceMs": 1000}`, mode)),
 	}, program)
-	addr := testkit.Wait(t, process.Addr, "the process to serve")
+	addr := testkit.Receive(t, process.Addr, "the process to serve")
 	balancertest.AwaitReady(t, addr)
 	if body := post(addr); body != "done" {
 		t.Fatalf("response before the partition is %q, want %q", body, "done")
 	}
 
-	machine.Partition(t)
+	service.Partition(t)
 	time.Sleep(duration) // the partition lasts this long
 	draining := firstServer.Endpoint("s-0")
 	draining.Lifecycle = "Terminating"
 	list.set(endpointjson.List{
 		Generation: 2, Reset: true, Endpoints: []endpointjson.Endpoint{draining, secondServer.Endpoint("s-1")},
 	})
-	machine.Heal(t)
+	service.Heal(t)
 	healed := time.Now()
 
 	list.awaitWatch(t, 2)
--- a/cmd/balancer/harness_test.go
+++ b/cmd/balancer/harness_test.go
@@ -83,7 +83,7 @@
 // awaitExit waits until run has returned, and fails the test if it returned an error.
 func awaitExit(t *testing.T, exited <-chan error) {
 	t.Helper()
-	if err := testkit.Wait(t, exited, "run to return"); err != nil {
+	if err := testkit.Receive(t, exited, "run to return"); err != nil {
 		t.Errorf("run() = %v, want nil", err)
 	}
 }
--- a/cmd/balancer/idle_clients_test.go
+++ b/cmd/balancer/idle_clients_test.go
@@ -154,7 +154,7 @@
 		"limits":    map[string]any{"sockets": sockets},
 		"settings":  settingsWith(`"Limits": {"MaxAttempts": 3}`),
 	}, "sh", "-c", fmt.Sprintf("ulimit -n %d && exec %s", descriptorLimit, program))
-	addr := testkit.Wait(t, process.Addr, "the process to serve")
+	addr := testkit.Receive(t, process.Addr, "the process to serve")
 	balancertest.AwaitReady(t, addr)
 	return &nodeProcess{t: t, pid: process.PID, addr: addr, descriptorLimit: descriptorLimit}
 }
--- a/cmd/balancer/logging_test.go
+++ b/cmd/balancer/logging_test.go
@@ -34,7 +34,7 @@
 // testServingWithLogPipe starts a process that logs to a pipe, sends it a request and shuts it down.
 func testServingWithLogPipe(t *testing.T, program string, log *os.File) {
 	t.Helper()
-	server := testkit.NewBackend(t, testkit.OK)
+	server := testkit.NewRecordingServer(t, testkit.OK)
 	addr := testkit.FreeAddr(t)
 	command := exec.CommandContext(t.Context(), program)
 	command.Env = []string{newConfigFile(t, addr, server.Address()).Environment()}
--- a/cmd/balancer/shutdown_test.go
+++ b/cmd/balancer/shutdown_test.go
@@ -66,22 +66,22 @@
 		exits <- processExit{err, sinceSignal()}
 	}()
 	injectFault(process.PID)
-	return shutdownResult{results(), testkit.Wait(t, exits, "the exit of the process")}
+	return shutdownResult{results(), testkit.Receive(t, exits, "the exit of the process")}
 }
 
 // startShutdownProcess starts a process and returns it with the address at which it serves. Its endpoint list has three
 // entries for a server that responds and one for an unresponsive server.
 func startShutdownProcess(t *testing.T, program string) (balancertest.Process, string) {
 	t.Helper()
-	server := testkit.NewBackend(t, testkit.OK)
-	unresponsive := testkit.NewBackend(t, testkit.Unresponsive(make(chan struct{}, 1)))
+	server := testkit.NewRecordingServer(t, testkit.OK)
+	unresponsive := testkit.NewRecordingServer(t, testkit.Unresponsive(make(chan struct{}, 1)))
 	process := balancertest.Start(t, map[string]any{
 		"discovery": refusingAddr,
 		"settings": testkit.JSON(strings.ReplaceAll(baseSettings, "8000",
 			fmt.Sprint(shutdownClassDeadline.Milliseconds()))),
 		"known": snapshotOf(1, server.Address(), server.Address(), server.Address(), unresponsive.Address()),
 	}, program)
-	addr := testkit.Wait(t, process.Addr, "the process to serve")
+	addr := testkit.Receive(t, process.Addr, "the process to serve")
 	balancertest.AwaitReady(t, addr)
 	return process, addr
 }
--- a/cmd/balancer/signals_test.go
+++ b/cmd/balancer/signals_test.go
@@ -24,7 +24,7 @@
 // A request that is at a server when SIGTERM arrives must still get its response, and run must return without an error.
 func TestActiveRequestsGetAResponseAfterSIGTERM(t *testing.T) {
 	respond := make(chan struct{})
-	server := testkit.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
+	server := testkit.NewRecordingServer(t, func(w http.ResponseWriter, r *http.Request) {
 		<-respond
 		testkit.OK(w, r)
 	})
@@ -35,10 +35,10 @@
 	balancertest.AwaitReady(t, addr)
 	responses := make(chan string, 1)
 	go func() { responses <- post(addr) }()
-	testkit.Wait(t, server.Requests, "the request at the server")
+	testkit.Receive(t, server.Requests, "the request at the server")
 	signalSelf(t, syscall.SIGTERM)
 	close(respond)
-	if body := testkit.Wait(t, responses, "the response"); body != "done" {
+	if body := testkit.Receive(t, responses, "the response"); body != "done" {
 		t.Errorf("response to the request that was active at SIGTERM is %q, want %q", body, "done")
 	}
 	awaitExit(t, exited)
@@ -71,7 +71,7 @@
 	calls := make(chan string, 1000)
 	expectCall := func(name string) {
 		t.Helper()
-		if got := testkit.Wait(t, calls, "a call to "+name); got != name {
+		if got := testkit.Receive(t, calls, "a call to "+name); got != name {
 			t.Fatalf("the node called the discovery service named %q, want %q", got, name)
 		}
 	}
@@ -91,9 +91,9 @@
 	for _, text := range [][]byte{[]byte(`{"listen"`), configText("nowhere"), nil} {
 		file.Replace(t, text)
 		signalSelf(t, syscall.SIGHUP)
-		line := testkit.Wait(t, logged, "a log line after SIGHUP with an invalid file")
+		line := testkit.Receive(t, logged, "a log line after SIGHUP with an invalid file")
 		for strings.Contains(line, "endpoint list updated") { // logged for the list of the third discovery service
-			line = testkit.Wait(t, logged, "a log line after SIGHUP with an invalid file")
+			line = testkit.Receive(t, logged, "a log line after SIGHUP with an invalid file")
 		}
 		if !strings.Contains(line, "keeping the old one") {
 			t.Errorf("SIGHUP with the configuration %q logged %q, want a line with %q", text, line, "keeping the old one")
--- a/cmd/balancer/wall_clock_test.go
+++ b/cmd/balancer/wall_clock_test.go
@@ -44,14 +44,14 @@
 	t.Helper()
 	servers := newCountingServers(t, warmServers+1)
 	list := newWatchedList(servers.endpoints[:warmServers]...)
-	machine := testkit.NewMachine(t, list.respond)
+	service := testkit.NewPartitionableService(t, list.respond)
 	options := balancertest.Options{Environment: []string{balancertest.NewWallClock(t, ahead).Environment()}}
 	process := balancertest.StartWith(t, options, map[string]any{
-		"discovery": machine.Address,
+		"discovery": service.Address,
 		"settings": settingsWith(fmt.Sprintf(`"RegistryMode": "pushed", "Contract": {"ColdFrom": %v, "ColdMs": %d}`,
 			slowStartShare, slowStartTime.Milliseconds())),
 	}, program)
-	addr := testkit.Wait(t, process.Addr, "the process to serve")
+	addr := testkit.Receive(t, process.Addr, "the process to serve")
 	balancertest.AwaitReady(t, addr)
 	stopClients := startSlowStartClients(t, addr)
 	time.Sleep(loadTimeBeforeStart)
@@ -102,11 +102,11 @@
 	t.Helper()
 	servers := &countingServers{counts: make([]atomic.Int64, count)}
 	for i := range servers.counts {
-		backend := testkit.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
+		server := testkit.NewRecordingServer(t, func(w http.ResponseWriter, r *http.Request) {
 			servers.counts[i].Add(1)
 			testkit.OK(w, r)
 		})
-		servers.endpoints = append(servers.endpoints, backend.Endpoint(fmt.Sprintf("s-%d", i)))
+		servers.endpoints = append(servers.endpoints, server.Endpoint(fmt.Sprintf("s-%d", i)))
 	}
 	return servers
 }
--- a/cmd/balancer/watched_list_test.go
+++ b/cmd/balancer/watched_list_test.go
@@ -11,7 +11,8 @@
 	"calicohinge/internal/testkit"
 )
 
-// watchedList is an endpoint list that a discovery service on a testkit.Machine serves and that nodes watch.
+// watchedList is an endpoint list that a testkit.PartitionableService serves as a discovery service and that nodes
+// watch.
 type watchedList struct {
 	mu              sync.Mutex
 	list            endpointjson.List
@@ -60,7 +61,7 @@
 func (w *watchedList) awaitWatch(t *testing.T, generation uint64) {
 	t.Helper()
 	want := strconv.FormatUint(generation, 10)
-	testkit.Until(t, "the watch after generation "+want, func() bool {
-		return testkit.Wait(t, w.callGenerations, "a call after generation "+want) == want
+	testkit.WaitUntil(t, "the watch after generation "+want, func() bool {
+		return testkit.Receive(t, w.callGenerations, "a call after generation "+want) == want
 	})
 }
--- a/internal/asyncwriter/asyncwriter_test.go
+++ b/internal/asyncwriter/asyncwriter_test.go
@@ -50,12 +50,12 @@
 	target := &gatedWriter{permits: make(chan struct{}, maxQueuedLines+2)}
 	w := New(target)
 	writeLines(t, w, 1)
-	testkit.Until(t, "the target to block", func() bool { return len(w.lines) == 0 })
+	testkit.WaitUntil(t, "the target to block", func() bool { return len(w.lines) == 0 })
 	writeLines(t, w, maxQueuedLines+5)
 	for range maxQueuedLines + 2 {
 		target.permits <- struct{}{}
 	}
-	testkit.Until(t, "the queue to be written", func() bool { return len(w.lines) == 0 })
+	testkit.WaitUntil(t, "the queue to be written", func() bool { return len(w.lines) == 0 })
 	writeLines(t, w, 1)
 	w.Close(testkit.WaitTimeout)
 	if text := target.text.String(); !strings.HasSuffix(text, "\n5 log lines dropped\nline 0\n") {
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -53,23 +53,23 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go func() { defer close(stopped); f.run(ctx) }()
-	testkit.Wait(t, scripted.Calls, "the first watch")
+	testkit.Receive(t, scripted.Calls, "the first watch")
 
 	client.RequestWatch()
-	scripted.Responses <- testkit.ResponseReset
+	scripted.Responses <- testkit.ResponseClose
 
-	if pending := testkit.Wait(t, handler.pending, "the failure"); pending > 0 {
+	if pending := testkit.Receive(t, handler.pending, "the failure"); pending > 0 {
 		t.Error("the stale watch request is still pending when the failure is reported")
 	}
-	testkit.Wait(t, handler.failed, "the failure")
+	testkit.Receive(t, handler.failed, "the failure")
 	if len(client.watchRequests) > 0 || len(scripted.Calls) > 0 {
 		t.Error("the stale watch request was kept, or caused a call")
 	}
 	client.RequestWatch() // this request, made after the failure, causes a call
-	testkit.Wait(t, scripted.Calls, "the watch after the failure")
+	testkit.Receive(t, scripted.Calls, "the watch after the failure")
 
 	cancel()
-	testkit.Wait(t, stopped, "the follower to stop")
+	testkit.Receive(t, stopped, "the follower to stop")
 }
 
 // clientStartTest describes the start of a client.
@@ -105,7 +105,7 @@
 	client := New(Config{Address: scripted.Address, Cached: c.cached, Polling: c.poll})
 	go client.Run(t.Context(), handler)
 	for _, want := range c.updates {
-		if kind := testkit.Wait(t, handler.updates, "an update"); kind != want {
+		if kind := testkit.Receive(t, handler.updates, "an update"); kind != want {
 			t.Errorf("update before the first call: got %v, want %v", kind, want)
 		}
 	}
@@ -115,7 +115,7 @@
 		}
 		client.RequestWatch()
 	}
-	if query := testkit.Wait(t, scripted.Calls, "the first call").URL.RawQuery; query != c.query {
+	if query := testkit.Receive(t, scripted.Calls, "the first call").URL.RawQuery; query != c.query {
 		t.Errorf("query of the first call: got %q, want %q", query, c.query)
 	}
 	if len(handler.updates) > 0 {
@@ -139,19 +139,19 @@
 			})
 			client.RequestWatch()
 			go client.Run(t.Context(), newRecorder())
-			pending := testkit.Wait(t, previous.Calls, "the first call")
+			pending := testkit.Receive(t, previous.Calls, "the first call")
 
 			client.SetAddress(skipped)
 			client.SetAddress(latest.Address)
 
-			if query := testkit.Wait(t, latest.Calls, "a call to the new address").URL.RawQuery; query != "" {
+			if query := testkit.Receive(t, latest.Calls, "a call to the new address").URL.RawQuery; query != "" {
 				t.Errorf("query of the call to the new address: got %q, want none", query)
 			}
 			if err := pending.Context().Err(); err != nil {
 				t.Errorf("the call to the previous address ended before the new address returned a list: %v", err)
 			}
 			latest.Responses <- `{"generation":1,"reset":true,"instances":[]}`
-			testkit.Wait(t, pending.Context().Done(), "the cancellation of the call to the previous address")
+			testkit.Receive(t, pending.Context().Done(), "the cancellation of the call to the previous address")
 		})
 	}
 }
--- a/internal/discovery/fetch_test.go
+++ b/internal/discovery/fetch_test.go
@@ -87,8 +87,8 @@
 }
 
 func TestConnectionClosedWithoutResponseIsReset(t *testing.T) {
-	backend := testkit.NewBackend(t, testkit.Reset)
-	if _, err := newTestFollower(t, backend.Address(), true).fetch(t.Context()); kindOf(err) != Reset {
+	server := testkit.NewRecordingServer(t, testkit.CloseWithoutResponse)
+	if _, err := newTestFollower(t, server.Address(), true).fetch(t.Context()); kindOf(err) != Reset {
 		t.Errorf("fetch(): got error %v of kind %v, want kind %v", err, kindOf(err), Reset)
 	}
 }
--- a/internal/discovery/follower_test.go
+++ b/internal/discovery/follower_test.go
@@ -122,10 +122,10 @@
 		`{"generation":2,"instances":[]}`,
 		`{"generation":3,"reset":true,"instances":[]}`,
 	} {
-		testkit.Wait(t, scripted.Calls, "a call")
+		testkit.Receive(t, scripted.Calls, "a call")
 		scripted.Responses <- response
 	}
-	testkit.Wait(t, scripted.Calls, "the call after the last list")
+	testkit.Receive(t, scripted.Calls, "the call after the last list")
 	var kinds []policy.UpdateKind
 	for len(handler.updates) > 0 {
 		kinds = append(kinds, <-handler.updates)
--- a/internal/discovery/late_response_test.go
+++ b/internal/discovery/late_response_test.go
@@ -80,7 +80,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	stopped := make(chan struct{})
 	go func() { defer close(stopped); client.Run(ctx, handler) }()
-	if kind := testkit.Wait(t, handler.updates, "the cached list"); kind != policy.UpdateCached {
+	if kind := testkit.Receive(t, handler.updates, "the cached list"); kind != policy.UpdateCached {
 		t.Errorf("first update: got %v, want %v", kind, policy.UpdateCached)
 	}
 	body(&lateResponseTest{t, client, transport.calls, handler.updates})
@@ -90,7 +90,7 @@
 
 func (t *lateResponseTest) waitCall() *pendingCall {
 	t.Helper()
-	return testkit.Wait(t.T, t.calls, "a call")
+	return testkit.Receive(t.T, t.calls, "a call")
 }
 
 // expectWatch waits for the next call and expects it to request changes after a generation.
@@ -104,7 +104,7 @@
 // expectUpdate waits for an update and expects it to be of the given kind.
 func (t *lateResponseTest) expectUpdate(want policy.UpdateKind) {
 	t.Helper()
-	if kind := testkit.Wait(t.T, t.updates, "an update"); kind != want {
+	if kind := testkit.Receive(t.T, t.updates, "an update"); kind != want {
 		t.Errorf("next update: got %v, want %v", kind, want)
 	}
 }
@@ -121,7 +121,7 @@
 // expectCancelled waits until a call is cancelled.
 func (t *lateResponseTest) expectCancelled(call *pendingCall) {
 	t.Helper()
-	testkit.Wait(t.T, call.request.Context().Done(), "the cancellation of a call")
+	testkit.Receive(t.T, call.request.Context().Done(), "the cancellation of a call")
 }
 
 const oneServer = `"instances":[{"instanceId":"s","hostPort":"127.0.0.1:1","lifecycle":"Terminating"}]}`
--- a/internal/downstream/admission_test.go
+++ b/internal/downstream/admission_test.go
@@ -32,7 +32,7 @@
 	waiting := dial(t, listener)
 	send(t, waiting, "GET")
 	accepted := acceptInBackground(t, listener)
-	testkit.Until(t, "the connection beyond the reserve to wait", conns.hasWaiters)
+	testkit.WaitUntil(t, "the connection beyond the reserve to wait", conns.hasWaiters)
 	if sockstate.Peek(waiting) != sockstate.Idle || conns.Open() != 2 {
 		t.Errorf("while the connection waits: got client's socket %v, %d open connections; want %v, 2",
 			sockstate.Peek(waiting), conns.Open(), sockstate.Idle)
@@ -41,7 +41,7 @@
 	if err := last.Close(); err != nil {
 		t.Fatal(err)
 	}
-	c := testkit.Wait(t, accepted, "the connection beyond the reserve to be accepted")
+	c := testkit.Receive(t, accepted, "the connection beyond the reserve to be accepted")
 	expectRead(t, c, "GET")
 }
 
@@ -53,13 +53,13 @@
 	accept(t, listener).MarkRequestRead()
 	waiting := dial(t, listener)
 	accepted := acceptErrInBackground(listener)
-	testkit.Until(t, "the connection beyond the reserve to wait", conns.hasWaiters)
+	testkit.WaitUntil(t, "the connection beyond the reserve to wait", conns.hasWaiters)
 
 	if err := listener.Close(); err != nil {
 		t.Fatal(err)
 	}
 
-	if err := testkit.Wait(t, accepted, "Accept to return"); !errors.Is(err, net.ErrClosed) {
+	if err := testkit.Receive(t, accepted, "Accept to return"); !errors.Is(err, net.ErrClosed) {
 		t.Errorf("Accept: got error %v, want %v", err, net.ErrClosed)
 	}
 	if err := waiting.SetReadDeadline(time.Now().Add(testkit.WaitTimeout)); err != nil {
--- a/internal/downstream/conn_test.go
+++ b/internal/downstream/conn_test.go
@@ -38,7 +38,7 @@
 	t.Helper()
 	ended := readErrInBackground(c)
 	setReadDeadline(t, c, time.Unix(1, 0))
-	if err := testkit.Wait(t, ended, "Read to return"); !testkit.IsTimeout(err) {
+	if err := testkit.Receive(t, ended, "Read to return"); !testkit.IsTimeout(err) {
 		t.Fatalf("Read: got error %v, want a timeout", err)
 	}
 }
@@ -67,7 +67,7 @@
 		expireRead(t, c)
 		sendUnread(t, client, c, "GET")
 		expectRead(t, c, "GET")
-		if err := testkit.Wait(t, readErrInBackground(c), "the read timeout"); !testkit.IsTimeout(err) {
+		if err := testkit.Receive(t, readErrInBackground(c), "the read timeout"); !testkit.IsTimeout(err) {
 			t.Errorf("Read after the request: got error %v, want a timeout", err)
 		}
 	})
@@ -85,7 +85,7 @@
 	if n, err := c.Read(make([]byte, 10)); n != 1 || err != nil {
 		t.Fatalf("Read of the first byte: got %d bytes, error %v; want 1 byte, no error", n, err)
 	}
-	if err := testkit.Wait(t, readErrInBackground(c), "the read timeout"); !testkit.IsTimeout(err) {
+	if err := testkit.Receive(t, readErrInBackground(c), "the read timeout"); !testkit.IsTimeout(err) {
 		t.Errorf("Read: got error %v, want a timeout", err)
 	}
 }
--- a/internal/downstream/drain_test.go
+++ b/internal/downstream/drain_test.go
@@ -115,7 +115,7 @@
 	}
 	ended := readErrInBackground(c) // as net/http does if the request is incomplete
 	conns.Shutdown(t.Context())
-	if err := testkit.Wait(t, ended, "Read to return"); err == nil || !c.Closed() {
+	if err := testkit.Receive(t, ended, "Read to return"); err == nil || !c.Closed() {
 		t.Errorf("after Shutdown: got Read error %v, Closed() = %v; want an error, true", err, c.Closed())
 	}
 	if stats := conns.Stats(); stats != (Stats{Incomplete: 1}) {
@@ -134,14 +134,14 @@
 		conns.Shutdown(context.WithoutCancel(t.Context()))
 		close(returned)
 	}()
-	testkit.Until(t, "Shutdown to wait", conns.hasWaiters)
+	testkit.WaitUntil(t, "Shutdown to wait", conns.hasWaiters)
 	select {
 	case <-returned:
 		t.Fatal("Shutdown returned before the response was complete")
 	default:
 	}
 	withLock(conns, func() { conns.beginLingering(c) })
-	testkit.Wait(t, returned, "Shutdown to return")
+	testkit.Receive(t, returned, "Shutdown to return")
 	if c.Closed() {
 		t.Error("the lingering connection was closed by Shutdown")
 	}
--- a/internal/downstream/helpers_test.go
+++ b/internal/downstream/helpers_test.go
@@ -154,7 +154,7 @@
 // waitForSocketState waits until the socket of c is in the wanted state.
 func waitForSocketState(t *testing.T, c *Conn, want sockstate.State) {
 	t.Helper()
-	testkit.Until(t, "the connection to be "+want.String(), func() bool { return sockstate.Peek(c.Conn) == want })
+	testkit.WaitUntil(t, "the connection to be "+want.String(), func() bool { return sockstate.Peek(c.Conn) == want })
 }
 
 // setReadDeadline sets the read deadline of c, as net/http does.
--- a/internal/downstream/listener_test.go
+++ b/internal/downstream/listener_test.go
@@ -70,7 +70,7 @@
 	if err := listener.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if err := testkit.Wait(t, ended, "Accept to return"); !errors.Is(err, net.ErrClosed) {
+	if err := testkit.Receive(t, ended, "Accept to return"); !errors.Is(err, net.ErrClosed) {
 		t.Errorf("Accept: got error %v, want %v", err, net.ErrClosed)
 	}
 }
@@ -95,7 +95,7 @@
 	if _, err := listener.Accept(); !errors.Is(err, net.ErrClosed) {
 		t.Errorf("Accept after the last queued connection: got error %v, want %v", err, net.ErrClosed)
 	}
-	testkit.Wait(t, stopped, "StopAccepting to return")
+	testkit.Receive(t, stopped, "StopAccepting to return")
 	if conn, err := net.Dial("tcp", listener.Addr().String()); err == nil {
 		t.Error("net.Dial after StopAccepting succeeded, want an error")
 		_ = conn.Close() // whatever Close returns, the test has failed
@@ -128,12 +128,12 @@
 	c.MarkRequestRead()
 	dial(t, listener)
 	accepted := acceptInBackground(t, listener)
-	testkit.Until(t, "the connection to wait for admission", conns.hasWaiters)
+	testkit.WaitUntil(t, "the connection to wait for admission", conns.hasWaiters)
 	time.Sleep(backoff)
 	if err := c.Close(); err != nil {
 		t.Fatal(err)
 	}
-	waited := testkit.Wait(t, accepted, "the admission")
+	waited := testkit.Receive(t, accepted, "the admission")
 	if waited.QueueTime() < backoff {
 		t.Errorf("QueueTime() after a wait for admission = %v, want at least %v", waited.QueueTime(), backoff)
 	}
--- a/internal/downstream/read_ahead_test.go
+++ b/internal/downstream/read_ahead_test.go
@@ -26,7 +26,7 @@
 	go func() { // the write ends at the latest when the test closes the client connection
 		_, _ = io.WriteString(client, strings.Repeat("x", 4*testMaxReadAheadBytes))
 	}()
-	testkit.Until(t, "the read-ahead limit to be exceeded", c.ClientDisconnected)
+	testkit.WaitUntil(t, "the read-ahead limit to be exceeded", c.ClientDisconnected)
 	if len(c.readAhead) > testMaxReadAheadBytes+readAheadChunkSize {
 		t.Errorf("length of the read-ahead buffer: got %d, want at most %d",
 			len(c.readAhead), testMaxReadAheadBytes+readAheadChunkSize)
--- a/internal/node/connection_limits_test.go
+++ b/internal/node/connection_limits_test.go
@@ -17,7 +17,7 @@
 // Connections without a complete request must not use up the limit on client connections. The node evicts such
 // connections, so that other clients are served.
 func TestConnectionsWithoutARequestAreEvicted(t *testing.T) {
-	n := startNodeWithFewSockets(t, testkit.NewBackend(t, testkit.OK).Endpoint("s-0"))
+	n := startNodeWithFewSockets(t, testkit.NewRecordingServer(t, testkit.OK).Endpoint("s-0"))
 	var flood []net.Conn
 	for i := range 150 {
 		nc := n.dial()
@@ -41,7 +41,7 @@
 // Idle connections of clients that have made one request are evicted as soon as a new client needs a connection. If a
 // connection had to be idle for some seconds first, new clients would queue for connections until they disconnected.
 func TestIdleConnectionsAreEvictedAtOnce(t *testing.T) {
-	n := startNodeWithFewSockets(t, testkit.NewBackend(t, testkit.OK).Endpoint("s-0"))
+	n := startNodeWithFewSockets(t, testkit.NewRecordingServer(t, testkit.OK).Endpoint("s-0"))
 	startTime := time.Now()
 	for i := range 200 {
 		if resp := n.roundTrip(n.dial()); resp.StatusCode != http.StatusOK {
@@ -57,7 +57,7 @@
 // If every permitted connection has an active request, a further client is rejected with Retry-After and its connection
 // is closed. The active requests are still served.
 func TestClientsOverTheConnectionLimitAreRejected(t *testing.T) {
-	server := newBlockedBackend(t)
+	server := newBlockedServer(t)
 	n := startNodeWithFewSockets(t, server.Endpoint("s-0"))
 	var busy []net.Conn
 	for i := range 20 { // some of these requests may be queued, but their connections are in use too
@@ -86,7 +86,7 @@
 func (n *testNode) requestUntilRejected() *http.Response {
 	n.t.Helper()
 	var last *http.Response
-	testkit.Until(n.t, "a request over the connection limit to be rejected", func() bool {
+	testkit.WaitUntil(n.t, "a request over the connection limit to be rejected", func() bool {
 		last = n.roundTrip(n.dial())
 		return last.StatusCode == http.StatusServiceUnavailable
 	})
@@ -97,7 +97,8 @@
 // hold its connection beyond the deadlines of its requests.
 func TestConnectionOfAClientThatReadsNothingIsClosed(t *testing.T) {
 	text := strings.Repeat("x", maxBodyBytes)
-	n, _ := startReadyNode(t, testkit.NewBackend(t, func(w http.ResponseWriter, _ *http.Request) { send(w, text) }))
+	n, _ := startReadyNode(t,
+		testkit.NewRecordingServer(t, func(w http.ResponseWriter, _ *http.Request) { send(w, text) }))
 	nc := n.dial()
 	var err error
 	for err == nil {
@@ -115,7 +116,7 @@
 // must not block other clients. Once all clients have disconnected, a connection that is still open or a request that
 // is still active would be leaked.
 func TestAbusiveClientsLeaveNoOpenConnections(t *testing.T) {
-	s := startHandler(t, testkit.NewBackend(t, testkit.OK).Endpoint("s-0"))
+	s := startHandler(t, testkit.NewRecordingServer(t, testkit.OK).Endpoint("s-0"))
 	behaviors := []func(nc net.Conn){
 		func(nc net.Conn) { send(nc, "\x00\xff invalid\r\n\r\n") },
 		func(nc net.Conn) { send(nc, wireText(s.newRequest("read"))[:40]) },
@@ -174,7 +175,7 @@
 // saturatedLoop is a loop whose requests in flight use all connections to servers.
 type saturatedLoop struct {
 	*testLoop
-	server   *blockedBackend   // responds once it is unblocked
+	server   *blockedServer    // responds once it is unblocked
 	inFlight []<-chan response // responses to the requests in flight
 }
 
@@ -182,7 +183,7 @@
 func startSaturatedLoop(t *testing.T) *saturatedLoop {
 	t.Helper()
 	const connections, servers = 2, 40 // so many servers that none reaches its own limit
-	server := newBlockedBackend(t)
+	server := newBlockedServer(t)
 	var list []endpointjson.Endpoint
 	for i := range servers {
 		list = append(list, server.Endpoint(fmt.Sprintf("s-%d", i)))
@@ -191,7 +192,7 @@
 	l.testLoop = startLoopWith(t, func(pool *upstream.Config) { pool.MaxOpen = connections }, list...)
 	for range connections {
 		l.inFlight = append(l.inFlight, l.submitAsync(t.Context(), l.newRequest(classRead, staysConnected)))
-		testkit.Wait(t, server.Requests, "the server to receive a request")
+		testkit.Receive(t, server.Requests, "the server to receive a request")
 	}
 	return l
 }
--- a/internal/node/disconnect_concurrency_test.go
+++ b/internal/node/disconnect_concurrency_test.go
@@ -40,13 +40,13 @@
 // wait for space. The loop handles all requests before the first disconnect event. Nevertheless, no request of a
 // disconnected client may be forwarded, and all requests must be released.
 func TestManyDisconnectsWithAFullEventQueue(t *testing.T) {
-	b := testkit.NewBackend(t, testkit.OK)
-	s := startHandler(t, b.Endpoint("s-0"), b.Endpoint("s-1"), b.Endpoint("s-2"), b.Endpoint("s-3"))
+	server := testkit.NewRecordingServer(t, testkit.OK)
+	s := startHandler(t, server.Endpoint("s-0"), server.Endpoint("s-1"), server.Endpoint("s-2"), server.Endpoint("s-3"))
 	l := s.loop
 	l.awaitRequests(0, 0) // waits until the loop has handled the endpoint list
 	resume := l.pause()
 	clients := s.sendOnNewConns(classNames()...)
-	testkit.Until(t, "all requests to be in the event queue", func() bool {
+	testkit.WaitUntil(t, "all requests to be in the event queue", func() bool {
 		return len(l.queue.posted) == concurrentClients
 	})
 	var all []*request
@@ -60,13 +60,13 @@
 	}
 
 	s.disconnectAll(clients, closeTCP, resetConn)
-	testkit.Until(t, "the event queue to be full", func() bool { return len(l.queue.posted) == cap(l.queue.posted) })
+	testkit.WaitUntil(t, "the event queue to be full", func() bool { return len(l.queue.posted) == cap(l.queue.posted) })
 	resume()
 
 	s.awaitNoRequests()
-	if sent := countStartedAttempts(all...); len(all) != concurrentClients || sent > 0 || len(b.Requests) > 0 {
+	if sent := countStartedAttempts(all...); len(all) != concurrentClients || sent > 0 || len(server.Requests) > 0 {
 		t.Errorf("requests in the loop: got %d, want %d; attempts sent: got %d, want 0; attempts received: got %d, want 0",
-			len(all), concurrentClients, sent, len(b.Requests))
+			len(all), concurrentClients, sent, len(server.Requests))
 	}
 }
 
@@ -76,9 +76,9 @@
 func TestManyDisconnectsInMixedRequestStates(t *testing.T) {
 	t.Parallel()
 	servers := mixedServers{
-		stuck:        testkit.NewStuckServer(t),
-		failing:      testkit.NewBackend(t, testkit.ServerError),
-		unresponsive: testkit.NewBackend(t, testkit.Unresponsive(nil)),
+		fullBacklog:  testkit.NewFullBacklogServer(t),
+		failing:      testkit.NewRecordingServer(t, testkit.ServerError),
+		unresponsive: testkit.NewRecordingServer(t, testkit.Unresponsive(nil)),
 	}
 	s := startHandler(t, servers.endpoints(90)...)
 	l := s.loop
@@ -88,8 +88,8 @@
 
 	s.disconnectAll(clients, closeTCP)
 	sentBefore, attemptsBefore := countStartedAttempts(stable.requests...), countAttempts(stable.requests)
-	servers.stuck.Admit()
-	s.awaitIdleConns(stable.states[stateConnecting], servers.stuck.Addr())
+	servers.fullBacklog.AcceptAll()
+	s.awaitIdleConns(stable.states[stateConnecting], servers.fullBacklog.Addr())
 	stable.resume()
 	s.awaitNoRequests()
 
@@ -106,14 +106,14 @@
 
 // mixedServers are servers that fail in different ways.
 type mixedServers struct {
-	stuck        *testkit.StuckServer // accepts no connection until Admit is called
-	failing      *testkit.Backend     // responds with errors
-	unresponsive *testkit.Backend     // does not respond
+	fullBacklog  *testkit.FullBacklogServer // accepts no connection until AcceptAll is called
+	failing      *testkit.RecordingServer   // responds with errors
+	unresponsive *testkit.RecordingServer   // does not respond
 }
 
 // endpoints returns an endpoint list with count entries, which are the three servers in turn.
 func (m mixedServers) endpoints(count int) []endpointjson.Endpoint {
-	kinds := []func(string) endpointjson.Endpoint{m.stuck.Endpoint, m.failing.Endpoint, m.unresponsive.Endpoint}
+	kinds := []func(string) endpointjson.Endpoint{m.fullBacklog.Endpoint, m.failing.Endpoint, m.unresponsive.Endpoint}
 	var list []endpointjson.Endpoint
 	for i := range count {
 		list = append(list, kinds[i%len(kinds)](fmt.Sprintf("s-%d", i)))
@@ -125,7 +125,7 @@
 const (
 	stateQueued     = "queued"     // there is no attempt yet
 	stateBackoff    = "backoff"    // the last attempt has ended
-	stateConnecting = "connecting" // the last attempt waits for a connection to the stuck server
+	stateConnecting = "connecting" // the last attempt waits for a connection to the server with a full backlog
 	stateInFlight   = "in flight"  // the last attempt was sent to the unresponsive server
 	stateTransient  = "transient"  // the last attempt is about to change its state
 )
@@ -137,7 +137,7 @@
 		switch addr := l.pool.Stats().Servers[a.server].Address; {
 		case a.state != attemptInFlight:
 			state = stateBackoff
-		case addr == m.stuck.Addr().String():
+		case addr == m.fullBacklog.Addr().String():
 			state = stateConnecting
 		case addr == m.unresponsive.Address() && a.call.Sent():
 			state = stateInFlight
@@ -159,7 +159,7 @@
 func (s *testHandler) pauseWhenStable(servers mixedServers) stableRequests {
 	s.t.Helper()
 	var stable stableRequests
-	testkit.Until(s.t, "all requests to be in a stable state", func() bool {
+	testkit.WaitUntil(s.t, "all requests to be in a stable state", func() bool {
 		stable = stableRequests{states: map[string]int{}, resume: s.loop.pause()}
 		for _, r := range s.loop.requests.byID {
 			stable.requests = append(stable.requests, r)
--- a/internal/node/disconnect_race_test.go
+++ b/internal/node/disconnect_race_test.go
@@ -114,7 +114,7 @@
 // startPausedAt sends a request to a new testHandler and pauses the loop when the request has reached the stage.
 func startPausedAt(t *testing.T, stage requestStage, mode disconnectMode) *pausedRequest {
 	t.Helper()
-	server1, server2 := testkit.NewBackend(t, stage.handle), testkit.NewBackend(t, stage.handle)
+	server1, server2 := testkit.NewRecordingServer(t, stage.handle), testkit.NewRecordingServer(t, stage.handle)
 	s := &pausedRequest{
 		testHandler:      startHandler(t, server1.Endpoint("s-0"), server2.Endpoint("s-1")),
 		stage:            stage,
@@ -133,7 +133,7 @@
 	}
 	s.client = s.sendOnNewConn(stage.class, mode.extraBytes)
 	l.awaitRequests(stage.otherRequests+1, stage.otherRequests+stage.inFlight)
-	testkit.Until(t, "the servers to receive the attempts before the disconnect", func() bool {
+	testkit.WaitUntil(t, "the servers to receive the attempts before the disconnect", func() bool {
 		return len(server1.Requests)+len(server2.Requests) == stage.otherRequests+stage.sent
 	})
 	s.resume = l.pause()
@@ -171,10 +171,10 @@
 	s.mode.disconnect(s.client)
 	s.awaitDisconnect(s.client)
 	s.resume()
-	if !testkit.Wait(s.t, s.disconnectChecks, "the check for a disconnect before the attempt is sent") {
+	if !testkit.Receive(s.t, s.disconnectChecks, "the check for a disconnect before the attempt is sent") {
 		s.t.Error("ClientDisconnected() = false after a disconnect, just before the attempt is sent; want true")
 	}
-	testkit.Wait(s.t, nextPause.reached, "the loop to reach the pause after the decision")
+	testkit.Receive(s.t, nextPause.reached, "the loop to reach the pause after the decision")
 	nextPause.resume()
 }
 
--- a/internal/node/disconnect_test.go
+++ b/internal/node/disconnect_test.go
@@ -14,24 +14,24 @@
 
 func TestDisconnectCancelsTheAttempt(t *testing.T) {
 	cancelled := make(chan struct{}, 1)
-	b := testkit.NewBackend(t, testkit.Unresponsive(cancelled))
-	n, _ := startReadyNode(t, b)
+	server := testkit.NewRecordingServer(t, testkit.Unresponsive(cancelled))
+	n, _ := startReadyNode(t, server)
 	nc := n.dial()
 	if err := n.newRequest("read").Write(nc); err != nil {
 		t.Fatalf("writing the request: %v", err)
 	}
-	testkit.Wait(t, b.Requests, "the server to receive the request")
+	testkit.Receive(t, server.Requests, "the server to receive the request")
 	closeQuietly(nc)
-	testkit.Wait(t, cancelled, "the attempt to be cancelled after the client disconnected")
+	testkit.Receive(t, cancelled, "the attempt to be cancelled after the client disconnected")
 }
 
 // startWithBusyServer starts a loop with one server, and sends a request that uses all of the server's capacity.
-func startWithBusyServer(t *testing.T) (*testLoop, *blockedBackend) {
+func startWithBusyServer(t *testing.T) (*testLoop, *blockedServer) {
 	t.Helper()
-	server := newBlockedBackend(t)
+	server := newBlockedServer(t)
 	l := startLoop(t, server.Endpoint("s-0"))
 	l.submitAsync(t.Context(), l.newRequest(classPay, staysConnected))
-	testkit.Wait(t, server.Requests, "the server to receive the first request")
+	testkit.Receive(t, server.Requests, "the server to receive the first request")
 	return l, server
 }
 
@@ -72,7 +72,7 @@
 	awaitSocketState(t, c.Conn, sockstate.Readable)
 	server.unblock()
 
-	if testkit.Wait(t, hasResponse, "the queued request to complete") {
+	if testkit.Receive(t, hasResponse, "the queued request to complete") {
 		t.Error("the request of a disconnected client completed with a response, want an error")
 	}
 	l.awaitRequests(0, 0)
@@ -85,8 +85,8 @@
 // disconnect. Nothing may be written to the connection then.
 func TestAttemptWaitingForAConnectionIsNotSentAfterADisconnect(t *testing.T) {
 	t.Parallel()
-	stuck := testkit.NewStuckServer(t)
-	l := startLoop(t, stuck.Endpoint("s-0"))
+	fullBacklog := testkit.NewFullBacklogServer(t)
+	l := startLoop(t, fullBacklog.Endpoint("s-0"))
 	ctx, disconnect := context.WithCancel(t.Context())
 	disconnected := func() bool { return ctx.Err() != nil }
 	// The request's context does not end, as if net/http had not detected the disconnect yet.
@@ -94,7 +94,7 @@
 	l.awaitRequests(1, 1)
 
 	disconnect()
-	sent := stuck.Admit()
+	sent := fullBacklog.AcceptAll()
 	l.awaitRequests(0, 0)
 
 	if len(sent) > 0 {
@@ -103,12 +103,12 @@
 }
 
 func TestNoRetryAfterADisconnect(t *testing.T) {
-	servers := newBackendsFailingFirst(t, testkit.ServerError)
+	servers := newServersFailingFirst(t, testkit.ServerError)
 	l := startLoop(t, servers[0].Endpoint("s-0"), servers[1].Endpoint("s-1"))
 	ctx, disconnect := context.WithCancel(t.Context())
 	l.submitAsync(ctx, l.newRequest(classRead, staysConnected))
 	sent := func() int { return len(servers[0].Requests) + len(servers[1].Requests) }
-	testkit.Until(t, "a server to receive the first attempt", func() bool { return sent() > 0 })
+	testkit.WaitUntil(t, "a server to receive the first attempt", func() bool { return sent() > 0 })
 	l.awaitRequests(1, 0)
 
 	disconnect()
@@ -124,16 +124,16 @@
 // cancels the attempt.
 func TestDisconnectAfterUnreadBytesCancelsTheAttempt(t *testing.T) {
 	cancelled := make(chan struct{}, 1)
-	b := testkit.NewBackend(t, testkit.Unresponsive(cancelled))
-	n := startReadyNodeWithConfig(t, b.Endpoint("s-0"), withDeadlines(600000))
+	server := testkit.NewRecordingServer(t, testkit.Unresponsive(cancelled))
+	n := startReadyNodeWithConfig(t, server.Endpoint("s-0"), withDeadlines(600000))
 	nc := n.dial()
 	r := n.newRequest("pay")
 	r.Header.Set("X-Timeout-Ms", "600000")
 	sendRequest(nc, r)
-	testkit.Wait(t, b.Requests, "the server to receive the request")
+	testkit.Receive(t, server.Requests, "the server to receive the request")
 	send(nc, strings.Repeat("x", 5000))
 	closeQuietly(nc)
-	testkit.Wait(t, cancelled, "the attempt to be cancelled after the client sent 5000 bytes and disconnected")
+	testkit.Receive(t, cancelled, "the attempt to be cancelled after the client sent 5000 bytes and disconnected")
 }
 
 // The connection that a first or second attempt waits for may open after the client has disconnected but before the
@@ -142,27 +142,30 @@
 	t.Parallel()
 	t.Run("first attempt", func(t *testing.T) {
 		t.Parallel()
-		stuck := testkit.NewStuckServer(t)
-		s := startHandler(t, stuck.Endpoint("s-0"))
+		fullBacklog := testkit.NewFullBacklogServer(t)
+		s := startHandler(t, fullBacklog.Endpoint("s-0"))
 		client := s.sendOnNewConn("read", "")
-		s.wantNotSentAfterDisconnect(client, stuck, 0)
+		s.wantNotSentAfterDisconnect(client, fullBacklog, 0)
 	})
 	t.Run("second attempt", func(t *testing.T) {
 		t.Parallel()
-		stuck, failing := testkit.NewStuckServer(t), testkit.NewBackend(t, testkit.ServerError)
+		fullBacklog, failing := testkit.NewFullBacklogServer(t), testkit.NewRecordingServer(t, testkit.ServerError)
 		s := startHandler(t, failing.Endpoint("s-1"))
 		client := s.sendOnNewConn("read", "")
-		testkit.Wait(t, failing.Requests, "the server to receive the first attempt")
+		testkit.Receive(t, failing.Requests, "the server to receive the first attempt")
 		s.loop.awaitRequests(1, 0)
-		s.loop.reportEndpoints(policy.UpdateDelta, stuck.Endpoint("s-0"))
+		s.loop.reportEndpoints(policy.UpdateDelta, fullBacklog.Endpoint("s-0"))
 		s.loop.queue.post(eventFunc(s.loop.advanceClock))
-		s.wantNotSentAfterDisconnect(client, stuck, 1)
+		s.wantNotSentAfterDisconnect(client, fullBacklog, 1)
 	})
 }
 
-// wantNotSentAfterDisconnect disconnects a client while an attempt waits for its connection to a stuck server, after
-// wantSent earlier attempts of the same request were sent. It fails the test if the waiting attempt is sent too.
-func (s *testHandler) wantNotSentAfterDisconnect(client *net.TCPConn, stuck *testkit.StuckServer, wantSent int) {
+// wantNotSentAfterDisconnect disconnects a client while an attempt waits for its connection to a server with a full
+// backlog, after wantSent earlier attempts of the same request were sent. It fails the test if the waiting attempt is
+// sent too.
+func (s *testHandler) wantNotSentAfterDisconnect(
+	client *net.TCPConn, fullBacklog *testkit.FullBacklogServer, wantSent int,
+) {
 	s.t.Helper()
 	l := s.loop
 	l.awaitRequests(1, 1)
@@ -170,21 +173,21 @@
 	r := l.lastRequest()
 	closeQuietly(client)
 	s.awaitDisconnect(client)
-	sent := stuck.Admit()
-	s.awaitIdleConns(1, stuck.Addr())
+	sent := fullBacklog.AcceptAll()
+	s.awaitIdleConns(1, fullBacklog.Addr())
 	resume()
 	s.awaitNoRequests()
 	attemptsSent := countStartedAttempts(r)
 	if len(r.attempts) != wantSent+1 || attemptsSent != wantSent || len(sent) > 0 {
-		s.t.Errorf("attempts sent: got %d of %d, want %d of %d; received by the stuck server: got %d, want 0",
+		s.t.Errorf("attempts sent: got %d of %d, want %d of %d; received by the server with a full backlog: got %d, want 0",
 			attemptsSent, len(r.attempts), wantSent, wantSent+1, len(sent))
 	}
 }
 
 // If a client disconnects after it has sent only part of a request, neither the loop nor a server must get the request.
 func TestIncompleteRequestIsNeverForwarded(t *testing.T) {
-	b := testkit.NewBackend(t, testkit.OK)
-	s := startHandler(t, b.Endpoint("s-0"))
+	server := testkit.NewRecordingServer(t, testkit.OK)
+	s := startHandler(t, server.Endpoint("s-0"))
 	complete := s.requestText("pay")
 	for partName, part := range map[string]string{
 		"no bytes":           "",
@@ -198,13 +201,13 @@
 			client := s.dial().(*net.TCPConn)
 			send(client, part)
 			disconnect(client)
-			testkit.Until(t, "the node to close the connection", func() bool {
+			testkit.WaitUntil(t, "the node to close the connection", func() bool {
 				c := s.nodeConn(client)
 				return c != nil && c.Closed()
 			})
-			if len(b.Requests) > 0 || s.loop.requests.lastID > 0 {
+			if len(server.Requests) > 0 || s.loop.requests.lastID > 0 {
 				t.Errorf("client sent %s, connection %s: got %d requests at the server and %d in the loop, want 0 and 0",
-					partName, disconnectName, len(b.Requests), s.loop.requests.lastID)
+					partName, disconnectName, len(server.Requests), s.loop.requests.lastID)
 			}
 		}
 	}
--- a/internal/node/discovery_failure_test.go
+++ b/internal/node/discovery_failure_test.go
@@ -24,7 +24,7 @@
 	for _, mode := range discoveryModes() {
 		for name, fail := range map[string]func(*testkit.ScriptedDiscovery){
 			"unresponsive": func(*testkit.ScriptedDiscovery) {},
-			"reset":        func(scripted *testkit.ScriptedDiscovery) { scripted.Responses <- testkit.ResponseReset },
+			"reset":        func(scripted *testkit.ScriptedDiscovery) { scripted.Responses <- testkit.ResponseClose },
 		} {
 			t.Run(mode+" "+name, func(t *testing.T) {
 				t.Parallel()
@@ -37,27 +37,27 @@
 func testWatchIsReopened(t *testing.T, mode string, fail func(*testkit.ScriptedDiscovery)) {
 	t.Helper()
 	n, scripted := startWithScriptedDiscovery(t, mode, nil)
-	testkit.Wait(t, scripted.Calls, "the first call to discovery")
+	testkit.Receive(t, scripted.Calls, "the first call to discovery")
 	scripted.Responses <- `{"generation":3,"reset":true,"instances":[]}`
 	n.awaitReadiness(http.StatusOK)
-	testkit.Wait(t, scripted.Calls, "the watch")
+	testkit.Receive(t, scripted.Calls, "the watch")
 
 	began := time.Now()
 	fail(scripted)
-	reopened := testkit.Wait(t, scripted.Calls, "the reopened watch")
+	reopened := testkit.Receive(t, scripted.Calls, "the reopened watch")
 	if took := time.Since(began); took >= policy.NotificationDeadline {
 		t.Errorf("reopening of the watch: got %v after its failure, want less than %v", took, policy.NotificationDeadline)
 	}
 	wantQueryPrefix(t, reopened, "after=3&")
 
-	server := testkit.NewBackend(t, testkit.OK)
+	server := testkit.NewRecordingServer(t, testkit.OK)
 	list := endpointjson.List{Generation: 4, Endpoints: []endpointjson.Endpoint{server.Endpoint("s-0")}}
 	text, err := json.MarshalIndent(list, "", "  ")
 	if err != nil {
 		t.Fatalf("json.MarshalIndent(%+v): %v", list, err)
 	}
 	scripted.Responses <- string(text)
-	testkit.Wait(t, scripted.Calls, "the next watch")
+	testkit.Receive(t, scripted.Calls, "the next watch")
 	n.wantStatus("read", http.StatusOK)
 }
 
@@ -68,23 +68,23 @@
 	for _, mode := range discoveryModes() {
 		t.Run(mode, func(t *testing.T) {
 			n, old := startWithScriptedDiscovery(t, mode, nil)
-			first := testkit.Wait(t, old.Calls, "the first call to discovery")
+			first := testkit.Receive(t, old.Calls, "the first call to discovery")
 			next := testkit.NewScriptedDiscovery(t)
 
 			n.node.SetDiscoveryAddress(next.Address) // before the node has a list
-			wantQueryPrefix(t, testkit.Wait(t, next.Calls, "a call to the new address"), "")
+			wantQueryPrefix(t, testkit.Receive(t, next.Calls, "a call to the new address"), "")
 			wantCallInFlight(t, first)
 			next.Responses <- `{"generation":9,"reset":true,"instances":[]}`
 			n.awaitReadiness(http.StatusOK)
-			testkit.Wait(t, first.Context().Done(), "the cancellation of the first call")
-			watch := testkit.Wait(t, next.Calls, "the watch at the new address")
+			testkit.Receive(t, first.Context().Done(), "the cancellation of the first call")
+			watch := testkit.Receive(t, next.Calls, "the watch at the new address")
 
 			n.node.SetDiscoveryAddress(old.Address) // during the watch, back to the first address
-			wantQueryPrefix(t, testkit.Wait(t, old.Calls, "a call to the first address"), "")
+			wantQueryPrefix(t, testkit.Receive(t, old.Calls, "a call to the first address"), "")
 			wantCallInFlight(t, watch)
 			old.Responses <- `{"generation":2,"reset":true,"instances":[]}`
-			testkit.Wait(t, watch.Context().Done(), "the cancellation of the watch")
-			wantQueryPrefix(t, testkit.Wait(t, old.Calls, "the watch at the first address"), "after=2&")
+			testkit.Receive(t, watch.Context().Done(), "the cancellation of the watch")
+			wantQueryPrefix(t, testkit.Receive(t, old.Calls, "the watch at the first address"), "after=2&")
 		})
 	}
 }
@@ -118,16 +118,16 @@
 			began := time.Now()
 			n.node.SetDiscoveryAddress(next.Address)
 			for range 3 {
-				testkit.Wait(t, next.Calls, "a call to the new address")
-				next.Responses <- testkit.ResponseReset
+				testkit.Receive(t, next.Calls, "a call to the new address")
+				next.Responses <- testkit.ResponseClose
 			}
-			testkit.Wait(t, next.Calls, "a call to the new address after failed calls")
+			testkit.Receive(t, next.Calls, "a call to the new address after failed calls")
 			if took := time.Since(began); took >= testkit.AddressChangeDeadline {
 				t.Errorf("fourth call to the new address: got %v after the change, want less than %v",
 					took, testkit.AddressChangeDeadline)
 			}
 			next.Responses <- `{"generation":1,"reset":true,"instances":[]}`
-			testkit.Wait(t, next.Calls, "the watch")
+			testkit.Receive(t, next.Calls, "the watch")
 		})
 	}
 }
@@ -139,22 +139,22 @@
 	for _, mode := range discoveryModes() {
 		t.Run(mode, func(t *testing.T) {
 			t.Parallel()
-			oldServer, newServer := testkit.NewBackend(t, testkit.OK), testkit.NewBackend(t, testkit.OK)
+			oldServer, newServer := testkit.NewRecordingServer(t, testkit.OK), testkit.NewRecordingServer(t, testkit.OK)
 			n, scripted := startWithScriptedDiscovery(t, mode, nil)
-			testkit.Wait(t, scripted.Calls, "the first call to discovery")
+			testkit.Receive(t, scripted.Calls, "the first call to discovery")
 			scripted.Responses <- listJSON(t, endpointjson.List{
 				Generation: 5, Endpoints: []endpointjson.Endpoint{oldServer.Endpoint("s-0")},
 			})
-			testkit.Wait(t, scripted.Calls, "the watch")
+			testkit.Receive(t, scripted.Calls, "the watch")
 
 			scripted.Responses <- testkit.ResponseUnavailable
-			testkit.Wait(t, scripted.Calls, "a call during the outage")
+			testkit.Receive(t, scripted.Calls, "a call during the outage")
 			scripted.Responses <- testkit.ResponseUnavailable
-			wantQueryPrefix(t, testkit.Wait(t, scripted.Calls, "a call after the outage"), "after=5&")
+			wantQueryPrefix(t, testkit.Receive(t, scripted.Calls, "a call after the outage"), "after=5&")
 			scripted.Responses <- listJSON(t, endpointjson.List{
 				Generation: 6, Endpoints: []endpointjson.Endpoint{draining(oldServer.Endpoint("s-0")), newServer.Endpoint("s-1")},
 			})
-			wantQueryPrefix(t, testkit.Wait(t, scripted.Calls, "the next watch"), "after=6&")
+			wantQueryPrefix(t, testkit.Receive(t, scripted.Calls, "the next watch"), "after=6&")
 
 			n.wantStatus("read", http.StatusOK)
 			if sends := len(oldServer.Requests); sends > 0 {
@@ -174,7 +174,7 @@
 	}
 	return map[string]callFailure{
 		"status 503":   respond(testkit.ResponseUnavailable),
-		"reset":        respond(testkit.ResponseReset),
+		"reset":        respond(testkit.ResponseClose),
 		"malformed":    respond("<html>"),
 		"unresponsive": func(*testNode, *testkit.ScriptedDiscovery) {},
 		"cancelled by SIGHUP": func(n *testNode, _ *testkit.ScriptedDiscovery) { // the address stays the same
@@ -197,15 +197,15 @@
 func testFailedCallsAreRetried(t *testing.T, fail callFailure) {
 	t.Helper()
 	scripted := testkit.NewScriptedDiscovery(t)
-	n := startNode(t, testConfig(t, testkit.NewRegistry(t), withLargeFleet(scripted.Address)))
-	testkit.Wait(t, scripted.Calls, "the first call to discovery")
+	n := startNode(t, testConfig(t, testkit.NewFakeDiscovery(t), withLargeFleet(scripted.Address)))
+	testkit.Receive(t, scripted.Calls, "the first call to discovery")
 	scripted.Responses <- `{"generation":3,"reset":true,"instances":[` +
 		`{"instanceId":"s","hostPort":"127.0.0.1:1","lifecycle":"Ready"}]}`
-	testkit.Wait(t, scripted.Calls, "the watch")
+	testkit.Receive(t, scripted.Calls, "the watch")
 	for range 2 {
 		began := time.Now()
 		fail(n, scripted)
-		testkit.Wait(t, scripted.Calls, "a call after a failed call")
+		testkit.Receive(t, scripted.Calls, "a call after a failed call")
 		if took := time.Since(began); took >= policy.NotificationDeadline {
 			t.Errorf("next call to discovery: got %v after the failure, want less than %v", took, policy.NotificationDeadline)
 		}
@@ -217,13 +217,13 @@
 func TestRefusedCallsAreRetriedBeforeTheNotificationDeadline(t *testing.T) {
 	t.Parallel()
 	reserved := testkit.ReserveAddr(t)
-	cfg := testConfig(t, testkit.NewRegistry(t), withLargeFleet(reserved.Address))
+	cfg := testConfig(t, testkit.NewFakeDiscovery(t), withLargeFleet(reserved.Address))
 	client := discovery.New(discovery.Config{Address: reserved.Address, Polling: true})
 	l := newTestLoop(t, cfg, upstream.NewPool(upstreamConfig(cfg, 20)), client)
 	go client.Run(t.Context(), l.endpoints)
 	// The five events are no cached list, a refused call, a timer, a refused call and a timer.
 	for range 5 {
-		testkit.Wait(t, l.queue.posted, "the loop's next event").handle(l.loop, l.clock.now())
+		testkit.Receive(t, l.queue.posted, "the loop's next event").handle(l.loop, l.clock.now())
 	}
 
 	listener, err := reserved.Listen()
@@ -251,10 +251,10 @@
 func failTwice(response string) outage {
 	return func(t *testing.T, scripted *testkit.ScriptedDiscovery, meanwhile func()) {
 		t.Helper()
-		testkit.Wait(t, scripted.Calls, "the first call to discovery")
+		testkit.Receive(t, scripted.Calls, "the first call to discovery")
 		scripted.Responses <- response
 		meanwhile()
-		testkit.Wait(t, scripted.Calls, "a call during the outage")
+		testkit.Receive(t, scripted.Calls, "a call during the outage")
 		scripted.Responses <- response
 	}
 }
@@ -262,7 +262,7 @@
 // staysUnresponsive is an outage in which the first call gets no response.
 func staysUnresponsive(t *testing.T, scripted *testkit.ScriptedDiscovery, meanwhile func()) {
 	t.Helper()
-	testkit.Wait(t, scripted.Calls, "the first call to discovery")
+	testkit.Receive(t, scripted.Calls, "the first call to discovery")
 	meanwhile()
 }
 
@@ -274,7 +274,7 @@
 	for _, mode := range discoveryModes() {
 		for name, fail := range map[string]outage{
 			"status 503":   failTwice(testkit.ResponseUnavailable),
-			"reset":        failTwice(testkit.ResponseReset),
+			"reset":        failTwice(testkit.ResponseClose),
 			"unresponsive": staysUnresponsive,
 		} {
 			t.Run(mode+" "+name, func(t *testing.T) {
@@ -287,7 +287,7 @@
 
 func testRecoveryDuringAFlood(t *testing.T, mode string, fail outage) {
 	t.Helper()
-	oldServer, newServer := testkit.NewBackend(t, testkit.OK), testkit.NewBackend(t, testkit.OK)
+	oldServer, newServer := testkit.NewRecordingServer(t, testkit.OK), testkit.NewRecordingServer(t, testkit.OK)
 	n, scripted := startWithScriptedDiscovery(t, mode, func(file map[string]any) {
 		file["limits"] = map[string]any{"sockets": fewSockets}
 		file["known"] = endpointjson.List{
@@ -304,7 +304,7 @@
 		t.Errorf("idle client connections open during the outage: got %d, want at most 22", open)
 	}
 
-	testkit.Wait(t, scripted.Calls, "the first call that succeeds")
+	testkit.Receive(t, scripted.Calls, "the first call that succeeds")
 	text := listJSON(t, endpointjson.List{
 		Generation: 2, Endpoints: []endpointjson.Endpoint{draining(oldServer.Endpoint("s-0")), newServer.Endpoint("s-1")},
 	})
@@ -317,7 +317,7 @@
 	began := time.Now()
 	close(recovered)
 	scripted.Responses <- text
-	wantQueryPrefix(t, testkit.Wait(t, scripted.Calls, "the next watch"), "after=2&")
+	wantQueryPrefix(t, testkit.Receive(t, scripted.Calls, "the next watch"), "after=2&")
 	if took := time.Since(began); took > policy.NotificationDeadline {
 		t.Errorf("new list applied: got %v after discovery recovered, want at most %v", took, policy.NotificationDeadline)
 	}
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -11,20 +11,20 @@
 // A node that starts during an outage of discovery becomes ready once discovery has recovered. During a later outage,
 // the node continues to serve with its endpoint list.
 func TestNodeServesAfterAndDuringDiscoveryOutages(t *testing.T) {
-	server := testkit.NewBackend(t, testkit.OK)
-	registry := testkit.NewRegistry(t)
-	registry.SetDown(true)
-	n := startNode(t, testConfig(t, registry, nil))
-	testkit.Wait(t, registry.Queries, "the first call to discovery")
-	testkit.Wait(t, registry.Queries, "a call to discovery after a failed one")
+	server := testkit.NewRecordingServer(t, testkit.OK)
+	discovery := testkit.NewFakeDiscovery(t)
+	discovery.SetUnavailable(true)
+	n := startNode(t, testConfig(t, discovery, nil))
+	testkit.Receive(t, discovery.Queries, "the first call to discovery")
+	testkit.Receive(t, discovery.Queries, "a call to discovery after a failed one")
 	n.awaitReadiness(http.StatusServiceUnavailable)
 
-	registry.SetEndpoints(server.Endpoint("s-0"))
-	registry.SetDown(false)
+	discovery.SetEndpoints(server.Endpoint("s-0"))
+	discovery.SetUnavailable(false)
 	n.awaitReadiness(http.StatusOK)
 	n.wantStatus("read", http.StatusOK)
 
-	registry.SetDown(true) // the node keeps its list
+	discovery.SetUnavailable(true) // the node keeps its list
 	n.wantStatus("read", http.StatusOK)
 }
 
@@ -32,11 +32,11 @@
 // request the complete list from the new address, since the generation of its list comes from the previous address. The
 // node must serve and stay ready throughout, even while nothing listens at the new address.
 func TestNodeFollowsDiscoveryToANewAddress(t *testing.T) {
-	oldServer, newServer := testkit.NewBackend(t, testkit.OK), testkit.NewBackend(t, testkit.OK)
-	old := testkit.NewRegistry(t, oldServer.Endpoint("s-a"))
+	oldServer, newServer := testkit.NewRecordingServer(t, testkit.OK), testkit.NewRecordingServer(t, testkit.OK)
+	old := testkit.NewFakeDiscovery(t, oldServer.Endpoint("s-a"))
 	n := startNode(t, testConfig(t, old, nil))
 	n.awaitReadiness(http.StatusOK)
-	next := testkit.NewRegistry(t, newServer.Endpoint("s-b"))
+	next := testkit.NewFakeDiscovery(t, newServer.Endpoint("s-b"))
 	for len(old.Queries) > 0 {
 		<-old.Queries
 	}
@@ -44,10 +44,10 @@
 	n.node.SetDiscoveryAddress(testkit.FreeAddr(t)) // nothing listens at this address
 	n.wantStatus("read", http.StatusOK)
 	n.node.SetDiscoveryAddress(next.Listener.Addr().String())
-	if query := testkit.Wait(t, next.Queries, "the first call to the new address"); query != "" {
+	if query := testkit.Receive(t, next.Queries, "the first call to the new address"); query != "" {
 		t.Errorf("first call to the new discovery address: query %q, want none", query)
 	}
-	testkit.Wait(t, next.Queries, "the watch at the new address")
+	testkit.Receive(t, next.Queries, "the watch at the new address")
 	n.awaitReadiness(http.StatusOK)
 
 	takeRequests(oldServer)
@@ -66,38 +66,38 @@
 			break
 		}
 	}
-	testkit.Wait(t, old.Queries, "the watch at the first address")
+	testkit.Receive(t, old.Queries, "the watch at the first address")
 	n.wantStatus("read", http.StatusOK)
 }
 
 // A node that starts during an outage of discovery becomes ready and serves with the cached endpoint list. It calls
 // discovery from the generation of that list.
 func TestCachedEndpointListIsUsedDuringAnOutage(t *testing.T) {
-	server := testkit.NewBackend(t, testkit.OK)
-	registry := testkit.NewRegistry(t)
-	registry.SetDown(true)
-	n := startNode(t, testConfig(t, registry, func(file map[string]any) {
+	server := testkit.NewRecordingServer(t, testkit.OK)
+	discovery := testkit.NewFakeDiscovery(t)
+	discovery.SetUnavailable(true)
+	n := startNode(t, testConfig(t, discovery, func(file map[string]any) {
 		file["known"] = endpointjson.List{
 			Generation: 7, Reset: true, Endpoints: []endpointjson.Endpoint{server.Endpoint("s-0")},
 		}
 	}))
 	n.awaitReadiness(http.StatusOK)
 	n.wantStatus("read", http.StatusOK)
-	wantWatchQuery(t, registry, "after=7")
+	wantWatchQuery(t, discovery, "after=7")
 }
 
 // Generation 0 is valid: after a list of generation 0, the node watches for changes since that generation and does not
 // request the complete list again.
 func TestGenerationZeroIsWatched(t *testing.T) {
-	_, registry := startReadyNode(t, testkit.NewBackend(t, testkit.OK))
-	testkit.Wait(t, registry.Queries, "the first call to discovery")
-	wantWatchQuery(t, registry, "after=0")
+	_, discovery := startReadyNode(t, testkit.NewRecordingServer(t, testkit.OK))
+	testkit.Receive(t, discovery.Queries, "the first call to discovery")
+	wantWatchQuery(t, discovery, "after=0")
 }
 
 // In polling mode, the balancer requests each call to discovery. A node that did not make these calls would get no
 // endpoint list.
 func TestPollingNodeGetsTheEndpointList(t *testing.T) {
-	server := testkit.NewBackend(t, testkit.OK)
+	server := testkit.NewRecordingServer(t, testkit.OK)
 	n := startReadyNodeWithConfig(t, server.Endpoint("s-0"), func(file map[string]any) {
 		file["settings"] = settingsWithMode("on_request")
 	})
--- a/internal/node/endpoints_test.go
+++ b/internal/node/endpoints_test.go
@@ -14,10 +14,10 @@
 
 // A draining server gets no requests, even if no other server is left.
 func TestDrainingServerGetsNoRequests(t *testing.T) {
-	drainingServer, otherServer := testkit.NewBackend(t, testkit.OK), testkit.NewBackend(t, testkit.OK)
-	n, registry := startReadyNode(t, drainingServer, otherServer)
+	drainingServer, otherServer := testkit.NewRecordingServer(t, testkit.OK), testkit.NewRecordingServer(t, testkit.OK)
+	n, discovery := startReadyNode(t, drainingServer, otherServer)
 	drainingEndpoint := draining(drainingServer.Endpoint("s-0"))
-	registry.SetEndpointsAndWait(t, drainingEndpoint, otherServer.Endpoint("s-1"))
+	discovery.SetEndpointsAndWait(t, drainingEndpoint, otherServer.Endpoint("s-1"))
 	for range 20 {
 		if r := n.do(n.newRequest("read")); r.status != http.StatusOK {
 			t.Fatalf("request of class read: status %d, want 200", r.status)
@@ -27,16 +27,16 @@
 		t.Errorf("requests sent: got %d to the draining server and %d to the other server, want 0 and 20",
 			len(drainingServer.Requests), len(otherServer.Requests))
 	}
-	registry.SetEndpointsAndWait(t, drainingEndpoint) // no other server is left
+	discovery.SetEndpointsAndWait(t, drainingEndpoint) // no other server is left
 	n.wantStatus("read", http.StatusServiceUnavailable)
 }
 
 // A server at a new address is a new process, so the node closes its connections to the old address and opens new ones.
 func TestServerAtANewAddressGetsNewConnections(t *testing.T) {
-	oldServer, newServer := testkit.NewBackend(t, testkit.OK), testkit.NewBackend(t, testkit.OK)
-	n, registry := startReadyNode(t, oldServer)
+	oldServer, newServer := testkit.NewRecordingServer(t, testkit.OK), testkit.NewRecordingServer(t, testkit.OK)
+	n, discovery := startReadyNode(t, oldServer)
 	n.do(n.newRequest("read"))
-	registry.SetEndpointsAndWait(t, newServer.Endpoint("s-0"))
+	discovery.SetEndpointsAndWait(t, newServer.Endpoint("s-0"))
 	n.do(n.newRequest("read"))
 	if len(oldServer.Requests) != 1 || len(newServer.Requests) != 1 {
 		t.Errorf("requests sent: got %d to the old address and %d to the new address, want 1 and 1",
@@ -57,13 +57,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			l, stuck, done := startWithStuckAttempt(t)
-			changed := change(stuck.Endpoint("s-0"))
-			other := testkit.NewBackend(t, testkit.OK)
+			l, fullBacklog, done := startWithConnectingAttempt(t)
+			changed := change(fullBacklog.Endpoint("s-0"))
+			other := testkit.NewRecordingServer(t, testkit.OK)
 
 			l.reportEndpoints(policy.UpdateSnapshot, append(changed, other.Endpoint("s-1"))...)
 			l.wantFirstAttemptsRevoked()
-			sent := stuck.Admit()
+			sent := fullBacklog.AcceptAll()
 
 			l.wantStatus(done, http.StatusOK)
 			if len(sent) > 0 {
@@ -73,27 +73,28 @@
 	}
 	t.Run("restarted", func(t *testing.T) { // the restarted server may be selected again and get the request
 		t.Parallel()
-		l, stuck, done := startWithStuckAttempt(t)
-		restarted := stuck.Endpoint("s-0")
+		l, fullBacklog, done := startWithConnectingAttempt(t)
+		restarted := fullBacklog.Endpoint("s-0")
 		restarted.StartedUnixMilli = float64(time.Now().UnixMilli())
-		other := testkit.NewBackend(t, testkit.OK)
+		other := testkit.NewRecordingServer(t, testkit.OK)
 
 		l.reportEndpoints(policy.UpdateSnapshot, restarted, other.Endpoint("s-1"))
 		l.wantFirstAttemptsRevoked()
-		stuck.Admit()
+		fullBacklog.AcceptAll()
 
-		testkit.Wait(t, done, "a response")
+		testkit.Receive(t, done, "a response")
 	})
 }
 
-// startWithStuckAttempt starts a loop with one request, whose attempt waits for a connection to a stuck server.
-func startWithStuckAttempt(t *testing.T) (*testLoop, *testkit.StuckServer, <-chan response) {
+// startWithConnectingAttempt starts a loop with one request, whose attempt waits for a connection to a server with a
+// full backlog.
+func startWithConnectingAttempt(t *testing.T) (*testLoop, *testkit.FullBacklogServer, <-chan response) {
 	t.Helper()
-	stuck := testkit.NewStuckServer(t)
-	l := startLoop(t, stuck.Endpoint("s-0"))
+	fullBacklog := testkit.NewFullBacklogServer(t)
+	l := startLoop(t, fullBacklog.Endpoint("s-0"))
 	done := l.submitAsync(t.Context(), l.newRequest(classPay, staysConnected))
 	l.awaitRequests(1, 1)
-	return l, stuck, done
+	return l, fullBacklog, done
 }
 
 // wantFirstAttemptsRevoked fails the test unless the first attempt of each request has ended and has been revoked.
@@ -111,11 +112,11 @@
 
 // A retry must not go to a server that has started to drain while the request waited for the retry.
 func TestRetryAvoidsADrainingServer(t *testing.T) {
-	failing := testkit.NewBackend(t, testkit.ServerError)
-	drainingServer, other := testkit.NewBackend(t, testkit.OK), testkit.NewBackend(t, testkit.OK)
+	failing := testkit.NewRecordingServer(t, testkit.ServerError)
+	drainingServer, other := testkit.NewRecordingServer(t, testkit.OK), testkit.NewRecordingServer(t, testkit.OK)
 	l := startLoop(t, failing.Endpoint("s-0"))
 	done := l.submitAsync(t.Context(), l.newRequest(classRead, staysConnected))
-	testkit.Wait(t, failing.Requests, "the first attempt at the failing server")
+	testkit.Receive(t, failing.Requests, "the first attempt at the failing server")
 	l.awaitRequests(1, 0)
 
 	l.reportEndpoints(policy.UpdateDelta, drainingServer.Endpoint("s-1"))
@@ -130,7 +131,7 @@
 // Discovery may send malformed lists, and lists with malformed endpoints. The node must call again after a malformed
 // list, and must use the valid endpoints of a list that also has malformed endpoints.
 func TestMalformedEndpointListsAreSkipped(t *testing.T) {
-	valid := testkit.NewBackend(t, testkit.OK)
+	valid := testkit.NewRecordingServer(t, testkit.OK)
 	n, scripted := startWithScriptedDiscovery(t, "pushed", nil)
 	scripted.Responses <- "what?"
 	scripted.Responses <- `{"generation":"x"}`
@@ -147,7 +148,7 @@
 // be after 0, since 0 means long ago. It must not differ from list to list, since a difference means that the server
 // has restarted.
 func TestServerStartTimesAreStableOnTheClock(t *testing.T) {
-	l := newTestLoop(t, testConfig(t, testkit.NewRegistry(t), nil), nil, noWatcher{})
+	l := newTestLoop(t, testConfig(t, testkit.NewFakeDiscovery(t), nil), nil, noWatcher{})
 	clockStart := func(startedAt time.Time) time.Duration {
 		list := []endpoint.Endpoint{{ID: 1, State: policy.Ready, StartedAt: startedAt}}
 		now := processstart.Moment{Clock: l.clock.now(), Wall: time.Now()}
--- a/internal/node/forwarding_test.go
+++ b/internal/node/forwarding_test.go
@@ -32,19 +32,19 @@
 // The body and the end-to-end header fields of a request and a response are forwarded unchanged. Hop-by-hop fields are
 // removed, and X-Timeout-Ms is reduced to the time that is left.
 func TestRequestAndResponseAreForwardedUnchanged(t *testing.T) {
-	b := testkit.NewBackend(t, func(w http.ResponseWriter, _ *http.Request) {
+	server := testkit.NewRecordingServer(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("X-Kept", "yes")
 		w.Header().Set("Keep-Alive", "timeout=5")
 		send(w, "response body")
 	})
-	n, _ := startReadyNode(t, b)
+	n, _ := startReadyNode(t, server)
 	sent := n.newRequest("push")
 	sent.Header.Set("Connection", "X-Hop")
 	sent.Header.Set("X-Hop", "1")
 	sent.Header.Set("User-Agent", "") // "" makes net/http send no User-Agent, and the node must not add one
 
 	response := n.do(sent)
-	got := testkit.Wait(t, b.Requests, "the server to receive the request")
+	got := testkit.Receive(t, server.Requests, "the server to receive the request")
 
 	wantResponse := forwardedMessage{"200", "response body", map[string]string{"X-Kept": "yes", "Keep-Alive": ""}}
 	gotResponse := forwardedMessage{
@@ -73,7 +73,7 @@
 // idempotent would fail if it was written to the closed connection, since it may not be retried.
 func TestClosedIdleConnectionIsNotReused(t *testing.T) {
 	closed := make(chan struct{}, 10)
-	b := testkit.NewBackend(t, func(w http.ResponseWriter, _ *http.Request) {
+	server := testkit.NewRecordingServer(t, func(w http.ResponseWriter, _ *http.Request) {
 		nc, _, err := w.(http.Hijacker).Hijack()
 		if err != nil {
 			return
@@ -82,12 +82,12 @@
 		closeQuietly(nc)
 		closed <- struct{}{}
 	})
-	n, _ := startReadyNode(t, b)
+	n, _ := startReadyNode(t, server)
 	for i := range 5 {
 		if resp := n.do(n.newRequest("pay")); resp.status != http.StatusOK {
 			t.Fatalf("pay request %d: status %d, want 200", i, resp.status)
 		}
-		testkit.Wait(t, closed, "the server to close the connection")
+		testkit.Receive(t, closed, "the server to close the connection")
 	}
 }
 
@@ -96,14 +96,14 @@
 // the node must therefore close only its sending direction, and close the connection when the client has closed it.
 func TestResponseIsDeliveredBeforeTheConnectionCloses(t *testing.T) {
 	text := strings.Repeat("x", maxBodyBytes)
-	b := testkit.NewBackend(t, func(w http.ResponseWriter, _ *http.Request) { send(w, text) })
+	server := testkit.NewRecordingServer(t, func(w http.ResponseWriter, _ *http.Request) { send(w, text) })
 	for name, c := range map[string]struct{ withRequest, afterResponseStart string }{
 		"no further bytes":                   {"", ""},
 		"further bytes with the request":     {"GET /", ""},
 		"further bytes after response start": {"", "GET /"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := startHandlerWithLinger(t, time.Hour, b.Endpoint("s-0"))
+			s := startHandlerWithLinger(t, time.Hour, server.Endpoint("s-0"))
 			s.handler.draining.Store(true)
 			nc := s.dialWithSmallReceiveBuffer()
 			send(nc, wireText(s.newRequest("read"))+c.withRequest)
@@ -112,7 +112,7 @@
 				t.Fatalf("reading the first byte of the response: %v", err)
 			}
 			conn := s.nodeConn(nc)
-			testkit.Until(t, "the node to start closing the connection", func() bool {
+			testkit.WaitUntil(t, "the node to start closing the connection", func() bool {
 				return conn.Lingering() || conn.Closed()
 			})
 			send(nc, c.afterResponseStart)
@@ -135,8 +135,8 @@
 // not block another client. The node must keep neither connection open after both clients have disconnected.
 func TestByteByByteClientIsServed(t *testing.T) {
 	text := strings.Repeat("x", maxBodyBytes)
-	b := testkit.NewBackend(t, func(w http.ResponseWriter, _ *http.Request) { send(w, text) })
-	s := startHandler(t, b.Endpoint("s-0"))
+	server := testkit.NewRecordingServer(t, func(w http.ResponseWriter, _ *http.Request) { send(w, text) })
+	s := startHandler(t, server.Endpoint("s-0"))
 	slow, other := s.dialWithSmallReceiveBuffer(), s.dial()
 	sendByteByByte(slow, wireText(s.newRequest("pay")), func() { s.roundTrip(other) })
 	in := iotest.OneByteReader(slow)
@@ -160,7 +160,7 @@
 // A connection must not count as idle between pipelined requests: the node could close it before all of these requests
 // have responses.
 func TestPipelinedRequestsGetResponses(t *testing.T) {
-	n, _ := startReadyNode(t, testkit.NewBackend(t, testkit.OK))
+	n, _ := startReadyNode(t, testkit.NewRecordingServer(t, testkit.OK))
 	nc := n.dial()
 	const requests = 3
 	var text strings.Builder
@@ -181,10 +181,10 @@
 // The read timeout limits how long a client may take to send a request. It must not apply while the client waits for
 // the response of a server that takes longer.
 func TestReadTimeoutDoesNotLimitTheWaitForTheResponse(t *testing.T) {
-	b := testkit.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
+	server := testkit.NewRecordingServer(t, func(w http.ResponseWriter, r *http.Request) {
 		time.Sleep(readTimeout + 200*time.Millisecond)
 		testkit.OK(w, r)
 	})
-	n, _ := startReadyNode(t, b)
+	n, _ := startReadyNode(t, server)
 	n.wantStatus("pay", http.StatusOK)
 }
--- a/internal/node/harness_client_test.go
+++ b/internal/node/harness_client_test.go
@@ -188,7 +188,7 @@
 func awaitSocketState(t *testing.T, nc net.Conn, want sockstate.State) {
 	t.Helper()
 	description := fmt.Sprintf("the socket from %v to %v to be in state %q", nc.LocalAddr(), nc.RemoteAddr(), want)
-	testkit.Until(t, description, func() bool { return sockstate.Peek(nc) == want })
+	testkit.WaitUntil(t, description, func() bool { return sockstate.Peek(nc) == want })
 }
 
 // countOpen returns how many of the connections the node has not closed.
--- a/internal/node/harness_discovery_test.go
+++ b/internal/node/harness_discovery_test.go
@@ -25,7 +25,7 @@
 ) (*testNode, *testkit.ScriptedDiscovery) {
 	t.Helper()
 	scripted := testkit.NewScriptedDiscovery(t)
-	n := startNode(t, testConfig(t, testkit.NewRegistry(t), func(file map[string]any) {
+	n := startNode(t, testConfig(t, testkit.NewFakeDiscovery(t), func(file map[string]any) {
 		file["discovery"] = scripted.Address
 		file["settings"] = settingsWithMode(mode)
 		if change != nil {
@@ -73,9 +73,9 @@
 }
 
 // wantWatchQuery waits for the next call to discovery and fails the test unless the query contains the wanted text.
-func wantWatchQuery(t *testing.T, registry *testkit.Registry, want string) {
+func wantWatchQuery(t *testing.T, discovery *testkit.FakeDiscovery, want string) {
 	t.Helper()
-	if query := testkit.Wait(t, registry.Queries, "the next call to discovery"); !strings.Contains(query, want) {
+	if query := testkit.Receive(t, discovery.Queries, "the next call to discovery"); !strings.Contains(query, want) {
 		t.Errorf("next call to discovery: query %q, want it to contain %q", query, want)
 	}
 }
--- a/internal/node/harness_handler_test.go
+++ b/internal/node/harness_handler_test.go
@@ -37,7 +37,7 @@
 // startHandlerWithLinger is startHandler with the given linger timeout.
 func startHandlerWithLinger(t *testing.T, linger time.Duration, list ...endpointjson.Endpoint) *testHandler {
 	t.Helper()
-	cfg := testConfig(t, testkit.NewRegistry(t), withDeadlines(600000))
+	cfg := testConfig(t, testkit.NewFakeDiscovery(t), withDeadlines(600000))
 	cfg.Policy.Classes[classPush].KeyRetention = 10 * time.Minute
 	cfg.ConnectTimeout = testkit.WaitTimeout
 	l := newTestLoop(t, cfg, upstream.NewPool(upstreamConfig(cfg, 400)), noWatcher{})
@@ -102,7 +102,7 @@
 func (s *testHandler) awaitNoRequests() {
 	s.t.Helper()
 	s.loop.awaitRequests(0, 0)
-	testkit.Until(s.t, "the handler to have no active request IDs", func() bool {
+	testkit.WaitUntil(s.t, "the handler to have no active request IDs", func() bool {
 		return s.handler.activeIDs.count() == 0
 	})
 }
@@ -110,7 +110,7 @@
 // awaitIdleConns waits until the pool has n idle connections to an address.
 func (s *testHandler) awaitIdleConns(n int, addr net.Addr) {
 	s.t.Helper()
-	testkit.Until(s.t, fmt.Sprintf("%d idle connections to %v", n, addr), func() bool {
+	testkit.WaitUntil(s.t, fmt.Sprintf("%d idle connections to %v", n, addr), func() bool {
 		idle := 0
 		for _, server := range s.loop.pool.Stats().Servers {
 			if server.Address == addr.String() {
@@ -126,7 +126,7 @@
 func (s *testHandler) awaitNoConns() {
 	s.t.Helper()
 	s.loop.awaitRequests(0, 0)
-	testkit.Until(s.t, "no client connections and only idle server connections to be open", func() bool {
+	testkit.WaitUntil(s.t, "no client connections and only idle server connections to be open", func() bool {
 		pool := s.loop.pool.Stats()
 		return s.handler.conns.Open() == 0 && pool.Open == pool.Idle()
 	})
--- a/internal/node/harness_loop_test.go
+++ b/internal/node/harness_loop_test.go
@@ -30,7 +30,7 @@
 // startLoopWith is startLoop with a change to the configuration of the pool.
 func startLoopWith(t *testing.T, change func(*upstream.Config), list ...endpointjson.Endpoint) *testLoop {
 	t.Helper()
-	cfg := testConfig(t, testkit.NewRegistry(t), nil)
+	cfg := testConfig(t, testkit.NewFakeDiscovery(t), nil)
 	pool := upstreamConfig(cfg, 20)
 	change(&pool)
 	l := newTestLoop(t, cfg, upstream.NewPool(pool), noWatcher{})
@@ -93,7 +93,7 @@
 // wantStatus waits for the response to a submitted request and fails the test unless it has the wanted status.
 func (l *testLoop) wantStatus(done <-chan response, want int) {
 	l.t.Helper()
-	if final := testkit.Wait(l.t, done, "the response to a submitted request"); final.status != want {
+	if final := testkit.Receive(l.t, done, "the response to a submitted request"); final.status != want {
 		l.t.Errorf("submitted request: response with status %d, want %d", final.status, want)
 	}
 }
@@ -104,13 +104,13 @@
 	l.t.Helper()
 	done := make(chan struct{})
 	l.queue.post(eventFunc(func(time.Duration) { run(); close(done) }))
-	testkit.Wait(l.t, done, "the loop to run a function")
+	testkit.Receive(l.t, done, "the loop to run a function")
 }
 
 // awaitInLoop waits until a condition holds. The condition is checked in the loop's goroutine.
 func (l *testLoop) awaitInLoop(description string, holds func() bool) {
 	l.t.Helper()
-	testkit.Until(l.t, description, func() bool {
+	testkit.WaitUntil(l.t, description, func() bool {
 		held := false
 		l.runInLoop(func() { held = holds() })
 		return held
@@ -150,7 +150,7 @@
 func (l *testLoop) pause() func() {
 	l.t.Helper()
 	point := l.queuePause()
-	testkit.Wait(l.t, point.reached, "the loop to pause")
+	testkit.Receive(l.t, point.reached, "the loop to pause")
 	return point.resume
 }
 
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -44,10 +44,10 @@
 
 // testConfig writes a configuration file for a node that uses the given discovery service, and loads it. The function
 // change, unless it is nil, alters the content of the file first.
-func testConfig(t *testing.T, registry *testkit.Registry, change func(file map[string]any)) *config.Config {
+func testConfig(t *testing.T, discovery *testkit.FakeDiscovery, change func(file map[string]any)) *config.Config {
 	t.Helper()
 	file := map[string]any{
-		"name": "n0", "listen": "127.0.0.1:0", "discovery": registry.Listener.Addr().String(), "seed": "8c1f30d27a5be964",
+		"name": "n0", "listen": "127.0.0.1:0", "discovery": discovery.Listener.Addr().String(), "seed": "8c1f30d27a5be964",
 		"limits":   map[string]any{"cores": 1, "memory_mb": 192, "sockets": 256},
 		"settings": json.RawMessage(settingsJSON), "novel": true,
 	}
@@ -119,22 +119,22 @@
 }
 
 // startReadyNode starts a node whose endpoint list contains the given servers, and waits until the node is ready.
-func startReadyNode(t *testing.T, backends ...*testkit.Backend) (*testNode, *testkit.Registry) {
+func startReadyNode(t *testing.T, servers ...*testkit.RecordingServer) (*testNode, *testkit.FakeDiscovery) {
 	t.Helper()
 	var list []endpointjson.Endpoint
-	for i, b := range backends {
-		list = append(list, b.Endpoint(fmt.Sprintf("s-%d", i)))
+	for i, server := range servers {
+		list = append(list, server.Endpoint(fmt.Sprintf("s-%d", i)))
 	}
-	registry := testkit.NewRegistry(t, list...)
-	n := startNode(t, testConfig(t, registry, nil))
+	discovery := testkit.NewFakeDiscovery(t, list...)
+	n := startNode(t, testConfig(t, discovery, nil))
 	n.awaitReadiness(http.StatusOK)
-	return n, registry
+	return n, discovery
 }
 
 // startReadyNodeWithConfig is startReadyNode with one server and a change to the configuration, which may be nil.
 func startReadyNodeWithConfig(t *testing.T, server endpointjson.Endpoint, change func(file map[string]any)) *testNode {
 	t.Helper()
-	n := startNode(t, testConfig(t, testkit.NewRegistry(t, server), change))
+	n := startNode(t, testConfig(t, testkit.NewFakeDiscovery(t, server), change))
 	n.awaitReadiness(http.StatusOK)
 	return n
 }
@@ -176,7 +176,7 @@
 // awaitExit waits until Run returns, and fails the test if it returns an error.
 func (n *testNode) awaitExit() {
 	n.t.Helper()
-	if err := testkit.Wait(n.t, n.runResult, "Run to return"); err != nil {
+	if err := testkit.Receive(n.t, n.runResult, "Run to return"); err != nil {
 		n.t.Errorf("Run() = %v, want nil", err)
 	}
 }
@@ -233,28 +233,28 @@
 	}
 }
 
-// blockedBackend is a server that does not respond until unblock is called.
-type blockedBackend struct {
-	*testkit.Backend
+// blockedServer is a server that does not respond until unblock is called.
+type blockedServer struct {
+	*testkit.RecordingServer
 	unblock func()
 }
 
-// newBlockedBackend starts a blockedBackend, which is unblocked at the end of the test at the latest.
-func newBlockedBackend(t *testing.T) *blockedBackend {
+// newBlockedServer starts a blockedServer, which is unblocked at the end of the test at the latest.
+func newBlockedServer(t *testing.T) *blockedServer {
 	t.Helper()
 	gate := make(chan struct{})
-	backend := testkit.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
+	server := testkit.NewRecordingServer(t, func(w http.ResponseWriter, r *http.Request) {
 		<-gate
 		testkit.OK(w, r)
 	})
 	open := sync.OnceFunc(func() { close(gate) })
 	t.Cleanup(open)
-	return &blockedBackend{backend, open}
+	return &blockedServer{server, open}
 }
 
-// newBackendsFailingFirst starts two servers. The first request that reaches either server is handled by fail. All
+// newServersFailingFirst starts two servers. The first request that reaches either server is handled by fail. All
 // other requests get status 200.
-func newBackendsFailingFirst(t *testing.T, fail http.HandlerFunc) []*testkit.Backend {
+func newServersFailingFirst(t *testing.T, fail http.HandlerFunc) []*testkit.RecordingServer {
 	t.Helper()
 	var failed atomic.Bool
 	handle := func(w http.ResponseWriter, r *http.Request) {
@@ -264,11 +264,11 @@
 		}
 		testkit.OK(w, r)
 	}
-	return []*testkit.Backend{testkit.NewBackend(t, handle), testkit.NewBackend(t, handle)}
+	return []*testkit.RecordingServer{testkit.NewRecordingServer(t, handle), testkit.NewRecordingServer(t, handle)}
 }
 
 // takeRequests removes and returns the requests that the servers have recorded.
-func takeRequests(servers ...*testkit.Backend) []*http.Request {
+func takeRequests(servers ...*testkit.RecordingServer) []*http.Request {
 	var requests []*http.Request
 	for _, server := range servers {
 		for len(server.Requests) > 0 {
--- a/internal/node/key_retention_test.go
+++ b/internal/node/key_retention_test.go
@@ -42,9 +42,10 @@
 
 func testKeyRetention(t *testing.T, c retentionCase) {
 	t.Helper()
-	stuck, unresponsive := testkit.NewStuckServer(t), testkit.NewBackend(t, testkit.Unresponsive(make(chan struct{}, 1)))
+	fullBacklog := testkit.NewFullBacklogServer(t)
+	unresponsive := testkit.NewRecordingServer(t, testkit.Unresponsive(make(chan struct{}, 1)))
 	l := startLoopWith(t, func(pool *upstream.Config) { pool.ConnectTimeout = testkit.WaitTimeout },
-		stuck.Endpoint("late"), unresponsive.Endpoint("unresponsive"))
+		fullBacklog.Endpoint("late"), unresponsive.Endpoint("unresponsive"))
 	retention := l.host.classes[classPush].KeyRetention
 	servers := []policy.ServerID{endpoint.ServerID("unresponsive"), endpoint.ServerID("unresponsive")}
 	servers[c.lateAttempt] = endpoint.ServerID("late")
@@ -64,10 +65,10 @@
 		}
 		l.host.Send(r.id, servers[1], 0)
 	})
-	testkit.Until(t, "the end of the key's retention", func() bool { // the late connection must open after that end
+	testkit.WaitUntil(t, "the end of the key's retention", func() bool { // the late connection must open after that end
 		return !c.expiresFirst || l.clock.now() >= r.attempts[0].startedAt+retention
 	})
-	sent := stuck.Admit()
+	sent := fullBacklog.AcceptAll()
 
 	description := fmt.Sprintf("the outcome of attempt %d", c.lateAttempt)
 	l.awaitInLoop(description, func() bool { return r.attempts[c.lateAttempt].state != attemptInFlight })
--- a/internal/node/retry_test.go
+++ b/internal/node/retry_test.go
@@ -24,15 +24,15 @@
 		wantStatus  int
 	}{
 		{"idempotent, server error", "read", testkit.ServerError, 2, 200},
-		{"idempotent, closed connection", "read", testkit.Reset, 2, 200},
+		{"idempotent, closed connection", "read", testkit.CloseWithoutResponse, 2, 200},
 		{"idempotent with a key, server error", "push", testkit.ServerError, 2, 200},
-		{"idempotent with a key, closed connection", "push", testkit.Reset, 2, 200},
+		{"idempotent with a key, closed connection", "push", testkit.CloseWithoutResponse, 2, 200},
 		{"not idempotent, server error", "pay", testkit.ServerError, 1, 502},
-		{"not idempotent, closed connection", "pay", testkit.Reset, 1, 502},
+		{"not idempotent, closed connection", "pay", testkit.CloseWithoutResponse, 1, 502},
 		{"not idempotent, not processed", "pay", testkit.NotProcessed, 2, 200},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			servers := newBackendsFailingFirst(t, c.fail)
+			servers := newServersFailingFirst(t, c.fail)
 			n, _ := startReadyNode(t, servers...)
 			req := n.newRequest(c.class)
 			status := n.do(req).status
@@ -52,8 +52,8 @@
 // attempt is sent.
 func TestUnresponsiveServerFailsTheRequestAtItsDeadline(t *testing.T) {
 	cancelled := make(chan struct{}, 1)
-	b := testkit.NewBackend(t, testkit.Unresponsive(cancelled))
-	n, _ := startReadyNode(t, b)
+	server := testkit.NewRecordingServer(t, testkit.Unresponsive(cancelled))
+	n, _ := startReadyNode(t, server)
 	r := n.newRequest("pay")
 	r.Header.Set("X-Timeout-Ms", "300")
 	resp := n.do(r)
@@ -61,9 +61,9 @@
 		t.Errorf("request with X-Timeout-Ms 300: status %d after %v, want 502 after at least 200ms",
 			resp.status, resp.took)
 	}
-	testkit.Wait(t, cancelled, "the attempt to be cancelled")
-	if len(b.Requests) != 1 {
-		t.Errorf("the server received %d attempts, want 1", len(b.Requests))
+	testkit.Receive(t, cancelled, "the attempt to be cancelled")
+	if len(server.Requests) != 1 {
+		t.Errorf("the server received %d attempts, want 1", len(server.Requests))
 	}
 }
 
@@ -79,7 +79,7 @@
 		}
 		testkit.OK(w, r)
 	}
-	server1, server2 := testkit.NewBackend(t, handle), testkit.NewBackend(t, handle)
+	server1, server2 := testkit.NewRecordingServer(t, handle), testkit.NewRecordingServer(t, handle)
 	n, _ := startReadyNode(t, server1, server2)
 	for range 50 { // the balancer estimates the baseline latency from these requests
 		n.do(n.newRequest("push"))
@@ -89,7 +89,7 @@
 	if resp := n.do(n.newRequest("push")); resp.status != http.StatusOK {
 		t.Fatalf("push request whose first attempt gets no response: status %d, want 200", resp.status)
 	}
-	testkit.Wait(t, cancelled, "the first attempt to be cancelled")
+	testkit.Receive(t, cancelled, "the first attempt to be cancelled")
 	if sent := len(server1.Requests) + len(server2.Requests) - sentBefore; sent != 2 {
 		t.Errorf("the servers received %d attempts, want 2", sent)
 	}
@@ -190,8 +190,8 @@
 		}
 		testkit.OK(w, r)
 	}
-	servers := []*testkit.Backend{
-		testkit.NewBackend(t, handle), testkit.NewBackend(t, handle), testkit.NewBackend(t, handle),
+	servers := []*testkit.RecordingServer{
+		testkit.NewRecordingServer(t, handle), testkit.NewRecordingServer(t, handle), testkit.NewRecordingServer(t, handle),
 	}
 	n, _ := startReadyNode(t, servers...)
 	for _, c := range []struct {
@@ -212,7 +212,7 @@
 // A response without a length is complete once the server closes the connection without a reset. The node forwards it
 // without a retry, for every class.
 func TestResponseWithoutLengthIsForwarded(t *testing.T) {
-	server := testkit.NewBackend(t, writeAndClose("HTTP/1.1 200 OK\r\n\r\nall of it", closeWithFIN))
+	server := testkit.NewRecordingServer(t, writeAndClose("HTTP/1.1 200 OK\r\n\r\nall of it", closeWithFIN))
 	n, _ := startReadyNode(t, server)
 	for _, class := range classNames() {
 		resp := n.do(n.newRequest(class))
@@ -234,14 +234,14 @@
 			testkit.OK(w, r)
 			return
 		}
-		testkit.Reset(w, r)
+		testkit.CloseWithoutResponse(w, r)
 	}
-	closing, other := testkit.NewBackend(t, handle), testkit.NewBackend(t, testkit.OK)
+	closing, other := testkit.NewRecordingServer(t, handle), testkit.NewRecordingServer(t, testkit.OK)
 	l := startLoopWith(t, func(pool *upstream.Config) { pool.ReuseDelay = 0 }, closing.Endpoint("s-0"))
 	if first, _ := l.submit(t.Context(), l.newRequest(classPay, staysConnected)); first.status != http.StatusOK {
 		t.Fatalf("first request: status %d, want 200", first.status)
 	}
-	testkit.Until(t, "the connection to return to the pool", func() bool { return l.pool.Stats().Idle() == 1 })
+	testkit.WaitUntil(t, "the connection to return to the pool", func() bool { return l.pool.Stats().Idle() == 1 })
 
 	done := l.submitAsync(t.Context(), l.newRequest(classPay, staysConnected))
 	l.reportEndpoints(policy.UpdateDelta, other.Endpoint("s-1")) // the other server has capacity for a second attempt
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -20,7 +20,7 @@
 	for deadline, kill := range map[int]time.Duration{
 		160: 860 * time.Millisecond, 3000: 3700 * time.Millisecond, 60000: 3700 * time.Millisecond,
 	} {
-		gracePeriod := shutdownGracePeriod(testConfig(t, testkit.NewRegistry(t), withDeadlines(deadline)))
+		gracePeriod := shutdownGracePeriod(testConfig(t, testkit.NewFakeDiscovery(t), withDeadlines(deadline)))
 		if gracePeriod >= kill || gracePeriod <= kill-300*time.Millisecond {
 			t.Errorf("longest deadline %d ms: grace period %v, want it to end less than 300ms before the kill at %v",
 				deadline, gracePeriod, kill)
@@ -31,11 +31,11 @@
 // Requests that were accepted before a shutdown are served. New connections are still accepted after health checks
 // fail, since the platform may assign clients to the node for a short time.
 func TestShutdownCompletesAcceptedRequests(t *testing.T) {
-	server := newBlockedBackend(t)
-	n, _ := startReadyNode(t, server.Backend)
+	server := newBlockedServer(t)
+	n, _ := startReadyNode(t, server.RecordingServer)
 	accepted := make(chan clientResponse, 1)
 	go func() { accepted <- n.do(n.newRequest("pay")) }()
-	testkit.Wait(t, server.Requests, "the server to receive the request")
+	testkit.Receive(t, server.Requests, "the server to receive the request")
 
 	n.stop()
 	n.awaitReadiness(http.StatusServiceUnavailable)
@@ -43,7 +43,7 @@
 	sendRequest(newConn, n.newRequest("pay"))
 	server.unblock()
 
-	if resp := testkit.Wait(t, accepted, "the response to the accepted request"); resp.status != http.StatusOK {
+	if resp := testkit.Receive(t, accepted, "the response to the accepted request"); resp.status != http.StatusOK {
 		t.Errorf("request accepted before the shutdown: status %d, want 200", resp.status)
 	}
 	if resp := n.readResponse(newConn); resp.StatusCode != http.StatusOK {
@@ -55,7 +55,7 @@
 // The clients of a node that shuts down may have no other node. They are served on their connections until the drain
 // period starts, shortly before the node has to exit. A request that is active at that time still gets a response.
 func TestShutdownServesClientsUntilTheDrainPeriod(t *testing.T) {
-	b := testkit.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
+	server := testkit.NewRecordingServer(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/pay" {
 			<-r.Context().Done()
 			return
@@ -67,7 +67,7 @@
 		lateRequestOffset = drainOffset - 400*time.Millisecond
 		servedUntilOffset = drainOffset - 150*time.Millisecond
 	)
-	n := startReadyNodeWithConfig(t, b.Endpoint("s-0"), withDeadlinesAndObjectives(3000, 2700))
+	n := startReadyNodeWithConfig(t, server.Endpoint("s-0"), withDeadlinesAndObjectives(3000, 2700))
 	steady, late := n.dial(), n.dial()
 	n.roundTrip(steady)
 	n.roundTrip(late)
@@ -125,10 +125,10 @@
 // A request whose deadline is long after the kill fails before the kill, so that its client gets a response.
 func TestShutdownFailsLongRequestsBeforeTheKill(t *testing.T) {
 	t.Parallel()
-	b := testkit.NewBackend(t, testkit.Unresponsive(make(chan struct{}, 1)))
-	n := startReadyNodeWithConfig(t, b.Endpoint("s-0"), withDeadlines(60000))
+	server := testkit.NewRecordingServer(t, testkit.Unresponsive(make(chan struct{}, 1)))
+	n := startReadyNodeWithConfig(t, server.Endpoint("s-0"), withDeadlines(60000))
 	client := n.sendLongRequest()
-	testkit.Wait(t, b.Requests, "the server to receive the request")
+	testkit.Receive(t, server.Requests, "the server to receive the request")
 
 	shutdownStart := time.Now()
 	n.stop()
@@ -144,15 +144,15 @@
 // before the kill.
 func TestShutdownCompletesRequestsInEveryState(t *testing.T) {
 	t.Parallel()
-	stuck := testkit.NewStuckServer(t)
-	b := testkit.NewBackend(t, testkit.Unresponsive(make(chan struct{}, 10)))
+	fullBacklog := testkit.NewFullBacklogServer(t)
+	server := testkit.NewRecordingServer(t, testkit.Unresponsive(make(chan struct{}, 10)))
 	for name, c := range map[string]struct {
 		server          endpointjson.Endpoint
 		earlierRequests int // number of earlier requests, which use the server's capacity
 	}{
-		"queued":                   {b.Endpoint("s-0"), 5},
-		"waiting for a connection": {stuck.Endpoint("s-0"), 0},
-		"in flight":                {b.Endpoint("s-0"), 0},
+		"queued":                   {server.Endpoint("s-0"), 5},
+		"waiting for a connection": {fullBacklog.Endpoint("s-0"), 0},
+		"in flight":                {server.Endpoint("s-0"), 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -212,7 +212,7 @@
 // http.Server.Shutdown would drop the request.
 func TestShutdownServesARequestThatIsBeingRead(t *testing.T) {
 	t.Parallel()
-	n, _ := startReadyNode(t, testkit.NewBackend(t, testkit.OK))
+	n, _ := startReadyNode(t, testkit.NewRecordingServer(t, testkit.OK))
 	nc := n.dial()
 	text := wireText(n.newRequest("pay"))
 	half := len(text) - 3
@@ -229,10 +229,10 @@
 // Run returns the listener's error.
 func TestListenerFailureStartsAGracefulShutdown(t *testing.T) {
 	t.Parallel()
-	server := newBlockedBackend(t)
-	n, _ := startReadyNode(t, server.Backend)
+	server := newBlockedServer(t)
+	n, _ := startReadyNode(t, server.RecordingServer)
 	client, other := n.sendLongRequest(), n.dial()
-	testkit.Wait(t, server.Requests, "the server to receive the request")
+	testkit.Receive(t, server.Requests, "the server to receive the request")
 
 	if err := n.node.listener.Close(); err != nil {
 		t.Fatalf("closing the listener: %v", err)
@@ -243,7 +243,7 @@
 	if resp := n.readResponse(client); resp.StatusCode != http.StatusOK {
 		t.Errorf("request in flight when the listener failed: status %d, want 200", resp.StatusCode)
 	}
-	if err := testkit.Wait(t, n.runResult, "Run to return"); !errors.Is(err, net.ErrClosed) {
+	if err := testkit.Receive(t, n.runResult, "Run to return"); !errors.Is(err, net.ErrClosed) {
 		t.Errorf("Run() = %v after the listener was closed, want net.ErrClosed", err)
 	}
 }
@@ -252,10 +252,10 @@
 // open. These requests must be rejected with a response and not dropped.
 func TestTerminationRejectsRequestsOnUnusedConnections(t *testing.T) {
 	t.Parallel()
-	b := testkit.NewBackend(t, testkit.Unresponsive(make(chan struct{}, 1)))
-	n := startReadyNodeWithConfig(t, b.Endpoint("s-0"), withDeadlines(300))
+	server := testkit.NewRecordingServer(t, testkit.Unresponsive(make(chan struct{}, 1)))
+	n := startReadyNodeWithConfig(t, server.Endpoint("s-0"), withDeadlines(300))
 	n.sendLongRequest() // keeps the shutdown waiting
-	testkit.Wait(t, b.Requests, "the server to receive the request")
+	testkit.Receive(t, server.Requests, "the server to receive the request")
 	const unusedConns = 10
 	var clients []net.Conn
 	for range unusedConns {
@@ -266,7 +266,7 @@
 	// A dial during the close of the listener may lose its first packet. The timeout ends the dial before the system
 	// sends the packet again.
 	const probeTimeout = 10 * time.Millisecond
-	testkit.Until(t, "the listener to be closed", func() bool {
+	testkit.WaitUntil(t, "the listener to be closed", func() bool {
 		conn, err := net.DialTimeout("tcp", n.addr, probeTimeout)
 		if err == nil {
 			closeQuietly(conn)
@@ -286,8 +286,8 @@
 // their requests. Each of these requests, too, must get a response before the kill.
 func TestShutdownRespondsToClientsWaitingForAdmission(t *testing.T) {
 	t.Parallel()
-	b := testkit.NewBackend(t, testkit.Unresponsive(make(chan struct{}, 100)))
-	n := startNodeWithFewSockets(t, b.Endpoint("s-0"))
+	server := testkit.NewRecordingServer(t, testkit.Unresponsive(make(chan struct{}, 100)))
+	n := startNodeWithFewSockets(t, server.Endpoint("s-0"))
 	const requests = 40 // one per connection; divideDescriptors permits fewer client connections
 	clients := n.sendLongRequests(requests)
 	shutdownStart := time.Now()
@@ -301,12 +301,12 @@
 
 // A request that arrives after termination is rejected at once, since nothing would complete it later.
 func TestRequestAfterTerminationIsRejected(t *testing.T) {
-	b := testkit.NewBackend(t, testkit.OK)
-	l := startLoop(t, b.Endpoint("s-0"))
+	server := testkit.NewRecordingServer(t, testkit.OK)
+	l := startLoop(t, server.Endpoint("s-0"))
 	l.terminateAll()
 	final, err := l.submit(t.Context(), l.newRequest(classPay, staysConnected))
-	if err != nil || final.status != http.StatusServiceUnavailable || len(b.Requests) > 0 {
+	if err != nil || final.status != http.StatusServiceUnavailable || len(server.Requests) > 0 {
 		t.Errorf("submit() after termination = %+v, %v with %d attempts sent; want status 503, nil and no attempt",
-			final, err, len(b.Requests))
+			final, err, len(server.Requests))
 	}
 }
--- a/internal/node/validation_test.go
+++ b/internal/node/validation_test.go
@@ -15,8 +15,8 @@
 // A request that violates the rules for its class or header fields is rejected with a short reason in the body, and is
 // not forwarded.
 func TestInvalidRequestsAreRejected(t *testing.T) {
-	b := testkit.NewBackend(t, testkit.OK)
-	n, _ := startReadyNode(t, b)
+	server := testkit.NewRecordingServer(t, testkit.OK)
+	n, _ := startReadyNode(t, server)
 	for name, c := range map[string]struct {
 		class  string
 		change func(r *http.Request)
@@ -52,11 +52,11 @@
 			}
 		})
 	}
-	n.wantNoneForwarded(b)
+	n.wantNoneForwarded(server)
 }
 
 // wantNoneForwarded fails the test if the server has received a request, or if the node does not serve a valid request.
-func (n *testNode) wantNoneForwarded(server *testkit.Backend) {
+func (n *testNode) wantNoneForwarded(server *testkit.RecordingServer) {
 	n.t.Helper()
 	if len(server.Requests) != 0 {
 		n.t.Errorf("requests that the server received: got %d, want 0", len(server.Requests))
@@ -67,12 +67,12 @@
 // A request with the X-Request-ID of an active request is rejected, and the active request is not affected. The ID may
 // be used again once the active request has completed.
 func TestDuplicateRequestIDIsRejected(t *testing.T) {
-	server := newBlockedBackend(t)
-	n, _ := startReadyNode(t, server.Backend)
+	server := newBlockedServer(t)
+	n, _ := startReadyNode(t, server.RecordingServer)
 	first := n.newRequest("push")
 	done := make(chan clientResponse, 1)
 	go func() { done <- n.do(first) }()
-	testkit.Wait(t, server.Requests, "the server to receive the first request")
+	testkit.Receive(t, server.Requests, "the server to receive the first request")
 	second := n.newRequest("read")
 	second.Header.Set("X-Request-ID", first.Header.Get("X-Request-ID"))
 
@@ -80,7 +80,7 @@
 		t.Errorf("request with the ID of an active request: status %d, want 409", resp.status)
 	}
 	server.unblock()
-	if resp := testkit.Wait(t, done, "the response to the first request"); resp.status != http.StatusOK {
+	if resp := testkit.Receive(t, done, "the response to the first request"); resp.status != http.StatusOK {
 		t.Errorf("first request: status %d, want 200", resp.status)
 	}
 	if len(server.Requests) != 0 {
@@ -96,8 +96,8 @@
 // clients.
 func TestAmbiguousAndMalformedMessagesAreRejected(t *testing.T) {
 	t.Parallel()
-	b := testkit.NewBackend(t, testkit.OK)
-	n, _ := startReadyNode(t, b)
+	server := testkit.NewRecordingServer(t, testkit.OK)
+	n, _ := startReadyNode(t, server)
 	postHeader := func(class, fields string) string {
 		return "POST /" + class + " HTTP/1.1\r\nHost: x\r\nX-Request-ID: a1\r\nX-Tenant-Id: acme\r\n" +
 			"X-Timeout-Ms: 5000\r\n" + fields + "\r\n"
@@ -167,14 +167,14 @@
 			t.Logf("the node closed the connection after %v", time.Since(startTime))
 		})
 	}
-	t.Cleanup(func() { n.wantNoneForwarded(b) })
+	t.Cleanup(func() { n.wantNoneForwarded(server) })
 }
 
 // The response read timeout must not exceed half of the latency objective. With a short objective, a response that
 // never ends would otherwise leave no time for a retry.
 func TestResponseReadTimeoutLeavesTimeForARetry(t *testing.T) {
 	for objective, want := range map[int]time.Duration{60: 30 * time.Millisecond, 2000: maxResponseReadTimeout} {
-		cfg := testConfig(t, testkit.NewRegistry(t), withDeadlines(objective*4/3))
+		cfg := testConfig(t, testkit.NewFakeDiscovery(t), withDeadlines(objective*4/3))
 		parser := requestParser{cfg, newClock()}
 		n := &testNode{t: t, addr: "x"}
 		parsed, err := parser.parse(n.newRequest("read"))
--- a/internal/soak/discovery.go
+++ b/internal/soak/discovery.go
@@ -34,7 +34,7 @@
 	changed    chan struct{}                    // closed when pending watches must complete, then replaced
 	fault      scenario.DiscoveryFault
 	faultStart time.Time // of fault; set when it replaces another
-	machines   []*testkit.Machine
+	services   []*testkit.PartitionableService
 }
 
 func newDiscovery(t *testing.T, record *history.Discovery) *discovery {
@@ -47,15 +47,17 @@
 // newAddress returns a new address of the service for an incarnation of a node. Lists that are requested there
 // are recorded as delivered to that incarnation.
 func (d *discovery) newAddress(incarnation *history.Incarnation) string {
-	machine := testkit.NewMachine(d.t, func(r *http.Request) testkit.Response { return d.respond(incarnation, r) })
+	service := testkit.NewPartitionableService(d.t, func(r *http.Request) testkit.Response {
+		return d.respond(incarnation, r)
+	})
 	d.mu.Lock()
-	d.machines = append(d.machines, machine)
+	d.services = append(d.services, service)
 	unresponsive := d.fault == scenario.DiscoveryUnresponsive
 	d.mu.Unlock()
 	if unresponsive {
-		machine.Partition(d.t)
+		service.Partition(d.t)
 	}
-	return machine.Address
+	return service.Address
 }
 
 // publish publishes changed endpoints as a new generation of the endpoint list and returns the generation.
@@ -82,22 +84,24 @@
 
 // setFault starts a fault. DiscoveryHealthy ends the current one.
 func (d *discovery) setFault(fault scenario.DiscoveryFault) {
-	previous, machines := d.replaceFault(fault)
+	previous, services := d.replaceFault(fault)
 	var partitions sync.WaitGroup
-	for _, machine := range machines {
+	for _, service := range services {
 		switch {
 		case fault == scenario.DiscoveryUnresponsive:
-			partitions.Go(func() { machine.Partition(d.t) })
+			partitions.Go(func() { service.Partition(d.t) })
 		case previous == scenario.DiscoveryUnresponsive:
-			machine.Heal(d.t)
+			service.Heal(d.t)
 		}
 	}
 	partitions.Wait()
 }
 
-// replaceFault sets the fault and records the end of an outage. It returns the previous fault and the machines
+// replaceFault sets the fault and records the end of an outage. It returns the previous fault and the services
 // behind all addresses.
-func (d *discovery) replaceFault(fault scenario.DiscoveryFault) (scenario.DiscoveryFault, []*testkit.Machine) {
+func (d *discovery) replaceFault(
+	fault scenario.DiscoveryFault,
+) (scenario.DiscoveryFault, []*testkit.PartitionableService) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	previous := d.fault
@@ -109,7 +113,7 @@
 	if fault != scenario.DiscoveryUnresponsive {
 		d.completeWatches()
 	}
-	return previous, slices.Clone(d.machines)
+	return previous, slices.Clone(d.services)
 }
 
 // listQuery is the query of a call for the endpoint list.
--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -51,7 +51,7 @@
 	n.mu.Unlock()
 	options := balancertest.Options{Environment: []string{n.clock.Environment()}, Logged: next.RecordLogLine}
 	n.process = balancertest.StartWith(n.t, options, n.config(n.discovery.newAddress(next)), n.program)
-	testkit.Wait(n.t, n.process.Addr, "the log line with the address at which "+next.Name+" serves")
+	testkit.Receive(n.t, n.process.Addr, "the log line with the address at which "+next.Name+" serves")
 }
 
 // incarnation returns the latest incarnation of the node.
--- a/internal/soak/scenario/action.go
+++ b/internal/soak/scenario/action.go
@@ -16,7 +16,7 @@
 // The faults of the discovery service.
 const (
 	DiscoveryHealthy      DiscoveryFault = iota // no fault
-	DiscoveryUnresponsive                       // a network partition cuts off its machine
+	DiscoveryUnresponsive                       // a network partition cuts it off
 	DiscoveryUnavailable                        // it responds with status 503
 	DiscoveryReset                              // it resets the connections of calls
 	DiscoverySlow                               // it delays its responses; it is still considered reachable
--- a/internal/soak/server.go
+++ b/internal/soak/server.go
@@ -103,7 +103,7 @@
 	case faultError:
 		testkit.ServerError(w, r)
 	case faultReset:
-		testkit.Reset(w, r)
+		testkit.CloseWithoutResponse(w, r)
 	case faultNone:
 		testkit.OK(w, r)
 	}
--- a/internal/sockstate/sockstate_test.go
+++ b/internal/sockstate/sockstate_test.go
@@ -59,7 +59,7 @@
 		t.Run(name, func(t *testing.T) {
 			local, peer := connectLoopback(t)
 			requireNoError(t, c.peerAction(peer))
-			testkit.Until(t, "the connection to be "+c.want.String(), func() bool { return Peek(local) == c.want })
+			testkit.WaitUntil(t, "the connection to be "+c.want.String(), func() bool { return Peek(local) == c.want })
 		})
 	}
 }
@@ -68,7 +68,7 @@
 	local, peer := connectLoopback(t)
 	requireNoError(t, writeByte(peer))
 	requireNoError(t, peer.CloseWrite())
-	testkit.Until(t, "unread bytes", func() bool { return Peek(local) == Readable })
+	testkit.WaitUntil(t, "unread bytes", func() bool { return Peek(local) == Readable })
 	text, err := io.ReadAll(local)
 	if err != nil || string(text) != "x" {
 		t.Errorf("io.ReadAll(): got %q, error %v; want %q, no error", text, err, "x")
@@ -96,15 +96,15 @@
 			return false // block until the connection is readable
 		})
 	}()
-	testkit.Wait(t, blocked, "the reader to block")
+	testkit.Receive(t, blocked, "the reader to block")
 
 	states := make(chan State, 1)
 	go func() { states <- Peek(local) }()
-	if state := testkit.Wait(t, states, "the state"); state != Idle {
+	if state := testkit.Receive(t, states, "the state"); state != Idle {
 		t.Errorf("Peek() while a reader is blocked = %v, want %v", state, Idle)
 	}
 	requireNoError(t, peer.Close())
-	requireNoError(t, testkit.Wait(t, read, "the reader to return"))
+	requireNoError(t, testkit.Receive(t, read, "the reader to return"))
 }
 
 func TestPeekReturnsClosedWithoutAnOpenSocket(t *testing.T) {
--- a/internal/testkit/stuck_server.go
+++ b/internal/testkit/full_backlog_server.go
@@ -27,16 +27,16 @@
 	}
 }
 
-// maxReportedBytes is the maximum number of bytes that StuckServer.Admit reports per connection.
+// maxReportedBytes is the maximum number of bytes that FullBacklogServer.AcceptAll reports per connection.
 const maxReportedBytes = 64
 
-// StuckServer is a listener with a full backlog. New connections are not established until Admit is called.
-type StuckServer struct {
+// FullBacklogServer is a listener with a full backlog. New connections are not established until AcceptAll is called.
+type FullBacklogServer struct {
 	net.Listener
 }
 
-// NewStuckServer starts a listener and fills its backlog. It is closed at the end of the test.
-func NewStuckServer(t *testing.T) *StuckServer {
+// NewFullBacklogServer starts a listener and fills its backlog. It is closed at the end of the test.
+func NewFullBacklogServer(t *testing.T) *FullBacklogServer {
 	t.Helper()
 	listener := Listen(t)
 	if err := setBacklog(listener.(*net.TCPListener), 0); err != nil {
@@ -50,17 +50,17 @@
 		t.Cleanup(func() { _ = conn.Close() })
 		return true
 	})
-	return &StuckServer{listener}
+	return &FullBacklogServer{listener}
 }
 
 // Endpoint returns an entry of an endpoint list for the server, which is ready.
-func (s *StuckServer) Endpoint(id string) endpointjson.Endpoint {
+func (s *FullBacklogServer) Endpoint(id string) endpointjson.Endpoint {
 	return readyEndpoint(id, s.Addr().String())
 }
 
-// Admit starts to accept all connections. The returned channel receives the first bytes of each connection on
+// AcceptAll starts to accept all connections. The returned channel receives the first bytes of each connection on
 // which the client sends any.
-func (s *StuckServer) Admit() <-chan string {
+func (s *FullBacklogServer) AcceptAll() <-chan string {
 	received := make(chan string, 100)
 	go serveUntilClosed(s.Listener, func(conn net.Conn) {
 		defer func() { _ = conn.Close() }() // the client may have closed it already
--- a/internal/testkit/handlers.go
+++ b/internal/testkit/handlers.go
@@ -24,8 +24,8 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// Reset is a handler that closes the connection without a response.
-func Reset(w http.ResponseWriter, _ *http.Request) {
+// CloseWithoutResponse is a handler that closes the connection without a response.
+func CloseWithoutResponse(w http.ResponseWriter, _ *http.Request) {
 	if conn, _, err := w.(http.Hijacker).Hijack(); err == nil {
 		_ = conn.Close() // the connection is closed even if Close fails
 	}
--- a/internal/testkit/listener_test.go
+++ b/internal/testkit/listener_test.go
@@ -33,7 +33,7 @@
 		if conn, err = net.Dial("tcp", server.Address); err != nil {
 			t.Fatalf("dial of the server returned error %v, want a connection", err)
 		}
-		Wait(t, server.Conns, "the server to accept the connection")
+		Receive(t, server.Conns, "the server to accept the connection")
 	})
 	defer func() { _ = conn.Close() }() // the server has closed its side
 	ended := make(chan error, 1)
@@ -41,7 +41,7 @@
 		_, err := conn.Read(make([]byte, 1))
 		ended <- err
 	}()
-	if err := Wait(t, ended, "the server to close the connection"); err == nil {
+	if err := Receive(t, ended, "the server to close the connection"); err == nil {
 		t.Error("Read on the connection after the end of the server's test returned a byte, want an error")
 	}
 }
@@ -52,9 +52,11 @@
 	seen := map[string]bool{}
 	for range 10 {
 		for _, address := range []string{
-			NewScriptedDiscovery(t).Address, NewBackend(t, OK).Address(), Listen(t).Addr().String(),
-			NewRegistry(t).Address(), FreeAddr(t), ReserveAddr(t).Address,
-			NewMachine(t, func(*http.Request) Response { return Response{Status: http.StatusOK, Body: ""} }).Address,
+			NewScriptedDiscovery(t).Address, NewRecordingServer(t, OK).Address(), Listen(t).Addr().String(),
+			NewFakeDiscovery(t).Address(), FreeAddr(t), ReserveAddr(t).Address,
+			NewPartitionableService(t, func(*http.Request) Response {
+				return Response{Status: http.StatusOK, Body: ""}
+			}).Address,
 		} {
 			host, _, err := net.SplitHostPort(address)
 			if err != nil {
--- a/internal/testkit/machine_test.go
+++ b/internal/testkit/partitionable_service_test.go
@@ -8,12 +8,14 @@
 	"time"
 )
 
-func TestPartitionedMachineIsUnreachable(t *testing.T) {
-	machine := NewMachine(t, func(*http.Request) Response { return Response{Status: http.StatusOK, Body: "reachable"} })
+func TestPartitionedServiceIsUnreachable(t *testing.T) {
+	service := NewPartitionableService(t, func(*http.Request) Response {
+		return Response{Status: http.StatusOK, Body: "reachable"}
+	})
 	client := http.Client{Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
 	get := func() string {
-		response, err := client.Get("http://" + machine.Address)
+		response, err := client.Get("http://" + service.Address)
 		if err != nil {
 			return err.Error()
 		}
@@ -27,14 +29,14 @@
 	if got := get(); got != "reachable" {
 		t.Fatalf("call before the partition returned %q, want %q", got, "reachable")
 	}
-	machine.Partition(t)
-	if _, err := net.DialTimeout("tcp", machine.Address, connectTimeout); !IsTimeout(err) {
+	service.Partition(t)
+	if _, err := net.DialTimeout("tcp", service.Address, connectTimeout); !IsTimeout(err) {
 		t.Errorf("dial during the partition returned error %v, want a timeout", err)
 	}
 	responses := make(chan string, 1)
 	go func() { responses <- get() }() // reuses the connection that was opened before the partition
-	machine.Heal(t)
-	Wait(t, responses, "the result of the call that started during the partition")
+	service.Heal(t)
+	Receive(t, responses, "the result of the call that started during the partition")
 	if got := get(); got != "reachable" {
 		t.Errorf("call after the partition returned %q, want %q", got, "reachable")
 	}
@@ -65,19 +67,19 @@
 }
 
 // An Accept that is pending when a partition begins takes a connection from the accept queue later. A client must
-// not be able to connect to the machine by way of the freed place in the queue.
+// not be able to connect to the service by way of the freed place in the queue.
 func TestPendingAcceptDoesNotEndPartition(t *testing.T) {
 	listener := Listen(t)
-	machine := &Machine{
+	service := &PartitionableService{
 		Address: listener.Addr().String(), listener: listener.(*net.TCPListener), changed: make(chan struct{}),
 	}
 	called, gate, returned := make(chan struct{}, 1), make(chan struct{}), make(chan struct{}, 1)
-	machine.serve(t, gatedListener{listener, called, gate, returned})
-	Wait(t, called, "the first call of Accept")
+	service.serve(t, gatedListener{listener, called, gate, returned})
+	Receive(t, called, "the first call of Accept")
 	time.AfterFunc(2*connectTimeout, func() { close(gate) })
-	machine.Partition(t)
-	Wait(t, returned, "the return of the pending Accept")
-	if _, err := net.DialTimeout("tcp", machine.Address, connectTimeout); !IsTimeout(err) {
+	service.Partition(t)
+	Receive(t, returned, "the return of the pending Accept")
+	if _, err := net.DialTimeout("tcp", service.Address, connectTimeout); !IsTimeout(err) {
 		t.Errorf("dial after the return of the pending Accept: got error %v, want a timeout", err)
 	}
 }
--- a/internal/testkit/backend.go
+++ b/internal/testkit/recording_server.go
@@ -10,32 +10,32 @@
 	"calicohinge/internal/endpointjson"
 )
 
-// maxRecordedRequests is the capacity of Backend.Requests. Requests beyond it are handled but not recorded.
+// maxRecordedRequests is the capacity of RecordingServer.Requests. Requests beyond it are handled but not recorded.
 const maxRecordedRequests = 1000
 
-// Backend is an HTTP server that records the requests that it receives.
-type Backend struct {
+// RecordingServer is an HTTP server that records the requests that it receives.
+type RecordingServer struct {
 	*httptest.Server
 	Requests chan *http.Request // the received requests, with their bodies in memory
 }
 
-// NewBackend starts a server that records each request and then calls handle. It stops at the end of the test.
-func NewBackend(t *testing.T, handle http.HandlerFunc) *Backend {
+// NewRecordingServer starts a server that records each request and then calls handle. It stops at the end of the test.
+func NewRecordingServer(t *testing.T, handle http.HandlerFunc) *RecordingServer {
 	t.Helper()
-	backend := &Backend{Requests: make(chan *http.Request, maxRecordedRequests)}
-	backend.Server = NewServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	server := &RecordingServer{Requests: make(chan *http.Request, maxRecordedRequests)}
+	server.Server = NewServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
 			return
 		}
 		r.Body = io.NopCloser(bytes.NewReader(body))
 		select {
-		case backend.Requests <- r:
+		case server.Requests <- r:
 		default: // the channel is full; some tests do not read it, and the handler must not block
 		}
 		handle(w, r)
 	}))
-	return backend
+	return server
 }
 
 // NewServer starts an HTTP server at a new loopback host. It stops at the end of the test.
@@ -55,10 +55,12 @@
 }
 
 // Address returns the host and port on which the server listens.
-func (b *Backend) Address() string { return b.Listener.Addr().String() }
+func (s *RecordingServer) Address() string { return s.Listener.Addr().String() }
 
 // Endpoint returns an entry of an endpoint list that describes the server as ready.
-func (b *Backend) Endpoint(id string) endpointjson.Endpoint { return readyEndpoint(id, b.Address()) }
+func (s *RecordingServer) Endpoint(id string) endpointjson.Endpoint {
+	return readyEndpoint(id, s.Address())
+}
 
 // readyEndpoint returns an entry of an endpoint list that describes the server at an address as ready.
 func readyEndpoint(id, address string) endpointjson.Endpoint {
--- a/internal/testkit/scripted_discovery.go
+++ b/internal/testkit/scripted_discovery.go
@@ -8,7 +8,7 @@
 
 // Values of ScriptedDiscovery.Responses that are not the body of a response.
 const (
-	ResponseReset       = "reset" // the connection is closed without a response
+	ResponseClose       = "close" // the connection is closed without a response
 	ResponseUnavailable = "down"  // the response has status 503
 )
 
@@ -16,7 +16,7 @@
 type ScriptedDiscovery struct {
 	Address   string
 	Calls     chan *http.Request // the received calls, in order of arrival
-	Responses chan string        // one response per call: the body, ResponseReset or ResponseUnavailable
+	Responses chan string        // one response per call: the body, ResponseClose or ResponseUnavailable
 }
 
 // NewScriptedDiscovery starts a discovery service. A call blocks until the test sends its response or the client
@@ -24,7 +24,7 @@
 func NewScriptedDiscovery(t *testing.T) *ScriptedDiscovery {
 	t.Helper()
 	scripted := &ScriptedDiscovery{Calls: make(chan *http.Request, 100), Responses: make(chan string)}
-	backend := NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
+	server := NewRecordingServer(t, func(w http.ResponseWriter, r *http.Request) {
 		scripted.Calls <- r
 		select {
 		case text := <-scripted.Responses:
@@ -32,15 +32,15 @@
 		case <-r.Context().Done():
 		}
 	})
-	scripted.Address = backend.Address()
+	scripted.Address = server.Address()
 	return scripted
 }
 
 // writeScriptedResponse responds to a call with a value of ScriptedDiscovery.Responses.
 func writeScriptedResponse(w http.ResponseWriter, r *http.Request, text string) {
 	switch text {
-	case ResponseReset:
-		Reset(w, r)
+	case ResponseClose:
+		CloseWithoutResponse(w, r)
 	case ResponseUnavailable:
 		http.Error(w, "down", http.StatusServiceUnavailable)
 	default:
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -19,9 +19,9 @@
 // contract sets it.
 const AddressChangeDeadline = 4 * time.Second
 
-// Wait returns the next value of a channel. It fails the test after WaitTimeout; the description completes the
+// Receive returns the next value of a channel. It fails the test after WaitTimeout; the description completes the
 // message "timed out waiting for".
-func Wait[T any](tb testing.TB, values <-chan T, description string) T {
+func Receive[T any](tb testing.TB, values <-chan T, description string) T {
 	tb.Helper()
 	select {
 	case value := <-values:
@@ -35,8 +35,8 @@
 // pollInterval is the pause between two checks of a condition. It is short compared with the waits in tests.
 const pollInterval = time.Millisecond
 
-// Until waits until a condition holds. It fails the test after WaitTimeout, with a message as in Wait.
-func Until(tb testing.TB, description string, holds func() bool) {
+// WaitUntil waits until a condition holds. It fails the test after WaitTimeout, with a message as in Receive.
+func WaitUntil(tb testing.TB, description string, holds func() bool) {
 	tb.Helper()
 	for end := time.Now().Add(WaitTimeout); !holds(); time.Sleep(pollInterval) {
 		if time.Now().After(end) {
--- a/internal/upstream/dial_test.go
+++ b/internal/upstream/dial_test.go
@@ -36,8 +36,8 @@
 // for opening the connection is not part of it.
 func TestTimeoutHeaderExcludesConnectTime(t *testing.T) {
 	const timeout, connecting = 10 * time.Second, 300 * time.Millisecond
-	backend := testkit.NewBackend(t, testkit.OK)
-	pool, id := newPoolWithServer(testPoolConfig(), backend.Address())
+	server := testkit.NewRecordingServer(t, testkit.OK)
+	pool, id := newPoolWithServer(testPoolConfig(), server.Address())
 	var dialer net.Dialer
 	pool.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 		time.Sleep(connecting)
@@ -48,7 +48,7 @@
 	if result.Status != policy.OK {
 		t.Fatalf("status of the attempt: got %v, want %v", result.Status, policy.OK)
 	}
-	received := testkit.Wait(t, backend.Requests, "the request")
+	received := testkit.Receive(t, server.Requests, "the request")
 	milliseconds, err := strconv.Atoi(received.Header.Get(timeoutHeader))
 	if err != nil || milliseconds <= 0 || time.Duration(milliseconds)*time.Millisecond > timeout-connecting {
 		t.Errorf("timeout header: got %d ms, error %v; want at most %v", milliseconds, err, timeout-connecting)
@@ -57,15 +57,15 @@
 
 // An attempt must not be sent if the client's deadline has passed when the connection is established.
 func TestAttemptIsNotSentAfterClientDeadline(t *testing.T) {
-	backend := testkit.NewBackend(t, testkit.OK)
-	pool, id := newPoolWithServer(testPoolConfig(), backend.Address())
+	server := testkit.NewRecordingServer(t, testkit.OK)
+	pool, id := newPoolWithServer(testPoolConfig(), server.Address())
 	call := NewCall(t.Context(), neverDisconnected)
 
 	result := pool.Send(call, id, newTestRequest(), time.Now())
 
-	if result.Status != policy.NotSent || call.Sent() || len(backend.Requests) > 0 {
+	if result.Status != policy.NotSent || call.Sent() || len(server.Requests) > 0 {
 		t.Errorf("attempt: got status %v, sent %v, %d requests received; want %v, false, 0",
-			result.Status, call.Sent(), len(backend.Requests), policy.NotSent)
+			result.Status, call.Sent(), len(server.Requests), policy.NotSent)
 	}
 }
 
--- a/internal/upstream/exchange_test.go
+++ b/internal/upstream/exchange_test.go
@@ -161,14 +161,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			attemptEnded := make(chan struct{})
-			backend := testkit.NewBackend(t, hijackHandler(func(conn net.Conn) {
+			server := testkit.NewRecordingServer(t, hijackHandler(func(conn net.Conn) {
 				writeByteByByte(conn, okResponse[:len(okResponse)/2])
 				if c.want != policy.OK {
 					<-attemptEnded
 				}
 				writeByteByByte(conn, okResponse[len(okResponse)/2:])
 			}))
-			pool, id := newPoolWithServer(testPoolConfig(), backend.Address())
+			pool, id := newPoolWithServer(testPoolConfig(), server.Address())
 			request := newTestRequest()
 			request.ResponseReadTimeout = c.readTimeout
 			if result := send(t.Context(), pool, id, request); result.Status != c.want {
@@ -196,14 +196,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			backend := testkit.NewBackend(t, hijackHandler(func(conn net.Conn) {
+			server := testkit.NewRecordingServer(t, hijackHandler(func(conn net.Conn) {
 				_, err := io.WriteString(conn, start)
 				for err == nil {
 					time.Sleep(time.Millisecond) // the read timeout must pass before the response is too large
 					_, err = io.WriteString(conn, "x")
 				}
 			}))
-			pool, id := newPoolWithServer(testPoolConfig(), backend.Address())
+			pool, id := newPoolWithServer(testPoolConfig(), server.Address())
 			expectAttemptStatus(t, pool, id, policy.ServerError)
 			expectOpenConnections(t, pool, 0)
 		})
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -22,13 +22,13 @@
 // Nothing is sent on a connection that is established after the connect timeout.
 func TestConnectTimeoutSendsNothingAndFreesCapacity(t *testing.T) {
 	t.Parallel()
-	server := testkit.NewStuckServer(t)
+	server := testkit.NewFullBacklogServer(t)
 	config := testPoolConfig()
 	config.ConnectTimeout = 50 * time.Millisecond
 	pool, id := newPoolWithServer(config, server.Addr().String())
 	expectAttemptStatus(t, pool, id, policy.ConnectFailed)
 
-	received := server.Admit()
+	received := server.AcceptAll()
 	later, err := net.Dial("tcp", server.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -37,7 +37,7 @@
 	if _, err := io.WriteString(later, "later"); err != nil {
 		t.Fatal(err)
 	}
-	if text := testkit.Wait(t, received, "bytes on the later connection"); text != "later" {
+	if text := testkit.Receive(t, received, "bytes on the later connection"); text != "later" {
 		t.Errorf("bytes received by the server: got %q, want only those of the later connection", text)
 	}
 	expectOpenConnections(t, pool, 0)
@@ -51,16 +51,16 @@
 
 	send(t.Context(), pool, id, newTestRequest())
 
-	testkit.Wait(t, server.Conns, "a connection")
-	testkit.Until(t, "the idle connection to be closed", func() bool { return pool.Stats().Open == 0 })
+	testkit.Receive(t, server.Conns, "a connection")
+	testkit.WaitUntil(t, "the idle connection to be closed", func() bool { return pool.Stats().Open == 0 })
 }
 
 // An attempt at the connection limit is NotSent rather than ConnectFailed: the server is not at fault.
 func TestAttemptIsNotSentAtTheConnectionLimit(t *testing.T) {
-	backend := testkit.NewBackend(t, testkit.OK)
+	server := testkit.NewRecordingServer(t, testkit.OK)
 	config := testPoolConfig()
 	config.MaxOpen = 1
-	pool, id := newPoolWithServer(config, backend.Address())
+	pool, id := newPoolWithServer(config, server.Address())
 	pool.open = 1 // one connection is in use
 
 	expectAttemptStatus(t, pool, id, policy.NotSent)
@@ -69,8 +69,8 @@
 func TestIdleConnectionIsEvictedAtTheConnectionLimit(t *testing.T) {
 	config := testPoolConfig()
 	config.MaxOpen = 1
-	pool, id := newPoolWithServer(config, testkit.NewBackend(t, testkit.OK).Address())
-	other := endpoint.Endpoint{ID: 2, Address: testkit.NewBackend(t, testkit.OK).Address(), State: policy.Ready}
+	pool, id := newPoolWithServer(config, testkit.NewRecordingServer(t, testkit.OK).Address())
+	other := endpoint.Endpoint{ID: 2, Address: testkit.NewRecordingServer(t, testkit.OK).Address(), State: policy.Ready}
 	pool.UpdateEndpoints(policy.UpdateDelta, []endpoint.Endpoint{other})
 	for _, target := range []policy.ServerID{id, other.ID, id} {
 		expectAttemptStatus(t, pool, target, policy.OK)
@@ -96,7 +96,7 @@
 func testReuseDelay(t *testing.T, afterResponse func(conn net.Conn)) {
 	t.Helper()
 	served := make(chan struct{}, 10)
-	backend := testkit.NewBackend(t, hijackHandler(func(conn net.Conn) {
+	server := testkit.NewRecordingServer(t, hijackHandler(func(conn net.Conn) {
 		writeQuietly(conn, okResponse)
 		time.Sleep(time.Millisecond) // the effect arrives later than the response, but within the reuse delay
 		afterResponse(conn)
@@ -105,7 +105,7 @@
 	}))
 	config := testPoolConfig()
 	config.ReuseDelay = time.Hour
-	pool, id := newPoolWithServer(config, backend.Address())
+	pool, id := newPoolWithServer(config, server.Address())
 	expectServed := func() {
 		t.Helper()
 		result := send(t.Context(), pool, id, newTestRequest())
@@ -117,8 +117,8 @@
 	expectServed()
 	expectServed() // on a new connection, because the reuse delay of the first has not passed
 
-	testkit.Wait(t, served, "the end of the first handler")
-	testkit.Wait(t, served, "the end of the second handler")
+	testkit.Receive(t, served, "the end of the first handler")
+	testkit.Receive(t, served, "the end of the second handler")
 	pool.config.ReuseDelay = 0
 
 	expectServed()                    // on a new connection: the first two are closed or have unread bytes
--- a/internal/upstream/send_test.go
+++ b/internal/upstream/send_test.go
@@ -18,8 +18,8 @@
 // While an attempt waits for its connection, another attempt may get the final response of the request.
 // The waiting attempt is then revoked and must not be sent.
 func TestRevokedAttemptIsNotSent(t *testing.T) {
-	backend := testkit.NewBackend(t, testkit.OK)
-	pool, id := newPoolWithServer(testPoolConfig(), backend.Address())
+	server := testkit.NewRecordingServer(t, testkit.OK)
+	pool, id := newPoolWithServer(testPoolConfig(), server.Address())
 	call := NewCall(t.Context(), neverDisconnected)
 	call.Revoke()
 
@@ -27,14 +27,14 @@
 		t.Errorf("status of the revoked attempt: got %v, want %v", result.Status, policy.NotSent)
 	}
 	send(t.Context(), pool, id, newTestRequest())
-	if len(backend.Requests) != 1 {
-		t.Errorf("requests received by the server: got %d, want 1, that of the second attempt", len(backend.Requests))
+	if len(server.Requests) != 1 {
+		t.Errorf("requests received by the server: got %d, want 1, that of the second attempt", len(server.Requests))
 	}
 }
 
 func TestAttemptOfDisconnectedClientIsNotSent(t *testing.T) {
-	backend := testkit.NewBackend(t, testkit.OK)
-	pool, id := newPoolWithServer(testPoolConfig(), backend.Address())
+	server := testkit.NewRecordingServer(t, testkit.OK)
+	pool, id := newPoolWithServer(testPoolConfig(), server.Address())
 	call := NewCall(t.Context(), func() bool { return true })
 
 	result := pool.Send(call, id, newTestRequest(), clientDeadline())
@@ -43,8 +43,8 @@
 		t.Errorf("attempt: got status %v, client disconnected %v; want %v, true",
 			result.Status, result.ClientDisconnected, policy.NotSent)
 	}
-	if len(backend.Requests) != 0 || call.Sent() {
-		t.Errorf("attempt: got %d requests received, sent %v; want 0, false", len(backend.Requests), call.Sent())
+	if len(server.Requests) != 0 || call.Sent() {
+		t.Errorf("attempt: got %d requests received, sent %v; want 0, false", len(server.Requests), call.Sent())
 	}
 	if pool.Stats().Idle() != 1 {
 		t.Error("Stats().Idle() after the attempt is not 1, want the unused connection kept")
@@ -52,7 +52,7 @@
 }
 
 func TestSentAttemptCannotBeRevoked(t *testing.T) {
-	pool, id := newPoolWithServer(testPoolConfig(), testkit.NewBackend(t, testkit.OK).Address())
+	pool, id := newPoolWithServer(testPoolConfig(), testkit.NewRecordingServer(t, testkit.OK).Address())
 	call := NewCall(t.Context(), neverDisconnected)
 	if result := pool.Send(call, id, newTestRequest(), clientDeadline()); result.Status != policy.OK {
 		t.Errorf("status of the attempt: got %v, want %v", result.Status, policy.OK)
@@ -76,7 +76,7 @@
 		t.Fatal(err)
 	}
 	closeQuietly(accepted)
-	testkit.Until(t, "the close to be visible", func() bool { return sockstate.Peek(conn.Conn) != sockstate.Idle })
+	testkit.WaitUntil(t, "the close to be visible", func() bool { return sockstate.Peek(conn.Conn) != sockstate.Idle })
 
 	conn.server.idle = append(conn.server.idle, conn) // the next attempt takes the connection, which counts as new
 	conn.idleSince = time.Now()
@@ -102,7 +102,7 @@
 	}
 	defer closeQuietly(conn)
 
-	result := testkit.Wait(t, results, "the end of the attempt")
+	result := testkit.Receive(t, results, "the end of the attempt")
 	if result.Status != policy.ConnectFailed && result.Status != policy.NotSent {
 		t.Errorf("status of the attempt: got %v, want %v or %v", result.Status, policy.ConnectFailed, policy.NotSent)
 	}
