--- a/internal/node/connection_limits_test.go
+++ b/internal/node/connection_limits_test.go
@@ -156,13 +156,13 @@
 			done := l.submitAsync(t.Context(), further)
 			l.awaitInLoop("an attempt of the further request to start", func() bool { return len(further.attempts) > 0 })
 			l.server.unblock()
-			l.wantStatus(done, http.StatusOK)
+			l.wantResponseStatus(done, http.StatusOK)
 			l.wantServedAfterwards(class)
 		})
 		t.Run(name+", no connection becomes free", func(t *testing.T) {
 			t.Parallel()
 			l := startSaturatedLoop(t)
-			l.wantStatus(l.submitAsync(t.Context(), l.newFurtherRequest(class)), http.StatusServiceUnavailable)
+			l.wantResponseStatus(l.submitAsync(t.Context(), l.newFurtherRequest(class)), http.StatusServiceUnavailable)
 			if len(l.server.Requests) > 0 {
 				t.Errorf("further requests that the server received: got %d, want 0", len(l.server.Requests))
 			}
@@ -191,7 +191,7 @@
 	l := &saturatedLoop{server: server}
 	l.testLoop = startLoopWith(t, func(pool *upstream.Config) { pool.MaxOpen = connections }, list...)
 	for range connections {
-		l.inFlight = append(l.inFlight, l.submitAsync(t.Context(), l.newRequest(classRead, staysConnected)))
+		l.inFlight = append(l.inFlight, l.submitAsync(t.Context(), l.newRequest(classRead, neverDisconnected)))
 		testkit.Receive(t, server.Requests, "the server to receive a request")
 	}
 	return l
@@ -199,7 +199,7 @@
 
 // newFurtherRequest returns a request that can wait 4 s for a connection, until its deadline.
 func (l *saturatedLoop) newFurtherRequest(class int) *request {
-	further := l.newRequest(class, staysConnected)
+	further := l.newRequest(class, neverDisconnected)
 	further.deadline = l.clock.now() + 4*time.Second
 	return further
 }
@@ -208,8 +208,8 @@
 func (l *saturatedLoop) wantServedAfterwards(class int) {
 	l.t.Helper()
 	for _, done := range l.inFlight {
-		l.wantStatus(done, http.StatusOK)
+		l.wantResponseStatus(done, http.StatusOK)
 	}
 	l.awaitRequests(0, 0)
-	l.wantStatus(l.submitAsync(l.t.Context(), l.newRequest(class, staysConnected)), http.StatusOK)
+	l.wantResponseStatus(l.submitAsync(l.t.Context(), l.newRequest(class, neverDisconnected)), http.StatusOK)
 }
--- a/internal/node/disconnect_concurrency_test.go
+++ b/internal/node/disconnect_concurrency_test.go
@@ -64,7 +64,7 @@
 	resume()
 
 	s.awaitNoRequests()
-	if sent := countStartedAttempts(all...); len(all) != concurrentClients || sent > 0 || len(server.Requests) > 0 {
+	if sent := countSentAttempts(all...); len(all) != concurrentClients || sent > 0 || len(server.Requests) > 0 {
 		t.Errorf("requests in the loop: got %d, want %d; attempts sent: got %d, want 0; attempts received: got %d, want 0",
 			len(all), concurrentClients, sent, len(server.Requests))
 	}
@@ -87,14 +87,14 @@
 	l.queue.post(eventFunc(l.advanceClock))
 
 	s.disconnectAll(clients, closeTCP)
-	sentBefore, attemptsBefore := countStartedAttempts(stable.requests...), countAttempts(stable.requests)
+	sentBefore, attemptsBefore := countSentAttempts(stable.requests...), countAttempts(stable.requests)
 	servers.fullBacklog.AcceptAll()
 	s.awaitIdleConns(stable.states[stateConnecting], servers.fullBacklog.Addr())
 	stable.resume()
 	s.awaitNoRequests()
 
 	l.runInLoop(func() {
-		sentLate := countStartedAttempts(stable.requests...) - sentBefore
+		sentLate := countSentAttempts(stable.requests...) - sentBefore
 		t.Logf("requests by state: %v; attempts sent before the disconnects: %d; after them: %d started, %d sent",
 			stable.states, sentBefore, countAttempts(stable.requests)-attemptsBefore, sentLate)
 		if sentLate > 0 || len(stable.states) != 4 {
--- a/internal/node/disconnect_race_test.go
+++ b/internal/node/disconnect_race_test.go
@@ -189,7 +189,7 @@
 		s.awaitNoRequests()
 	}
 	l.runInLoop(func() {
-		if sent := countStartedAttempts(s.request); sent != s.stage.sent || l.requests.lastID != s.lastID {
+		if sent := countSentAttempts(s.request); sent != s.stage.sent || l.requests.lastID != s.lastID {
 			s.t.Errorf("attempts sent: got %d, want %d; latest request ID in the loop: got %d, want %d",
 				sent, s.stage.sent, l.requests.lastID, s.lastID)
 		}
--- a/internal/node/disconnect_test.go
+++ b/internal/node/disconnect_test.go
@@ -30,7 +30,7 @@
 	t.Helper()
 	server := newBlockedServer(t)
 	l := startLoop(t, server.Endpoint("s-0"))
-	l.submitAsync(t.Context(), l.newRequest(classPay, staysConnected))
+	l.submitAsync(t.Context(), l.newRequest(classPay, neverDisconnected))
 	testkit.Receive(t, server.Requests, "the server to receive the first request")
 	return l, server
 }
@@ -40,7 +40,7 @@
 func TestQueuedRequestIsNotSentAfterADisconnect(t *testing.T) {
 	l, server := startWithBusyServer(t)
 	ctx, disconnect := context.WithCancel(t.Context())
-	l.submitAsync(ctx, l.newRequest(classPay, staysConnected))
+	l.submitAsync(ctx, l.newRequest(classPay, neverDisconnected))
 	l.awaitRequests(2, 1)
 
 	disconnect()
@@ -106,7 +106,7 @@
 	servers := newServersFailingFirst(t, testkit.ServerError)
 	l := startLoop(t, servers[0].Endpoint("s-0"), servers[1].Endpoint("s-1"))
 	ctx, disconnect := context.WithCancel(t.Context())
-	l.submitAsync(ctx, l.newRequest(classRead, staysConnected))
+	l.submitAsync(ctx, l.newRequest(classRead, neverDisconnected))
 	sent := func() int { return len(servers[0].Requests) + len(servers[1].Requests) }
 	testkit.WaitUntil(t, "a server to receive the first attempt", func() bool { return sent() > 0 })
 	l.awaitRequests(1, 0)
@@ -177,7 +177,7 @@
 	s.awaitIdleConns(1, fullBacklog.Addr())
 	resume()
 	s.awaitNoRequests()
-	attemptsSent := countStartedAttempts(r)
+	attemptsSent := countSentAttempts(r)
 	if len(r.attempts) != wantSent+1 || attemptsSent != wantSent || len(sent) > 0 {
 		s.t.Errorf("attempts sent: got %d of %d, want %d of %d; received by the server with a full backlog: got %d, want 0",
 			attemptsSent, len(r.attempts), wantSent, wantSent+1, len(sent))
--- a/internal/node/discovery_failure_test.go
+++ b/internal/node/discovery_failure_test.go
@@ -259,8 +259,8 @@
 	}
 }
 
-// staysUnresponsive is an outage in which the first call gets no response.
-func staysUnresponsive(t *testing.T, scripted *testkit.ScriptedDiscovery, meanwhile func()) {
+// leaveFirstCallUnanswered is an outage in which the first call gets no response.
+func leaveFirstCallUnanswered(t *testing.T, scripted *testkit.ScriptedDiscovery, meanwhile func()) {
 	t.Helper()
 	testkit.Receive(t, scripted.Calls, "the first call to discovery")
 	meanwhile()
@@ -275,7 +275,7 @@
 		for name, fail := range map[string]outage{
 			"status 503":   failTwice(testkit.ResponseUnavailable),
 			"reset":        failTwice(testkit.ResponseClose),
-			"unresponsive": staysUnresponsive,
+			"unresponsive": leaveFirstCallUnanswered,
 		} {
 			t.Run(mode+" "+name, func(t *testing.T) {
 				t.Parallel()
--- a/internal/node/endpoints_test.go
+++ b/internal/node/endpoints_test.go
@@ -65,7 +65,7 @@
 			l.wantFirstAttemptsRevoked()
 			sent := fullBacklog.AcceptAll()
 
-			l.wantStatus(done, http.StatusOK)
+			l.wantResponseStatus(done, http.StatusOK)
 			if len(sent) > 0 {
 				t.Errorf("the revoked attempt sent %q, want nothing", <-sent)
 			}
@@ -92,7 +92,7 @@
 	t.Helper()
 	fullBacklog := testkit.NewFullBacklogServer(t)
 	l := startLoop(t, fullBacklog.Endpoint("s-0"))
-	done := l.submitAsync(t.Context(), l.newRequest(classPay, staysConnected))
+	done := l.submitAsync(t.Context(), l.newRequest(classPay, neverDisconnected))
 	l.awaitRequests(1, 1)
 	return l, fullBacklog, done
 }
@@ -115,14 +115,14 @@
 	failing := testkit.NewRecordingServer(t, testkit.ServerError)
 	drainingServer, other := testkit.NewRecordingServer(t, testkit.OK), testkit.NewRecordingServer(t, testkit.OK)
 	l := startLoop(t, failing.Endpoint("s-0"))
-	done := l.submitAsync(t.Context(), l.newRequest(classRead, staysConnected))
+	done := l.submitAsync(t.Context(), l.newRequest(classRead, neverDisconnected))
 	testkit.Receive(t, failing.Requests, "the first attempt at the failing server")
 	l.awaitRequests(1, 0)
 
 	l.reportEndpoints(policy.UpdateDelta, drainingServer.Endpoint("s-1"))
 	l.reportEndpoints(policy.UpdateDelta, draining(drainingServer.Endpoint("s-1")), other.Endpoint("s-2"))
 
-	l.wantStatus(done, http.StatusOK)
+	l.wantResponseStatus(done, http.StatusOK)
 	if sends := len(drainingServer.Requests); sends > 0 {
 		t.Errorf("requests sent to the draining server: got %d, want 0", sends)
 	}
@@ -148,7 +148,7 @@
 // be after 0, since 0 means long ago. It must not differ from list to list, since a difference means that the server
 // has restarted.
 func TestServerStartTimesAreStableOnTheClock(t *testing.T) {
-	l := newTestLoop(t, testConfig(t, testkit.NewFakeDiscovery(t), nil), nil, noWatcher{})
+	l := newTestLoop(t, testConfig(t, testkit.NewFakeDiscovery(t), nil), nil, stubWatcher{})
 	clockStart := func(startedAt time.Time) time.Duration {
 		list := []endpoint.Endpoint{{ID: 1, State: policy.Ready, StartedAt: startedAt}}
 		now := processstart.Moment{Clock: l.clock.now(), Wall: time.Now()}
--- a/internal/node/harness_handler_test.go
+++ b/internal/node/harness_handler_test.go
@@ -40,7 +40,7 @@
 	cfg := testConfig(t, testkit.NewFakeDiscovery(t), withDeadlines(600000))
 	cfg.Policy.Classes[classPush].KeyRetention = 10 * time.Minute
 	cfg.ConnectTimeout = testkit.WaitTimeout
-	l := newTestLoop(t, cfg, upstream.NewPool(upstreamConfig(cfg, 400)), noWatcher{})
+	l := newTestLoop(t, cfg, upstream.NewPool(upstreamConfig(cfg, 400)), stubWatcher{})
 	go l.run()
 	l.reportEndpoints(policy.UpdateSnapshot, list...)
 	connsConfig := downstreamConfig(400, 0)
--- a/internal/node/harness_loop_test.go
+++ b/internal/node/harness_loop_test.go
@@ -33,16 +33,16 @@
 	cfg := testConfig(t, testkit.NewFakeDiscovery(t), nil)
 	pool := upstreamConfig(cfg, 20)
 	change(&pool)
-	l := newTestLoop(t, cfg, upstream.NewPool(pool), noWatcher{})
+	l := newTestLoop(t, cfg, upstream.NewPool(pool), stubWatcher{})
 	go l.run()
 	l.reportEndpoints(policy.UpdateSnapshot, list...)
 	return l
 }
 
-// noWatcher is the watcher in tests without a discovery client. It ignores all requests for watches.
-type noWatcher struct{}
+// stubWatcher is the watcher in tests without a discovery client. It ignores all requests for watches.
+type stubWatcher struct{}
 
-func (noWatcher) RequestWatch() {}
+func (stubWatcher) RequestWatch() {}
 
 // eventFunc is an event that calls a function of a test in the loop's goroutine.
 type eventFunc func(now time.Duration)
@@ -55,8 +55,8 @@
 // ClientDisconnected implements clientConn.
 func (f clientFunc) ClientDisconnected() bool { return f() }
 
-// staysConnected is the clientFunc of a client that does not disconnect.
-func staysConnected() bool { return false }
+// neverDisconnected is the clientFunc of a client that does not disconnect.
+func neverDisconnected() bool { return false }
 
 // forwardedTestRequest returns a request in the form in which the handler forwards it to a server.
 func forwardedTestRequest() *upstream.Request {
@@ -90,8 +90,8 @@
 	return done
 }
 
-// wantStatus waits for the response to a submitted request and fails the test unless it has the wanted status.
-func (l *testLoop) wantStatus(done <-chan response, want int) {
+// wantResponseStatus waits for the response to a submitted request and fails the test unless it has the wanted status.
+func (l *testLoop) wantResponseStatus(done <-chan response, want int) {
 	l.t.Helper()
 	if final := testkit.Receive(l.t, done, "the response to a submitted request"); final.status != want {
 		l.t.Errorf("submitted request: response with status %d, want %d", final.status, want)
@@ -164,16 +164,16 @@
 	l.balancer.Timer(l.clock.now(), 0)
 }
 
-// countStartedAttempts returns how many attempts of the requests have been sent. An attempt counts as sent once it may
+// countSentAttempts returns how many attempts of the requests have been sent. An attempt counts as sent once it may
 // have written its first byte.
-func countStartedAttempts(requests ...*request) int {
-	started := 0
+func countSentAttempts(requests ...*request) int {
+	sent := 0
 	for _, r := range requests {
 		for _, a := range r.attempts {
 			if a.call.Sent() {
-				started++
+				sent++
 			}
 		}
 	}
-	return started
+	return sent
 }
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -203,10 +203,10 @@
 
 // clientResponse is a response that has been read completely.
 type clientResponse struct {
-	status int
-	header http.Header
-	body   string
-	took   time.Duration // from the start of the request to the end of the response
+	status  int
+	header  http.Header
+	body    string
+	elapsed time.Duration // from the start of the request to the end of the response
 }
 
 // do sends a request with the default HTTP client and reads the complete response.
--- a/internal/node/key_retention_test.go
+++ b/internal/node/key_retention_test.go
@@ -49,7 +49,7 @@
 	retention := l.host.classes[classPush].KeyRetention
 	servers := []policy.ServerID{endpoint.ServerID("unresponsive"), endpoint.ServerID("unresponsive")}
 	servers[c.lateAttempt] = endpoint.ServerID("late")
-	r := l.newRequest(c.class, staysConnected)
+	r := l.newRequest(c.class, neverDisconnected)
 	r.completion = make(chan completion, 1)
 	r.deadlineTimer = time.NewTimer(time.Hour)
 
--- a/internal/node/retry_test.go
+++ b/internal/node/retry_test.go
@@ -57,9 +57,9 @@
 	r := n.newRequest("pay")
 	r.Header.Set("X-Timeout-Ms", "300")
 	resp := n.do(r)
-	if resp.status != http.StatusBadGateway || resp.took < 200*time.Millisecond {
+	if resp.status != http.StatusBadGateway || resp.elapsed < 200*time.Millisecond {
 		t.Errorf("request with X-Timeout-Ms 300: status %d after %v, want 502 after at least 200ms",
-			resp.status, resp.took)
+			resp.status, resp.elapsed)
 	}
 	testkit.Receive(t, cancelled, "the attempt to be cancelled")
 	if len(server.Requests) != 1 {
@@ -108,7 +108,7 @@
 			r.Header.Set("X-Timeout-Ms", "300")
 			n.wantRejectionWithRetryAfter(r)
 		}
-		if rejection := n.wantRejectionWithRetryAfter(n.newRequest("push")); rejection.took < time.Second {
+		if rejection := n.wantRejectionWithRetryAfter(n.newRequest("push")); rejection.elapsed < time.Second {
 			return
 		}
 	}
@@ -238,15 +238,15 @@
 	}
 	closing, other := testkit.NewRecordingServer(t, handle), testkit.NewRecordingServer(t, testkit.OK)
 	l := startLoopWith(t, func(pool *upstream.Config) { pool.ReuseDelay = 0 }, closing.Endpoint("s-0"))
-	if first, _ := l.submit(t.Context(), l.newRequest(classPay, staysConnected)); first.status != http.StatusOK {
+	if first, _ := l.submit(t.Context(), l.newRequest(classPay, neverDisconnected)); first.status != http.StatusOK {
 		t.Fatalf("first request: status %d, want 200", first.status)
 	}
 	testkit.WaitUntil(t, "the connection to return to the pool", func() bool { return l.pool.Stats().Idle() == 1 })
 
-	done := l.submitAsync(t.Context(), l.newRequest(classPay, staysConnected))
+	done := l.submitAsync(t.Context(), l.newRequest(classPay, neverDisconnected))
 	l.reportEndpoints(policy.UpdateDelta, other.Endpoint("s-1")) // the other server has capacity for a second attempt
 
-	l.wantStatus(done, http.StatusBadGateway)
+	l.wantResponseStatus(done, http.StatusBadGateway)
 	l.awaitRequests(0, 0)
 	if len(closing.Requests) != 2 || len(other.Requests) != 0 {
 		t.Errorf("the first server received %d requests and the second %d, want 2 and 0",
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -304,7 +304,7 @@
 	server := testkit.NewRecordingServer(t, testkit.OK)
 	l := startLoop(t, server.Endpoint("s-0"))
 	l.terminateAll()
-	final, err := l.submit(t.Context(), l.newRequest(classPay, staysConnected))
+	final, err := l.submit(t.Context(), l.newRequest(classPay, neverDisconnected))
 	if err != nil || final.status != http.StatusServiceUnavailable || len(server.Requests) > 0 {
 		t.Errorf("submit() after termination = %+v, %v with %d attempts sent; want status 503, nil and no attempt",
 			final, err, len(server.Requests))
