--- a/internal/runningmean/runningmean.go
+++ b/internal/runningmean/runningmean.go
@@ -12,9 +12,9 @@
 // New returns a mean without samples. Its weight never exceeds that of maxSamples samples.
 func New(maxSamples int) Mean { return Mean{maxSamples: float64(maxSamples)} }
 
-// NewWithGuess returns a mean with an initial guess, which counts as one sample.
-func NewWithGuess(guess float64, maxSamples int) Mean {
-	return Mean{value: guess, samples: 1, maxSamples: float64(maxSamples)}
+// NewWithInitial returns a mean with an initial value, which counts as one sample.
+func NewWithInitial(initial float64, maxSamples int) Mean {
+	return Mean{value: initial, samples: 1, maxSamples: float64(maxSamples)}
 }
 
 // Add adds a sample to the mean.
@@ -30,5 +30,5 @@
 // Value returns the mean, or 0 if there are no samples.
 func (m *Mean) Value() float64 { return m.value }
 
-// Samples returns the number of samples, including an initial guess, but at most maxSamples.
+// Samples returns the number of samples, including an initial value, but at most maxSamples.
 func (m *Mean) Samples() float64 { return m.samples }
--- a/internal/runningmean/runningmean_test.go
+++ b/internal/runningmean/runningmean_test.go
@@ -18,8 +18,8 @@
 	checkMean(t, &m, 3, 3)
 }
 
-func TestGuessCountsAsOneSample(t *testing.T) {
-	m := NewWithGuess(8, 10)
+func TestInitialValueCountsAsOneSample(t *testing.T) {
+	m := NewWithInitial(8, 10)
 	checkMean(t, &m, 8, 1)
 	m.Add(4)
 	checkMean(t, &m, 6, 2)
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -24,8 +24,8 @@
 }
 
 func TestQueueIsSortedByWeightPerWorkThenObjective(t *testing.T) {
-	expensive := &requestClass{workEstimate: runningmean.NewWithGuess(2, 10)}
-	cheap := &requestClass{workEstimate: runningmean.NewWithGuess(1, 10)}
+	expensive := &requestClass{workEstimate: runningmean.NewWithInitial(2, 10)}
+	cheap := &requestClass{workEstimate: runningmean.NewWithInitial(1, 10)}
 	requests := []*request{
 		{class: expensive, weight: 1, objectiveDeadline: 1},
 		{class: cheap, weight: 1, objectiveDeadline: 3},
--- a/policy/arrivals_test.go
+++ b/policy/arrivals_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestHighPriorityIsMoreThanTwiceTheMeanWeight(t *testing.T) {
-	class := &requestClass{workEstimate: runningmean.NewWithGuess(0.5, 10)}
+	class := &requestClass{workEstimate: runningmean.NewWithInitial(0.5, 10)}
 	arrivals := newArrivalStats()
 	for range maxWeightSamples {
 		arrivals.record(time.Hour, &request{class: class, weight: 1})
--- a/policy/balancer_test.go
+++ b/policy/balancer_test.go
@@ -96,7 +96,7 @@
 			h.request(0) // far more requests than the server has capacity for
 		}
 		// With this short baseline latency, the request is shed as late only about 1 ms before its deadline.
-		h.balancer.classes[2].baseline = runningmean.NewWithGuess(0.0001, maxLatencySamples)
+		h.balancer.classes[2].baseline = runningmean.NewWithInitial(0.0001, maxLatencySamples)
 		h.lastID++
 		deadline := h.now + timeout
 		h.balancer.Request(h.now, Request{ID: h.lastID, Class: 2, Timeout: timeout})
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -46,10 +46,11 @@
 	if class.Objective == 0 {
 		class.Objective = class.Deadline
 	}
-	baseline := runningmean.NewWithGuess(class.Objective.Seconds()*initialBaselineFraction, maxLatencySamples)
+	initialBaseline := class.Objective.Seconds() * initialBaselineFraction
+	baseline := runningmean.NewWithInitial(initialBaseline, maxLatencySamples)
 	workEstimate := baseline
 	if settings.WeightByWork {
-		workEstimate = runningmean.NewWithGuess(1, maxLatencySamples)
+		workEstimate = runningmean.NewWithInitial(1, maxLatencySamples)
 	}
 	return requestClass{
 		Class:        class,
