--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -57,7 +57,7 @@
 		Name: "n3", Listen: "10.0.0.4:8000", Discovery: "10.2.0.1:8500", Seed: 0x8c1f30d27a5be964,
 		Limits: Limits{Cores: 1.5, MemoryMB: 192, Sockets: 128},
 		CachedList: endpoint.List{Generation: 7, Endpoints: []endpoint.Endpoint{
-			{ID: endpoint.ServerID("s-1"), Zone: "b", State: policy.Draining},
+			{ID: endpoint.ServerID("s-1"), Zone: "b", State: policy.EndpointDraining},
 		}},
 		Policy:         policy.Defaults(),
 		Classes:        map[string]int{"read": 0, "pay": 1},
--- a/internal/config/example_config_test.go
+++ b/internal/config/example_config_test.go
@@ -35,7 +35,7 @@
 		t.Errorf("cached endpoints of the example: got %d, want 2", len(loaded.CachedList.Endpoints))
 	}
 	for _, server := range loaded.CachedList.Endpoints {
-		if _, knownZone := loaded.Zones[server.Zone]; !knownZone || server.State != policy.Ready {
+		if _, knownZone := loaded.Zones[server.Zone]; !knownZone || server.State != policy.EndpointReady {
 			t.Errorf("cached endpoint %x: got zone %q, state %v; want a configured zone and a ready server",
 				server.ID, server.Zone, server.State)
 		}
--- a/internal/discovery/apply.go
+++ b/internal/discovery/apply.go
@@ -65,5 +65,6 @@
 	}
 	slog.Info("endpoint list updated", "discovery_addr", f.address, "generation", list.Generation,
 		"previous_generation", f.generation, "complete", list.Snapshot,
-		"ready", counts[policy.Ready], "draining", counts[policy.Draining], "removed", counts[policy.Removed])
+		"ready", counts[policy.EndpointReady], "draining", counts[policy.EndpointDraining],
+		"removed", counts[policy.EndpointRemoved])
 }
--- a/internal/endpointjson/endpointjson.go
+++ b/internal/endpointjson/endpointjson.go
@@ -68,11 +68,11 @@
 func stateOf(lifecycle string) policy.EndpointState {
 	switch lifecycle {
 	case lifecycleReady:
-		return policy.Ready
+		return policy.EndpointReady
 	case lifecycleGone:
-		return policy.Removed
+		return policy.EndpointRemoved
 	}
-	return policy.Draining
+	return policy.EndpointDraining
 }
 
 // startTime converts a Unix time in milliseconds, rounding to the nanosecond. It returns the zero time for values
--- a/internal/endpointjson/endpointjson_test.go
+++ b/internal/endpointjson/endpointjson_test.go
@@ -13,12 +13,12 @@
 
 func TestUnknownLifecycleMeansDraining(t *testing.T) {
 	for lifecycle, want := range map[string]policy.EndpointState{
-		"Ready":       policy.Ready,
-		"Gone":        policy.Removed,
-		"Terminating": policy.Draining,
-		"Novel":       policy.Draining,
-		"ready":       policy.Draining,
-		"":            policy.Draining,
+		"Ready":       policy.EndpointReady,
+		"Gone":        policy.EndpointRemoved,
+		"Terminating": policy.EndpointDraining,
+		"Novel":       policy.EndpointDraining,
+		"ready":       policy.EndpointDraining,
+		"":            policy.EndpointDraining,
 	} {
 		server := Endpoint{Lifecycle: lifecycle}
 		if state := server.Translate().State; state != want {
@@ -66,7 +66,7 @@
 	// StartedAt is checked above. DeepEqual would also compare its location, which depends on the machine.
 	translated.Endpoints[0].StartedAt = time.Time{}
 	want := endpoint.List{Generation: 4, Snapshot: true, Endpoints: []endpoint.Endpoint{{
-		ID: endpoint.ServerID("s-1"), Address: "127.0.0.1:8080", Zone: "a", Cell: 3, State: policy.Ready, Weight: 0.5,
+		ID: endpoint.ServerID("s-1"), Address: "127.0.0.1:8080", Zone: "a", Cell: 3, State: policy.EndpointReady, Weight: 0.5,
 	}}}
 	if !reflect.DeepEqual(translated, want) {
 		t.Errorf("Translate() = %+v, want %+v", translated, want)
--- a/internal/node/disconnect_race_test.go
+++ b/internal/node/disconnect_race_test.go
@@ -44,7 +44,7 @@
 func freeCapacity(s *testHandler, now time.Duration) {
 	for _, r := range s.loop.requests.byID {
 		if r.inFlight > 0 {
-			s.loop.reportOutcome(now, r, 0, upstream.Result{Status: policy.OK})
+			s.loop.reportOutcome(now, r, 0, upstream.Result{Status: policy.StatusOK})
 			return
 		}
 	}
--- a/internal/node/discovery_handler.go
+++ b/internal/node/discovery_handler.go
@@ -25,7 +25,7 @@
 	update := endpointsUpdated{kind: kind}
 	starts := d.processStarts.Update(kind, list, processstart.Moment{Clock: d.clock.now(), Wall: time.Now()})
 	for i, e := range list {
-		if e.ID == 0 || (e.Address == "" && e.State == policy.Ready) {
+		if e.ID == 0 || (e.Address == "" && e.State == policy.EndpointReady) {
 			continue
 		}
 		update.forPool = append(update.forPool, e)
--- a/internal/node/endpoints_test.go
+++ b/internal/node/endpoints_test.go
@@ -150,7 +150,7 @@
 func TestServerStartTimesAreStableOnTheClock(t *testing.T) {
 	l := newTestLoop(t, testConfig(t, testkit.NewFakeDiscovery(t), nil), nil, stubWatcher{})
 	clockStart := func(startedAt time.Time) time.Duration {
-		list := []endpoint.Endpoint{{ID: 1, State: policy.Ready, StartedAt: startedAt}}
+		list := []endpoint.Endpoint{{ID: 1, State: policy.EndpointReady, StartedAt: startedAt}}
 		now := processstart.Moment{Clock: l.clock.now(), Wall: time.Now()}
 		return l.endpoints.processStarts.Update(policy.UpdateSnapshot, list, now)[0]
 	}
--- a/internal/node/host.go
+++ b/internal/node/host.go
@@ -28,8 +28,8 @@
 // watcher starts watches of the endpoint list.
 type watcher interface{ RequestWatch() }
 
-// Send implements policy.Host. It starts an attempt. The outcome is NotSent if the request has completed, has reached
-// the maximum number of attempts or has passed its deadline.
+// Send implements policy.Host. It starts an attempt. The outcome is policy.StatusNotSent if the request has completed,
+// has reached the maximum number of attempts or has passed its deadline.
 func (h *policyHost) Send(id policy.RequestID, server policy.ServerID, timeout time.Duration) {
 	req := h.requests.get(id)
 	if req == nil {
@@ -39,12 +39,12 @@
 	started := &attempt{server: server, startedAt: startedAt, call: h.newCall(req.client.ClientDisconnected)}
 	index := req.startAttempt(started)
 	if req.state != requestActive || index >= h.maxAttempts || startedAt >= req.deadline {
-		h.queue.deferEvent(outcomeReceived{req, index, upstream.Result{Status: policy.NotSent}})
+		h.queue.deferEvent(outcomeReceived{req, index, upstream.Result{Status: policy.StatusNotSent}})
 		return
 	}
 	if timeout > 0 && startedAt+timeout < req.deadline {
 		started.timer = time.AfterFunc(timeout, func() {
-			h.queue.post(outcomeReceived{req, index, upstream.Result{Status: policy.Timeout}})
+			h.queue.post(outcomeReceived{req, index, upstream.Result{Status: policy.StatusTimeout}})
 		})
 	}
 	h.limitToKeyRetention(req, index)
@@ -80,7 +80,7 @@
 	if req == nil || index >= len(req.attempts) {
 		return
 	}
-	h.queue.deferEvent(outcomeReceived{req, index, upstream.Result{Status: policy.Cancelled}})
+	h.queue.deferEvent(outcomeReceived{req, index, upstream.Result{Status: policy.StatusCancelled}})
 }
 
 // Reject implements policy.Host.
--- a/internal/node/key_retention_test.go
+++ b/internal/node/key_retention_test.go
@@ -14,7 +14,7 @@
 // retentionCase describes a request with two attempts. The connection for one of these attempts opens late.
 type retentionCase struct {
 	class         int
-	firstStatus   policy.Status // outcome of the first attempt; Cancelled if it is still in flight
+	firstStatus   policy.Status // outcome of the first attempt; StatusCancelled if it is still in flight
 	expiresFirst  bool          // the key's retention ends before the late connection opens
 	lateAttempt   int           // index of the attempt whose connection opens late
 	wantLateSends int           // number of times that the late attempt is sent
@@ -26,12 +26,12 @@
 func TestAttemptsRespectTheKeyRetention(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]retentionCase{
-		"retry before the end":                    {classPush, policy.ServerError, false, 1, 1},
-		"retry after the end":                     {classPush, policy.ServerError, true, 1, 0},
-		"hedged request after the end":            {classPush, policy.Cancelled, true, 1, 0},
-		"first attempt after the end, hedged":     {classPush, policy.Cancelled, true, 0, 0},
-		"retry after the end, first not executed": {classPush, policy.Rejected, true, 1, 1},
-		"retry after the end, idempotent class":   {classRead, policy.ServerError, true, 1, 1},
+		"retry before the end":                    {classPush, policy.StatusServerError, false, 1, 1},
+		"retry after the end":                     {classPush, policy.StatusServerError, true, 1, 0},
+		"hedged request after the end":            {classPush, policy.StatusCancelled, true, 1, 0},
+		"first attempt after the end, hedged":     {classPush, policy.StatusCancelled, true, 0, 0},
+		"retry after the end, first not executed": {classPush, policy.StatusRejected, true, 1, 1},
+		"retry after the end, idempotent class":   {classRead, policy.StatusServerError, true, 1, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -57,7 +57,7 @@
 		r.activate(1000)
 		l.requests.add(r)
 		l.host.Send(r.id, servers[0], 0)
-		if c.firstStatus != policy.Cancelled {
+		if c.firstStatus != policy.StatusCancelled {
 			l.reportOutcome(l.clock.now(), r, 0, upstream.Result{Status: c.firstStatus})
 		}
 		if c.expiresFirst {
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -157,7 +157,7 @@
 // the request.
 func (l *loop) expireDeadline(now time.Duration, req *request) {
 	for index := range req.attempts {
-		l.reportOutcome(now, req, index, upstream.Result{Status: policy.Timeout})
+		l.reportOutcome(now, req, index, upstream.Result{Status: policy.StatusTimeout})
 	}
 }
 
@@ -174,7 +174,7 @@
 // idempotency key.
 func (l *loop) expireKeyRetention(now time.Duration, req *request, index int) {
 	if req.attempts[index].revoke() {
-		l.reportOutcome(now, req, index, upstream.Result{Status: policy.NotSent})
+		l.reportOutcome(now, req, index, upstream.Result{Status: policy.StatusNotSent})
 	}
 }
 
@@ -184,7 +184,7 @@
 	if !req.endAttempt(index, result.Status) {
 		return
 	}
-	if result.Status == policy.OK {
+	if result.Status == policy.StatusOK {
 		req.complete(completion{response: response{status: http.StatusOK, header: result.Header, body: result.Body}})
 	}
 	reported := req.attempts[index]
@@ -212,7 +212,7 @@
 	revoked := l.requests.revokeAttemptsTo(l.pool.UpdateEndpoints(update.kind, update.forPool))
 	l.balancer.UpdateEndpoints(now, update.kind, update.forBalancer)
 	for _, a := range revoked {
-		l.reportOutcome(now, a.request, a.index, upstream.Result{Status: policy.NotSent})
+		l.reportOutcome(now, a.request, a.index, upstream.Result{Status: policy.StatusNotSent})
 	}
 }
 
--- a/internal/processstart/estimator.go
+++ b/internal/processstart/estimator.go
@@ -111,7 +111,7 @@
 func (e *estimator) fewAreWarmingUp(list []endpoint.Endpoint, now time.Duration) bool {
 	ready, warmingUp := 0, 0
 	for i := range list {
-		if list[i].State != policy.Ready {
+		if list[i].State != policy.EndpointReady {
 			continue
 		}
 		ready++
--- a/internal/processstart/registry.go
+++ b/internal/processstart/registry.go
@@ -85,7 +85,7 @@
 	}
 	p.lastUpdate = r.updates
 	delete(r.removed, e.ID)
-	if e.State == policy.Removed {
+	if e.State == policy.EndpointRemoved {
 		r.remove(e.ID, p, now.Clock)
 	} else {
 		r.listed[e.ID] = p
--- a/internal/processstart/registry_test.go
+++ b/internal/processstart/registry_test.go
@@ -39,7 +39,7 @@
 
 // endpointStartedAt returns a list of one server whose process started at the given wall time of its machine.
 func endpointStartedAt(startedAt time.Time) []endpoint.Endpoint {
-	return []endpoint.Endpoint{{ID: 1, State: policy.Ready, StartedAt: startedAt}}
+	return []endpoint.Endpoint{{ID: 1, State: policy.EndpointReady, StartedAt: startedAt}}
 }
 
 // endpointsStartedAt returns a list with a server for each start time.
@@ -200,7 +200,7 @@
 		registry.Update(policy.UpdateSnapshot, list, now)
 		registry.RecordResponse(clockNow)
 		removed := slices.Clone(list)
-		removed[0].State = policy.Removed
+		removed[0].State = policy.EndpointRemoved
 		registry.Update(policy.UpdateDelta, removed, now)
 		if len(registry.listed) > 0 {
 			t.Errorf("listed processes after the removal: got %d, want 0", len(registry.listed))
--- a/internal/simproto/codes.go
+++ b/internal/simproto/codes.go
@@ -20,21 +20,21 @@
 func (c statusCode) policyStatus() (policy.Status, bool) {
 	switch c {
 	case statusOK:
-		return policy.OK, true
+		return policy.StatusOK, true
 	case statusTimeout:
-		return policy.Timeout, true
+		return policy.StatusTimeout, true
 	case statusNotSent:
-		return policy.NotSent, true
+		return policy.StatusNotSent, true
 	case statusRejected:
-		return policy.Rejected, true
+		return policy.StatusRejected, true
 	case statusCancelled:
-		return policy.Cancelled, true
+		return policy.StatusCancelled, true
 	case statusServerError:
-		return policy.ServerError, true
+		return policy.StatusServerError, true
 	case statusReset:
-		return policy.Reset, true
+		return policy.StatusReset, true
 	case statusConnectFailed:
-		return policy.ConnectFailed, true
+		return policy.StatusConnectFailed, true
 	}
 	return 0, false
 }
@@ -78,11 +78,11 @@
 func (c stateCode) policyState() (policy.EndpointState, bool) {
 	switch c {
 	case stateRemoved:
-		return policy.Removed, true
+		return policy.EndpointRemoved, true
 	case stateReady:
-		return policy.Ready, true
+		return policy.EndpointReady, true
 	case stateDraining:
-		return policy.Draining, true
+		return policy.EndpointDraining, true
 	}
 	return 0, false
 }
--- a/internal/simproto/decode_test.go
+++ b/internal/simproto/decode_test.go
@@ -34,11 +34,11 @@
 		}},
 		{Code: EventTimer, Token: 0x4d},
 		{Code: EventEndpoints, Kind: policy.UpdateCached, Endpoints: []policy.Endpoint{
-			{Server: server, Zone: 1, Cell: 2, State: policy.Ready, Weight: 1},
-			{Server: 0x0a9011f21fbc, State: policy.Draining, Weight: 1.5, StartedAt: 6100 * time.Millisecond},
+			{Server: server, Zone: 1, Cell: 2, State: policy.EndpointReady, Weight: 1},
+			{Server: 0x0a9011f21fbc, State: policy.EndpointDraining, Weight: 1.5, StartedAt: 6100 * time.Millisecond},
 		}},
 		{Code: EventOutcome, Outcome: policy.Outcome{
-			ID: 0x5d3a91c4, Server: server, Status: policy.OK, RequestCompleted: true,
+			ID: 0x5d3a91c4, Server: server, Status: policy.StatusOK, RequestCompleted: true,
 			Latency: 18500 * time.Microsecond,
 		}},
 		{Code: EventClientDisconnected, Outcome: policy.Outcome{ID: 0x0e6f2b19}},
@@ -57,8 +57,8 @@
 
 func TestStatusCodesMapToPolicyStatuses(t *testing.T) {
 	want := map[uint16]policy.Status{
-		200: policy.OK, 502: policy.ServerError, 429: policy.Rejected, 408: policy.Timeout,
-		521: policy.ConnectFailed, 520: policy.Reset, 444: policy.Cancelled, 409: policy.NotSent,
+		200: policy.StatusOK, 502: policy.StatusServerError, 429: policy.StatusRejected, 408: policy.StatusTimeout,
+		521: policy.StatusConnectFailed, 520: policy.StatusReset, 444: policy.StatusCancelled, 409: policy.StatusNotSent,
 	}
 	for code := range uint16(1000) {
 		status, ok := statusCode(code).policyStatus()
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -40,7 +40,7 @@
 // acquireStatus returns the status of an attempt for which acquire returned err.
 func acquireStatus(err error) policy.Status {
 	if errors.Is(err, errPoolExhausted) || netdial.IsLocalFailure(err) {
-		return policy.NotSent // this node has caused the failure, not the server
+		return policy.StatusNotSent // this node has caused the failure, not the server
 	}
-	return policy.ConnectFailed
+	return policy.StatusConnectFailed
 }
--- a/internal/upstream/dial_test.go
+++ b/internal/upstream/dial_test.go
@@ -15,13 +15,14 @@
 )
 
 // If this machine lacks a resource for a connection, the server is not at fault and the status is
-// NotSent. If the server cannot be reached, the status is ConnectFailed. In either case, the failed
-// connection must no longer count as open.
+// StatusNotSent. If the server cannot be reached, the status is StatusConnectFailed. In either case,
+// the failed connection must no longer count as open.
 func TestFailedDialStatus(t *testing.T) {
 	for errno, want := range map[syscall.Errno]policy.Status{
-		syscall.EMFILE: policy.NotSent, syscall.ENOBUFS: policy.NotSent, syscall.EADDRNOTAVAIL: policy.NotSent,
-		syscall.ENETUNREACH: policy.ConnectFailed, syscall.EHOSTUNREACH: policy.ConnectFailed,
-		syscall.ECONNREFUSED: policy.ConnectFailed, syscall.ETIMEDOUT: policy.ConnectFailed,
+		syscall.EMFILE: policy.StatusNotSent, syscall.ENOBUFS: policy.StatusNotSent,
+		syscall.EADDRNOTAVAIL: policy.StatusNotSent,
+		syscall.ENETUNREACH:   policy.StatusConnectFailed, syscall.EHOSTUNREACH: policy.StatusConnectFailed,
+		syscall.ECONNREFUSED: policy.StatusConnectFailed, syscall.ETIMEDOUT: policy.StatusConnectFailed,
 	} {
 		pool, id := newPoolWithServer(testPoolConfig(), "127.0.0.1:1")
 		pool.dial = func(context.Context, string, string) (net.Conn, error) {
@@ -45,8 +46,8 @@
 	}
 
 	result := pool.Send(NewCall(t.Context(), neverDisconnected), id, newTestRequest(), time.Now().Add(timeout))
-	if result.Status != policy.OK {
-		t.Fatalf("status of the attempt: got %v, want %v", result.Status, policy.OK)
+	if result.Status != policy.StatusOK {
+		t.Fatalf("status of the attempt: got %v, want %v", result.Status, policy.StatusOK)
 	}
 	received := testkit.Receive(t, server.Requests, "the request")
 	milliseconds, err := strconv.Atoi(received.Header.Get(timeoutHeader))
@@ -63,9 +64,9 @@
 
 	result := pool.Send(call, id, newTestRequest(), time.Now())
 
-	if result.Status != policy.NotSent || call.Sent() || len(server.Requests) > 0 {
+	if result.Status != policy.StatusNotSent || call.Sent() || len(server.Requests) > 0 {
 		t.Errorf("attempt: got status %v, sent %v, %d requests received; want %v, false, 0",
-			result.Status, call.Sent(), len(server.Requests), policy.NotSent)
+			result.Status, call.Sent(), len(server.Requests), policy.StatusNotSent)
 	}
 }
 
--- a/internal/upstream/endpoints.go
+++ b/internal/upstream/endpoints.go
@@ -32,13 +32,13 @@
 	revoked := RevokedServers{}
 	for _, current := range endpoints {
 		id := current.ID
-		if current.State == policy.Removed {
+		if current.State == policy.EndpointRemoved {
 			revoked.add(id)
 			p.removeLocked(id, p.servers[id])
 			continue
 		}
 		listed[id] = struct{}{}
-		if replaced := p.updateLocked(id, current); replaced || current.State != policy.Ready {
+		if replaced := p.updateLocked(id, current); replaced || current.State != policy.EndpointReady {
 			revoked.add(id)
 		}
 	}
--- a/internal/upstream/endpoints_test.go
+++ b/internal/upstream/endpoints_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestUpdateEndpointsReturnsServersToRevoke(t *testing.T) {
-	known := endpoint.Endpoint{ID: 1, Address: "10.0.0.1:80", State: policy.Ready, StartedAt: time.UnixMilli(1)}
+	known := endpoint.Endpoint{ID: 1, Address: "10.0.0.1:80", State: policy.EndpointReady, StartedAt: time.UnixMilli(1)}
 	changed := func(change func(e *endpoint.Endpoint)) []endpoint.Endpoint {
 		next := known
 		change(&next)
@@ -26,10 +26,10 @@
 		"not in a delta":    {policy.UpdateDelta, nil, false, true},
 		"not in a snapshot": {policy.UpdateSnapshot, nil, true, false},
 		"draining": {policy.UpdateDelta, changed(func(e *endpoint.Endpoint) {
-			e.State = policy.Draining
+			e.State = policy.EndpointDraining
 		}), true, true},
 		"removed": {policy.UpdateDelta, changed(func(e *endpoint.Endpoint) {
-			e.State = policy.Removed
+			e.State = policy.EndpointRemoved
 		}), true, false},
 		"new address": {policy.UpdateDelta, changed(func(e *endpoint.Endpoint) {
 			e.Address = "10.0.0.2:80"
@@ -68,9 +68,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	expectAttemptStatus(t, pool, id, policy.OK) // leaves an idle connection
+	expectAttemptStatus(t, pool, id, policy.StatusOK) // leaves an idle connection
 
-	replaced := endpoint.Endpoint{ID: id, Address: server.Address, State: policy.Ready, StartedAt: time.UnixMilli(1)}
+	replaced := endpoint.Endpoint{
+		ID: id, Address: server.Address, State: policy.EndpointReady, StartedAt: time.UnixMilli(1),
+	}
 	pool.UpdateEndpoints(policy.UpdateDelta, []endpoint.Endpoint{replaced})
 	expectOpenConnections(t, pool, 1)
 	pool.release(inUse)
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -25,7 +25,7 @@
 func (c *connection) exchange(request *encodedRequest) Result {
 	c.reusable = false
 	if _, err := c.Write(request.message); err != nil {
-		return Result{Status: policy.ConnectFailed} // the last byte was not written
+		return Result{Status: policy.StatusConnectFailed} // the last byte was not written
 	}
 	c.responseBytesLeft = maxResponseBytes
 	response, err := c.readFinalHeader(request)
@@ -100,26 +100,26 @@
 func classify(response *http.Response, body []byte) Result {
 	switch response.StatusCode {
 	case http.StatusOK:
-		return Result{Status: policy.OK, Header: httpheader.EndToEnd(response.Header), Body: body}
+		return Result{Status: policy.StatusOK, Header: httpheader.EndToEnd(response.Header), Body: body}
 	case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
 		if response.Header.Get(notProcessedHeader) == "1" {
-			return Result{Status: policy.Rejected}
+			return Result{Status: policy.StatusRejected}
 		}
 	}
-	return Result{Status: policy.ServerError}
+	return Result{Status: policy.StatusServerError}
 }
 
 // failureStatus returns the status of an attempt whose response could not be read because of err. It
-// is Reset if the connection ended, and ServerError if the response is invalid or too large, or did
-// not end within its read timeout.
+// is StatusReset if the connection ended, and StatusServerError if the response is invalid or too
+// large, or did not end within its read timeout.
 func (c *connection) failureStatus(err error) policy.Status {
 	switch {
 	case errors.Is(err, errBodyTooLarge),
 		errors.Is(err, errTooManyInterimResponses),
 		errors.Is(err, errSwitchingProtocols):
-		return policy.ServerError
+		return policy.StatusServerError
 	case c.readErr == nil, errors.Is(c.readErr, os.ErrDeadlineExceeded):
-		return policy.ServerError
+		return policy.StatusServerError
 	}
-	return policy.Reset
+	return policy.StatusReset
 }
--- a/internal/upstream/exchange_test.go
+++ b/internal/upstream/exchange_test.go
@@ -25,56 +25,58 @@
 	testResponses(t, map[string]responseCase{
 		"200": {
 			okResponse,
-			testkit.KeepAlive, policy.OK, 1,
+			testkit.KeepAlive, policy.StatusOK, 1,
 		},
 		"200, chunked": {
 			"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n",
-			testkit.KeepAlive, policy.OK, 1,
+			testkit.KeepAlive, policy.StatusOK, 1,
 		},
 		"200, then closed": {
 			"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nhi",
-			testkit.CloseAfterResponse, policy.OK, 2,
+			testkit.CloseAfterResponse, policy.StatusOK, 2,
 		},
 		"200 without a length": {
 			"HTTP/1.1 200 OK\r\n\r\nhi",
-			testkit.CloseAfterResponse, policy.OK, 2,
+			testkit.CloseAfterResponse, policy.StatusOK, 2,
 		},
 		"early hints": {
 			"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + okResponse,
-			testkit.KeepAlive, policy.OK, 1,
+			testkit.KeepAlive, policy.StatusOK, 1,
 		},
 		"surplus bytes after the response": {
 			okResponse + "rest",
-			testkit.KeepAlive, policy.OK, 2,
+			testkit.KeepAlive, policy.StatusOK, 2,
 		},
 		"500": {
 			"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n",
-			testkit.KeepAlive, policy.ServerError, 1,
+			testkit.KeepAlive, policy.StatusServerError, 1,
 		},
 		"404": {
 			"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n",
-			testkit.KeepAlive, policy.ServerError, 1,
+			testkit.KeepAlive, policy.StatusServerError, 1,
 		},
 		"503, not processed": {
 			"HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n",
-			testkit.KeepAlive, policy.Rejected, 1,
+			testkit.KeepAlive, policy.StatusRejected, 1,
 		},
 		"504, not processed": {
 			"HTTP/1.1 504 Gateway Timeout\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n",
-			testkit.KeepAlive, policy.Rejected, 1,
+			testkit.KeepAlive, policy.StatusRejected, 1,
 		},
 		"503, possibly processed": {
 			"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n",
-			testkit.KeepAlive, policy.ServerError, 1,
+			testkit.KeepAlive, policy.StatusServerError, 1,
 		},
 	})
 }
 
 func TestResponseTruncatedByCloseIsReset(t *testing.T) {
 	testResponses(t, map[string]responseCase{
-		"no response":      {"", testkit.CloseAfterResponse, policy.Reset, 2},
-		"truncated header": {"HTTP/1.1 200 OK\r\nContent-Le", testkit.CloseAfterResponse, policy.Reset, 2},
-		"truncated body":   {"HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nhi", testkit.CloseAfterResponse, policy.Reset, 2},
+		"no response":      {"", testkit.CloseAfterResponse, policy.StatusReset, 2},
+		"truncated header": {"HTTP/1.1 200 OK\r\nContent-Le", testkit.CloseAfterResponse, policy.StatusReset, 2},
+		"truncated body": {
+			"HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nhi", testkit.CloseAfterResponse, policy.StatusReset, 2,
+		},
 	})
 }
 
@@ -100,7 +102,7 @@
 		"1xx, then an incomplete header": "HTTP/1.1 103 Early Hints\r\n\r\nHT",
 		"switching protocols":            "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: Upgrade\r\n\r\n",
 	} {
-		cases[name] = responseCase{response, testkit.KeepAlive, policy.ServerError, 2}
+		cases[name] = responseCase{response, testkit.KeepAlive, policy.StatusServerError, 2}
 	}
 	testResponses(t, cases)
 }
@@ -110,8 +112,8 @@
 		return strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", count) + okResponse
 	}
 	testResponses(t, map[string]responseCase{
-		"at the limit":   {interim(maxInterimResponses), testkit.KeepAlive, policy.OK, 1},
-		"over the limit": {interim(maxInterimResponses + 1), testkit.KeepAlive, policy.ServerError, 2},
+		"at the limit":   {interim(maxInterimResponses), testkit.KeepAlive, policy.StatusOK, 1},
+		"over the limit": {interim(maxInterimResponses + 1), testkit.KeepAlive, policy.StatusServerError, 2},
 	})
 }
 
@@ -145,7 +147,7 @@
 	if result.Status != want {
 		t.Errorf("status of the attempt: got %v, want %v", result.Status, want)
 	}
-	if want == policy.OK && string(result.Body) != "hi" {
+	if want == policy.StatusOK && string(result.Body) != "hi" {
 		t.Errorf("body of the response: got %q, want %q", result.Body, "hi")
 	}
 }
@@ -156,14 +158,14 @@
 		readTimeout time.Duration
 		want        policy.Status
 	}{
-		"ends within the timeout": {testkit.WaitTimeout, policy.OK},
-		"ends after the timeout":  {50 * time.Millisecond, policy.ServerError},
+		"ends within the timeout": {testkit.WaitTimeout, policy.StatusOK},
+		"ends after the timeout":  {50 * time.Millisecond, policy.StatusServerError},
 	} {
 		t.Run(name, func(t *testing.T) {
 			attemptEnded := make(chan struct{})
 			server := testkit.NewRecordingServer(t, hijackHandler(func(conn net.Conn) {
 				writeByteByByte(conn, okResponse[:len(okResponse)/2])
-				if c.want != policy.OK {
+				if c.want != policy.StatusOK {
 					<-attemptEnded
 				}
 				writeByteByByte(conn, okResponse[len(okResponse)/2:])
@@ -204,7 +206,7 @@
 				}
 			}))
 			pool, id := newPoolWithServer(testPoolConfig(), server.Address())
-			expectAttemptStatus(t, pool, id, policy.ServerError)
+			expectAttemptStatus(t, pool, id, policy.StatusServerError)
 			expectOpenConnections(t, pool, 0)
 		})
 	}
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -50,7 +50,7 @@
 // newPoolWithServer returns a pool with one server, at the given address, and the ID of that server.
 func newPoolWithServer(config Config, address string) (*Pool, policy.ServerID) {
 	pool := NewPool(config)
-	server := endpoint.Endpoint{ID: 1, Address: address, State: policy.Ready}
+	server := endpoint.Endpoint{ID: 1, Address: address, State: policy.EndpointReady}
 	pool.UpdateEndpoints(policy.UpdateSnapshot, []endpoint.Endpoint{server})
 	return pool, server.ID
 }
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -15,7 +15,7 @@
 
 func TestRefusedConnectionIsConnectFailedAndFreesCapacity(t *testing.T) {
 	pool, id := newPoolWithServer(testPoolConfig(), testkit.FreeAddr(t))
-	expectAttemptStatus(t, pool, id, policy.ConnectFailed)
+	expectAttemptStatus(t, pool, id, policy.StatusConnectFailed)
 	expectOpenConnections(t, pool, 0)
 }
 
@@ -26,7 +26,7 @@
 	config := testPoolConfig()
 	config.ConnectTimeout = 50 * time.Millisecond
 	pool, id := newPoolWithServer(config, server.Addr().String())
-	expectAttemptStatus(t, pool, id, policy.ConnectFailed)
+	expectAttemptStatus(t, pool, id, policy.StatusConnectFailed)
 
 	received := server.AcceptAll()
 	later, err := net.Dial("tcp", server.Addr().String())
@@ -55,7 +55,8 @@
 	testkit.WaitUntil(t, "the idle connection to be closed", func() bool { return pool.Stats().Open == 0 })
 }
 
-// An attempt at the connection limit is NotSent rather than ConnectFailed: the server is not at fault.
+// An attempt at the connection limit has the status StatusNotSent rather than StatusConnectFailed: the server is not
+// at fault.
 func TestAttemptIsNotSentAtTheConnectionLimit(t *testing.T) {
 	server := testkit.NewRecordingServer(t, testkit.OK)
 	config := testPoolConfig()
@@ -63,17 +64,19 @@
 	pool, id := newPoolWithServer(config, server.Address())
 	pool.open = 1 // one connection is in use
 
-	expectAttemptStatus(t, pool, id, policy.NotSent)
+	expectAttemptStatus(t, pool, id, policy.StatusNotSent)
 }
 
 func TestIdleConnectionIsEvictedAtTheConnectionLimit(t *testing.T) {
 	config := testPoolConfig()
 	config.MaxOpen = 1
 	pool, id := newPoolWithServer(config, testkit.NewRecordingServer(t, testkit.OK).Address())
-	other := endpoint.Endpoint{ID: 2, Address: testkit.NewRecordingServer(t, testkit.OK).Address(), State: policy.Ready}
+	other := endpoint.Endpoint{
+		ID: 2, Address: testkit.NewRecordingServer(t, testkit.OK).Address(), State: policy.EndpointReady,
+	}
 	pool.UpdateEndpoints(policy.UpdateDelta, []endpoint.Endpoint{other})
 	for _, target := range []policy.ServerID{id, other.ID, id} {
-		expectAttemptStatus(t, pool, target, policy.OK)
+		expectAttemptStatus(t, pool, target, policy.StatusOK)
 	}
 }
 
@@ -109,8 +112,8 @@
 	expectServed := func() {
 		t.Helper()
 		result := send(t.Context(), pool, id, newTestRequest())
-		if result.Status != policy.OK || string(result.Body) != "hi" {
-			t.Errorf("attempt: got status %v, body %q; want %v, %q", result.Status, result.Body, policy.OK, "hi")
+		if result.Status != policy.StatusOK || string(result.Body) != "hi" {
+			t.Errorf("attempt: got status %v, body %q; want %v, %q", result.Status, result.Body, policy.StatusOK, "hi")
 		}
 	}
 
--- a/internal/upstream/send.go
+++ b/internal/upstream/send.go
@@ -13,8 +13,8 @@
 type Result struct {
 	Status             policy.Status
 	ClientDisconnected bool        // the attempt was not sent because its client had disconnected
-	Header             http.Header // end-to-end fields of the response if Status is policy.OK
-	Body               []byte      // response body if Status is policy.OK
+	Header             http.Header // end-to-end fields of the response if Status is policy.StatusOK
+	Body               []byte      // response body if Status is policy.StatusOK
 }
 
 // Send makes one attempt on a server and returns its outcome. The deadline is the time at which the
@@ -31,7 +31,7 @@
 		encoded, err := request.encode(left)
 		if err != nil || left <= 0 {
 			p.release(conn)
-			return Result{Status: policy.NotSent}
+			return Result{Status: policy.StatusNotSent}
 		}
 		if conn.readyForRequest() {
 			return p.sendOn(conn, call, encoded)
@@ -41,7 +41,7 @@
 		// The server has closed the connection, or has sent bytes without a request. This may happen to
 		// an idle connection, so another connection is tried. On a new connection it is a failure.
 		if !conn.reused {
-			return Result{Status: policy.ConnectFailed}
+			return Result{Status: policy.StatusConnectFailed}
 		}
 	}
 }
@@ -56,7 +56,7 @@
 	if err := call.checkAndMarkSent(); err != nil {
 		conn.reusable = stopAbort() // false if the call was cancelled, which closes the connection
 		p.release(conn)
-		return Result{Status: policy.NotSent, ClientDisconnected: errors.Is(err, errClientDisconnected)}
+		return Result{Status: policy.StatusNotSent, ClientDisconnected: errors.Is(err, errClientDisconnected)}
 	}
 	if latest := call.writeDeadlineOrZero(); !latest.Equal(writeDeadline) {
 		conn.setWriteDeadline(latest) // the owner of the attempt has changed the deadline in the meantime
--- a/internal/upstream/send_test.go
+++ b/internal/upstream/send_test.go
@@ -23,8 +23,8 @@
 	call := NewCall(t.Context(), neverDisconnected)
 	call.Revoke()
 
-	if result := pool.Send(call, id, newTestRequest(), clientDeadline()); result.Status != policy.NotSent {
-		t.Errorf("status of the revoked attempt: got %v, want %v", result.Status, policy.NotSent)
+	if result := pool.Send(call, id, newTestRequest(), clientDeadline()); result.Status != policy.StatusNotSent {
+		t.Errorf("status of the revoked attempt: got %v, want %v", result.Status, policy.StatusNotSent)
 	}
 	send(t.Context(), pool, id, newTestRequest())
 	if len(server.Requests) != 1 {
@@ -39,9 +39,9 @@
 
 	result := pool.Send(call, id, newTestRequest(), clientDeadline())
 
-	if result.Status != policy.NotSent || !result.ClientDisconnected {
+	if result.Status != policy.StatusNotSent || !result.ClientDisconnected {
 		t.Errorf("attempt: got status %v, client disconnected %v; want %v, true",
-			result.Status, result.ClientDisconnected, policy.NotSent)
+			result.Status, result.ClientDisconnected, policy.StatusNotSent)
 	}
 	if len(server.Requests) != 0 || call.Sent() {
 		t.Errorf("attempt: got %d requests received, sent %v; want 0, false", len(server.Requests), call.Sent())
@@ -54,8 +54,8 @@
 func TestSentAttemptCannotBeRevoked(t *testing.T) {
 	pool, id := newPoolWithServer(testPoolConfig(), testkit.NewRecordingServer(t, testkit.OK).Address())
 	call := NewCall(t.Context(), neverDisconnected)
-	if result := pool.Send(call, id, newTestRequest(), clientDeadline()); result.Status != policy.OK {
-		t.Errorf("status of the attempt: got %v, want %v", result.Status, policy.OK)
+	if result := pool.Send(call, id, newTestRequest(), clientDeadline()); result.Status != policy.StatusOK {
+		t.Errorf("status of the attempt: got %v, want %v", result.Status, policy.StatusOK)
 	}
 	if call.Revoke() || call.Revoked() || !call.Sent() {
 		t.Errorf("after Revoke: got revoked %v, sent %v; want false, true", call.Revoked(), call.Sent())
@@ -63,7 +63,7 @@
 }
 
 // Nothing is written to a new connection that the server has closed, so the attempt may be retried on
-// another server. The status ConnectFailed allows that.
+// another server. The status StatusConnectFailed allows that.
 func TestClosedNewConnectionIsConnectFailed(t *testing.T) {
 	listener := testkit.Listen(t)
 	pool, id := newPoolWithServer(testPoolConfig(), listener.Addr().String())
@@ -80,7 +80,7 @@
 
 	conn.server.idle = append(conn.server.idle, conn) // the next attempt takes the connection, which counts as new
 	conn.idleSince = time.Now()
-	expectAttemptStatus(t, pool, id, policy.ConnectFailed)
+	expectAttemptStatus(t, pool, id, policy.StatusConnectFailed)
 }
 
 // The server reads a long request so slowly that the last byte would be written after the write
@@ -103,8 +103,9 @@
 	defer closeQuietly(conn)
 
 	result := testkit.Receive(t, results, "the end of the attempt")
-	if result.Status != policy.ConnectFailed && result.Status != policy.NotSent {
-		t.Errorf("status of the attempt: got %v, want %v or %v", result.Status, policy.ConnectFailed, policy.NotSent)
+	if result.Status != policy.StatusConnectFailed && result.Status != policy.StatusNotSent {
+		t.Errorf("status of the attempt: got %v, want %v or %v",
+			result.Status, policy.StatusConnectFailed, policy.StatusNotSent)
 	}
 	if err := readRequest(conn); err == nil || testkit.IsTimeout(err) {
 		t.Errorf("readRequest() = %v, want the error of a truncated request on a closed connection", err)
--- a/policy/api.go
+++ b/policy/api.go
@@ -144,9 +144,9 @@
 
 // The values of EndpointState.
 const (
-	Removed  EndpointState = iota // no longer listed
-	Ready                         // takes requests
-	Draining                      // completes its requests and accepts no new requests
+	EndpointRemoved  EndpointState = iota // no longer listed
+	EndpointReady                         // takes requests
+	EndpointDraining                      // completes its requests and accepts no new requests
 )
 
 func (s EndpointState) String() string { return enumName(s, "removed", "ready", "draining") }
@@ -192,14 +192,14 @@
 
 // The values of Status.
 const (
-	OK            Status = iota // succeeded
-	ServerError                 // the server responded with an error; may have been executed
-	Rejected                    // the server rejected the request without reading it; not executed
-	Timeout                     // no response in time; may have been executed or still be executing
-	ConnectFailed               // no connection to the server; not executed
-	Reset                       // the connection broke; may have been executed
-	Cancelled                   // cancelled by Host.Cancel; may have been executed
-	NotSent                     // not sent; not executed
+	StatusOK            Status = iota // succeeded
+	StatusServerError                 // the server responded with an error; may have been executed
+	StatusRejected                    // the server rejected the request without reading it; not executed
+	StatusTimeout                     // no response in time; may have been executed or still be executing
+	StatusConnectFailed               // no connection to the server; not executed
+	StatusReset                       // the connection broke; may have been executed
+	StatusCancelled                   // cancelled by Host.Cancel; may have been executed
+	StatusNotSent                     // not sent; not executed
 )
 
 func (s Status) String() string {
@@ -208,7 +208,9 @@
 }
 
 // NotExecuted reports whether an attempt with this status is known not to have been executed.
-func (s Status) NotExecuted() bool { return s == Rejected || s == ConnectFailed || s == NotSent }
+func (s Status) NotExecuted() bool {
+	return s == StatusRejected || s == StatusConnectFailed || s == StatusNotSent
+}
 
 // Outcome describes the end of an attempt. Each Host.Send is followed by exactly one Outcome.
 type Outcome struct {
--- a/policy/api_test.go
+++ b/policy/api_test.go
@@ -12,10 +12,11 @@
 	}{
 		{Idempotent, "idempotent"}, {IdempotentWithKey, "idempotent with key"}, {NotIdempotent, "not idempotent"},
 		{KeyScopeAll, "all"}, {KeyScopeZone, "zone"}, {KeyScopeCell, "cell"},
-		{Removed, "removed"}, {Ready, "ready"}, {Draining, "draining"},
+		{EndpointRemoved, "removed"}, {EndpointReady, "ready"}, {EndpointDraining, "draining"},
 		{UpdateDelta, "delta"}, {UpdateSnapshot, "snapshot"}, {UpdateCached, "cached"},
-		{OK, "ok"}, {ServerError, "server error"}, {Rejected, "rejected"}, {Timeout, "timeout"},
-		{ConnectFailed, "connect failed"}, {Reset, "reset"}, {Cancelled, "cancelled"}, {NotSent, "not sent"},
+		{StatusOK, "ok"}, {StatusServerError, "server error"}, {StatusRejected, "rejected"}, {StatusTimeout, "timeout"},
+		{StatusConnectFailed, "connect failed"}, {StatusReset, "reset"}, {StatusCancelled, "cancelled"},
+		{StatusNotSent, "not sent"},
 		{breakerClosed, "closed"}, {breakerOpen, "open"}, {breakerHalfOpen, "half-open"},
 		{Status(200), "200"}, // a value without a name
 	} {
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -139,7 +139,7 @@
 	b.limiter.endAttempt(attempt)
 	b.recordOutcome(now, request, attempt, outcome)
 	switch {
-	case outcome.RequestCompleted || outcome.Status == OK:
+	case outcome.RequestCompleted || outcome.Status == StatusOK:
 		b.complete(request)
 	case request.completed: // completed before this outcome, which may end its last attempt in flight
 		b.requests.release(request)
--- a/policy/balancer_test.go
+++ b/policy/balancer_test.go
@@ -10,16 +10,16 @@
 func TestStaleEventsCauseNoActions(t *testing.T) {
 	h := newHarness(t, testSettings(), 2)
 	id := h.request(0)
-	h.endAttempt(id, OK, 10*ms)
+	h.endAttempt(id, StatusOK, 10*ms)
 	before := len(h.host.log)
 
-	h.balancer.Outcome(h.now, Outcome{ID: id, Attempt: 0, Status: OK})
-	h.balancer.Outcome(h.now, Outcome{ID: 999, Attempt: 3, Status: ServerError})
-	h.balancer.Outcome(h.now, Outcome{ID: id, Attempt: -1, Status: ServerError})
+	h.balancer.Outcome(h.now, Outcome{ID: id, Attempt: 0, Status: StatusOK})
+	h.balancer.Outcome(h.now, Outcome{ID: 999, Attempt: 3, Status: StatusServerError})
+	h.balancer.Outcome(h.now, Outcome{ID: id, Attempt: -1, Status: StatusServerError})
 	h.balancer.ClientDisconnected(h.now, id)
 	h.balancer.StreamStarted(h.now, id, 0)
 	h.balancer.Timer(h.now, 77)
-	h.updateEndpoints(UpdateDelta, Endpoint{Server: 55, State: Removed})
+	h.updateEndpoints(UpdateDelta, Endpoint{Server: 55, State: EndpointRemoved})
 
 	if len(h.host.log) != before {
 		t.Fatalf("actions after stale events: got %q, want none", h.host.log[before:])
--- a/policy/benchmark_test.go
+++ b/policy/benchmark_test.go
@@ -34,7 +34,7 @@
 		now += 200 * time.Microsecond
 		balancer.Request(now, Request{ID: id, Timeout: 2 * time.Second})
 		for _, sent := range host.sends {
-			balancer.Outcome(now, Outcome{ID: sent, Status: OK, Latency: 10 * ms, RequestCompleted: true})
+			balancer.Outcome(now, Outcome{ID: sent, Status: StatusOK, Latency: 10 * ms, RequestCompleted: true})
 		}
 		host.sends = host.sends[:0]
 		if id%50 == 0 {
--- a/policy/circuit_breaker.go
+++ b/policy/circuit_breaker.go
@@ -115,7 +115,7 @@
 // closed breaker. A missing response or connection is stronger evidence of a fault than a fast error.
 func (c *circuitBreaker) shouldOpen(status Status, regime *samplingRegime, failureRate float64) bool {
 	failures := len(c.failures)
-	if (status == Timeout || status == ConnectFailed) && failures >= regime.noResponseThreshold {
+	if (status == StatusTimeout || status == StatusConnectFailed) && failures >= regime.noResponseThreshold {
 		return true
 	}
 	return failures >= failureThreshold && !c.failuresPlausibleAt(failureRate)
--- a/policy/circuit_breaker_test.go
+++ b/policy/circuit_breaker_test.go
@@ -9,7 +9,7 @@
 func TestBreakerOpensAndClosesAfterASuccessfulTrial(t *testing.T) {
 	h := newHarness(t, testSettings(), 4)
 	failing := h.balancer.endpoints.ready[0]
-	h.recordBreakerFailures(failing, failureThreshold, ServerError)
+	h.recordBreakerFailures(failing, failureThreshold, StatusServerError)
 	if failing.breaker.state != breakerOpen {
 		t.Fatalf("breaker after %d consecutive failures: got %v, want open", failureThreshold, failing.breaker.state)
 	}
@@ -30,14 +30,14 @@
 			failing.Server, other)
 	}
 	before := failing.breaker.openDuration
-	h.endAttempt(trial, ServerError, 5*ms)
+	h.endAttempt(trial, StatusServerError, 5*ms)
 	if failing.breaker.state != breakerOpen || failing.breaker.openDuration != 2*before {
 		t.Fatalf("breaker after a failed trial: got %v for %v, want open for %v",
 			failing.breaker.state, failing.breaker.openDuration, 2*before)
 	}
 	h.advance(failing.breaker.halfOpenAt - h.now)
 	trial = h.request(0)
-	h.endAttempt(trial, OK, 50*ms)
+	h.endAttempt(trial, StatusOK, 50*ms)
 	if failing.breaker.state != breakerClosed {
 		t.Fatalf("breaker after a successful trial: got %v, want closed", failing.breaker.state)
 	}
@@ -46,16 +46,16 @@
 func TestOnlyConsecutiveFailuresWithinTheWindowOpenTheBreaker(t *testing.T) {
 	h := newHarness(t, testSettings(), 4)
 	s := h.balancer.endpoints.ready[0]
-	h.recordBreakerFailures(s, failureThreshold-1, ServerError)
+	h.recordBreakerFailures(s, failureThreshold-1, StatusServerError)
 	s.recordSuccess(h.now, nil)
-	h.recordBreakerFailures(s, 1, ServerError)
+	h.recordBreakerFailures(s, 1, StatusServerError)
 	if s.breaker.state != breakerClosed {
 		t.Fatalf("breaker after %d failures, a success and a failure: got %v, want closed",
 			failureThreshold-1, s.breaker.state)
 	}
 	for range 2 * failureThreshold {
 		h.now += failureWindow / 3
-		h.recordBreakerFailures(s, 1, ServerError)
+		h.recordBreakerFailures(s, 1, StatusServerError)
 	}
 	if s.breaker.state != breakerClosed {
 		t.Fatalf("breaker after %d failures at intervals of a third of the window: got %v, want closed",
@@ -69,7 +69,7 @@
 	h.balancer.arrivals.rate.Add(h.now, 100) // enough arrivals for a subset of all servers
 	h.balancer.refresh(h.now)
 	for _, s := range h.balancer.endpoints.ready {
-		h.recordBreakerFailures(s, 2*failureThreshold, Timeout)
+		h.recordBreakerFailures(s, 2*failureThreshold, StatusTimeout)
 	}
 	if got := h.breakerCounts(); got[breakerOpen] != 3 {
 		t.Fatalf("open breakers after timeouts at all 6 servers: got %d, want 3", got[breakerOpen])
@@ -79,7 +79,7 @@
 func TestRequestIsRejectedAtOnceIfAllBreakersAreOpen(t *testing.T) {
 	h := newHarness(t, testSettings(), 3)
 	for _, s := range h.balancer.endpoints.ready {
-		h.recordBreakerFailures(s, failureThreshold, ServerError)
+		h.recordBreakerFailures(s, failureThreshold, StatusServerError)
 	}
 	id := h.request(2)
 	after, ok := h.host.rejected[id]
@@ -98,7 +98,7 @@
 func TestNonIdempotentRequestBecomesTheTrialOnlyIfOverdue(t *testing.T) {
 	h := newHarness(t, testSettings(), 1)
 	s := h.balancer.endpoints.ready[0]
-	h.recordBreakerFailures(s, failureThreshold, ServerError)
+	h.recordBreakerFailures(s, failureThreshold, StatusServerError)
 	h.now = s.breaker.halfOpenAt + ms
 	if id := h.request(2); len(h.attemptedServers(id)) != 0 {
 		t.Fatalf("sends of a non-idempotent request just after the breaker became half-open: got %d, want 0",
@@ -123,7 +123,7 @@
 				s.recordSuccess(now, a)
 			} else {
 				s.score.outcomes.AddFailure(now)
-				balancer.recordBreakerFailure(now, a, ServerError)
+				balancer.recordBreakerFailure(now, a, StatusServerError)
 			}
 		}
 		balancer.means.update(now, balancer.subset.servers, balancer.subset.regime.maxOutcomeAge)
--- a/policy/concurrency_limit_test.go
+++ b/policy/concurrency_limit_test.go
@@ -151,11 +151,11 @@
 		h.request(0)
 	}
 	for _, s := range h.balancer.endpoints.ready[:2] {
-		h.recordBreakerFailures(s, failureThreshold, ServerError)
+		h.recordBreakerFailures(s, failureThreshold, StatusServerError)
 	}
 	for _, s := range h.balancer.endpoints.ready[2:] {
 		for _, a := range append([]*attempt(nil), s.inFlight...) {
-			h.endAttempt(a.request.ID, OK, 10*ms)
+			h.endAttempt(a.request.ID, StatusOK, 10*ms)
 		}
 	}
 	if id := h.request(0); len(h.attemptedServers(id)) != 1 {
--- a/policy/disconnect_test.go
+++ b/policy/disconnect_test.go
@@ -37,13 +37,13 @@
 				}
 				return h.request(0)
 			},
-			startNextAttempt: func(h *harness) { h.endAttempt(h.lastID-1, OK, 20*ms) },
+			startNextAttempt: func(h *harness) { h.endAttempt(h.lastID-1, StatusOK, 20*ms) },
 		},
 		{
 			name: "retry",
 			prepare: func(h *harness) RequestID {
 				id := h.request(0)
-				h.endAttempt(id, ServerError, 10*ms)
+				h.endAttempt(id, StatusServerError, 10*ms)
 				h.now = max(h.now, h.balancer.requests.byID[id].retryAt)
 				return id
 			},
@@ -101,7 +101,7 @@
 		t.Errorf("cancels after the disconnection: got %d, want %d, one for each attempt in flight", n, inFlight)
 	}
 	for i := range sends + wantSends { // each outcome would cause a retry if the client were still connected
-		h.balancer.Outcome(h.now, Outcome{ID: id, Attempt: i, Status: ServerError})
+		h.balancer.Outcome(h.now, Outcome{ID: id, Attempt: i, Status: StatusServerError})
 	}
 	h.advance(10 * time.Second)
 	known := h.balancer.requests.byID[id] != nil
--- a/policy/endpoint_set.go
+++ b/policy/endpoint_set.go
@@ -13,7 +13,7 @@
 type endpointSet struct {
 	zone  int // zone of this node
 	byID  map[ServerID]*server
-	ready []*server // servers in state Ready, sorted by ring position
+	ready []*server // servers in state EndpointReady, sorted by ring position
 }
 
 func newEndpointSet(zone int) endpointSet {
@@ -45,7 +45,7 @@
 	} else if endpoint.StartedAt != server.StartedAt {
 		lost = server.restart()
 	}
-	if endpoint.State == Ready && server.State != Ready {
+	if endpoint.State == EndpointReady && server.State != EndpointReady {
 		e.ready = append(e.ready, server)
 	}
 	server.update(endpoint, e.zone)
@@ -56,7 +56,7 @@
 // draining servers, because neither this list nor a later list has to contain them.
 func (e *endpointSet) markAllRemoved() {
 	for _, s := range e.byID {
-		s.State = Removed
+		s.State = EndpointRemoved
 	}
 	e.ready = e.ready[:0]
 }
@@ -64,10 +64,10 @@
 // dropRemoved removes the servers that are no longer ready from the ready list and sorts the list. It
 // deletes removed servers without attempts in flight.
 func (e *endpointSet) dropRemoved() {
-	e.ready = slices.DeleteFunc(e.ready, func(s *server) bool { return s.State != Ready })
+	e.ready = slices.DeleteFunc(e.ready, func(s *server) bool { return s.State != EndpointReady })
 	slices.SortFunc(e.ready, func(x, y *server) int { return cmp.Compare(x.ringPosition, y.ringPosition) })
 	for id, s := range e.byID {
-		if s.State == Removed && len(s.inFlight) == 0 {
+		if s.State == EndpointRemoved && len(s.inFlight) == 0 {
 			delete(e.byID, id)
 		}
 	}
--- a/policy/endpoint_set_test.go
+++ b/policy/endpoint_set_test.go
@@ -13,10 +13,10 @@
 		h.request(i % 3)
 	}
 	first := h.host.sends[0]
-	h.endAttempt(first.id, ServerError, ms) // starts a backoff
+	h.endAttempt(first.id, StatusServerError, ms) // starts a backoff
 
-	h.updateEndpoints(UpdateDelta, Endpoint{Server: 1, State: Draining})
-	h.updateEndpoints(UpdateDelta, Endpoint{Server: 2, State: Removed})
+	h.updateEndpoints(UpdateDelta, Endpoint{Server: 1, State: EndpointDraining})
+	h.updateEndpoints(UpdateDelta, Endpoint{Server: 2, State: EndpointRemoved})
 	before := len(h.host.sends)
 	h.advance(3 * time.Second)
 
@@ -35,7 +35,7 @@
 	h := newHarness(t, testSettings(), 4)
 	for i := 5; i < 3000; i++ {
 		entries := readyEndpoints(i-3, i)
-		entries[0].State = Draining
+		entries[0].State = EndpointDraining
 		h.updateEndpoints(UpdateSnapshot, entries...)
 		h.now += ms
 	}
@@ -64,8 +64,8 @@
 		t.Fatalf("attempts in flight after the restart: got %d of the node, %d and %d at the servers; want none",
 			h.balancer.limiter.inFlight, len(servers[1].inFlight), len(servers[2].inFlight))
 	}
-	h.endAttempt(first, Reset, ms)
-	h.endAttempt(second, Timeout, time.Second)
+	h.endAttempt(first, StatusReset, ms)
+	h.endAttempt(second, StatusTimeout, time.Second)
 	if h.balancer.limiter.inFlight < 0 {
 		t.Fatalf("attempts in flight after the outcomes of the lost attempts: got %d, want at least 0",
 			h.balancer.limiter.inFlight)
@@ -84,7 +84,7 @@
 	if len(h.balancer.endpoints.ready) != 2 {
 		t.Fatalf("ready servers after server 1 was listed again: got %d, want 2", len(h.balancer.endpoints.ready))
 	}
-	h.endAttempt(first, OK, 20*ms)
+	h.endAttempt(first, StatusOK, 20*ms)
 	h.balancer.ClientDisconnected(h.now, first) // in the same batch as the outcome
 	h.balancer.ClientDisconnected(h.now, second)
 	if h.host.cancels != 1 || len(h.host.rejected)+len(h.host.failed) != 0 {
@@ -92,9 +92,9 @@
 			"want 1, none, none",
 			h.host.cancels, h.host.rejected, h.host.failed)
 	}
-	h.endAttempt(second, Cancelled, 20*ms)
-	h.balancer.Outcome(h.now, Outcome{ID: second, Status: OK}) // repeated outcome
-	h.balancer.Outcome(h.now, Outcome{ID: 999, Attempt: 3, Status: ServerError})
+	h.endAttempt(second, StatusCancelled, 20*ms)
+	h.balancer.Outcome(h.now, Outcome{ID: second, Status: StatusOK}) // repeated outcome
+	h.balancer.Outcome(h.now, Outcome{ID: 999, Attempt: 3, Status: StatusServerError})
 	h.balancer.StreamStarted(h.now, 999, 0)
 	requests, inFlight := &h.balancer.requests, h.balancer.limiter.inFlight
 	if inFlight != 0 || len(requests.byID) != 0 || len(requests.active) != 0 {
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -38,22 +38,24 @@
 	}
 	now := time.Second // on any monotonic clock
 	balancer.UpdateEndpoints(now, policy.UpdateSnapshot, []policy.Endpoint{
-		{Server: 1, State: policy.Ready, Weight: 1},
-		{Server: 2, State: policy.Ready, Weight: 1},
+		{Server: 1, State: policy.EndpointReady, Weight: 1},
+		{Server: 2, State: policy.EndpointReady, Weight: 1},
 	})
 
 	balancer.Request(now, policy.Request{ID: 1, Timeout: 2 * time.Second})
 	now += 20 * time.Millisecond
-	balancer.Outcome(now, policy.Outcome{ID: 1, Status: policy.OK, RequestCompleted: true, Latency: 20 * time.Millisecond})
+	balancer.Outcome(now, policy.Outcome{
+		ID: 1, Status: policy.StatusOK, RequestCompleted: true, Latency: 20 * time.Millisecond,
+	})
 
 	balancer.Request(now, policy.Request{ID: 2, Timeout: 2 * time.Second})
-	balancer.Outcome(now, policy.Outcome{ID: 2, Status: policy.ServerError, Latency: time.Millisecond})
+	balancer.Outcome(now, policy.Outcome{ID: 2, Status: policy.StatusServerError, Latency: time.Millisecond})
 	for range 10 { // the periodic check retries the request after its backoff
 		now = max(now, host.timerAt)
 		balancer.Timer(now, 0)
 	}
 	balancer.Outcome(now, policy.Outcome{
-		ID: 2, Attempt: 1, Status: policy.OK, RequestCompleted: true, Latency: 20 * time.Millisecond,
+		ID: 2, Attempt: 1, Status: policy.StatusOK, RequestCompleted: true, Latency: 20 * time.Millisecond,
 	})
 
 	balancer.UpdateEndpoints(now, policy.UpdateSnapshot, nil) // no server is left
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -152,7 +152,7 @@
 	var entries []Endpoint
 	for i := first; i <= last; i++ {
 		entries = append(entries, Endpoint{
-			Server: ServerID(i), Cell: i / 2, Zone: i / 5, State: Ready, Weight: 1,
+			Server: ServerID(i), Cell: i / 2, Zone: i / 5, State: EndpointReady, Weight: 1,
 		})
 	}
 	return entries
@@ -180,14 +180,14 @@
 	return servers
 }
 
-// endAttempt reports the outcome of the earliest attempt of a request whose outcome has not been reported yet. Status
-// OK also completes the request.
+// endAttempt reports the outcome of the earliest attempt of a request whose outcome has not been reported yet. The
+// status StatusOK also completes the request.
 func (h *harness) endAttempt(id RequestID, status Status, latency time.Duration) {
 	index := h.outcomesReported[id]
 	h.outcomesReported[id]++
 	h.balancer.Outcome(h.now, Outcome{
 		ID: id, Attempt: index, Server: h.attemptedServers(id)[index], Status: status, Latency: latency,
-		RequestCompleted: status == OK,
+		RequestCompleted: status == StatusOK,
 	})
 }
 
@@ -208,7 +208,7 @@
 		id := h.request(0)
 		h.advance(latency)
 		if h.outcomesReported[id] < len(h.attemptedServers(id)) {
-			h.endAttempt(id, OK, latency)
+			h.endAttempt(id, StatusOK, latency)
 		}
 	}
 }
@@ -268,7 +268,8 @@
 	}
 }
 
-// succeedRequestsOlderThan ends all attempts of the requests that were first sent at least age ago, with status OK.
+// succeedRequestsOlderThan ends all attempts of the requests that were first sent at least age ago, with status
+// StatusOK.
 func (h *harness) succeedRequestsOlderThan(age time.Duration) {
 	for id := range h.lastID {
 		record := h.balancer.requests.byID[id]
@@ -276,7 +277,7 @@
 			continue
 		}
 		for i := range record.attempts {
-			h.balancer.Outcome(h.now, Outcome{ID: id, Attempt: i, Status: OK, RequestCompleted: true, Latency: age})
+			h.balancer.Outcome(h.now, Outcome{ID: id, Attempt: i, Status: StatusOK, RequestCompleted: true, Latency: age})
 		}
 	}
 }
--- a/policy/invariants_test.go
+++ b/policy/invariants_test.go
@@ -50,7 +50,7 @@
 	case tracked == nil || tracked.completed:
 		c.t.Errorf("at %v: Send of request %d, which is completed or unknown, to server %d", c.now, id, server)
 		return
-	case endpoint.State != Ready:
+	case endpoint.State != EndpointReady:
 		c.t.Errorf("at %v: Send of request %d to server %d, which is %v, want a ready server",
 			c.now, id, server, endpoint.State)
 	case len(tracked.attempts) >= c.maxAttempts:
@@ -113,20 +113,22 @@
 	c.recordCompletion(id)
 }
 
-// endAttempt ends attempt i of a request with a random status. From the deadline on, the status is always Timeout, and
-// once the request is completed, it is always Cancelled.
+// endAttempt ends attempt i of a request with a random status. From the deadline on, the status is always
+// StatusTimeout, and once the request is completed, it is always StatusCancelled.
 func (c *invariantChecker) endAttempt(id RequestID, tracked *trackedRequest, i int) {
 	a := tracked.attempts[i]
-	status := []Status{OK, OK, OK, ServerError, Rejected, Timeout, ConnectFailed, Reset}[c.rng.IntN(8)]
+	status := []Status{
+		StatusOK, StatusOK, StatusOK, StatusServerError, StatusRejected, StatusTimeout, StatusConnectFailed, StatusReset,
+	}[c.rng.IntN(8)]
 	if c.now >= tracked.deadline {
-		status = Timeout
+		status = StatusTimeout
 	}
 	if tracked.completed {
-		status = Cancelled
+		status = StatusCancelled
 	}
 	a.inFlight = false
-	a.notExecuted = status == Rejected || status == ConnectFailed
-	if status == OK {
+	a.notExecuted = status == StatusRejected || status == StatusConnectFailed
+	if status == StatusOK {
 		c.recordCompletion(id)
 	}
 	c.balancer.Outcome(c.now, Outcome{ID: id, Attempt: i, Server: a.endpoint.Server, Status: status,
@@ -157,7 +159,7 @@
 	id := ServerID(1 + c.rng.IntN(12))
 	endpoint := Endpoint{Server: id, Cell: int(id) / 3, Weight: 1, State: EndpointState(c.rng.IntN(3))}
 	if c.rng.IntN(3) == 0 {
-		endpoint.State, endpoint.StartedAt = Ready, c.now
+		endpoint.State, endpoint.StartedAt = EndpointReady, c.now
 	}
 	c.endpoints[id] = endpoint
 	c.balancer.UpdateEndpoints(c.now, UpdateDelta, []Endpoint{endpoint})
@@ -266,7 +268,7 @@
 				id := h.request(i % 3)
 				h.advance(7 * ms)
 				if n := len(h.attemptedServers(id)); n > h.outcomesReported[id] {
-					h.endAttempt(id, OK, 7*ms)
+					h.endAttempt(id, StatusOK, 7*ms)
 				}
 			}
 		}
--- a/policy/load_shedding_test.go
+++ b/policy/load_shedding_test.go
@@ -18,7 +18,7 @@
 		h.balancer.refresh(h.now)
 		id := h.request(0)
 		record := h.balancer.requests.byID[id]
-		h.endAttempt(id, Rejected, ms) // not executed, so a retry is permitted
+		h.endAttempt(id, StatusRejected, ms) // not executed, so a retry is permitted
 		h.balancer.queue.add(record)
 		record.objectiveDeadline = h.now + 2*record.expectedLatency(h.balancer.means.relativeLatency)
 
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -12,21 +12,21 @@
 		return
 	}
 	switch outcome.Status {
-	case OK:
+	case StatusOK:
 		b.recordResponse(now, request, attempt, outcome.Latency)
-	case ServerError, Reset, ConnectFailed:
+	case StatusServerError, StatusReset, StatusConnectFailed:
 		b.recordFailure(now, attempt, outcome.Status)
-	case Timeout:
+	case StatusTimeout:
 		// A short timeout is the client's choice and not evidence against the server. The latency is
 		// compared with the baseline instead of the mean: the mean rises with congestion, until no
 		// timeout would count as a failure.
 		timeoutIsLong := request.relativeLatency(outcome.Latency) > unresponsiveMultiple
 		if timeoutIsLong && !attempt.unresponsive { // an unresponsive attempt has already been counted
-			b.recordFailure(now, attempt, Timeout)
+			b.recordFailure(now, attempt, StatusTimeout)
 		}
-	case Rejected: // counts in the score only; otherwise a full server would be selected again
+	case StatusRejected: // counts in the score only; otherwise a full server would be selected again
 		server.score.recordFailure(now)
-	case Cancelled, NotSent: // no evidence about the server
+	case StatusCancelled, StatusNotSent: // no evidence about the server
 	}
 	server.breaker.abandonTrial(attempt)
 }
@@ -39,7 +39,7 @@
 	relativeLatency := request.relativeLatency(latency)
 	attempt.server.score.recordSuccess(now, relativeLatency)
 	if relativeLatency > b.subset.regime.slowResponseMultiple {
-		b.recordBreakerFailure(now, attempt, Timeout) // a congested server needs time to recover
+		b.recordBreakerFailure(now, attempt, StatusTimeout) // a congested server needs time to recover
 	} else {
 		attempt.server.recordSuccess(now, attempt)
 	}
@@ -80,7 +80,7 @@
 	}
 	failureRate := server.score.failureRateBefore(len(breaker.failures), b.means)
 	return breaker.shouldOpen(status, &b.subset.regime, failureRate) &&
-		(status != Timeout || b.subset.permitsEjection())
+		(status != StatusTimeout || b.subset.permitsEjection())
 }
 
 // handleUnresponsiveAttempts records unresponsive attempts as failures and, if permitted, hedges the request.
@@ -92,7 +92,7 @@
 			continue
 		}
 		b.limiter.markUnresponsive(attempt)
-		b.recordFailure(now, attempt, Timeout)
+		b.recordFailure(now, attempt, StatusTimeout)
 		if !b.retry.permitsHedging(now, request, expected) {
 			continue
 		}
--- a/policy/outcome_test.go
+++ b/policy/outcome_test.go
@@ -17,7 +17,7 @@
 
 	for range failureThreshold {
 		a := &attempt{server: s, request: record, startedAt: h.now}
-		h.balancer.recordOutcome(h.now, record, a, Outcome{Status: OK, Latency: slowLatency})
+		h.balancer.recordOutcome(h.now, record, a, Outcome{Status: StatusOK, Latency: slowLatency})
 	}
 
 	if s.breaker.state != breakerOpen {
@@ -54,7 +54,7 @@
 					tc.nodes, i, s.breaker.state, tc.wantTimeouts)
 			}
 			a := &attempt{server: s, request: record, startedAt: h.now}
-			h.balancer.recordOutcome(h.now, record, a, Outcome{Status: Timeout, Latency: timeout})
+			h.balancer.recordOutcome(h.now, record, a, Outcome{Status: StatusTimeout, Latency: timeout})
 		}
 		if s.breaker.state != breakerOpen {
 			t.Fatalf("breaker with %d nodes after %d timeouts in a row: got %v, want open",
@@ -85,13 +85,13 @@
 	}
 }
 
-// succeedAtOtherServers ends an attempt of a request with status OK: the first attempt that was not sent to the
-// excluded server.
+// succeedAtOtherServers ends an attempt of a request with status StatusOK: the first attempt that was not sent to
+// the excluded server.
 func (h *harness) succeedAtOtherServers(id RequestID, excluded ServerID, latency time.Duration) {
 	for index, s := range h.attemptedServers(id) {
 		if s != excluded {
 			h.balancer.Outcome(h.now, Outcome{
-				ID: id, Attempt: index, Server: s, Status: OK, Latency: latency, RequestCompleted: true,
+				ID: id, Attempt: index, Server: s, Status: StatusOK, Latency: latency, RequestCompleted: true,
 			})
 			return
 		}
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -22,7 +22,7 @@
 
 	for id := RequestID(1); id < withinQuota; id++ {
 		if id != overQuota && len(h.attemptedServers(id)) > h.outcomesReported[id] {
-			h.endAttempt(id, OK, 10*ms)
+			h.endAttempt(id, StatusOK, 10*ms)
 		}
 	}
 
@@ -58,7 +58,7 @@
 		if _, rejected := h.host.rejected[id]; rejected {
 			t.Fatalf("request %d was rejected though the servers have capacity", id)
 		}
-		h.endAttempt(id, OK, 0)
+		h.endAttempt(id, StatusOK, 0)
 	}
 
 	if h.balancer.quotas.buckets[0].Take(h.now) {
--- a/policy/request_table_test.go
+++ b/policy/request_table_test.go
@@ -13,7 +13,7 @@
 		t.Fatalf("completed request with an attempt in flight: got found %v, %d active requests; want true, 0",
 			found == request, len(table.active))
 	}
-	request.endAttempt(attempt, OK)
+	request.endAttempt(attempt, StatusOK)
 	table.release(request)
 	if len(table.byID) != 0 {
 		t.Errorf("requests in the table after the last attempt ended: got %d, want 0", len(table.byID))
@@ -56,7 +56,7 @@
 	table := newRequestTable(2)
 	request := table.add(Request{ID: 1}, &requestClass{})
 	ended := request.startAttempt(0, newServer(0))
-	request.endAttempt(ended, ServerError)
+	request.endAttempt(ended, StatusServerError)
 	request.startAttempt(0, newServer(0))
 	for _, tc := range []struct {
 		id        RequestID
--- a/policy/request_test.go
+++ b/policy/request_test.go
@@ -45,13 +45,13 @@
 		status   Status
 		wantSafe bool
 	}{
-		{idempotent, Timeout, true},
-		{keyForAll, Timeout, true},
-		{keyForCell, Timeout, false},
-		{keyForCell, Rejected, true},
-		{notIdempotent, ServerError, false},
-		{notIdempotent, ConnectFailed, true},
-		{notIdempotent, NotSent, true},
+		{idempotent, StatusTimeout, true},
+		{keyForAll, StatusTimeout, true},
+		{keyForCell, StatusTimeout, false},
+		{keyForCell, StatusRejected, true},
+		{notIdempotent, StatusServerError, false},
+		{notIdempotent, StatusConnectFailed, true},
+		{notIdempotent, StatusNotSent, true},
 	} {
 		r := request{class: &requestClass{Class: tc.class}}
 		r.endAttempt(r.startAttempt(0, newServer(0)), tc.status)
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -47,7 +47,7 @@
 // permitsAttempt reports whether a request may have an attempt at a server now. It is called before every
 // attempt and enforces deadlines, limits and idempotency.
 func (p *retryPolicy) permitsAttempt(now time.Duration, request *request, server *server) bool {
-	if request.completed || request.streaming || now >= request.deadline || server.State != Ready ||
+	if request.completed || request.streaming || now >= request.deadline || server.State != EndpointReady ||
 		p.attemptsExhausted(now, request) {
 		return false
 	}
--- a/policy/retry_key_retention_test.go
+++ b/policy/retry_key_retention_test.go
@@ -14,7 +14,7 @@
 		return func(h *harness, id RequestID) {
 			record := h.balancer.requests.byID[id]
 			h.advance(20 * ms)
-			h.endAttempt(id, ServerError, 20*ms)
+			h.endAttempt(id, StatusServerError, 20*ms)
 			h.now = record.attempts[0].startedAt + after
 			record.retryAt = h.now
 			h.balancer.periodicCheck(h.now)
@@ -31,19 +31,19 @@
 		"retry due at the end of retention": {100 * ms, retryDueAfter(100 * ms), 1, true},
 		"retry due after retention":         {100 * ms, retryDueAfter(101 * ms), 1, true},
 		"retention shorter than the backoff": {15 * ms, func(h *harness, id RequestID) {
-			h.endAttempt(id, ServerError, 0)
+			h.endAttempt(id, StatusServerError, 0)
 		}, 1, true},
 		"retention ends while the retry is queued": {100 * ms, func(h *harness, id RequestID) {
 			h.request(0) // stays in flight
 			h.balancer.limiter.limit = 0
-			h.endAttempt(id, ServerError, 0)
+			h.endAttempt(id, StatusServerError, 0)
 			h.advance(100*ms + 2*checkInterval)
 		}, 1, true},
 		"retention starts with the first possibly executed attempt": {100 * ms, func(h *harness, id RequestID) {
 			h.advance(90 * ms)
-			h.endAttempt(id, Rejected, 90*ms)
+			h.endAttempt(id, StatusRejected, 90*ms)
 			h.advance(40 * ms)
-			h.endAttempt(id, ServerError, 5*ms)
+			h.endAttempt(id, StatusServerError, 5*ms)
 			h.advance(75 * ms)
 		}, 3, false},
 	} {
@@ -54,8 +54,8 @@
 				class := &settings.Classes[1]
 				class.KeyRetention, class.KeyScope, class.Objective = tc.retention, scope, 400*ms
 				h := newHarness(t, settings, 1)
-				h.updateEndpoints(UpdateSnapshot, Endpoint{Server: 1, State: Ready}, Endpoint{Server: 2, State: Ready},
-					Endpoint{Server: 3, State: Ready})
+				h.updateEndpoints(UpdateSnapshot, Endpoint{Server: 1, State: EndpointReady},
+					Endpoint{Server: 2, State: EndpointReady}, Endpoint{Server: 3, State: EndpointReady})
 				id := h.request(1)
 				tc.run(h, id)
 				_, rejected := h.host.rejected[id]
--- a/policy/retry_key_scope_test.go
+++ b/policy/retry_key_scope_test.go
@@ -8,10 +8,10 @@
 // Guards against executing a request with an idempotency key twice. If it may have been executed, a retry may go only
 // to the servers that recognize the key, which are those in its scope.
 func TestRetryStaysWithinTheKeyScope(t *testing.T) {
-	first := Endpoint{Server: 1, State: Ready, Zone: 0, Cell: 1, Weight: 1}
-	sameCell := Endpoint{Server: 2, State: Ready, Zone: 1, Cell: 1, Weight: 1}
-	sameZone := Endpoint{Server: 2, State: Ready, Zone: 0, Cell: 2, Weight: 1}
-	elsewhere := Endpoint{Server: 2, State: Ready, Zone: 1, Cell: 2, Weight: 1}
+	first := Endpoint{Server: 1, State: EndpointReady, Zone: 0, Cell: 1, Weight: 1}
+	sameCell := Endpoint{Server: 2, State: EndpointReady, Zone: 1, Cell: 1, Weight: 1}
+	sameZone := Endpoint{Server: 2, State: EndpointReady, Zone: 0, Cell: 2, Weight: 1}
+	elsewhere := Endpoint{Server: 2, State: EndpointReady, Zone: 1, Cell: 2, Weight: 1}
 	for _, tc := range []struct {
 		scope       KeyScope
 		other       Endpoint
@@ -33,9 +33,9 @@
 			h.updateEndpoints(UpdateSnapshot, first)
 			id := h.request(1)
 			draining := first
-			draining.State = Draining
+			draining.State = EndpointDraining
 			h.updateEndpoints(UpdateSnapshot, draining, tc.other)
-			h.endAttempt(id, ServerError, 10*ms)
+			h.endAttempt(id, StatusServerError, 10*ms)
 			h.advance(settings.Classes[1].Objective / 2)
 			if retried := len(h.attemptedServers(id)) > 1; retried != tc.wantRetried {
 				t.Errorf("request sent to servers %v: got retried %v, want %v",
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -14,12 +14,12 @@
 		status Status
 		want   string
 	}{
-		{0, ServerError, retried}, {0, Rejected, retried}, {0, Timeout, retried}, {0, ConnectFailed, retried},
-		{0, Reset, retried}, {0, NotSent, retried},
-		{1, ServerError, retried}, {1, Rejected, retried}, {1, Timeout, retried}, {1, ConnectFailed, retried},
-		{1, Reset, retried}, {1, NotSent, retried},
-		{2, ServerError, failed}, {2, Rejected, retried}, {2, Timeout, failed}, {2, ConnectFailed, retried},
-		{2, Reset, failed}, {2, NotSent, retried},
+		{0, StatusServerError, retried}, {0, StatusRejected, retried}, {0, StatusTimeout, retried},
+		{0, StatusConnectFailed, retried}, {0, StatusReset, retried}, {0, StatusNotSent, retried},
+		{1, StatusServerError, retried}, {1, StatusRejected, retried}, {1, StatusTimeout, retried},
+		{1, StatusConnectFailed, retried}, {1, StatusReset, retried}, {1, StatusNotSent, retried},
+		{2, StatusServerError, failed}, {2, StatusRejected, retried}, {2, StatusTimeout, failed},
+		{2, StatusConnectFailed, retried}, {2, StatusReset, failed}, {2, StatusNotSent, retried},
 	} {
 		t.Run(fmt.Sprintf("class %d, %v", tc.class, tc.status), func(t *testing.T) {
 			settings := testSettings()
@@ -39,7 +39,7 @@
 			if servers[0] == servers[1] {
 				t.Fatalf("servers of both attempts: got %d twice, want the retry at another server", servers[0])
 			}
-			mayHaveBeenExecuted := tc.status == ServerError || tc.status == Timeout || tc.status == Reset
+			mayHaveBeenExecuted := tc.status == StatusServerError || tc.status == StatusTimeout || tc.status == StatusReset
 			if tc.class == 1 && mayHaveBeenExecuted && servers[0]/2 != servers[1]/2 {
 				t.Fatalf("servers of a request with an idempotency key: got %v, want both in the same cell", servers)
 			}
@@ -69,7 +69,7 @@
 	h := newHarness(t, settings, 9)
 	id := h.request(1)
 	h.advance(150 * ms)
-	h.endAttempt(id, ServerError, 150*ms)
+	h.endAttempt(id, StatusServerError, 150*ms)
 	h.advance(300 * ms)
 	if n := len(h.attemptedServers(id)); n != 1 || !h.host.failed[id] {
 		t.Fatalf("first attempt ended 50 ms after the key was dropped: got %d sends, failed %v; want 1, true",
@@ -85,7 +85,7 @@
 	var backoffs []time.Duration
 	for i := range 3 {
 		start := h.now
-		h.endAttempt(id, ServerError, ms)
+		h.endAttempt(id, StatusServerError, ms)
 		for len(h.attemptedServers(id)) == i+1 && h.now < start+time.Second {
 			h.advance(ms)
 		}
@@ -103,7 +103,7 @@
 	id := h.request(0)
 	h.advance(790 * ms)
 
-	h.endAttempt(id, ServerError, 790*ms)
+	h.endAttempt(id, StatusServerError, 790*ms)
 
 	if _, ok := h.host.rejected[id]; !ok {
 		t.Fatal("request not rejected when its attempt ended 10 ms before the objective, too late for a retry")
@@ -117,7 +117,7 @@
 	h := newHarness(t, settings, 9)
 	id := h.request(0)
 
-	h.endAttempt(id, ServerError, ms)
+	h.endAttempt(id, StatusServerError, ms)
 
 	if _, ok := h.host.rejected[id]; !ok {
 		t.Fatal("request not rejected when its only permitted attempt ended with an error")
@@ -132,7 +132,7 @@
 	if !h.balancer.retry.permitsAttempt(h.now, record, s) {
 		t.Fatal("permitsAttempt at a ready server = false, want true")
 	}
-	for _, state := range []EndpointState{Draining, Removed} {
+	for _, state := range []EndpointState{EndpointDraining, EndpointRemoved} {
 		s.State = state
 		if h.balancer.retry.permitsAttempt(h.now, record, s) {
 			t.Errorf("permitsAttempt at a server in state %v = true, want false", state)
--- a/policy/score_test.go
+++ b/policy/score_test.go
@@ -9,7 +9,7 @@
 	id := h.request(0)
 	rejecting := h.balancer.endpoints.byID[h.attemptedServers(id)[0]]
 
-	h.endAttempt(id, Rejected, 0)
+	h.endAttempt(id, StatusRejected, 0)
 	h.advance(ms)
 	h.balancer.refresh(h.now)
 
--- a/policy/server_test.go
+++ b/policy/server_test.go
@@ -7,7 +7,7 @@
 
 func TestRestartDiscardsMeasurementsAndReturnsAttemptsInFlight(t *testing.T) {
 	s := newServer(7)
-	s.Endpoint = Endpoint{Server: 3, State: Ready, Cell: 2}
+	s.Endpoint = Endpoint{Server: 3, State: EndpointReady, Cell: 2}
 	first := &attempt{server: s}
 	s.startAttempt(first)
 	s.breaker.recordFailure(time.Second)
@@ -18,7 +18,7 @@
 	if len(lost) != 1 || lost[0] != first {
 		t.Errorf("attempts returned by restart: got %d, want only the attempt in flight", len(lost))
 	}
-	if s.Endpoint != (Endpoint{Server: 3, State: Ready, Cell: 2}) || s.ringPosition != 7 {
+	if s.Endpoint != (Endpoint{Server: 3, State: EndpointReady, Cell: 2}) || s.ringPosition != 7 {
 		t.Errorf("after restart: got endpoint %+v at ring position %d, want both unchanged", s.Endpoint, s.ringPosition)
 	}
 	if len(s.inFlight) != 0 || len(s.breaker.failures) != 0 || s.score.outcomes.Len() != 0 {
--- a/policy/simulated_fleet_test.go
+++ b/policy/simulated_fleet_test.go
@@ -156,7 +156,7 @@
 
 // startNextAttempt starts the next queued attempt of a server that is idle and takes requests.
 func (f *simulatedFleet) startNextAttempt(s *simulatedServer) {
-	for s.running == nil && len(s.queue) > 0 && !s.hangs && s.State == Ready {
+	for s.running == nil && len(s.queue) > 0 && !s.hangs && s.State == EndpointReady {
 		attempt := s.queue[0]
 		s.queue = s.queue[1:]
 		if attempt.ended {
@@ -166,7 +166,7 @@
 		f.schedule(f.now+time.Duration(attempt.request.work/(s.workRate*f.capacityShare(s))*float64(time.Second)), func() {
 			if s.running == attempt { // the server has not restarted
 				s.running = nil
-				f.endAttempt(attempt, OK)
+				f.endAttempt(attempt, StatusOK)
 				f.startNextAttempt(s)
 			}
 		})
@@ -179,7 +179,7 @@
 		return
 	}
 	attempt.ended = true
-	attempt.request.completed = attempt.request.completed || status == OK || status == Timeout
+	attempt.request.completed = attempt.request.completed || status == StatusOK || status == StatusTimeout
 	attempt.node.balancer.Outcome(f.now, Outcome{
 		ID: attempt.request.id, Attempt: attempt.index, Server: attempt.server.Server, Status: status,
 		RequestCompleted: attempt.request.completed, Latency: f.now - attempt.sentAt,
@@ -198,7 +198,7 @@
 	n.balancer.Request(f.now, Request{ID: request.id, Class: class, Timeout: timeout})
 	f.schedule(f.now+timeout, func() {
 		for _, attempt := range request.attempts {
-			f.endAttempt(attempt, Timeout)
+			f.endAttempt(attempt, StatusTimeout)
 		}
 		f.schedule(f.now+time.Second, func() { delete(n.requests, request.id) })
 	})
@@ -227,7 +227,7 @@
 	n.balancer, f.nodes[i] = balancer, n
 	var entries []Endpoint
 	for _, s := range f.servers {
-		if s.State == Ready {
+		if s.State == EndpointReady {
 			entries = append(entries, s.Endpoint)
 		}
 	}
@@ -260,12 +260,12 @@
 // restartServer stops a server, which resets its attempts. After the downtime it starts the server again, or a
 // server with a new ID in its place.
 func (f *simulatedFleet) restartServer(s *simulatedServer) {
-	s.State = Removed
+	s.State = EndpointRemoved
 	if s.running != nil {
 		s.queue = append(s.queue, s.running)
 	}
 	for _, attempt := range s.queue {
-		f.endAttempt(attempt, Reset)
+		f.endAttempt(attempt, StatusReset)
 	}
 	s.queue, s.running = nil, nil
 	if f.downtime > 0 || f.replaceServers {
@@ -277,7 +277,7 @@
 			s.Server += 1000
 			f.servers = append(f.servers, s)
 		}
-		s.State, s.StartedAt, s.sends = Ready, f.now, nil
+		s.State, s.StartedAt, s.sends = EndpointReady, f.now, nil
 		f.notifyNodes(s.Endpoint)
 	})
 }
@@ -287,7 +287,7 @@
 func (f *simulatedFleet) addWorkCapacity() {
 	const step = 20 * ms
 	for _, s := range f.servers {
-		if share := f.capacityShare(s); s.State == Ready && share < 1 && f.now >= s.StartedAt+notificationDelay {
+		if share := f.capacityShare(s); s.State == EndpointReady && share < 1 && f.now >= s.StartedAt+notificationDelay {
 			f.workCapacity += s.workRate * share * step.Seconds()
 		}
 	}
--- a/policy/simulated_node_test.go
+++ b/policy/simulated_node_test.go
@@ -39,7 +39,7 @@
 	s := f.servers[slices.IndexFunc(f.servers, func(s *simulatedServer) bool { return s.Server == server })]
 	attempt := &simulatedAttempt{node: n, request: request, index: len(request.attempts), server: s, sentAt: f.now}
 	request.attempts = append(request.attempts, attempt)
-	if s.State == Ready && f.capacityShare(s) < 1 {
+	if s.State == EndpointReady && f.capacityShare(s) < 1 {
 		if f.now >= s.StartedAt+notificationDelay {
 			f.workSent += request.work
 		}
@@ -50,10 +50,10 @@
 		})
 	}
 	switch {
-	case s.State != Ready:
-		f.schedule(f.now+150*ms, func() { f.endAttempt(attempt, ConnectFailed) })
+	case s.State != EndpointReady:
+		f.schedule(f.now+150*ms, func() { f.endAttempt(attempt, StatusConnectFailed) })
 	case s.fails:
-		f.schedule(f.now+2*ms, func() { f.endAttempt(attempt, ServerError) })
+		f.schedule(f.now+2*ms, func() { f.endAttempt(attempt, StatusServerError) })
 	default:
 		s.queue = append(s.queue, attempt)
 		f.startNextAttempt(s)
@@ -63,7 +63,7 @@
 // Cancel ends an attempt in a separate event, because a Host must not call back into its Balancer.
 func (n *simulatedNode) Cancel(id RequestID, index int) {
 	attempt := n.requests[id].attempts[index]
-	n.fleet.schedule(n.fleet.now, func() { n.fleet.endAttempt(attempt, Cancelled) })
+	n.fleet.schedule(n.fleet.now, func() { n.fleet.endAttempt(attempt, StatusCancelled) })
 }
 
 func (n *simulatedNode) Reject(id RequestID, after time.Duration) { n.completeUnserved(id, after) }
