--- a/cmd/balancer/logging_test.go
+++ b/cmd/balancer/logging_test.go
@@ -37,7 +37,7 @@
 	server := testkit.NewRecordingServer(t, testkit.OK)
 	addr := testkit.FreeAddr(t)
 	command := exec.CommandContext(t.Context(), program)
-	command.Env = []string{newConfigFile(t, addr, server.Address()).Environment()}
+	command.Env = []string{newConfigFile(t, addr, server.Address()).Env()}
 	command.Stderr = log
 	if err := command.Start(); err != nil {
 		t.Fatal(err)
--- a/cmd/balancer/wall_clock_test.go
+++ b/cmd/balancer/wall_clock_test.go
@@ -45,8 +45,8 @@
 	servers := newCountingServers(t, warmServers+1)
 	list := newWatchedList(servers.endpoints[:warmServers]...)
 	service := testkit.NewPartitionableService(t, list.respond)
-	options := balancertest.Options{Environment: []string{balancertest.NewWallClock(t, ahead).Environment()}}
-	process := balancertest.StartWith(t, options, map[string]any{
+	options := balancertest.Options{Env: []string{balancertest.NewWallClock(t, ahead).Env()}}
+	process := balancertest.StartWithOptions(t, options, map[string]any{
 		"discovery": service.Address,
 		"settings": settingsWith(fmt.Sprintf(`"RegistryMode": "pushed", "Contract": {"ColdFrom": %v, "ColdMs": %d}`,
 			slowStartShare, slowStartTime.Milliseconds())),
--- a/internal/balancertest/config_file.go
+++ b/internal/balancertest/config_file.go
@@ -21,8 +21,8 @@
 	replaceFile(tb, f.Path, text)
 }
 
-// Environment returns the environment variable that tells a process the path of the file, as "name=value".
-func (f ConfigFile) Environment() string { return "BALANCER_CONFIG=" + f.Path }
+// Env returns the environment variable that tells a process the path of the file, as "name=value".
+func (f ConfigFile) Env() string { return "BALANCER_CONFIG=" + f.Path }
 
 // replaceFile replaces a file atomically: it writes a new file in the same directory and renames the new file to path.
 func replaceFile(tb testing.TB, path string, text []byte) {
--- a/internal/balancertest/process.go
+++ b/internal/balancertest/process.go
@@ -19,21 +19,21 @@
 	ConfigFile ConfigFile
 }
 
-// Options are the optional parameters of StartWith.
+// Options are the optional parameters of StartWithOptions.
 type Options struct {
-	Environment []string          // variables besides BALANCER_CONFIG, as "name=value"; no others are set
-	Logged      func(line string) // called for each line that the process writes to standard error; may be nil
+	Env       []string          // variables besides BALANCER_CONFIG, as "name=value"; no others are set
+	OnLogLine func(line string) // called for each line that the process writes to standard error; may be nil
 }
 
 // Start starts a command as a process with the given configuration. If the configuration has no "listen" address,
 // Start adds one with a free port of the loopback interface. The process is killed at the end of the test.
 func Start(tb testing.TB, config map[string]any, command ...string) Process {
 	tb.Helper()
-	return StartWith(tb, Options{}, config, command...)
+	return StartWithOptions(tb, Options{}, config, command...)
 }
 
-// StartWith starts a process like Start, with options.
-func StartWith(tb testing.TB, options Options, config map[string]any, command ...string) Process {
+// StartWithOptions starts a process like Start, with options.
+func StartWithOptions(tb testing.TB, options Options, config map[string]any, command ...string) Process {
 	tb.Helper()
 	if config["listen"] == nil {
 		config["listen"] = "127.0.0.1:0"
@@ -44,7 +44,7 @@
 	}
 	configFile := NewConfigFile(tb, text)
 	cmd := exec.CommandContext(tb.Context(), command[0], command[1:]...)
-	cmd.Env = append([]string{configFile.Environment()}, options.Environment...)
+	cmd.Env = append([]string{configFile.Env()}, options.Env...)
 	stderr, err := cmd.StderrPipe()
 	if err != nil {
 		tb.Fatalf("open the standard error of %v: %v", cmd, err)
@@ -56,7 +56,7 @@
 	go func() {
 		defer close(stopped)
 		defer close(addr)
-		readLog(stderr, options.Logged, addr)
+		readLog(stderr, options.OnLogLine, addr)
 		exited <- cmd.Wait()
 	}()
 	tb.Cleanup(func() { <-stopped }) // tb.Context is canceled before cleanups run, which kills the process
--- a/internal/balancertest/wall_clock.go
+++ b/internal/balancertest/wall_clock.go
@@ -21,11 +21,11 @@
 	return clock
 }
 
-// Environment returns the environment variable that makes a process use the wall clock, as "name=value".
-func (c WallClock) Environment() string { return "WALL_CLOCK_STEP_FILE=" + c.path }
+// Env returns the environment variable that makes a process use the wall clock, as "name=value".
+func (c WallClock) Env() string { return "WALL_CLOCK_STEP_FILE=" + c.path }
 
-// Step changes the offset of the wall clock of a running process. The new offset replaces the old one.
-func (c WallClock) Step(tb testing.TB, pid int, offset time.Duration) {
+// SetOffset changes the offset of the wall clock of a running process. The new offset replaces the old one.
+func (c WallClock) SetOffset(tb testing.TB, pid int, offset time.Duration) {
 	tb.Helper()
 	c.writeOffset(tb, offset)
 	Signal(tb, pid, syscall.SIGUSR1)
--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -49,8 +49,8 @@
 	n.mu.Lock()
 	n.currentIncarnation = next // before the process starts, so before a client can connect to it
 	n.mu.Unlock()
-	options := balancertest.Options{Environment: []string{n.clock.Environment()}, Logged: next.RecordLogLine}
-	n.process = balancertest.StartWith(n.t, options, n.config(n.discovery.newAddress(next)), n.program)
+	options := balancertest.Options{Env: []string{n.clock.Env()}, OnLogLine: next.RecordLogLine}
+	n.process = balancertest.StartWithOptions(n.t, options, n.config(n.discovery.newAddress(next)), n.program)
 	testkit.Receive(n.t, n.process.Addr, "the log line with the address at which "+next.Name+" serves")
 }
 
@@ -62,7 +62,7 @@
 }
 
 // stepClock steps the wall clock of the node's process, so that it is ahead by the given offset.
-func (n *node) stepClock(ahead time.Duration) { n.clock.Step(n.t, n.process.PID, ahead) }
+func (n *node) stepClock(ahead time.Duration) { n.clock.SetOffset(n.t, n.process.PID, ahead) }
 
 // reload changes the node's address of the discovery service and sends SIGHUP.
 func (n *node) reload() {
