--- a/internal/downstream/admission_test.go
+++ b/internal/downstream/admission_test.go
@@ -14,13 +14,15 @@
 // OverLimit. A connection beyond the reserve waits until another connection is closed. The request that
 // the waiting client has already sent must not be lost.
 func TestNewConnWhileAllAreActiveUsesReserve(t *testing.T) {
-	conns := NewConns(Config{MaxOpen: 1, Reserve: 1, MaxReadAhead: testMaxReadAhead, ReadTimeout: testReadTimeout})
+	conns := NewConns(Config{
+		MaxOpen: 1, ReservedConns: 1, MaxReadAheadBytes: testMaxReadAheadBytes, ReadTimeout: testReadTimeout,
+	})
 	listener := listen(t, conns)
 	var last *Conn
 	for _, wantOverLimit := range []bool{false, true} {
 		dial(t, listener)
 		c := accept(t, listener)
-		c.RequestComplete()
+		c.MarkRequestRead()
 		last = c
 		if c.OverLimit() != wantOverLimit {
 			t.Errorf("OverLimit() = %v, want %v", c.OverLimit(), wantOverLimit)
@@ -30,34 +32,34 @@
 	waiting := dial(t, listener)
 	send(t, waiting, "GET")
 	accepted := acceptInBackground(t, listener)
-	testkit.Until(t, "the connection beyond the reserve to wait", conns.hasWaiters)
-	if sockstate.Peek(waiting) != sockstate.Quiet || conns.Open() != 2 {
+	testkit.WaitUntil(t, "the connection beyond the reserve to wait", conns.hasWaiters)
+	if sockstate.Peek(waiting) != sockstate.Idle || conns.Open() != 2 {
 		t.Errorf("while the connection waits: got client's socket %v, %d open connections; want %v, 2",
-			sockstate.Peek(waiting), conns.Open(), sockstate.Quiet)
+			sockstate.Peek(waiting), conns.Open(), sockstate.Idle)
 	}
 
 	if err := last.Close(); err != nil {
 		t.Fatal(err)
 	}
-	c := testkit.Wait(t, accepted, "the connection beyond the reserve to be accepted")
+	c := testkit.Receive(t, accepted, "the connection beyond the reserve to be accepted")
 	expectRead(t, c, "GET")
 }
 
 // A connection that waits for admission is closed when the listener is closed.
 func TestListenerCloseEndsAdmission(t *testing.T) {
-	conns := NewConns(Config{MaxOpen: 1, MaxReadAhead: testMaxReadAhead, ReadTimeout: testReadTimeout})
+	conns := NewConns(Config{MaxOpen: 1, MaxReadAheadBytes: testMaxReadAheadBytes, ReadTimeout: testReadTimeout})
 	listener := listen(t, conns)
 	dial(t, listener)
-	accept(t, listener).RequestComplete()
+	accept(t, listener).MarkRequestRead()
 	waiting := dial(t, listener)
 	accepted := acceptErrInBackground(listener)
-	testkit.Until(t, "the connection beyond the reserve to wait", conns.hasWaiters)
+	testkit.WaitUntil(t, "the connection beyond the reserve to wait", conns.hasWaiters)
 
 	if err := listener.Close(); err != nil {
 		t.Fatal(err)
 	}
 
-	if err := testkit.Wait(t, accepted, "Accept to return"); !errors.Is(err, net.ErrClosed) {
+	if err := testkit.Receive(t, accepted, "Accept to return"); !errors.Is(err, net.ErrClosed) {
 		t.Errorf("Accept: got error %v, want %v", err, net.ErrClosed)
 	}
 	if err := waiting.SetReadDeadline(time.Now().Add(testkit.WaitTimeout)); err != nil {
--- a/internal/downstream/conn_test.go
+++ b/internal/downstream/conn_test.go
@@ -38,7 +38,7 @@
 	t.Helper()
 	ended := readErrInBackground(c)
 	setReadDeadline(t, c, time.Unix(1, 0))
-	if err := testkit.Wait(t, ended, "Read to return"); !testkit.IsTimeout(err) {
+	if err := testkit.Receive(t, ended, "Read to return"); !testkit.IsTimeout(err) {
 		t.Fatalf("Read: got error %v, want a timeout", err)
 	}
 }
@@ -61,13 +61,13 @@
 
 // A connection without a request may time out at the moment when a request arrives, or a busy node
 // may observe both at the same time. The request is read: otherwise the connection would be reset.
-func TestRequestAtTheEndOfTheIdleTimeoutIsRead(t *testing.T) {
+func TestRequestAtIdleTimeoutIsRead(t *testing.T) {
 	forEachConnAwaitingRequest(t, func(t *testing.T, _ *Conns, client net.Conn, c *Conn) {
 		t.Helper()
 		expireRead(t, c)
 		sendUnread(t, client, c, "GET")
 		expectRead(t, c, "GET")
-		if err := testkit.Wait(t, readErrInBackground(c), "the read timeout"); !testkit.IsTimeout(err) {
+		if err := testkit.Receive(t, readErrInBackground(c), "the read timeout"); !testkit.IsTimeout(err) {
 			t.Errorf("Read after the request: got error %v, want a timeout", err)
 		}
 	})
@@ -85,12 +85,12 @@
 	if n, err := c.Read(make([]byte, 10)); n != 1 || err != nil {
 		t.Fatalf("Read of the first byte: got %d bytes, error %v; want 1 byte, no error", n, err)
 	}
-	if err := testkit.Wait(t, readErrInBackground(c), "the read timeout"); !testkit.IsTimeout(err) {
+	if err := testkit.Receive(t, readErrInBackground(c), "the read timeout"); !testkit.IsTimeout(err) {
 		t.Errorf("Read: got error %v, want a timeout", err)
 	}
 }
 
-// net/http detects disconnects by reading a single byte, possibly before RequestComplete is called.
+// net/http detects disconnects by reading a single byte, possibly before MarkRequestRead is called.
 // If a client sends more bytes after its request and then disconnects, Read must not return such a
 // byte: net/http would stop reading, and the attempts of the request would not be revoked.
 func TestBackgroundReadReturnsNoBytes(t *testing.T) {
@@ -103,7 +103,7 @@
 			t.Fatalf("Read of the head: got %q, error %v; want %q, no error", buffer[:n], err, want)
 		}
 	}
-	conns.ConnState(c, http.StateActive)
+	conns.HandleConnState(c, http.StateActive)
 	send(t, client, "body and more")
 	if n, err := c.Read(make([]byte, 4)); n != 4 || err != nil {
 		t.Fatalf("Read of the body: got %d bytes, error %v; want 4 bytes, no error", n, err)
--- a/internal/downstream/drain_test.go
+++ b/internal/downstream/drain_test.go
@@ -17,9 +17,9 @@
 	for name, closeIdle := range map[string]func(t *testing.T, conns *Conns, c *Conn){
 		"drain": func(_ *testing.T, conns *Conns, _ *Conn) { conns.Drain(canceledContext()) },
 		"response complete while draining": func(_ *testing.T, conns *Conns, c *Conn) {
-			c.RequestComplete()
+			c.MarkRequestRead()
 			conns.advanceTo(stageDraining)
-			conns.ConnState(c, http.StateIdle)
+			conns.HandleConnState(c, http.StateIdle)
 		},
 		"eviction": expectCandidateReadingHead,
 	} {
@@ -70,7 +70,7 @@
 			t.Fatalf("takeWithoutCompleteRequest() = %p, want %p", closing, c)
 		}
 		sendUnread(t, client, c, "GET")
-		conns.ConnState(c, http.StateIdle)
+		conns.HandleConnState(c, http.StateIdle)
 		expectReadError(t, c)
 		if sockstate.Peek(c.Conn) != sockstate.Readable {
 			t.Error("the request was read")
@@ -84,7 +84,7 @@
 	for name, prepare := range map[string]func(conns *Conns, c *Conn){
 		"on a new connection":    func(*Conns, *Conn) {},
 		"between two requests":   makeIdle,
-		"right after a response": func(_ *Conns, c *Conn) { c.RequestComplete() },
+		"right after a response": func(_ *Conns, c *Conn) { c.MarkRequestRead() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			conns := newTestConns(5)
@@ -92,7 +92,7 @@
 			prepare(conns, c)
 			sendUnread(t, client, c, "GET")
 			conns.Shutdown(canceledContext())
-			conns.ConnState(c, http.StateIdle)
+			conns.HandleConnState(c, http.StateIdle)
 			expectRead(t, c, "GET")
 			conns.Shutdown(canceledContext())
 			if c.Closed() {
@@ -115,7 +115,7 @@
 	}
 	ended := readErrInBackground(c) // as net/http does if the request is incomplete
 	conns.Shutdown(t.Context())
-	if err := testkit.Wait(t, ended, "Read to return"); err == nil || !c.Closed() {
+	if err := testkit.Receive(t, ended, "Read to return"); err == nil || !c.Closed() {
 		t.Errorf("after Shutdown: got Read error %v, Closed() = %v; want an error, true", err, c.Closed())
 	}
 	if stats := conns.Stats(); stats != (Stats{Incomplete: 1}) {
@@ -128,20 +128,20 @@
 func TestShutdownWaitsForResponses(t *testing.T) {
 	conns := newTestConns(5)
 	_, c := acceptConn(t, conns)
-	c.RequestComplete()
+	c.MarkRequestRead()
 	returned := make(chan struct{})
 	go func() {
 		conns.Shutdown(context.WithoutCancel(t.Context()))
 		close(returned)
 	}()
-	testkit.Until(t, "Shutdown to wait", conns.hasWaiters)
+	testkit.WaitUntil(t, "Shutdown to wait", conns.hasWaiters)
 	select {
 	case <-returned:
 		t.Fatal("Shutdown returned before the response was complete")
 	default:
 	}
 	withLock(conns, func() { conns.beginLingering(c) })
-	testkit.Wait(t, returned, "Shutdown to return")
+	testkit.Receive(t, returned, "Shutdown to return")
 	if c.Closed() {
 		t.Error("the lingering connection was closed by Shutdown")
 	}
@@ -163,7 +163,7 @@
 	t.Helper()
 	conns := newTestConns(5)
 	client, c := acceptConn(t, conns)
-	c.RequestComplete()
+	c.MarkRequestRead()
 	sendUnread(t, client, c, "GET")
 	if c.ClientDisconnected() { // the call fills the read-ahead buffer
 		t.Fatal("the client is reported as disconnected")
@@ -171,6 +171,6 @@
 
 	shutdownStep(conns)
 
-	conns.ConnState(c, http.StateIdle)
+	conns.HandleConnState(c, http.StateIdle)
 	expectRead(t, c, "GET")
 }
--- a/internal/downstream/listener_test.go
+++ b/internal/downstream/listener_test.go
@@ -42,7 +42,7 @@
 	} {
 		t.Run(fmt.Sprint(errno), func(t *testing.T) {
 			inner := testkit.Listen(t)
-			listener := newTestConns(5).Listener(&failingListener{inner, 3, acceptError(errno)})
+			listener := newTestConns(5).NewListener(&failingListener{inner, 3, acceptError(errno)})
 			client := dial(t, listener)
 			send(t, client, "GET")
 			expectRead(t, accept(t, listener), "GET")
@@ -55,7 +55,7 @@
 	for _, want := range []error{
 		acceptError(syscall.EBADF), acceptError(syscall.EINVAL), acceptError(syscall.ENOTSOCK), net.ErrClosed,
 	} {
-		listener := newTestConns(5).Listener(&failingListener{testkit.Listen(t), 1, want})
+		listener := newTestConns(5).NewListener(&failingListener{testkit.Listen(t), 1, want})
 		if _, err := listener.Accept(); !errors.Is(err, want) {
 			t.Errorf("Accept: got error %v, want %v", err, want)
 		}
@@ -65,12 +65,12 @@
 // Closing the listener interrupts the backoff after a failed accept.
 func TestCloseEndsAcceptBackoff(t *testing.T) {
 	const unlimited = 1 << 30
-	listener := newTestConns(5).Listener(&failingListener{testkit.Listen(t), unlimited, acceptError(syscall.ENFILE)})
+	listener := newTestConns(5).NewListener(&failingListener{testkit.Listen(t), unlimited, acceptError(syscall.ENFILE)})
 	ended := acceptErrInBackground(listener)
 	if err := listener.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if err := testkit.Wait(t, ended, "Accept to return"); !errors.Is(err, net.ErrClosed) {
+	if err := testkit.Receive(t, ended, "Accept to return"); !errors.Is(err, net.ErrClosed) {
 		t.Errorf("Accept: got error %v, want %v", err, net.ErrClosed)
 	}
 }
@@ -95,7 +95,7 @@
 	if _, err := listener.Accept(); !errors.Is(err, net.ErrClosed) {
 		t.Errorf("Accept after the last queued connection: got error %v, want %v", err, net.ErrClosed)
 	}
-	testkit.Wait(t, stopped, "StopAccepting to return")
+	testkit.Receive(t, stopped, "StopAccepting to return")
 	if conn, err := net.Dial("tcp", listener.Addr().String()); err == nil {
 		t.Error("net.Dial after StopAccepting succeeded, want an error")
 		_ = conn.Close() // whatever Close returns, the test has failed
@@ -116,7 +116,7 @@
 	const backoff = minAcceptBackoff * (1<<failures - 1)
 	conns := newTestConns(1)
 	inner := &failingListener{Listener: testkit.Listen(t), err: acceptError(syscall.ENFILE)}
-	listener := conns.Listener(inner)
+	listener := conns.NewListener(inner)
 	dial(t, listener)
 	inner.failures = failures
 
@@ -125,15 +125,15 @@
 		t.Errorf("QueueTime() after failed accepts = %v, want at least %v", c.QueueTime(), backoff)
 	}
 
-	c.RequestComplete()
+	c.MarkRequestRead()
 	dial(t, listener)
 	accepted := acceptInBackground(t, listener)
-	testkit.Until(t, "the connection to wait for admission", conns.hasWaiters)
+	testkit.WaitUntil(t, "the connection to wait for admission", conns.hasWaiters)
 	time.Sleep(backoff)
 	if err := c.Close(); err != nil {
 		t.Fatal(err)
 	}
-	waited := testkit.Wait(t, accepted, "the admission")
+	waited := testkit.Receive(t, accepted, "the admission")
 	if waited.QueueTime() < backoff {
 		t.Errorf("QueueTime() after a wait for admission = %v, want at least %v", waited.QueueTime(), backoff)
 	}
--- a/internal/node/harness_handler_test.go
+++ b/internal/node/harness_handler_test.go
@@ -37,10 +37,10 @@
 // startHandlerWithLinger is startHandler with the given linger timeout.
 func startHandlerWithLinger(t *testing.T, linger time.Duration, list ...endpointjson.Endpoint) *testHandler {
 	t.Helper()
-	cfg := testConfig(t, testkit.NewRegistry(t), withDeadlines(600000))
+	cfg := testConfig(t, testkit.NewFakeDiscovery(t), withDeadlines(600000))
 	cfg.Policy.Classes[classPush].KeyRetention = 10 * time.Minute
 	cfg.ConnectTimeout = testkit.WaitTimeout
-	l := newTestLoop(t, cfg, upstream.NewPool(upstreamConfig(cfg, 400)), noWatcher{})
+	l := newTestLoop(t, cfg, upstream.NewPool(upstreamConfig(cfg, 400)), stubWatcher{})
 	go l.run()
 	l.reportEndpoints(policy.UpdateSnapshot, list...)
 	connsConfig := downstreamConfig(400, 0)
@@ -51,9 +51,9 @@
 	srv := s.handler.server()
 	srv.ConnState = func(nc net.Conn, state http.ConnState) {
 		s.conns.Store(nc.RemoteAddr().String(), nc)
-		s.handler.conns.ConnState(nc, state)
+		s.handler.conns.HandleConnState(nc, state)
 	}
-	go func() { _ = srv.Serve(s.handler.conns.Listener(listener)) }() // Serve returns when srv is closed
+	go func() { _ = srv.Serve(s.handler.conns.NewListener(listener)) }() // Serve returns when srv is closed
 	closeAtTestEnd(t, srv)
 	return s
 }
@@ -102,7 +102,7 @@
 func (s *testHandler) awaitNoRequests() {
 	s.t.Helper()
 	s.loop.awaitRequests(0, 0)
-	testkit.Until(s.t, "the handler to have no active request IDs", func() bool {
+	testkit.WaitUntil(s.t, "the handler to have no active request IDs", func() bool {
 		return s.handler.activeIDs.count() == 0
 	})
 }
@@ -110,7 +110,7 @@
 // awaitIdleConns waits until the pool has n idle connections to an address.
 func (s *testHandler) awaitIdleConns(n int, addr net.Addr) {
 	s.t.Helper()
-	testkit.Until(s.t, fmt.Sprintf("%d idle connections to %v", n, addr), func() bool {
+	testkit.WaitUntil(s.t, fmt.Sprintf("%d idle connections to %v", n, addr), func() bool {
 		idle := 0
 		for _, server := range s.loop.pool.Stats().Servers {
 			if server.Address == addr.String() {
@@ -126,7 +126,7 @@
 func (s *testHandler) awaitNoConns() {
 	s.t.Helper()
 	s.loop.awaitRequests(0, 0)
-	testkit.Until(s.t, "no client connections and only idle server connections to be open", func() bool {
+	testkit.WaitUntil(s.t, "no client connections and only idle server connections to be open", func() bool {
 		pool := s.loop.pool.Stats()
 		return s.handler.conns.Open() == 0 && pool.Open == pool.Idle()
 	})
@@ -136,7 +136,7 @@
 func acceptedConn(t *testing.T, conns *downstream.Conns) (net.Conn, *downstream.Conn) {
 	t.Helper()
 	listener := testkit.Listen(t)
-	limitedListener := conns.Listener(listener)
+	limitedListener := conns.NewListener(listener)
 	closeAtTestEnd(t, limitedListener)
 	client, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
--- a/internal/node/key_retention_test.go
+++ b/internal/node/key_retention_test.go
@@ -14,7 +14,7 @@
 // retentionCase describes a request with two attempts. The connection for one of these attempts opens late.
 type retentionCase struct {
 	class         int
-	firstStatus   policy.Status // outcome of the first attempt; Cancelled if it is still in flight
+	firstStatus   policy.Status // outcome of the first attempt; StatusCancelled if it is still in flight
 	expiresFirst  bool          // the key's retention ends before the late connection opens
 	lateAttempt   int           // index of the attempt whose connection opens late
 	wantLateSends int           // number of times that the late attempt is sent
@@ -26,12 +26,12 @@
 func TestAttemptsRespectTheKeyRetention(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]retentionCase{
-		"retry before the end":                    {classPush, policy.ServerError, false, 1, 1},
-		"retry after the end":                     {classPush, policy.ServerError, true, 1, 0},
-		"hedged request after the end":            {classPush, policy.Cancelled, true, 1, 0},
-		"first attempt after the end, hedged":     {classPush, policy.Cancelled, true, 0, 0},
-		"retry after the end, first not executed": {classPush, policy.Rejected, true, 1, 1},
-		"retry after the end, idempotent class":   {classRead, policy.ServerError, true, 1, 1},
+		"retry before the end":                    {classPush, policy.StatusServerError, false, 1, 1},
+		"retry after the end":                     {classPush, policy.StatusServerError, true, 1, 0},
+		"hedged request after the end":            {classPush, policy.StatusCancelled, true, 1, 0},
+		"first attempt after the end, hedged":     {classPush, policy.StatusCancelled, true, 0, 0},
+		"retry after the end, first not executed": {classPush, policy.StatusRejected, true, 1, 1},
+		"retry after the end, idempotent class":   {classRead, policy.StatusServerError, true, 1, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -42,13 +42,14 @@
 
 func testKeyRetention(t *testing.T, c retentionCase) {
 	t.Helper()
-	stuck, unresponsive := testkit.NewStuckServer(t), testkit.NewBackend(t, testkit.Unresponsive(make(chan struct{}, 1)))
+	fullBacklog := testkit.NewFullBacklogServer(t)
+	unresponsive := testkit.NewRecordingServer(t, testkit.Unresponsive(make(chan struct{}, 1)))
 	l := startLoopWith(t, func(pool *upstream.Config) { pool.ConnectTimeout = testkit.WaitTimeout },
-		stuck.Endpoint("late"), unresponsive.Endpoint("unresponsive"))
+		fullBacklog.Endpoint("late"), unresponsive.Endpoint("unresponsive"))
 	retention := l.host.classes[classPush].KeyRetention
-	servers := []policy.ServerID{endpoint.IDOf("unresponsive"), endpoint.IDOf("unresponsive")}
-	servers[c.lateAttempt] = endpoint.IDOf("late")
-	r := l.newRequest(c.class, staysConnected)
+	servers := []policy.ServerID{endpoint.ServerID("unresponsive"), endpoint.ServerID("unresponsive")}
+	servers[c.lateAttempt] = endpoint.ServerID("late")
+	r := l.newRequest(c.class, neverDisconnected)
 	r.completion = make(chan completion, 1)
 	r.deadlineTimer = time.NewTimer(time.Hour)
 
@@ -56,7 +57,7 @@
 		r.activate(1000)
 		l.requests.add(r)
 		l.host.Send(r.id, servers[0], 0)
-		if c.firstStatus != policy.Cancelled {
+		if c.firstStatus != policy.StatusCancelled {
 			l.reportOutcome(l.clock.now(), r, 0, upstream.Result{Status: c.firstStatus})
 		}
 		if c.expiresFirst {
@@ -64,10 +65,10 @@
 		}
 		l.host.Send(r.id, servers[1], 0)
 	})
-	testkit.Until(t, "the end of the key's retention", func() bool { // the late connection must open after that end
+	testkit.WaitUntil(t, "the end of the key's retention", func() bool { // the late connection must open after that end
 		return !c.expiresFirst || l.clock.now() >= r.attempts[0].startedAt+retention
 	})
-	sent := stuck.Admit()
+	sent := fullBacklog.AcceptAll()
 
 	description := fmt.Sprintf("the outcome of attempt %d", c.lateAttempt)
 	l.awaitInLoop(description, func() bool { return r.attempts[c.lateAttempt].state != attemptInFlight })
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -55,7 +55,7 @@
 		return nil, fmt.Errorf("listen: %w", err)
 	}
 	client := discovery.New(discovery.Config{
-		Address: cfg.Discovery, Cached: cfg.CachedList, Poll: cfg.Policy.PollEndpoints, DrainGrace: cfg.DrainGrace,
+		Address: cfg.Discovery, Cached: cfg.CachedList, Polling: cfg.Policy.PollEndpoints, DrainGrace: cfg.DrainGrace,
 	})
 	return &Node{cfg: cfg, listener: listener, discovery: client}, nil
 }
@@ -114,7 +114,7 @@
 	handler := newHandler(n.cfg, loop, conns)
 	return &service{
 		cfg:         n.cfg,
-		listener:    conns.Listener(n.listener),
+		listener:    conns.NewListener(n.listener),
 		discovery:   n.discovery,
 		pool:        pool,
 		loop:        loop,
@@ -128,7 +128,7 @@
 // start starts the background goroutines, which end with ctx, and the HTTP server.
 func (s *service) start(ctx context.Context) {
 	s.background.Go(s.loop.run)
-	s.background.Go(func() { s.pool.RetireIdle(ctx) })
+	s.background.Go(func() { s.pool.EnforceIdleTimeout(ctx) })
 	s.background.Go(func() { s.discovery.Run(ctx, s.loop.endpoints) })
 	go func() { s.serveResult <- s.server.Serve(s.listener) }()
 }
@@ -172,13 +172,13 @@
 func upstreamConfig(cfg *config.Config, maxOpen int) upstream.Config {
 	return upstream.Config{
 		MaxOpen: maxOpen, IdleTimeout: cfg.IdleTimeout, ConnectTimeout: cfg.ConnectTimeout,
-		SettleDelay: upstream.DefaultSettleDelay,
+		ReuseDelay: upstream.DefaultReuseDelay,
 	}
 }
 
 func downstreamConfig(maxOpen, reserve int) downstream.Config {
 	return downstream.Config{
-		MaxOpen: maxOpen, Reserve: reserve, MaxReadAhead: maxHeaderBytes + maxBodyBytes,
+		MaxOpen: maxOpen, ReservedConns: reserve, MaxReadAheadBytes: maxHeaderBytes + maxBodyBytes,
 		ReadTimeout: readTimeout, LingerTimeout: downstream.DefaultLingerTimeout,
 	}
 }
--- a/internal/processstart/registry_test.go
+++ b/internal/processstart/registry_test.go
@@ -39,7 +39,7 @@
 
 // endpointStartedAt returns a list of one server whose process started at the given wall time of its machine.
 func endpointStartedAt(startedAt time.Time) []endpoint.Endpoint {
-	return []endpoint.Endpoint{{ID: 1, State: policy.Ready, StartedAt: startedAt}}
+	return []endpoint.Endpoint{{ID: 1, State: policy.EndpointReady, StartedAt: startedAt}}
 }
 
 // endpointsStartedAt returns a list with a server for each start time.
@@ -76,7 +76,7 @@
 	registry := newTestRegistry(0)
 	previous := endpointStartedAt(wallNow().Add(-time.Hour))
 	registry.Update(policy.UpdateSnapshot, previous, Moment{clockNow - processAge, wallNow()})
-	registry.Synced(clockNow - processAge)
+	registry.RecordResponse(clockNow - processAge)
 	list := endpointStartedAt(wallNow().Add(serverStep - processAge))
 
 	start := registry.Update(policy.UpdateDelta, list, nowWithWallClockAhead(nodeStep))[0]
@@ -134,7 +134,7 @@
 	for _, ahead := range []time.Duration{0, time.Second, 5 * time.Second, 30 * time.Second, time.Hour, -time.Hour} {
 		registry, now := newTestRegistry(ahead), nowWithWallClockAhead(ahead)
 		registry.Update(policy.UpdateSnapshot, nil, Moment{clockNow - processAge, now.Wall})
-		registry.Synced(clockNow - processAge)
+		registry.RecordResponse(clockNow - processAge)
 		start := registry.Update(policy.UpdateDelta, endpointStartedAt(wallNow().Add(-time.Millisecond)), now)[0]
 		if start != clockNow {
 			t.Errorf("age with the wall clock ahead by %v: got %v, want 0s", ahead, clockNow-start)
@@ -150,7 +150,7 @@
 	for _, ahead := range []time.Duration{0, 30 * time.Second, time.Hour} {
 		registry, now := newTestRegistry(ahead), nowWithWallClockAhead(ahead)
 		registry.Update(policy.UpdateSnapshot, nil, now.before(outage))
-		registry.Synced(clockNow - outage)
+		registry.RecordResponse(clockNow - outage)
 		list := endpointsStartedAt(wallNow().Add(-time.Second), wallNow().Add(-6*time.Second), wallNow().Add(-time.Minute))
 
 		starts := registry.Update(policy.UpdateDelta, list, now)
@@ -198,16 +198,16 @@
 		registry, now := newTestRegistry(0), nowWithWallClockAhead(0)
 		list := endpointStartedAt(wallNow().Add(-processAge))
 		registry.Update(policy.UpdateSnapshot, list, now)
-		registry.Synced(clockNow)
+		registry.RecordResponse(clockNow)
 		removed := slices.Clone(list)
-		removed[0].State = policy.Removed
+		removed[0].State = policy.EndpointRemoved
 		registry.Update(policy.UpdateDelta, removed, now)
 		if len(registry.listed) > 0 {
 			t.Errorf("listed processes after the removal: got %d, want 0", len(registry.listed))
 		}
 
 		later := now.after(removedFor)
-		registry.Synced(later.Clock)
+		registry.RecordResponse(later.Clock)
 		if again := registry.Update(policy.UpdateDelta, list, later)[0]; again != want {
 			t.Errorf("start after a removal for %v: got %v, want %v", removedFor, again, want)
 		}
--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -50,9 +50,9 @@
 	n.mu.Lock()
 	n.currentIncarnation = next
 	n.mu.Unlock()
-	options := balancertest.Options{Environment: []string{n.clock.Environment()}, Logged: next.RecordLogLine}
-	n.process = balancertest.StartWith(n.t, options, n.config(n.discovery.newAddress(next)), n.program)
-	testkit.Wait(n.t, n.process.Addr, "the log line with the address at which "+next.Name+" serves")
+	options := balancertest.Options{Env: []string{n.clock.Env()}, OnLogLine: next.RecordLogLine}
+	n.process = balancertest.StartWithOptions(n.t, options, n.config(n.discovery.newAddress(next)), n.program)
+	testkit.Receive(n.t, n.process.Addr, "the log line with the address at which "+next.Name+" serves")
 }
 
 // incarnation returns the latest incarnation of the node.
@@ -63,7 +63,7 @@
 }
 
 // stepClock steps the wall clock of the node's process, so that it is ahead of the machine's by the given offset.
-func (n *node) stepClock(ahead time.Duration) { n.clock.Step(n.t, n.process.PID, ahead) }
+func (n *node) stepClock(ahead time.Duration) { n.clock.SetOffset(n.t, n.process.PID, ahead) }
 
 // reload writes a new address of the discovery service to the node's configuration file and sends SIGHUP.
 func (n *node) reload() {
--- a/internal/soak/scenario/action.go
+++ b/internal/soak/scenario/action.go
@@ -16,7 +16,7 @@
 // The faults of the discovery service.
 const (
 	DiscoveryHealthy      DiscoveryFault = iota // no fault
-	DiscoveryUnresponsive                       // a network partition cuts off the machine of the service
+	DiscoveryUnresponsive                       // a network partition cuts off the service
 	DiscoveryUnavailable                        // the service responds with status 503
 	DiscoveryReset                              // the service resets the connections of calls
 	DiscoverySlow                               // the service delays its responses, but counts as reachable
--- a/internal/sockstate/sockstate_test.go
+++ b/internal/sockstate/sockstate_test.go
@@ -49,7 +49,7 @@
 		peerAction func(peer *net.TCPConn) error
 		want       State
 	}{
-		"nothing":            {func(*net.TCPConn) error { return nil }, Quiet},
+		"nothing":            {func(*net.TCPConn) error { return nil }, Idle},
 		"wrote":              {writeByte, Readable},
 		"closed":             {(*net.TCPConn).Close, Closed},
 		"closed for writing": {(*net.TCPConn).CloseWrite, Closed},
@@ -59,7 +59,7 @@
 		t.Run(name, func(t *testing.T) {
 			local, peer := connectLoopback(t)
 			requireNoError(t, c.peerAction(peer))
-			testkit.Until(t, "the connection to be "+c.want.String(), func() bool { return Peek(local) == c.want })
+			testkit.WaitUntil(t, "the connection to be "+c.want.String(), func() bool { return Peek(local) == c.want })
 		})
 	}
 }
@@ -68,7 +68,7 @@
 	local, peer := connectLoopback(t)
 	requireNoError(t, writeByte(peer))
 	requireNoError(t, peer.CloseWrite())
-	testkit.Until(t, "unread bytes", func() bool { return Peek(local) == Readable })
+	testkit.WaitUntil(t, "unread bytes", func() bool { return Peek(local) == Readable })
 	text, err := io.ReadAll(local)
 	if err != nil || string(text) != "x" {
 		t.Errorf("io.ReadAll(): got %q, error %v; want %q, no error", text, err, "x")
@@ -96,15 +96,15 @@
 			return false // block until the connection is readable
 		})
 	}()
-	testkit.Wait(t, blocked, "the reader to block")
+	testkit.Receive(t, blocked, "the reader to block")
 
 	states := make(chan State, 1)
 	go func() { states <- Peek(local) }()
-	if state := testkit.Wait(t, states, "the state"); state != Quiet {
-		t.Errorf("Peek() while a reader is blocked = %v, want %v", state, Quiet)
+	if state := testkit.Receive(t, states, "the state"); state != Idle {
+		t.Errorf("Peek() while a reader is blocked = %v, want %v", state, Idle)
 	}
 	requireNoError(t, peer.Close())
-	requireNoError(t, testkit.Wait(t, read, "the reader to return"))
+	requireNoError(t, testkit.Receive(t, read, "the reader to return"))
 }
 
 func TestPeekReturnsClosedWithoutAnOpenSocket(t *testing.T) {
@@ -123,7 +123,7 @@
 
 func TestStateNames(t *testing.T) {
 	for state, want := range map[State]string{
-		Quiet: "quiet", Readable: "readable", Closed: "closed", Closed + 1: "unknown",
+		Idle: "idle", Readable: "readable", Closed: "closed", Closed + 1: "unknown",
 	} {
 		if got := state.String(); got != want {
 			t.Errorf("State(%d).String() = %q, want %q", int(state), got, want)
@@ -135,7 +135,7 @@
 // closed.
 func TestStateOfFailedReceive(t *testing.T) {
 	for errno, want := range map[syscall.Errno]State{
-		syscall.EAGAIN: Quiet, syscall.ENOMEM: Quiet, syscall.ENOBUFS: Quiet,
+		syscall.EAGAIN: Idle, syscall.ENOMEM: Idle, syscall.ENOBUFS: Idle,
 		syscall.ECONNRESET: Closed, syscall.ETIMEDOUT: Closed, syscall.EHOSTUNREACH: Closed,
 		syscall.ENOTCONN: Closed, syscall.EBADF: Closed,
 	} {
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// testPoolConfig returns a configuration without a settle delay: connections can be reused at once.
+// testPoolConfig returns a configuration without a reuse delay: connections can be reused at once.
 func testPoolConfig() Config {
 	return Config{MaxOpen: 10, IdleTimeout: 15 * time.Second, ConnectTimeout: 5 * time.Second}
 }
@@ -50,7 +50,7 @@
 // newPoolWithServer returns a pool with one server, at the given address, and the ID of that server.
 func newPoolWithServer(config Config, address string) (*Pool, policy.ServerID) {
 	pool := NewPool(config)
-	server := endpoint.Endpoint{ID: 1, Address: address, State: policy.Ready}
+	server := endpoint.Endpoint{ID: 1, Address: address, State: policy.EndpointReady}
 	pool.UpdateEndpoints(policy.UpdateSnapshot, []endpoint.Endpoint{server})
 	return pool, server.ID
 }
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -15,20 +15,20 @@
 
 func TestRefusedConnectionIsConnectFailedAndFreesCapacity(t *testing.T) {
 	pool, id := newPoolWithServer(testPoolConfig(), testkit.FreeAddr(t))
-	expectAttemptStatus(t, pool, id, policy.ConnectFailed)
+	expectAttemptStatus(t, pool, id, policy.StatusConnectFailed)
 	expectOpenConnections(t, pool, 0)
 }
 
 // Nothing is sent on a connection that is established after the connect timeout.
 func TestConnectTimeoutSendsNothingAndFreesCapacity(t *testing.T) {
 	t.Parallel()
-	server := testkit.NewStuckServer(t)
+	server := testkit.NewFullBacklogServer(t)
 	config := testPoolConfig()
 	config.ConnectTimeout = 50 * time.Millisecond
 	pool, id := newPoolWithServer(config, server.Addr().String())
-	expectAttemptStatus(t, pool, id, policy.ConnectFailed)
+	expectAttemptStatus(t, pool, id, policy.StatusConnectFailed)
 
-	received := server.Admit()
+	received := server.AcceptAll()
 	later, err := net.Dial("tcp", server.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -37,7 +37,7 @@
 	if _, err := io.WriteString(later, "later"); err != nil {
 		t.Fatal(err)
 	}
-	if text := testkit.Wait(t, received, "bytes on the later connection"); text != "later" {
+	if text := testkit.Receive(t, received, "bytes on the later connection"); text != "later" {
 		t.Errorf("bytes received by the server: got %q, want only those of the later connection", text)
 	}
 	expectOpenConnections(t, pool, 0)
@@ -47,39 +47,42 @@
 	server := testkit.NewScriptedServer(t, okResponse, testkit.KeepAlive)
 	pool, id := newPoolWithServer(testPoolConfig(), server.Address)
 	pool.maxIdleTime = 20 * time.Millisecond
-	go pool.RetireIdle(t.Context())
+	go pool.EnforceIdleTimeout(t.Context())
 
 	send(t.Context(), pool, id, newTestRequest())
 
-	testkit.Wait(t, server.Conns, "a connection")
-	testkit.Until(t, "the idle connection to be closed", func() bool { return pool.Stats().Open == 0 })
+	testkit.Receive(t, server.Conns, "a connection")
+	testkit.WaitUntil(t, "the idle connection to be closed", func() bool { return pool.Stats().Open == 0 })
 }
 
-// An attempt at the connection limit is NotSent rather than ConnectFailed: the server is not at fault.
+// An attempt at the connection limit has the status StatusNotSent rather than StatusConnectFailed: the server is not
+// at fault.
 func TestAttemptIsNotSentAtTheConnectionLimit(t *testing.T) {
-	backend := testkit.NewBackend(t, testkit.OK)
+	server := testkit.NewRecordingServer(t, testkit.OK)
 	config := testPoolConfig()
 	config.MaxOpen = 1
-	pool, id := newPoolWithServer(config, backend.Address())
+	pool, id := newPoolWithServer(config, server.Address())
 	pool.open = 1 // one connection is in use
 
-	expectAttemptStatus(t, pool, id, policy.NotSent)
+	expectAttemptStatus(t, pool, id, policy.StatusNotSent)
 }
 
 func TestIdleConnectionIsEvictedAtTheConnectionLimit(t *testing.T) {
 	config := testPoolConfig()
 	config.MaxOpen = 1
-	pool, id := newPoolWithServer(config, testkit.NewBackend(t, testkit.OK).Address())
-	other := endpoint.Endpoint{ID: 2, Address: testkit.NewBackend(t, testkit.OK).Address(), State: policy.Ready}
+	pool, id := newPoolWithServer(config, testkit.NewRecordingServer(t, testkit.OK).Address())
+	other := endpoint.Endpoint{
+		ID: 2, Address: testkit.NewRecordingServer(t, testkit.OK).Address(), State: policy.EndpointReady,
+	}
 	pool.UpdateEndpoints(policy.UpdateDelta, []endpoint.Endpoint{other})
 	for _, target := range []policy.ServerID{id, other.ID, id} {
-		expectAttemptStatus(t, pool, target, policy.OK)
+		expectAttemptStatus(t, pool, target, policy.StatusOK)
 	}
 }
 
 // After its response, a server may close the connection or send more bytes. Either takes a moment to
 // become visible. A request that is written before then would be lost or would get a wrong response.
-func TestConnectionIsNotReusedWithinTheSettleDelay(t *testing.T) {
+func TestConnectionIsNotReusedWithinTheReuseDelay(t *testing.T) {
 	const surplusResponse = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nold"
 	for name, afterResponse := range map[string]func(conn net.Conn){
 		"connection closed": func(conn net.Conn) { closeQuietly(conn) },
@@ -87,39 +90,39 @@
 		"invalid bytes":     func(conn net.Conn) { writeQuietly(conn, "\x00\x01") },
 	} {
 		t.Run(name, func(t *testing.T) {
-			testSettleDelay(t, afterResponse)
+			testReuseDelay(t, afterResponse)
 		})
 	}
 }
 
-// testSettleDelay checks that a connection is not reused before the effect of afterResponse is visible.
-func testSettleDelay(t *testing.T, afterResponse func(conn net.Conn)) {
+// testReuseDelay checks that a connection is not reused before the effect of afterResponse is visible.
+func testReuseDelay(t *testing.T, afterResponse func(conn net.Conn)) {
 	t.Helper()
 	served := make(chan struct{}, 10)
-	backend := testkit.NewBackend(t, hijackHandler(func(conn net.Conn) {
+	server := testkit.NewRecordingServer(t, hijackHandler(func(conn net.Conn) {
 		writeQuietly(conn, okResponse)
-		time.Sleep(time.Millisecond) // the effect arrives later than the response, but within the settle delay
+		time.Sleep(time.Millisecond) // the effect arrives later than the response, but within the reuse delay
 		afterResponse(conn)
 		served <- struct{}{}
 		<-t.Context().Done() // keeps the connection open until the end of the test
 	}))
 	config := testPoolConfig()
-	config.SettleDelay = time.Hour
-	pool, id := newPoolWithServer(config, backend.Address())
+	config.ReuseDelay = time.Hour
+	pool, id := newPoolWithServer(config, server.Address())
 	expectServed := func() {
 		t.Helper()
 		result := send(t.Context(), pool, id, newTestRequest())
-		if result.Status != policy.OK || string(result.Body) != "hi" {
-			t.Errorf("attempt: got status %v, body %q; want %v, %q", result.Status, result.Body, policy.OK, "hi")
+		if result.Status != policy.StatusOK || string(result.Body) != "hi" {
+			t.Errorf("attempt: got status %v, body %q; want %v, %q", result.Status, result.Body, policy.StatusOK, "hi")
 		}
 	}
 
 	expectServed()
-	expectServed() // on a new connection, because the settle delay of the first has not passed
+	expectServed() // on a new connection, because the reuse delay of the first has not passed
 
-	testkit.Wait(t, served, "the end of the first handler")
-	testkit.Wait(t, served, "the end of the second handler")
-	pool.config.SettleDelay = 0
+	testkit.Receive(t, served, "the end of the first handler")
+	testkit.Receive(t, served, "the end of the second handler")
+	pool.config.ReuseDelay = 0
 
 	expectServed()                    // on a new connection: the first two are closed or have unread bytes
 	expectOpenConnections(t, pool, 1) // only the connection of the last attempt
--- a/internal/upstream/send_test.go
+++ b/internal/upstream/send_test.go
@@ -18,33 +18,33 @@
 // While an attempt waits for its connection, another attempt may get the final response of the request.
 // The waiting attempt is then revoked and must not be sent.
 func TestRevokedAttemptIsNotSent(t *testing.T) {
-	backend := testkit.NewBackend(t, testkit.OK)
-	pool, id := newPoolWithServer(testPoolConfig(), backend.Address())
+	server := testkit.NewRecordingServer(t, testkit.OK)
+	pool, id := newPoolWithServer(testPoolConfig(), server.Address())
 	call := NewCall(t.Context(), neverDisconnected)
 	call.Revoke()
 
-	if result := pool.Send(call, id, newTestRequest(), clientDeadline()); result.Status != policy.NotSent {
-		t.Errorf("status of the revoked attempt: got %v, want %v", result.Status, policy.NotSent)
+	if result := pool.Send(call, id, newTestRequest(), clientDeadline()); result.Status != policy.StatusNotSent {
+		t.Errorf("status of the revoked attempt: got %v, want %v", result.Status, policy.StatusNotSent)
 	}
 	send(t.Context(), pool, id, newTestRequest())
-	if len(backend.Requests) != 1 {
-		t.Errorf("requests received by the server: got %d, want 1, that of the second attempt", len(backend.Requests))
+	if len(server.Requests) != 1 {
+		t.Errorf("requests received by the server: got %d, want 1, that of the second attempt", len(server.Requests))
 	}
 }
 
 func TestAttemptOfDisconnectedClientIsNotSent(t *testing.T) {
-	backend := testkit.NewBackend(t, testkit.OK)
-	pool, id := newPoolWithServer(testPoolConfig(), backend.Address())
+	server := testkit.NewRecordingServer(t, testkit.OK)
+	pool, id := newPoolWithServer(testPoolConfig(), server.Address())
 	call := NewCall(t.Context(), func() bool { return true })
 
 	result := pool.Send(call, id, newTestRequest(), clientDeadline())
 
-	if result.Status != policy.NotSent || !result.ClientDisconnected {
+	if result.Status != policy.StatusNotSent || !result.ClientDisconnected {
 		t.Errorf("attempt: got status %v, client disconnected %v; want %v, true",
-			result.Status, result.ClientDisconnected, policy.NotSent)
+			result.Status, result.ClientDisconnected, policy.StatusNotSent)
 	}
-	if len(backend.Requests) != 0 || call.Started() {
-		t.Errorf("attempt: got %d requests received, sent %v; want 0, false", len(backend.Requests), call.Started())
+	if len(server.Requests) != 0 || call.Sent() {
+		t.Errorf("attempt: got %d requests received, sent %v; want 0, false", len(server.Requests), call.Sent())
 	}
 	if pool.Stats().Idle() != 1 {
 		t.Error("Stats().Idle() after the attempt is not 1, want the unused connection kept")
@@ -52,18 +52,18 @@
 }
 
 func TestSentAttemptCannotBeRevoked(t *testing.T) {
-	pool, id := newPoolWithServer(testPoolConfig(), testkit.NewBackend(t, testkit.OK).Address())
+	pool, id := newPoolWithServer(testPoolConfig(), testkit.NewRecordingServer(t, testkit.OK).Address())
 	call := NewCall(t.Context(), neverDisconnected)
-	if result := pool.Send(call, id, newTestRequest(), clientDeadline()); result.Status != policy.OK {
-		t.Errorf("status of the attempt: got %v, want %v", result.Status, policy.OK)
+	if result := pool.Send(call, id, newTestRequest(), clientDeadline()); result.Status != policy.StatusOK {
+		t.Errorf("status of the attempt: got %v, want %v", result.Status, policy.StatusOK)
 	}
-	if call.Revoke() || call.Revoked() || !call.Started() {
-		t.Errorf("after Revoke: got revoked %v, sent %v; want false, true", call.Revoked(), call.Started())
+	if call.Revoke() || call.Revoked() || !call.Sent() {
+		t.Errorf("after Revoke: got revoked %v, sent %v; want false, true", call.Revoked(), call.Sent())
 	}
 }
 
 // Nothing is written to a new connection that the server has closed, so the attempt may be retried on
-// another server. The status ConnectFailed allows that.
+// another server. The status StatusConnectFailed allows that.
 func TestClosedNewConnectionIsConnectFailed(t *testing.T) {
 	listener := testkit.Listen(t)
 	pool, id := newPoolWithServer(testPoolConfig(), listener.Addr().String())
@@ -76,11 +76,11 @@
 		t.Fatal(err)
 	}
 	closeQuietly(accepted)
-	testkit.Until(t, "the close to be visible", func() bool { return sockstate.Peek(conn.Conn) != sockstate.Quiet })
+	testkit.WaitUntil(t, "the close to be visible", func() bool { return sockstate.Peek(conn.Conn) != sockstate.Idle })
 
 	conn.server.idle = append(conn.server.idle, conn) // the next attempt takes the connection, which counts as new
 	conn.idleSince = time.Now()
-	expectAttemptStatus(t, pool, id, policy.ConnectFailed)
+	expectAttemptStatus(t, pool, id, policy.StatusConnectFailed)
 }
 
 // The server reads a long request so slowly that the last byte would be written after the write
@@ -102,9 +102,10 @@
 	}
 	defer closeQuietly(conn)
 
-	result := testkit.Wait(t, results, "the end of the attempt")
-	if result.Status != policy.ConnectFailed && result.Status != policy.NotSent {
-		t.Errorf("status of the attempt: got %v, want %v or %v", result.Status, policy.ConnectFailed, policy.NotSent)
+	result := testkit.Receive(t, results, "the end of the attempt")
+	if result.Status != policy.StatusConnectFailed && result.Status != policy.StatusNotSent {
+		t.Errorf("status of the attempt: got %v, want %v or %v",
+			result.Status, policy.StatusConnectFailed, policy.StatusNotSent)
 	}
 	if err := readRequest(conn); err == nil || testkit.IsTimeout(err) {
 		t.Errorf("readRequest() = %v, want the error of a truncated request on a closed connection", err)
