--- a/policy/api.go
+++ b/policy/api.go
@@ -146,7 +146,7 @@
 const (
 	EndpointRemoved  EndpointState = iota // no longer listed
 	EndpointReady                         // takes requests
-	EndpointDraining                      // completes its requests and accepts no new requests
+	EndpointDraining                      // completes its requests and must get no new ones
 )
 
 func (s EndpointState) String() string { return enumName(s, "removed", "ready", "draining") }
@@ -161,8 +161,8 @@
 	StartedAt time.Duration // when its process started; 0: long enough ago to be warm
 }
 
-// NotificationDeadline is the time after which a node is considered notified of a change of the endpoint
-// list. The time starts when the discovery service has the change and is reachable. Failed calls do not
+// NotificationDeadline is the time after which a node counts as notified of a change of the endpoint list.
+// The time starts when the discovery service has the change and is reachable. Failed calls do not
 // extend it.
 const NotificationDeadline = 6 * time.Second
 
@@ -218,7 +218,7 @@
 	Attempt          int // index among the attempts of this request, from 0
 	Server           ServerID
 	Status           Status
-	RequestCompleted bool          // the client has its final response, from this attempt or an earlier one
+	RequestCompleted bool          // the request has completed, by this outcome or before it
 	Latency          time.Duration // time since Host.Send
 }
 
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -163,9 +163,8 @@
 	b.dispatch(now)
 }
 
-// WatchFailed handles the failure of a watch or poll of the endpoint list. The known list stays in use. The
-// node is considered notified of missed changes at the deadline, so the next call must be answered before
-// the deadline.
+// WatchFailed handles the failure of a watch or poll of the endpoint list. The node keeps its list. It counts
+// as notified of missed changes from the deadline on, so the next call must be answered before the deadline.
 func (b *Balancer) WatchFailed(now, deadline time.Duration) {
 	b.host.SetTimer(now+b.watch.nextBackoff(deadline-now), timerWatch)
 }
--- a/policy/circuit_breaker.go
+++ b/policy/circuit_breaker.go
@@ -83,7 +83,7 @@
 }
 
 // recordSuccess closes the breaker if the attempt was its trial. If the breaker is open, a response to an
-// earlier attempt shows that the server is alive, so the trial may start immediately.
+// earlier attempt shows that the server is responsive, so the trial may start immediately.
 func (c *circuitBreaker) recordSuccess(now time.Duration, a *attempt) {
 	c.failures = c.failures[:0]
 	switch {
@@ -123,8 +123,8 @@
 
 // failuresPlausibleAt reports whether the consecutive failures are plausible at the failure rate before
 // them: the probability of that many failures in a row exceeds failureSignificanceLevel. An open breaker
-// would then lose the requests that the server still serves, whereas the score only directs requests to
-// other servers.
+// would then withhold all requests from a server that could still serve some of them, whereas the score only
+// directs more requests to other servers.
 func (c *circuitBreaker) failuresPlausibleAt(failureRate float64) bool {
 	failures := len(c.failures)
 	return failures < maxFailureThreshold &&
