--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -41,7 +41,7 @@
 	Address    string        // host and port of the discovery service
 	Cached     endpoint.List // endpoint list to start with; may be empty
 	Polling    bool          // whether the client is in polling mode; if not, it is in push mode
-	DrainGrace time.Duration // how long a server still serves requests after the node was notified of its drain
+	DrainGrace time.Duration // how long after being notified of a drain a node may send attempts to the server
 }
 
 // Client follows the endpoint list. RequestWatch and SetAddress may be called while Run is active.
