--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,8 +1,9 @@
 // Package node runs one load balancer node on real sockets, from its start to the end of its
-// graceful shutdown. An HTTP handler validates the requests of clients and submits them to an
-// event loop. The loop passes them to package policy and carries out the decisions over packages
-// upstream and discovery. Package node makes no balancing decision of its own, and only the
-// loop's goroutine calls the policy.Balancer. cmd/balancer is the package's only caller.
+// graceful shutdown. Package downstream manages the client connections. An HTTP handler validates
+// the requests that arrive on them and submits them to an event loop. The loop passes them to
+// package policy and carries out the decisions over packages upstream and discovery. Package node
+// makes no balancing decision of its own, and only the loop's goroutine calls the policy.Balancer.
+// cmd/balancer is the package's only caller.
 //
 // The types that implement event list what the loop handles. requestState and attemptState document
 // the state transitions of requests and attempts, and shutdown.run documents the order of the shutdown
--- a/internal/node/transitions.go
+++ b/internal/node/transitions.go
@@ -23,20 +23,20 @@
 )
 
 // attemptState is the state of an attempt: in flight, or ended and whether a server may have executed the request. An
-// attempt in flight also has the state of its upstream.Call: unsent while the attempt waits for a connection, then sent
+// attempt in flight also has the state of its upstream.Call: waiting until the attempt has a connection, then sent
 // or revoked. The goroutine that carries out the attempt may change that state.
 //
-//	transition  from       to                 caller and condition
-//	start       -          in flight, unsent  policyHost.Send
-//	send        unsent     sent               upstream.Pool.Send, just before the first byte
-//	revoke      unsent     revoked            request.complete: the client no longer waits
-//	                                          loop.expireKeyRetention: servers may have discarded the
-//	                                          idempotency key
-//	                                          loop.updateEndpoints: the server was removed, is
-//	                                          draining, or is another incarnation now
-//	end         in flight  maybe executed or  loop.reportOutcome, on the first outcome: from the attempt's
-//	                       not executed       goroutine, its timer, its revocation, the request's
-//	                                          deadline or policyHost.Cancel
+//	transition  from       to                  caller and condition
+//	start       -          in flight, waiting  policyHost.Send
+//	send        waiting    sent                upstream.Pool.Send, just before the first byte
+//	revoke      waiting    revoked             request.complete: the client no longer waits
+//	                                           loop.expireKeyRetention: servers may have discarded the
+//	                                           idempotency key
+//	                                           loop.updateEndpoints: the server was removed, is
+//	                                           draining, or is another incarnation now
+//	end         in flight  maybe executed or   loop.reportOutcome, on the first outcome: from the attempt's
+//	                       not executed        goroutine, its timer, its revocation, the request's
+//	                                           deadline or policyHost.Cancel
 type attemptState uint8
 
 const (
