--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -42,7 +42,7 @@
 	return classify(response, body)
 }
 
-// readFinalHeader skips interim responses and returns the final response, of which only the header
+// readFinalHeader skips interim responses and returns the final response, of which only the head
 // has been read.
 func (c *connection) readFinalHeader(request *encodedRequest) (*http.Response, error) {
 	for range maxInterimResponses + 1 {
@@ -59,7 +59,7 @@
 	return nil, errTooManyInterimResponses
 }
 
-// readHeader reads the header of an interim or final response. It sets no time limit for the first
+// readHeader reads the head of an interim or final response. It sets no time limit for the first
 // byte. The rest of the response must arrive within responseReadTimeout after the first byte:
 // otherwise a server that stops in the middle of a response would use up the time for a retry.
 func (c *connection) readHeader(request *encodedRequest) (*http.Response, error) {
--- a/internal/upstream/limits.go
+++ b/internal/upstream/limits.go
@@ -9,7 +9,7 @@
 	// maxBodyBytes is the maximum size of a response body, in bytes.
 	maxBodyBytes = 64 << 10
 	// maxResponseBytes is the maximum size of a response, in bytes. Besides a body of maximum size, it
-	// leaves 64 KiB for the header, the framing of the body and all interim responses.
+	// leaves 64 KiB for the head, the framing of the body and all interim responses.
 	maxResponseBytes = maxBodyBytes + 64<<10
 	// maxInterimResponses is the maximum number of 1xx responses before the final response.
 	maxInterimResponses = 8
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// timeoutHeader holds the time for which the client will still wait, in milliseconds.
+// timeoutHeader is the header field that holds the time for which the client will still wait, in milliseconds.
 const timeoutHeader = "X-Timeout-Ms"
 
 // Request is the part of a client's request that is forwarded to a server.
@@ -30,7 +30,7 @@
 	responseReadTimeout time.Duration
 }
 
-// encode serializes the request for one attempt, with a header that tells the server the timeout.
+// encode serializes the request for one attempt, with a header field that tells the server the timeout.
 func (r *Request) encode(timeout time.Duration) (*encodedRequest, error) {
 	request := r.httpRequest(timeout)
 	var message bytes.Buffer
@@ -44,7 +44,7 @@
 	}, nil
 }
 
-// httpRequest returns the request to a server. Its timeout header holds the timeout in whole
+// httpRequest returns the request to a server. Its timeout header field holds the timeout in whole
 // milliseconds and is at least 1.
 func (r *Request) httpRequest(timeout time.Duration) *http.Request {
 	request := &http.Request{
