--- a/internal/downstream/disconnect.go
+++ b/internal/downstream/disconnect.go
@@ -16,7 +16,7 @@
 	case c.state == stateClosed || c.readErr != nil:
 		return true
 	case c.state != stateActive:
-		return false // the response is complete and the attempts of the request are revoked
+		return false // the request has completed; its attempts that were not sent are revoked
 	case c.conns.stage == stageClosing:
 		return sockstate.Peek(c.Conn) == sockstate.Closed
 	}
