--- a/internal/processstart/estimator.go
+++ b/internal/processstart/estimator.go
@@ -10,7 +10,8 @@
 const (
 	// minReadyPerWarmingUp is how many ready servers a node's first list must have for each server that is warming up
 	// by the servers' clock. Otherwise, the estimates do not use that clock. The number is 4 because package policy
-	// determines the load of a warm server only if three quarters of the servers are warm.
+	// updates its estimate of the work sent to a warm server only while at least three quarters of its servers are
+	// warm.
 	minReadyPerWarmingUp = 4
 	// maxAge limits ages by the servers' clock, so that they cannot overflow. No process runs that long.
 	maxAge = 100 * 365 * 24 * time.Hour
@@ -99,7 +100,7 @@
 	}
 }
 
-// ageByServerClock returns the age of a process by the servers' clock, which learnServerClock has inferred.
+// ageByServerClock returns the age of a process by the servers' clock, which inferServerClock has inferred.
 func (e *estimator) ageByServerClock(startedAt time.Time, now time.Duration) time.Duration {
 	return now + min(e.serverOrigin.Sub(startedAt), maxAge)
 }
