--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -3,10 +3,10 @@
 // as JSON text. The package translates the settings into the types of package policy and the fields of Config, so
 // that no other package of these programs depends on the keys and enumerated values of the settings.
 //
-// cmd/balancer and cmd/simadapter call it. It keeps no state and logs nothing. All its errors are of type
-// *Error; an error about a value names its key. At startup, the balancer exits with the error; on SIGHUP, it
-// logs the error and keeps the current discovery address. The simulator adapter reports the error to the
-// simulator.
+// cmd/balancer and cmd/simadapter call the package, and package node uses Config. The package keeps no state and
+// logs nothing. All its errors are of type *Error; an error about a value names its key. At startup, the balancer
+// exits with the error; on SIGHUP, it logs the error and keeps the current discovery address. The simulator adapter
+// reports the error to the simulator.
 package config
 
 import (
@@ -38,8 +38,8 @@
 	Tenants        map[string]int // tenant name to index in Policy.Tenants
 	Zones          map[string]int // zone name to zone number in package policy
 	IdleTimeout    time.Duration  // idle time after which servers close a connection
-	ConnectTimeout time.Duration  // limit for establishing a connection to a server
-	DrainGrace     time.Duration  // how long after a drain notification an attempt may still be sent to the server
+	ConnectTimeout time.Duration  // maximum time for opening a connection to a server
+	DrainGrace     time.Duration  // how long after being notified of a drain a node may send attempts to the server
 }
 
 // Load reads the configuration file named by BALANCER_CONFIG. BALANCER_NAME, BALANCER_LISTEN
