--- a/internal/simproto/event.go
+++ b/internal/simproto/event.go
@@ -20,7 +20,7 @@
 	EventTimer              EventCode = 7  // a timer has fired
 	EventProbeResult        EventCode = 8  // a health check has ended
 	EventPeerMessage        EventCode = 9  // another instance has sent a message
-	EventStop               EventCode = 10 // the instance has been terminated
+	EventStop               EventCode = 10 // the instance has stopped
 	EventInstance           EventCode = 11 // selects the instance of the events that follow
 )
 
