--- a/internal/endpoint/endpoint.go
+++ b/internal/endpoint/endpoint.go
@@ -1,6 +1,6 @@
 // Package endpoint defines the node's representation of the endpoint list: the servers of the fleet with their
 // IDs, states and start times. Package endpointjson translates the JSON form into these types; packages config,
-// discovery, node and upstream use them. Package endpoint keeps no state.
+// discovery, node, processstart and upstream use them. Package endpoint keeps no state.
 package endpoint
 
 import (
