--- a/internal/endpointjson/endpointjson.go
+++ b/internal/endpointjson/endpointjson.go
@@ -1,7 +1,7 @@
 // Package endpointjson defines the JSON form of the endpoint list and translates it into the types of package
 // endpoint. The discovery service publishes the list in this form, and a node's configuration file may contain
-// a list. No other package depends on the JSON names. Packages config and discovery use the package. It keeps no
-// state.
+// a list. No other package depends on the JSON names. Packages config and discovery use the package; the fake
+// discovery services of packages testkit and soak use it for tests. It keeps no state.
 package endpointjson
 
 import (
