--- a/internal/testkit/handlers.go
+++ b/internal/testkit/handlers.go
@@ -17,8 +17,8 @@
 	http.Error(w, "oops", http.StatusInternalServerError)
 }
 
-// NotProcessed is a handler that responds with status 503 and guarantees, by the header X-Not-Processed, that
-// the request was not processed.
+// NotProcessed is a handler that responds with status 503 and guarantees, by the header field
+// X-Not-Processed, that the request was not executed.
 func NotProcessed(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("X-Not-Processed", "1")
 	w.WriteHeader(http.StatusServiceUnavailable)
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -1,6 +1,7 @@
 // Package testkit contains helpers that the tests of several packages share: functions that wait for a condition,
 // fake servers, fake discovery services and listeners. Everything that a function starts is stopped at the end of
-// the test that it receives, unless its comment says otherwise. Only tests import this package.
+// the test that it receives, unless its comment says otherwise. Only tests and the packages that
+// serve tests, balancertest, soak and history, import this package.
 package testkit
 
 import (
@@ -14,9 +15,8 @@
 // WaitTimeout bounds each wait for an event that a test expects. A test that passes never waits that long.
 const WaitTimeout = 20 * time.Second
 
-// AddressChangeDeadline is the notification deadline after a SIGHUP that changes the address of the discovery
-// service: after this time, a node is considered notified of the endpoint list at the new address. The operators'
-// contract sets it.
+// AddressChangeDeadline is the time from a SIGHUP that changes the address of the discovery service until a node
+// counts as notified of the endpoint list at the new address. It is fixed by the contract with the operators.
 const AddressChangeDeadline = 4 * time.Second
 
 // Receive returns the next value of a channel. It fails the test after WaitTimeout; the description completes the
