--- a/internal/balancertest/build.go
+++ b/internal/balancertest/build.go
@@ -1,7 +1,7 @@
 // Package balancertest builds the balancer program and runs it as separate processes for tests. It writes the
 // configuration file of each process, sends signals to the process, and can step the wall clock that the process
-// sees. Each process is killed at the end of its test at the latest. Only the tests of cmd/balancer and the soak
-// test use this package.
+// sees. Each process is killed at the end of its test at the latest. Only the tests of cmd/balancer and package
+// soak use this package.
 package balancertest
 
 import (
--- a/internal/balancertest/process.go
+++ b/internal/balancertest/process.go
@@ -59,7 +59,7 @@
 		readLog(stderr, options.OnLogLine, addr)
 		exited <- cmd.Wait()
 	}()
-	tb.Cleanup(func() { <-stopped }) // tb.Context is canceled before cleanups run, which kills the process
+	tb.Cleanup(func() { <-stopped }) // tb.Context is cancelled before cleanups run, which kills the process
 	return Process{PID: cmd.Process.Pid, Addr: addr, Exited: exited, ConfigFile: configFile}
 }
 
