--- a/internal/soak/history/discovery.go
+++ b/internal/soak/history/discovery.go
@@ -53,7 +53,7 @@
 	return from
 }
 
-// NotifiedAt returns when an incarnation is considered notified of a generation. This is the earliest of:
+// NotifiedAt returns the time from which an incarnation counts as notified of a generation. This is the earliest of:
 //   - the delivery of an endpoint list of this or a later generation;
 //   - the end of the notification deadline;
 //   - the end of the address change deadline of a reload.
