--- a/policy/api.go
+++ b/policy/api.go
@@ -193,10 +193,10 @@
 // The values of Status.
 const (
 	StatusOK            Status = iota // succeeded
-	StatusServerError                 // the server responded with an error; may have been executed
-	StatusRejected                    // the server rejected the request without reading it; not executed
+	StatusServerError                 // the server sent an error or an invalid response; may have been executed
+	StatusRejected                    // the server rejected the request; not executed
 	StatusTimeout                     // no response in time; may have been executed or still be executing
-	StatusConnectFailed               // no connection to the server; not executed
+	StatusConnectFailed               // no connection, or the request was not written to its end; not executed
 	StatusReset                       // the connection broke; may have been executed
 	StatusCancelled                   // cancelled by Host.Cancel; may have been executed
 	StatusNotSent                     // not sent; not executed
