--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -28,7 +28,7 @@
 		return Result{Status: policy.StatusConnectFailed} // the last byte was not written
 	}
 	c.responseBytesLeft = maxResponseBytes
-	response, err := c.readFinalHeader(request)
+	response, err := c.readFinalHead(request)
 	if err != nil {
 		return Result{Status: c.failureStatus(err)}
 	}
@@ -42,11 +42,11 @@
 	return classify(response, body)
 }
 
-// readFinalHeader skips interim responses and returns the final response, of which only the head
+// readFinalHead skips interim responses and returns the final response, of which only the head
 // has been read.
-func (c *connection) readFinalHeader(request *encodedRequest) (*http.Response, error) {
+func (c *connection) readFinalHead(request *encodedRequest) (*http.Response, error) {
 	for range maxInterimResponses + 1 {
-		response, err := c.readHeader(request)
+		response, err := c.readHead(request)
 		switch {
 		case err != nil:
 			return nil, err
@@ -59,10 +59,10 @@
 	return nil, errTooManyInterimResponses
 }
 
-// readHeader reads the head of an interim or final response. It sets no time limit for the first
+// readHead reads the head of an interim or final response. It sets no time limit for the first
 // byte. The rest of the response must arrive within responseReadTimeout after the first byte:
 // otherwise a server that stops in the middle of a response would use up the time for a retry.
-func (c *connection) readHeader(request *encodedRequest) (*http.Response, error) {
+func (c *connection) readHead(request *encodedRequest) (*http.Response, error) {
 	c.setReadDeadline(time.Time{})
 	if _, err := c.reader.Peek(1); err != nil {
 		return nil, err
