--- a/internal/node/transitions.go
+++ b/internal/node/transitions.go
@@ -34,15 +34,15 @@
 //	                                           idempotency key
 //	                                           loop.updateEndpoints: the server was removed, is
 //	                                           draining, or is another incarnation now
-//	end         in flight  maybe executed or   loop.reportOutcome, on the first outcome: from the attempt's
-//	                       not executed        goroutine, its timer, its revocation, the request's
+//	end         in flight  possibly executed   loop.reportOutcome, on the first outcome: from the attempt's
+//	                       or not executed     goroutine, its timer, its revocation, the request's
 //	                                           deadline or policyHost.Cancel
 type attemptState uint8
 
 const (
-	attemptInFlight      attemptState = iota // no outcome yet
-	attemptMaybeExecuted                     // ended; a server may have executed the request
-	attemptNotExecuted                       // ended; the server has not executed the request
+	attemptInFlight         attemptState = iota // no outcome yet
+	attemptPossiblyExecuted                     // ended; a server may have executed the request
+	attemptNotExecuted                          // ended; the server has not executed the request
 )
 
 // activate assigns an ID to a new request and makes it active.
@@ -90,7 +90,7 @@
 	if a.state != attemptInFlight {
 		return false
 	}
-	a.state = attemptMaybeExecuted
+	a.state = attemptPossiblyExecuted
 	if status.NotExecuted() {
 		a.state = attemptNotExecuted
 	}
