--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -164,9 +164,9 @@
 }
 
 // WatchFailed handles the failure of a watch or poll of the endpoint list. The node keeps its list. It counts
-// as notified of missed changes from the deadline on, so the next call must be answered before the deadline.
-func (b *Balancer) WatchFailed(now, deadline time.Duration) {
-	b.host.SetTimer(now+b.watch.nextBackoff(deadline-now), timerWatch)
+// as notified of missed changes from notifiedAt on, so the next call must be answered before then.
+func (b *Balancer) WatchFailed(now, notifiedAt time.Duration) {
+	b.host.SetTimer(now+b.watch.nextBackoff(notifiedAt-now), timerWatch)
 }
 
 // TerminateAll rejects or fails every active request when the node shuts down.
