--- a/internal/node/disconnect_concurrency_test.go
+++ b/internal/node/disconnect_concurrency_test.go
@@ -76,9 +76,9 @@
 func TestManyDisconnectsInMixedRequestStates(t *testing.T) {
 	t.Parallel()
 	servers := mixedServers{
-		fullBacklog:  testkit.NewFullBacklogServer(t),
-		failing:      testkit.NewRecordingServer(t, testkit.ServerError),
-		unresponsive: testkit.NewRecordingServer(t, testkit.Unresponsive(nil)),
+		fullAcceptQueue: testkit.NewFullAcceptQueueServer(t),
+		failing:         testkit.NewRecordingServer(t, testkit.ServerError),
+		unresponsive:    testkit.NewRecordingServer(t, testkit.Unresponsive(nil)),
 	}
 	s := startHandler(t, servers.endpoints(90)...)
 	l := s.loop
@@ -88,8 +88,8 @@
 
 	s.disconnectAll(clients, closeTCP)
 	sentBefore, attemptsBefore := countSentAttempts(stable.requests...), countAttempts(stable.requests)
-	servers.fullBacklog.AcceptAll()
-	s.awaitIdleConns(stable.states[stateConnecting], servers.fullBacklog.Addr())
+	servers.fullAcceptQueue.AcceptAll()
+	s.awaitIdleConns(stable.states[stateConnecting], servers.fullAcceptQueue.Addr())
 	stable.resume()
 	s.awaitNoRequests()
 
@@ -106,14 +106,14 @@
 
 // mixedServers are servers that fail in different ways.
 type mixedServers struct {
-	fullBacklog  *testkit.FullBacklogServer // accepts no connection until AcceptAll is called
-	failing      *testkit.RecordingServer   // responds with errors
-	unresponsive *testkit.RecordingServer   // does not respond
+	fullAcceptQueue *testkit.FullAcceptQueueServer // accepts no connection until AcceptAll is called
+	failing         *testkit.RecordingServer       // responds with errors
+	unresponsive    *testkit.RecordingServer       // does not respond
 }
 
 // endpoints returns an endpoint list with count entries, which are the three servers in turn.
 func (m mixedServers) endpoints(count int) []endpointjson.Endpoint {
-	kinds := []func(string) endpointjson.Endpoint{m.fullBacklog.Endpoint, m.failing.Endpoint, m.unresponsive.Endpoint}
+	kinds := []func(string) endpointjson.Endpoint{m.fullAcceptQueue.Endpoint, m.failing.Endpoint, m.unresponsive.Endpoint}
 	var list []endpointjson.Endpoint
 	for i := range count {
 		list = append(list, kinds[i%len(kinds)](fmt.Sprintf("s-%d", i)))
@@ -125,7 +125,7 @@
 const (
 	stateQueued     = "queued"     // there is no attempt yet
 	stateBackoff    = "backoff"    // the last attempt has ended
-	stateConnecting = "connecting" // the last attempt waits for a connection to the server with a full backlog
+	stateConnecting = "connecting" // the last attempt waits for a connection to the server with a full accept queue
 	stateInFlight   = "in flight"  // the last attempt was sent to the unresponsive server
 	stateTransient  = "transient"  // the last attempt is about to change its state
 )
@@ -137,7 +137,7 @@
 		switch addr := l.pool.Stats().Servers[a.server].Address; {
 		case a.state != attemptInFlight:
 			state = stateBackoff
-		case addr == m.fullBacklog.Addr().String():
+		case addr == m.fullAcceptQueue.Addr().String():
 			state = stateConnecting
 		case addr == m.unresponsive.Address() && a.call.Sent():
 			state = stateInFlight
--- a/internal/node/disconnect_test.go
+++ b/internal/node/disconnect_test.go
@@ -85,8 +85,8 @@
 // disconnect. Nothing may be written to the connection then.
 func TestAttemptWaitingForAConnectionIsNotSentAfterADisconnect(t *testing.T) {
 	t.Parallel()
-	fullBacklog := testkit.NewFullBacklogServer(t)
-	l := startLoop(t, fullBacklog.Endpoint("s-0"))
+	fullAcceptQueue := testkit.NewFullAcceptQueueServer(t)
+	l := startLoop(t, fullAcceptQueue.Endpoint("s-0"))
 	ctx, disconnect := context.WithCancel(t.Context())
 	disconnected := func() bool { return ctx.Err() != nil }
 	// The request's context does not end, as if net/http had not detected the disconnect yet.
@@ -94,7 +94,7 @@
 	l.awaitRequests(1, 1)
 
 	disconnect()
-	sent := fullBacklog.AcceptAll()
+	sent := fullAcceptQueue.AcceptAll()
 	l.awaitRequests(0, 0)
 
 	if len(sent) > 0 {
@@ -142,29 +142,29 @@
 	t.Parallel()
 	t.Run("first attempt", func(t *testing.T) {
 		t.Parallel()
-		fullBacklog := testkit.NewFullBacklogServer(t)
-		s := startHandler(t, fullBacklog.Endpoint("s-0"))
+		fullAcceptQueue := testkit.NewFullAcceptQueueServer(t)
+		s := startHandler(t, fullAcceptQueue.Endpoint("s-0"))
 		client := s.sendOnNewConn("read", "")
-		s.wantNotSentAfterDisconnect(client, fullBacklog, 0)
+		s.wantNotSentAfterDisconnect(client, fullAcceptQueue, 0)
 	})
 	t.Run("second attempt", func(t *testing.T) {
 		t.Parallel()
-		fullBacklog, failing := testkit.NewFullBacklogServer(t), testkit.NewRecordingServer(t, testkit.ServerError)
+		fullAcceptQueue, failing := testkit.NewFullAcceptQueueServer(t), testkit.NewRecordingServer(t, testkit.ServerError)
 		s := startHandler(t, failing.Endpoint("s-1"))
 		client := s.sendOnNewConn("read", "")
 		testkit.Receive(t, failing.Requests, "the server to receive the first attempt")
 		s.loop.awaitRequests(1, 0)
-		s.loop.reportEndpoints(policy.UpdateDelta, fullBacklog.Endpoint("s-0"))
+		s.loop.reportEndpoints(policy.UpdateDelta, fullAcceptQueue.Endpoint("s-0"))
 		s.loop.queue.post(eventFunc(s.loop.advanceClock))
-		s.wantNotSentAfterDisconnect(client, fullBacklog, 1)
+		s.wantNotSentAfterDisconnect(client, fullAcceptQueue, 1)
 	})
 }
 
 // wantNotSentAfterDisconnect disconnects a client while an attempt waits for its connection to a server with a full
-// backlog, after wantSent earlier attempts of the same request were sent. It fails the test if the waiting attempt is
-// sent too.
+// accept queue, after wantSent earlier attempts of the same request were sent. It fails the test if the waiting attempt
+// is sent too.
 func (s *testHandler) wantNotSentAfterDisconnect(
-	client *net.TCPConn, fullBacklog *testkit.FullBacklogServer, wantSent int,
+	client *net.TCPConn, fullAcceptQueue *testkit.FullAcceptQueueServer, wantSent int,
 ) {
 	s.t.Helper()
 	l := s.loop
@@ -173,13 +173,14 @@
 	r := l.lastRequest()
 	closeQuietly(client)
 	s.awaitDisconnect(client)
-	sent := fullBacklog.AcceptAll()
-	s.awaitIdleConns(1, fullBacklog.Addr())
+	sent := fullAcceptQueue.AcceptAll()
+	s.awaitIdleConns(1, fullAcceptQueue.Addr())
 	resume()
 	s.awaitNoRequests()
 	attemptsSent := countSentAttempts(r)
 	if len(r.attempts) != wantSent+1 || attemptsSent != wantSent || len(sent) > 0 {
-		s.t.Errorf("attempts sent: got %d of %d, want %d of %d; received by the server with a full backlog: got %d, want 0",
+		s.t.Errorf(
+			"attempts sent: got %d of %d, want %d of %d; received by the server with a full accept queue: got %d, want 0",
 			attemptsSent, len(r.attempts), wantSent, wantSent+1, len(sent))
 	}
 }
--- a/internal/node/endpoints_test.go
+++ b/internal/node/endpoints_test.go
@@ -57,13 +57,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			l, fullBacklog, done := startWithConnectingAttempt(t)
-			changed := change(fullBacklog.Endpoint("s-0"))
+			l, fullAcceptQueue, done := startWithConnectingAttempt(t)
+			changed := change(fullAcceptQueue.Endpoint("s-0"))
 			other := testkit.NewRecordingServer(t, testkit.OK)
 
 			l.reportEndpoints(policy.UpdateSnapshot, append(changed, other.Endpoint("s-1"))...)
 			l.wantFirstAttemptsRevoked()
-			sent := fullBacklog.AcceptAll()
+			sent := fullAcceptQueue.AcceptAll()
 
 			l.wantResponseStatus(done, http.StatusOK)
 			if len(sent) > 0 {
@@ -73,28 +73,28 @@
 	}
 	t.Run("restarted", func(t *testing.T) { // the restarted server may be selected again and get the request
 		t.Parallel()
-		l, fullBacklog, done := startWithConnectingAttempt(t)
-		restarted := fullBacklog.Endpoint("s-0")
+		l, fullAcceptQueue, done := startWithConnectingAttempt(t)
+		restarted := fullAcceptQueue.Endpoint("s-0")
 		restarted.StartedUnixMilli = float64(time.Now().UnixMilli())
 		other := testkit.NewRecordingServer(t, testkit.OK)
 
 		l.reportEndpoints(policy.UpdateSnapshot, restarted, other.Endpoint("s-1"))
 		l.wantFirstAttemptsRevoked()
-		fullBacklog.AcceptAll()
+		fullAcceptQueue.AcceptAll()
 
 		testkit.Receive(t, done, "a response")
 	})
 }
 
 // startWithConnectingAttempt starts a loop with one request, whose attempt waits for a connection to a server with a
-// full backlog.
-func startWithConnectingAttempt(t *testing.T) (*testLoop, *testkit.FullBacklogServer, <-chan response) {
+// full accept queue.
+func startWithConnectingAttempt(t *testing.T) (*testLoop, *testkit.FullAcceptQueueServer, <-chan response) {
 	t.Helper()
-	fullBacklog := testkit.NewFullBacklogServer(t)
-	l := startLoop(t, fullBacklog.Endpoint("s-0"))
+	fullAcceptQueue := testkit.NewFullAcceptQueueServer(t)
+	l := startLoop(t, fullAcceptQueue.Endpoint("s-0"))
 	done := l.submitAsync(t.Context(), l.newRequest(classPay, neverDisconnected))
 	l.awaitRequests(1, 1)
-	return l, fullBacklog, done
+	return l, fullAcceptQueue, done
 }
 
 // wantFirstAttemptsRevoked fails the test unless the first attempt of each request has ended and has been revoked.
--- a/internal/node/key_retention_test.go
+++ b/internal/node/key_retention_test.go
@@ -42,10 +42,10 @@
 
 func testKeyRetention(t *testing.T, c retentionCase) {
 	t.Helper()
-	fullBacklog := testkit.NewFullBacklogServer(t)
+	fullAcceptQueue := testkit.NewFullAcceptQueueServer(t)
 	unresponsive := testkit.NewRecordingServer(t, testkit.Unresponsive(make(chan struct{}, 1)))
 	l := startLoopWith(t, func(pool *upstream.Config) { pool.ConnectTimeout = testkit.WaitTimeout },
-		fullBacklog.Endpoint("late"), unresponsive.Endpoint("unresponsive"))
+		fullAcceptQueue.Endpoint("late"), unresponsive.Endpoint("unresponsive"))
 	retention := l.host.classes[classPush].KeyRetention
 	servers := []policy.ServerID{endpoint.ServerID("unresponsive"), endpoint.ServerID("unresponsive")}
 	servers[c.lateAttempt] = endpoint.ServerID("late")
@@ -68,7 +68,7 @@
 	testkit.WaitUntil(t, "the end of the key's retention", func() bool { // the late connection must open after that end
 		return !c.expiresFirst || l.clock.now() >= r.attempts[0].startedAt+retention
 	})
-	sent := fullBacklog.AcceptAll()
+	sent := fullAcceptQueue.AcceptAll()
 
 	description := fmt.Sprintf("the outcome of attempt %d", c.lateAttempt)
 	l.awaitInLoop(description, func() bool { return r.attempts[c.lateAttempt].state != attemptInFlight })
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -144,14 +144,14 @@
 // before the kill.
 func TestShutdownCompletesRequestsInEveryState(t *testing.T) {
 	t.Parallel()
-	fullBacklog := testkit.NewFullBacklogServer(t)
+	fullAcceptQueue := testkit.NewFullAcceptQueueServer(t)
 	server := testkit.NewRecordingServer(t, testkit.Unresponsive(make(chan struct{}, 10)))
 	for name, c := range map[string]struct {
 		server          endpointjson.Endpoint
 		earlierRequests int // number of earlier requests, which use the server's capacity
 	}{
 		"queued":                   {server.Endpoint("s-0"), 5},
-		"waiting for a connection": {fullBacklog.Endpoint("s-0"), 0},
+		"waiting for a connection": {fullAcceptQueue.Endpoint("s-0"), 0},
 		"in flight":                {server.Endpoint("s-0"), 0},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/testkit/partition.go
+++ b/internal/testkit/partition.go
@@ -12,7 +12,7 @@
 	s.beginPartition()
 	s.setBacklog(tb, 0)
 	s.awaitPendingAccept()
-	fillBacklog(s.addFiller)
+	fillAcceptQueue(s.addFiller)
 }
 
 // Heal ends the partition.
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -22,7 +22,7 @@
 // Nothing is sent on a connection that is established after the connect timeout.
 func TestConnectTimeoutSendsNothingAndFreesCapacity(t *testing.T) {
 	t.Parallel()
-	server := testkit.NewFullBacklogServer(t)
+	server := testkit.NewFullAcceptQueueServer(t)
 	config := testPoolConfig()
 	config.ConnectTimeout = 50 * time.Millisecond
 	pool, id := newPoolWithServer(config, server.Addr().String())
