--- a/internal/downstream/accept_pause.go
+++ b/internal/downstream/accept_pause.go
@@ -6,9 +6,9 @@
 	// minAcceptPause is the shortest time without an accept that counts as a pause. It is far
 	// smaller than the accuracy required of deadlines.
 	minAcceptPause = time.Millisecond
-	// backlogClearTime is the time after a pause during which an accepted connection may still be
+	// acceptQueueClearTime is the time after a pause during which an accepted connection may still be
 	// one that was established during the pause.
-	backlogClearTime = 100 * time.Millisecond
+	acceptQueueClearTime = 100 * time.Millisecond
 )
 
 // acceptPause is the most recent period in which a listener accepted no connections, because accept
@@ -20,7 +20,7 @@
 }
 
 // begin records that no connections are accepted from now on. A pause that begins within
-// backlogClearTime after the previous one extends it.
+// acceptQueueClearTime after the previous one extends it.
 func (p *acceptPause) begin(now time.Time) {
 	if p.began.IsZero() || !p.mayHaveDelayed(now) {
 		p.began = now
@@ -40,7 +40,7 @@
 
 // mayHaveDelayed reports whether the pause may have delayed a connection that is accepted now.
 func (p *acceptPause) mayHaveDelayed(now time.Time) bool {
-	return !p.began.IsZero() && (p.ended.IsZero() || now.Sub(p.ended) < backlogClearTime)
+	return !p.began.IsZero() && (p.ended.IsZero() || now.Sub(p.ended) < acceptQueueClearTime)
 }
 
 // maxDelay returns the longest time by which the pause may have delayed a connection that is accepted
--- a/internal/downstream/accept_pause_test.go
+++ b/internal/downstream/accept_pause_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A connection that is accepted during a pause, or within backlogClearTime after its end, may have
+// A connection that is accepted during a pause, or within acceptQueueClearTime after its end, may have
 // waited since the pause began. Another pause that begins within that time extends the first pause.
 func TestAcceptPauseDelaysConnections(t *testing.T) {
 	const ms = time.Millisecond
@@ -24,11 +24,11 @@
 	pause.end(at(50 * ms))
 	pause.end(at(60 * ms)) // a further successful accept
 	expect(50*ms, 50*ms)
-	expect(50*ms+backlogClearTime-ms, 50*ms+backlogClearTime-ms)
-	expect(50*ms+backlogClearTime, 0)
+	expect(50*ms+acceptQueueClearTime-ms, 50*ms+acceptQueueClearTime-ms)
+	expect(50*ms+acceptQueueClearTime, 0)
 	pause.begin(at(time.Second))
 	pause.end(at(time.Second + 10*ms))
-	pause.begin(at(time.Second + 20*ms)) // within backlogClearTime, so it extends the previous pause
+	pause.begin(at(time.Second + 20*ms)) // within acceptQueueClearTime, so it extends the previous pause
 	expect(time.Second+30*ms, 30*ms)
 	pause.reset()
 	expect(time.Second+30*ms, 0)
