--- a/internal/soak/apply.go
+++ b/internal/soak/apply.go
@@ -17,11 +17,11 @@
 		r.delistServer(a.Server, lifecycleRemoved)
 	case scenario.StartServer:
 		r.addServer(a.ID)
-	case scenario.HangServer:
-		r.history.Logf("%s: hangs", scenario.ServerID(a.Server))
-		r.servers[a.Server].record.Hanging.Store(true)
-	case scenario.ResumeServer:
-		r.servers[a.Server].record.Hanging.Store(false)
+	case scenario.MakeServerUnresponsive:
+		r.history.Logf("%s: unresponsive", scenario.ServerID(a.Server))
+		r.servers[a.Server].record.Unresponsive.Store(true)
+	case scenario.MakeServerResponsive:
+		r.servers[a.Server].record.Unresponsive.Store(false)
 	default:
 		r.applyToNode(action)
 	}
@@ -79,7 +79,7 @@
 func (r *runner) restartNode(action scenario.RestartNode) {
 	node := r.nodes[action.Node]
 	r.history.Logf("%v", action)
-	node.terminate(action.Signals)
+	node.shutDown(action.Signals)
 	r.history.Logf("%s: restarting", node.name)
 	node.start(1, action.ClockOffset)
 }
--- a/internal/soak/check/slow_start.go
+++ b/internal/soak/check/slow_start.go
@@ -60,7 +60,7 @@
 }
 
 // warmServerRate returns the highest rate, in requests per second, at which a warm server received requests. A server
-// counts as warm if it is listed from the start of the run; hanging servers are left out. Requests are counted in
+// counts as warm if it is listed from the start of the run; unresponsive servers are left out. Requests are counted in
 // each second from lookback before the given interval until its end, because the nodes estimate the rate from their
 // recent past.
 func (c *checker) warmServerRate(from, to time.Time) float64 {
@@ -68,7 +68,7 @@
 	maxCount := 0
 	for _, server := range c.History.Servers() {
 		warm := server.JoinedAt.IsZero()
-		if !warm || server.Hanging.Load() {
+		if !warm || server.Unresponsive.Load() {
 			continue
 		}
 		for at := from.Add(-lookback); at.Before(to); at = at.Add(time.Second) {
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -92,7 +92,7 @@
 // resetInAcceptQueue reports whether err is a reset that the shutdown of a node may cause: the system resets the
 // connections that the node has not accepted yet. The node has read no request from such a connection.
 func (c *client) resetInAcceptQueue(responded bool, err error) bool {
-	return errors.Is(err, syscall.ECONNRESET) && !responded && c.incarnation.Terminated()
+	return errors.Is(err, syscall.ECONNRESET) && !responded && c.incarnation.SIGTERMSent()
 }
 
 // connect opens a connection to the node if none is open.
--- a/internal/soak/history/incarnation.go
+++ b/internal/soak/history/incarnation.go
@@ -12,11 +12,11 @@
 	Name      string
 	StartedAt time.Time
 
-	mu           sync.Mutex
-	deliveries   []delivery
-	reloads      []time.Time // when SIGHUP was sent
-	terminatedAt time.Time   // when the first SIGTERM was sent; zero if not yet
-	logLines     []string
+	mu         sync.Mutex
+	deliveries []delivery
+	reloads    []time.Time // when SIGHUP was sent
+	sigtermAt  time.Time   // when the first SIGTERM was sent; zero if not yet
+	logLines   []string
 
 	pauses lagSeries // the pauses that the process reported in its log
 }
@@ -46,18 +46,18 @@
 	i.reloads = append(i.reloads, time.Now())
 }
 
-// RecordTermination records that SIGTERM is about to be sent.
-func (i *Incarnation) RecordTermination() {
+// RecordSIGTERM records that SIGTERM is about to be sent.
+func (i *Incarnation) RecordSIGTERM() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.terminatedAt = time.Now()
+	i.sigtermAt = time.Now()
 }
 
-// Terminated reports whether RecordTermination was called.
-func (i *Incarnation) Terminated() bool {
+// SIGTERMSent reports whether RecordSIGTERM was called.
+func (i *Incarnation) SIGTERMSent() bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	return !i.terminatedAt.IsZero()
+	return !i.sigtermAt.IsZero()
 }
 
 // RecordLogLine records a line of the process's log. If the line reports a pause, RecordLogLine also records a pause
--- a/internal/soak/history/server.go
+++ b/internal/soak/history/server.go
@@ -8,9 +8,9 @@
 
 // Server is one process of a server.
 type Server struct {
-	ID       string
-	JoinedAt time.Time   // start time of the process; zero if the server is listed from the start of the run
-	Hanging  atomic.Bool // whether the server accepts requests without responding; changes during the run
+	ID           string
+	JoinedAt     time.Time   // start time of the process; zero if the server is listed from the start of the run
+	Unresponsive atomic.Bool // whether the server accepts requests without responding; changes during the run
 
 	// DelistedGeneration is the first generation in which the server is draining or removed. It is 0 until such a
 	// generation is published.
--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -14,7 +14,7 @@
 )
 
 // node is one node of a run. Its incarnations are processes that run one after another at the same address. They are
-// started, signaled and terminated by one goroutine at a time.
+// started, signaled and shut down by one goroutine at a time.
 type node struct {
 	t         *testing.T
 	name      string
@@ -23,7 +23,7 @@
 	settings  json.RawMessage
 	discovery *discovery
 	history   *history.History
-	killDelay time.Duration // time from SIGTERM until terminate kills the process
+	killDelay time.Duration // time from SIGTERM until shutDown kills the process
 
 	process balancertest.Process
 	clock   balancertest.WallClock
@@ -86,12 +86,12 @@
 	balancertest.Signal(n.t, n.process.PID, syscall.SIGCONT)
 }
 
-// terminate shuts the node down by SIGTERM, followed by further signals. If the process is still running after
-// killDelay, the shortest delay that the operators' contract allows, terminate kills it and records a violation.
-func (n *node) terminate(signals []syscall.Signal) {
+// shutDown shuts the node down by SIGTERM, followed by further signals. If the process is still running after
+// killDelay, the shortest delay that the operators' contract allows, shutDown kills it and records a violation.
+func (n *node) shutDown(signals []syscall.Signal) {
 	const signalInterval = 40 * time.Millisecond
 	current := n.incarnation()
-	current.RecordTermination()
+	current.RecordSIGTERM()
 	kill := time.After(n.killDelay)
 	for _, signal := range append([]syscall.Signal{syscall.SIGTERM}, signals...) {
 		balancertest.Signal(n.t, n.process.PID, signal)
--- a/internal/soak/scenario/action.go
+++ b/internal/soak/scenario/action.go
@@ -49,10 +49,10 @@
 	RemoveServer struct{ Server int }
 	// StartServer starts a server process and publishes its endpoint.
 	StartServer struct{ ID string }
-	// HangServer makes a server hang: it accepts requests and does not respond to them.
-	HangServer struct{ Server int }
-	// ResumeServer ends the hang of a server.
-	ResumeServer struct{ Server int }
+	// MakeServerUnresponsive makes a server unresponsive: it accepts requests and does not respond to them.
+	MakeServerUnresponsive struct{ Server int }
+	// MakeServerResponsive makes an unresponsive server respond again.
+	MakeServerResponsive struct{ Server int }
 )
 
 // The actions on nodes.
@@ -74,12 +74,12 @@
 	}
 )
 
-func (a SetDiscoveryFault) String() string { return fmt.Sprintf("discovery is %v", a.Fault) }
-func (a DrainServer) String() string       { return fmt.Sprintf("drain server %d", a.Server) }
-func (a RemoveServer) String() string      { return fmt.Sprintf("remove server %d", a.Server) }
-func (a StartServer) String() string       { return fmt.Sprintf("start server %s", a.ID) }
-func (a HangServer) String() string        { return fmt.Sprintf("server %d hangs", a.Server) }
-func (a ResumeServer) String() string      { return fmt.Sprintf("server %d resumes", a.Server) }
+func (a SetDiscoveryFault) String() string      { return fmt.Sprintf("discovery is %v", a.Fault) }
+func (a DrainServer) String() string            { return fmt.Sprintf("drain server %d", a.Server) }
+func (a RemoveServer) String() string           { return fmt.Sprintf("remove server %d", a.Server) }
+func (a StartServer) String() string            { return fmt.Sprintf("start server %s", a.ID) }
+func (a MakeServerUnresponsive) String() string { return fmt.Sprintf("server %d hangs", a.Server) }
+func (a MakeServerResponsive) String() string   { return fmt.Sprintf("server %d resumes", a.Server) }
 func (a StepClock) String() string {
 	return fmt.Sprintf("n%d: clock ahead by %v", a.Node, a.ClockOffset)
 }
--- a/internal/soak/scenario/schedule.go
+++ b/internal/soak/scenario/schedule.go
@@ -29,7 +29,7 @@
 		schedule.InitialClockOffsets = append(schedule.InitialClockOffsets, generateClockOffset(random))
 	}
 	schedule.Concurrent = append(schedule.Concurrent,
-		generateDiscoveryFaults(random), generateServerReplacements(random), generateHang(random))
+		generateDiscoveryFaults(random), generateServerReplacements(random), generateUnresponsiveServer(random))
 	restarted := random.IntN(nodes)
 	for node := range nodes {
 		events := generateNodeFaults(random, node)
@@ -104,12 +104,12 @@
 // ServerID returns the ID of a server that is listed from the start of the run, given its index.
 func ServerID(server int) string { return fmt.Sprintf("s-%d", server) }
 
-// generateHang returns the start and end of the hang of one server.
-func generateHang(random *rand.Rand) []Event {
+// generateUnresponsiveServer returns the start and end of a period in which one server is unresponsive.
+func generateUnresponsiveServer(random *rand.Rand) []Event {
 	const duration = 2 * time.Second
 	server := random.IntN(Servers)
 	from := randomDuration(random, 2*time.Second, 12*time.Second)
-	return []Event{{from, HangServer{server}}, {from + duration, ResumeServer{server}}}
+	return []Event{{from, MakeServerUnresponsive{server}}, {from + duration, MakeServerResponsive{server}}}
 }
 
 // generateNodeFaults returns the clock steps and the pauses of a node and, with a probability of 2/3, a series of
--- a/internal/soak/server.go
+++ b/internal/soak/server.go
@@ -93,7 +93,7 @@
 		Server: s.record, At: now, Timeout: time.Duration(timeoutMs) * time.Millisecond,
 		NotExecuted: fault == faultNotProcessed,
 	})
-	if s.record.Hanging.Load() {
+	if s.record.Unresponsive.Load() {
 		<-r.Context().Done()
 		return
 	}
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -90,7 +90,7 @@
 	r.history.Logf("shutting all nodes down")
 	var shutdowns sync.WaitGroup
 	for _, node := range r.nodes {
-		shutdowns.Go(func() { node.terminate(r.scenario.Schedule.FinalSignals) })
+		shutdowns.Go(func() { node.shutDown(r.scenario.Schedule.FinalSignals) })
 	}
 	shutdowns.Wait()
 	close(ended)
